--- a/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! message, and carry out what it asks of the [`api::Host`].
 //!
 //! ```
-//! use cypresscleat::{api::*, Brain};
+//! use cypresscleat_scheduler::{api::*, Brain};
 //!
 //! #[derive(Default)]
 //! struct Server(Vec<String>);
--- a/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -12,8 +12,8 @@
 //!   refuse ACTION ...                  not among them
 //!   never ACTION ...                   among all actions of the whole file
 
-use cypresscleat::api::*;
-use cypresscleat::Brain;
+use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::Brain;
 use std::collections::HashMap;
 
 #[derive(Default)]
--- a/lab/src/drive.rs
+++ b/lab/src/drive.rs
@@ -3,9 +3,9 @@
 
 use crate::arrivals::{Coming, Day, Trouble, SECOND};
 use crate::worker::{Done, Machine, Worker};
-use cypresscleat::api::*;
-use cypresscleat::Brain;
 use cypresscleat_pools::{Setup, View};
+use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::Brain;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/lab/src/scale/tenants.rs
+++ b/lab/src/scale/tenants.rs
@@ -2,9 +2,9 @@
 
 use super::row::{How, Row};
 use super::{heap, timed};
-use cypresscleat::api::*;
-use cypresscleat::Brain;
 use cypresscleat_scgi::request::{self, Reader};
+use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::Brain;
 use cypresscleat_server::fronts::routes::{From, Route, Routes};
 use cypresscleat_server::pool::Pool;
 use std::time::Instant;
--- a/lab/tests/pools.rs
+++ b/lab/tests/pools.rs
@@ -1,6 +1,5 @@
 //! The pools on the model, by properties and by the earlier version's own answers.
 
-use cypresscleat::api::*;
 use cypresscleat_lab::arrivals::{Day, Trouble, SECOND};
 use cypresscleat_lab::drive::{play, settings, Answer, Played};
 use cypresscleat_lab::pools::{
@@ -9,6 +8,7 @@
 use cypresscleat_lab::worker::Machine;
 use cypresscleat_pools::limit::Limiter;
 use cypresscleat_pools::{Pool, Setup, PATIENCE};
+use cypresscleat_scheduler::api::*;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -219,11 +219,11 @@
     fn release(&mut self, _: Inv) {}
 }
 
-fn brain(setup: &Setup) -> (cypresscleat::Brain, Seen) {
+fn brain(setup: &Setup) -> (cypresscleat_scheduler::Brain, Seen) {
     let day = day(1, 1, 1.0, Vec::new());
     let machine = Machine { cores: 4.0, ..Machine::default() };
     let mut seen = Seen::default();
-    (cypresscleat::Brain::start(0, settings(&day, &machine, setup), &mut seen), seen)
+    (cypresscleat_scheduler::Brain::start(0, settings(&day, &machine, setup), &mut seen), seen)
 }
 
 fn arrival(inv: Inv, op: usize) -> Arrival {
--- a/server/src/calls/ledger.rs
+++ b/server/src/calls/ledger.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::pool::{Buf, SIZE};
 use crate::sockets::look;
-use cypresscleat::api::Outcome;
+use cypresscleat_scheduler::api::Outcome;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
--- a/server/src/config.rs
+++ b/server/src/config.rs
@@ -1,6 +1,6 @@
 //! The only reader of the environment and of EDGE_CONFIG: checks, defaults, messages that name the faulty key.
 
-use cypresscleat::api::*;
+use cypresscleat_scheduler::api::*;
 use cypresscleat_settings::{self as settings, Names};
 use serde_json::Value;
 use std::cell::Cell;
--- a/server/src/core/door.rs
+++ b/server/src/core/door.rs
@@ -4,7 +4,7 @@
 use crate::counters::{add, Counters};
 use crate::log;
 use crate::pool::{Buf, Outbox, Pool};
-use cypresscleat::api::{Gauges, Inv, Time};
+use cypresscleat_scheduler::api::{Gauges, Inv, Time};
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
 use std::rc::Rc;
--- a/server/src/core/keeping.rs
+++ b/server/src/core/keeping.rs
@@ -4,7 +4,7 @@
 
 use super::door::{How, Peer, Txn};
 use crate::pool::Buf;
-use cypresscleat::api::{Inv, Time};
+use cypresscleat_scheduler::api::{Inv, Time};
 use cypresscleat_store::disk::Disk;
 use cypresscleat_store::{Result, Store};
 use std::collections::{BTreeSet, HashMap, VecDeque};
--- a/server/src/forward/fleet.rs
+++ b/server/src/forward/fleet.rs
@@ -11,7 +11,7 @@
 use crate::log;
 use crate::pool::{Outbox, SIZE};
 use crate::sockets::write_all;
-use cypresscleat::api::{Gauges, Outcome, Time};
+use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
 use cypresscleat_tier::grants::Held;
 use cypresscleat_tier::messages::{Demand, Sight};
 use cypresscleat_tier::mode::Mode;
--- a/server/src/fronts/mod.rs
+++ b/server/src/fronts/mod.rs
@@ -11,7 +11,7 @@
 use crate::counters::add;
 use crate::log;
 use crate::pool::SIZE;
-use cypresscleat::api::Time;
+use cypresscleat_scheduler::api::Time;
 use cypresscleat_settings::Names;
 use cypresscleat_tier::ramp::Ramp;
 use std::cell::{Cell, RefCell};
--- a/server/src/lines.rs
+++ b/server/src/lines.rs
@@ -2,7 +2,7 @@
 
 use crate::pool::{Buf, Pool};
 use base64::{engine::general_purpose::STANDARD, Engine};
-use cypresscleat::api::Outcome;
+use cypresscleat_scheduler::api::Outcome;
 use serde_json::{json, Value};
 use std::rc::Rc;
 
--- a/server/src/main.rs
+++ b/server/src/main.rs
@@ -1,7 +1,7 @@
 //! Wires the tasks of one app server together, and its signals.
 
-use cypresscleat::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_pools::Setup;
+use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::calls::scgi::Place;
 use cypresscleat_server::calls::{ledger, scgi as backend};
--- a/server/src/rolling/mod.rs
+++ b/server/src/rolling/mod.rs
@@ -9,9 +9,9 @@
 
 use crate::operator::{self, Wrong};
 use crate::owning::Keepers;
-use cypresscleat::api::Time;
 use cypresscleat_pools::Setup;
 use cypresscleat_rollout::{Rules, Version};
+use cypresscleat_scheduler::api::Time;
 use cypresscleat_settings::Names;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/server/tests/core.rs
+++ b/server/tests/core.rs
@@ -16,7 +16,7 @@
 //! What is written: `kernel MSG TXN [BODY]`, `NAME STREAM succeeded|throttled|errored [BODY]`, `ledger post TXN MS BODY`,
 //! `ledger abandon TXN`. A txn stands without its leading zeros.
 
-use cypresscleat::api::{Outcome, Time};
+use cypresscleat_scheduler::api::{Outcome, Time};
 use cypresscleat_server::config;
 use cypresscleat_server::core::door::{Peer, Txn};
 use cypresscleat_server::core::{Command, Core, Note, Shared};
--- a/server/tests/crossings.rs
+++ b/server/tests/crossings.rs
@@ -529,7 +529,7 @@
 /// that and the call.
 #[test]
 fn a_call_crosses_the_close_of_its_connection() {
-    use cypresscleat::api::Outcome;
+    use cypresscleat_scheduler::api::Outcome;
     use cypresscleat_server::calls::ledger;
     use cypresscleat_server::config::{parse, Addresses};
     use cypresscleat_server::core::{Command, Note, Shared};
--- a/server/tests/parsers.rs
+++ b/server/tests/parsers.rs
@@ -1,6 +1,6 @@
 //! The parsers, fed byte by byte and with bad input; bytes are written out as the protocol gives them.
 
-use cypresscleat::api::Outcome;
+use cypresscleat_scheduler::api::Outcome;
 use cypresscleat_server::config;
 use cypresscleat_server::frames::{self, Next};
 use cypresscleat_server::lines::{self, NextReply, Notice};
--- a/server/tests/store.rs
+++ b/server/tests/store.rs
@@ -1,8 +1,8 @@
 //! The store behind the server: tokens across lives, billing rows against what callers were told, what was owed at a drain, a
 //! store that fails.
 
-use cypresscleat::api::Effect;
 use cypresscleat_examples::{scgi_request, Gateway, Kernel, Place};
+use cypresscleat_scheduler::api::Effect;
 use cypresscleat_server::config;
 use cypresscleat_server::core::door::{Invocation, Peer};
 use cypresscleat_server::core::keeping::{Keeping, Loaded};
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings of one app server from their JSON form, for every adapter; unknown keys are skipped,
 //! absent ones read as zero.
 
-use cypresscleat::api::*;
+use cypresscleat_scheduler::api::*;
 use serde_json::Value;
 
 /// Nanoseconds in a tenth of a millisecond.
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,8 +1,8 @@
 //! Reads event batches, hosts one `Brain` per instance, writes one reply per batch. Decides nothing.
 
-use cypresscleat::api::*;
-use cypresscleat::Brain;
 use cypresscleat_pools::Setup;
+use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::Brain;
 use cypresscleat_settings::{self as settings, Names, NS};
 use std::collections::HashMap;
 use std::fmt::Write as _;
