--- a/pools/tests/pools.rs
+++ b/crates/concurrency/tests/pools.rs
@@ -1,8 +1,8 @@
 //! Setups that are wrong, limits by themselves, and the index against a sorted vector.
 
-use cypresscleat_pools::index::{select_among, Index, Key};
-use cypresscleat_pools::limit::{Limit, Limiter, Sample};
-use cypresscleat_pools::{Pool, Setup};
+use cypresscleat_concurrency::index::{select_among, Index, Key};
+use cypresscleat_concurrency::limit::{Limit, Limiter, Sample};
+use cypresscleat_concurrency::{Pool, Setup};
 use proptest::prelude::*;
 
 fn pool(name: &str, operations: &[usize], least: f64) -> Pool {
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -90,7 +90,7 @@
     pub max_backoff: Time,
     pub seed: u64,
     /// None: every operation takes what it gets.
-    pub pools: cypresscleat_pools::Setup,
+    pub pools: cypresscleat_concurrency::Setup,
 }
 
 /// An invocation that was read and waits for a decision.
--- a/crates/scheduler/src/brain.rs
+++ b/crates/scheduler/src/brain.rs
@@ -7,8 +7,8 @@
 //! Same events, same actions: no clock, no shared state, chance only from the seed and a counter.
 
 use crate::api::*;
-use cypresscleat_pools::index::{Index, Key};
-use cypresscleat_pools::{Count, Pools, Setup};
+use cypresscleat_concurrency::index::{Index, Key};
+use cypresscleat_concurrency::{Count, Pools, Setup};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/lab/src/drive.rs
+++ b/lab/src/drive.rs
@@ -3,7 +3,7 @@
 
 use crate::arrivals::{Coming, Day, Trouble, SECOND};
 use crate::worker::{Done, Machine, Worker};
-use cypresscleat_pools::{Setup, View};
+use cypresscleat_concurrency::{Setup, View};
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
 use std::cmp::Reverse;
--- a/lab/src/index.rs
+++ b/lab/src/index.rs
@@ -1,7 +1,7 @@
 //! What a draw costs: the index of `pools` beside what the module does, which copies all that may start, selects, and
 //! removes the drawn one from its list. Real times on this machine, by the number held, in one list and in four pools.
 
-use cypresscleat_pools::index::{select_among, Index, Key};
+use cypresscleat_concurrency::index::{select_among, Index, Key};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::time::{Duration, Instant};
--- a/lab/src/pools.rs
+++ b/lab/src/pools.rs
@@ -4,8 +4,8 @@
 use crate::arrivals::{Class, Coming, Day, Trouble, SECOND};
 use crate::drive::{play, Answer, Played, OVER_SHARE};
 use crate::worker::Machine;
-use cypresscleat_pools::limit::Limiter;
-use cypresscleat_pools::{Pool, Setup};
+use cypresscleat_concurrency::limit::Limiter;
+use cypresscleat_concurrency::{Pool, Setup};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -344,7 +344,7 @@
     let parts = root.split_evenly((3, 1));
     let colours = [RED, BLUE, GREEN, MAGENTA, BLACK];
     let seconds = day.length as f64 / SECOND as f64;
-    let series = |value: fn(&cypresscleat_pools::View) -> f64, pool: usize| -> Vec<(f64, f64)> {
+    let series = |value: fn(&cypresscleat_concurrency::View) -> f64, pool: usize| -> Vec<(f64, f64)> {
         let at = |moment: &crate::drive::Moment| moment.at as f64 / SECOND as f64;
         played.moments.iter().filter_map(|m| Some((at(m), value(m.pools.get(pool)?)))).collect()
     };
--- a/lab/tests/pools.rs
+++ b/lab/tests/pools.rs
@@ -1,13 +1,13 @@
 //! The pools on the model, by properties and by the earlier version's own answers.
 
+use cypresscleat_concurrency::limit::Limiter;
+use cypresscleat_concurrency::{Pool, Setup, PATIENCE};
 use cypresscleat_lab::arrivals::{Day, Trouble, SECOND};
 use cypresscleat_lab::drive::{play, settings, Answer, Played};
 use cypresscleat_lab::pools::{
     day, machine, setup, spread_out, troubles, worth, CHOSEN, LIMITERS, STATUS, TALLY,
 };
 use cypresscleat_lab::worker::Machine;
-use cypresscleat_pools::limit::Limiter;
-use cypresscleat_pools::{Pool, Setup, PATIENCE};
 use cypresscleat_scheduler::api::*;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
--- a/server/src/core.rs
+++ b/server/src/core.rs
@@ -10,7 +10,7 @@
 use crate::pool::{Buf, Outbox, Pool};
 use crate::ready::Ready;
 use crate::rolling::gate::Gate;
-use cypresscleat_pools::Setup;
+use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::member::May;
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
--- a/server/src/main.rs
+++ b/server/src/main.rs
@@ -1,6 +1,6 @@
 //! Wires the tasks of one app server together, and its signals.
 
-use cypresscleat_pools::Setup;
+use cypresscleat_concurrency::Setup;
 use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::calls::scgi::Place;
--- a/server/src/rolling/mod.rs
+++ b/server/src/rolling/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::operator::{self, Wrong};
 use crate::owning::Keepers;
-use cypresscleat_pools::Setup;
+use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::{Rules, Version};
 use cypresscleat_scheduler::api::Time;
 use cypresscleat_settings::Names;
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,6 +1,6 @@
 //! Reads event batches, hosts one `Brain` per instance, writes one reply per batch. Decides nothing.
 
-use cypresscleat_pools::Setup;
+use cypresscleat_concurrency::Setup;
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
 use cypresscleat_settings::{self as settings, Names, NS};
