--- a/tier/tests/ramp.rs
+++ b/crates/forwarding/tests/ramp.rs
@@ -1,7 +1,7 @@
 //! A cold worker's promises: what all senders have out at once, counted by whoever receives it, never passes the budget.
 
-use cypresscleat_tier::ramp::{Promised, Ramp, HOLDS, SENDERS};
-use cypresscleat_tier::{Id, Time, SECOND};
+use cypresscleat_forwarding::ramp::{Promised, Ramp, HOLDS, SENDERS};
+use cypresscleat_forwarding::{Id, Time, SECOND};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/tier/tests/tier.rs
+++ b/crates/forwarding/tests/tier.rs
@@ -1,15 +1,15 @@
 //! The deciders of the two levels: messages and membership under loss and cuts, grants model-checked, plans, routes, tries.
 //! Seeds are printed with each failure.
 
-use cypresscleat_tier::grants::{Held, Lead, Refused, Turn, LASTS, SKEW};
-use cypresscleat_tier::membership::{Membership, Options};
-use cypresscleat_tier::messages::{self, *};
-use cypresscleat_tier::mode::{Mode, STEP, STEPS};
-use cypresscleat_tier::plan::Plan;
-use cypresscleat_tier::retry::{Budget, Known, FLOOR, SHARE};
-use cypresscleat_tier::routes::{End, Routes};
-use cypresscleat_tier::sim::{id_of, Net, World};
-use cypresscleat_tier::{mode, Id, Time, MS, SECOND};
+use cypresscleat_forwarding::grants::{Held, Lead, Refused, Turn, LASTS, SKEW};
+use cypresscleat_forwarding::membership::{Membership, Options};
+use cypresscleat_forwarding::messages::{self, *};
+use cypresscleat_forwarding::mode::{Mode, STEP, STEPS};
+use cypresscleat_forwarding::plan::Plan;
+use cypresscleat_forwarding::retry::{Budget, Known, FLOOR, SHARE};
+use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::sim::{id_of, Net, World};
+use cypresscleat_forwarding::{mode, Id, Time, MS, SECOND};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -352,7 +352,7 @@
     assert_eq!(fooled.takes(3 * LASTS, (5, 4, third), LASTS, &mad), Ok(()));
     assert_eq!(
         fooled.total(3 * LASTS),
-        2 * u64::from(cypresscleat_tier::grants::MOST),
+        2 * u64::from(cypresscleat_forwarding::grants::MOST),
         "figures out of proportion"
     );
     assert_eq!(held.takes(3 * LASTS, (5, 4, third), LASTS * 9, &grant), Ok(()));
@@ -652,7 +652,7 @@
     let mut mode = Mode::new(0);
     (0..6).for_each(|step| drop(mode.tick(step * STEP, &held)));
     assert_eq!(mode.places(LASTS, &held, 9, alone), 4.0);
-    assert_eq!(id_of(1), cypresscleat_tier::id("member-1"));
+    assert_eq!(id_of(1), cypresscleat_forwarding::id("member-1"));
     assert_eq!(MS * 1000, SECOND);
 }
 
@@ -667,7 +667,7 @@
     let known = Message::Known { rumours: vec![rumour] };
     own.heard(0, address(2), &Envelope { from: 2, incarnation: 1, rumours: vec![], message: known });
     let (mut now, mut looks) = (0, 0);
-    while now < 20 * cypresscleat_tier::SECOND {
+    while now < 20 * cypresscleat_forwarding::SECOND {
         own.tick(now);
         looks += 1;
         assert!(own.due() > now, "at {now} it is due at {}", own.due());
@@ -679,7 +679,7 @@
 /// What differs is told, and nothing where nothing does; one of a version that does not compare is asked for all, now and then.
 #[test]
 fn what_is_known_is_compared_before_it_is_told() {
-    use cypresscleat_tier::membership::{Membership, Options};
+    use cypresscleat_forwarding::membership::{Membership, Options};
     let at = |number: u16| SocketAddr::from(([127, 0, 0, 1], number));
     let member = |own: u64, seed: u64| {
         Membership::new(own, Role::Worker, at(own as u16), vec![at(1)], Options::default(), seed)
--- a/tier/tests/versions.rs
+++ b/crates/forwarding/tests/versions.rs
@@ -4,7 +4,7 @@
 //! The rules for what a version adds: kinds of messages at the end of their list, never a field in one that is there; whoever sends a new
 //! kind lives without an answer to it; what has to be understood by all has a kind that all know.
 
-use cypresscleat_tier::messages::*;
+use cypresscleat_forwarding::messages::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/lab/src/owners.rs
+++ b/lab/src/owners.rs
@@ -1,12 +1,12 @@
 //! One owner at a time, at size: how long a duty has no owner, and what keeping it costs. Keepers, instances and links are played
 //! (simulated time, real decisions); nothing here is measured on sockets.
 
+use cypresscleat_forwarding::grants::{Lead, LASTS, SKEW};
+use cypresscleat_forwarding::membership::{Membership, Options, Send};
+use cypresscleat_forwarding::messages::{Envelope, Role};
+use cypresscleat_forwarding::Id;
 use cypresscleat_owners::sim::{Play, Setup};
 use cypresscleat_owners::{Part, Time, MS, SECOND};
-use cypresscleat_tier::grants::{Lead, LASTS, SKEW};
-use cypresscleat_tier::membership::{Membership, Options, Send};
-use cypresscleat_tier::messages::{Envelope, Role};
-use cypresscleat_tier::Id;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/lab/src/scale/events.rs
+++ b/lab/src/scale/events.rs
@@ -3,9 +3,9 @@
 use super::gossip::settled;
 use super::row::{How, Row};
 use super::targets::TARGETS;
-use cypresscleat_tier::messages::State;
-use cypresscleat_tier::sim::World;
-use cypresscleat_tier::SECOND;
+use cypresscleat_forwarding::messages::State;
+use cypresscleat_forwarding::sim::World;
+use cypresscleat_forwarding::SECOND;
 
 const ROLE: &str = "app-server";
 const LOSS: f64 = 0.01;
--- a/lab/src/scale/gossip.rs
+++ b/lab/src/scale/gossip.rs
@@ -3,10 +3,10 @@
 
 use super::heap;
 use super::row::{How, Row};
-use cypresscleat_tier::membership::{Member, Membership, Options};
-use cypresscleat_tier::messages::State;
-use cypresscleat_tier::sim::{Net, World};
-use cypresscleat_tier::{Id, MS, SECOND};
+use cypresscleat_forwarding::membership::{Member, Membership, Options};
+use cypresscleat_forwarding::messages::State;
+use cypresscleat_forwarding::sim::{Net, World};
+use cypresscleat_forwarding::{Id, MS, SECOND};
 use std::time::Instant;
 
 const ROLE: &str = "app-server";
--- a/lab/src/scale/hollow/tier.rs
+++ b/lab/src/scale/hollow/tier.rs
@@ -9,13 +9,13 @@
 use crate::scale::row::{How, Row};
 use cypresscleat_examples::Place;
 use cypresscleat_faults::free_port;
-use cypresscleat_server::clock::Clock;
-use cypresscleat_tier::grants::{Held, RENEWED};
-use cypresscleat_tier::membership::{Membership, Options, Send};
-use cypresscleat_tier::messages::{
+use cypresscleat_forwarding::grants::{Held, RENEWED};
+use cypresscleat_forwarding::membership::{Membership, Options, Send};
+use cypresscleat_forwarding::messages::{
     self, Demand, Envelope, Message, Next, Report, Role, Rumour, Sight, State,
 };
-use cypresscleat_tier::{id, Id, Time};
+use cypresscleat_forwarding::{id, Id, Time};
+use cypresscleat_server::clock::Clock;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -3,10 +3,10 @@
 use super::row::{How, Row};
 use super::targets::DATAGRAM;
 use super::{heap, timed};
-use cypresscleat_tier::messages::{write, Demand, Envelope, Grant, Message, Report, Sight, GRANTS};
-use cypresscleat_tier::plan::Plan;
-use cypresscleat_tier::routes::{End, Routes};
-use cypresscleat_tier::{id, Time};
+use cypresscleat_forwarding::messages::{write, Demand, Envelope, Grant, Message, Report, Sight, GRANTS};
+use cypresscleat_forwarding::plan::Plan;
+use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::{id, Time};
 use std::time::Instant;
 
 /// Operations in a report.
--- a/lab/src/tier.rs
+++ b/lab/src/tier.rs
@@ -1,9 +1,9 @@
 //! What the two levels cost: three ways to know who is here, and a forwarder's table beside a plain scan.
 
-use cypresscleat_tier::membership::Options;
-use cypresscleat_tier::routes::{scan, End, Routes};
-use cypresscleat_tier::sim::{gossip, heartbeats, Cost};
-use cypresscleat_tier::Time;
+use cypresscleat_forwarding::membership::Options;
+use cypresscleat_forwarding::routes::{scan, End, Routes};
+use cypresscleat_forwarding::sim::{gossip, heartbeats, Cost};
+use cypresscleat_forwarding::Time;
 use std::time::{Duration, Instant};
 
 fn row(out: &mut String, way: &str, loss: f64, cost: &Cost) {
--- a/server/src/forward/fleet.rs
+++ b/server/src/forward/fleet.rs
@@ -11,14 +11,14 @@
 use crate::log;
 use crate::pool::{Outbox, SIZE};
 use crate::sockets::write_all;
+use cypresscleat_forwarding::grants::Held;
+use cypresscleat_forwarding::messages::{Demand, Sight};
+use cypresscleat_forwarding::mode::Mode;
+use cypresscleat_forwarding::ramp::Promised;
+use cypresscleat_forwarding::retry::{Budget, Known};
+use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::{id, Id};
 use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
-use cypresscleat_tier::grants::Held;
-use cypresscleat_tier::messages::{Demand, Sight};
-use cypresscleat_tier::mode::Mode;
-use cypresscleat_tier::ramp::Promised;
-use cypresscleat_tier::retry::{Budget, Known};
-use cypresscleat_tier::routes::{End, Routes};
-use cypresscleat_tier::{id, Id};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -194,7 +194,7 @@
             let rate = std::mem::take(count) as f64 / span.max(0.01);
             Demand { class: class as u16, rate: rate as f32, held: 0, value: *value as f32 }
         });
-        all.take(cypresscleat_tier::messages::CLASSES).collect()
+        all.take(cypresscleat_forwarding::messages::CLASSES).collect()
     }
 
     pub fn sights(&self, span: f64) -> Vec<Sight> {
@@ -205,7 +205,7 @@
             let (ends, throttled) = (per(&mut state.ends), per(&mut state.throttled));
             Sight { worker: *worker, out: routes.out_at(*worker), ends, throttled, took: state.took as f32 }
         });
-        sights.take(cypresscleat_tier::messages::GRANTS).collect()
+        sights.take(cypresscleat_forwarding::messages::GRANTS).collect()
     }
 
     /// Takes over what grants, mode and health say of each worker now; a line where the mode changed.
@@ -220,8 +220,9 @@
         for (worker, state) in self.workers.borrow().iter() {
             let alone = Mode::alone(state.places, self.forwarders.get());
             // No planner's figure counts past what a planner may learn of a worker: twice what it is told to have.
-            let places =
-                mode.places(now, &held, *worker, alone).min(state.places * cypresscleat_tier::plan::MOST);
+            let places = mode
+                .places(now, &held, *worker, alone)
+                .min(state.places * cypresscleat_forwarding::plan::MOST);
             // A cold one's own word counts, whoever granted more.
             let places = state.promised.map_or(places, |promised| places.min(promised.places(now).into()));
             routes.worker(now, *worker, places, state.good, Time::MIN);
--- a/server/src/main.rs
+++ b/server/src/main.rs
@@ -1,6 +1,8 @@
 //! Wires the tasks of one app server together, and its signals.
 
 use cypresscleat_concurrency::Setup;
+use cypresscleat_forwarding::messages::Role;
+use cypresscleat_forwarding::retry;
 use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::calls::scgi::Place;
@@ -21,8 +23,6 @@
 use cypresscleat_server::rolling::{self, member, Policy};
 use cypresscleat_server::{kernel, log, owning, plan, pool, recovery, relaying, roster};
 use cypresscleat_settings::Names;
-use cypresscleat_tier::messages::Role;
-use cypresscleat_tier::retry;
 use std::cell::RefCell;
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/server/tests/planners.rs
+++ b/server/tests/planners.rs
@@ -2,9 +2,9 @@
 //! workers. In every case each caller has its answer, in time, and nothing runs twice.
 
 use cypresscleat_examples::tier::{ran_twice, trickle, Levels};
-use cypresscleat_tier::grants::LASTS;
-use cypresscleat_tier::messages::{self, Envelope, Grant, Message, Next};
-use cypresscleat_tier::{id, Id};
+use cypresscleat_forwarding::grants::LASTS;
+use cypresscleat_forwarding::messages::{self, Envelope, Grant, Message, Next};
+use cypresscleat_forwarding::{id, Id};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
