--- a/quorum/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -1,9 +1,9 @@
 //! Keepers in a simulated network with simulated disks: what was answered is never lost, nowhere is anything else decided, and a
 //! majority that lives goes on. Guards taken out are found out.
 
-use cypresscleat_quorum::keeper::Broken;
-use cypresscleat_quorum::sim::{Chain, Weather, World};
-use cypresscleat_quorum::{Answer, Chance, Options, MS, SECOND};
+use cypresscleat_consensus::keeper::Broken;
+use cypresscleat_consensus::sim::{Chain, Weather, World};
+use cypresscleat_consensus::{Answer, Chance, Options, MS, SECOND};
 use std::collections::BTreeMap;
 
 fn options() -> Options {
@@ -120,7 +120,7 @@
     world: &mut World<Chain>,
     chance: &mut Chance,
     troubles: Troubles,
-    older: &mut Option<(usize, cypresscleat_quorum::sim::Shelf)>,
+    older: &mut Option<(usize, cypresscleat_consensus::sim::Shelf)>,
 ) {
     let many = world.seats.len();
     let at = chance.below(many as u64) as usize;
@@ -301,8 +301,8 @@
 
 #[test]
 fn a_letter_is_read_whole_or_not_at_all() {
-    use cypresscleat_quorum::letter::{self, Body, Letter, Mark, Wrong};
-    let from = cypresscleat_quorum::Member { id: 1, disk: 2 };
+    use cypresscleat_consensus::letter::{self, Body, Letter, Mark, Wrong};
+    let from = cypresscleat_consensus::Member { id: 1, disk: 2 };
     let body = Body::Ask { pre: false, last: Mark { term: 3, index: 9 } };
     let good = Letter { from, to_disk: 4, term: 3, body };
     let bytes = letter::write(&good).expect("it is short");
--- a/quorum/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,11 +1,11 @@
 //! The keepers' own code, walked by a model checker: from a leader and two that follow it, all orders of proposals, deliveries and
 //! losses, elections, a death that forgets what was not on the disk, and a disk that is lost, within small bounds.
 
-use cypresscleat_quorum::keeper::Broken;
-use cypresscleat_quorum::kept::{Base, Kept, Write};
-use cypresscleat_quorum::letter::{self, Letter};
-use cypresscleat_quorum::sim::Chain;
-use cypresscleat_quorum::{Answer, Begin, Id, Keeper, Member, Options, Out, SECOND};
+use cypresscleat_consensus::keeper::Broken;
+use cypresscleat_consensus::kept::{Base, Kept, Write};
+use cypresscleat_consensus::letter::{self, Letter};
+use cypresscleat_consensus::sim::Chain;
+use cypresscleat_consensus::{Answer, Begin, Id, Keeper, Member, Options, Out, SECOND};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -91,7 +91,7 @@
             .expect("an empty disk");
     disk.iter().for_each(|(key, value)| drop(store.put(key, value)));
     store.commit(true).expect("a good disk");
-    cypresscleat_quorum::kept::read(&mut store).expect("it can be read")
+    cypresscleat_consensus::kept::read(&mut store).expect("it can be read")
 }
 
 impl Model for Small {
@@ -113,7 +113,13 @@
         };
         for at in 0..3 {
             let mut writes = Vec::new();
-            cypresscleat_quorum::kept::base(&mut writes, &base, &[], &Base::default(), 1..=base.mark.index);
+            cypresscleat_consensus::kept::base(
+                &mut writes,
+                &base,
+                &[],
+                &Base::default(),
+                1..=base.mark.index,
+            );
             sync(&mut state.disks[at], writes);
             let (keeper, out) =
                 self.keeper(at, 11 + at as u64, Kept { base: Some(base.clone()), ..Kept::default() });
--- a/lab/src/owners.rs
+++ b/lab/src/owners.rs
@@ -137,7 +137,7 @@
         let owned: usize =
             play.instances.iter().filter_map(|one| one.holder.as_ref()).map(|one| one.owned().count()).sum();
         let leader = play.world.leader().and_then(|at| play.world.seats[at].keeper.as_ref());
-        let image = leader.map_or(0, |keeper| cypresscleat_quorum::Machine::image(keeper.machine()).len());
+        let image = leader.map_or(0, |keeper| cypresscleat_consensus::Machine::image(keeper.machine()).len());
         out += &format!(
             "| {keepers} | {instances} | {owned} of {parts} | {:.0} | {:.0} | {:.0} | {:.1} | {image} |\n",
             a_second(play.asks, asks),
--- a/lab/src/rollout.rs
+++ b/lab/src/rollout.rs
@@ -1,7 +1,7 @@
 //! A change of policy at size: how long until it is decided and in force everywhere, what it costs, how long two versions mix; beside
 //! two plain ways to make one. Simulated time and nets, real decisions; the plain ways are models of a few lines.
 
-use cypresscleat_quorum::Chance;
+use cypresscleat_consensus::Chance;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::sim::{Play, Setup, Traffic};
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
--- a/lab/src/scale/hollow/members.rs
+++ b/lab/src/scale/hollow/members.rs
@@ -2,9 +2,9 @@
 //! held for good at once: it is neither read nor kept.
 
 use super::{Count, Flow, HEADERS};
+use cypresscleat_consensus::letter;
 use cypresscleat_owners::holder::Holder;
 use cypresscleat_owners::{id, Id, Want};
-use cypresscleat_quorum::letter;
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Answer, Verdict};
 use cypresscleat_server::owning::wire::Wire;
--- a/owners/src/desk.rs
+++ b/owners/src/desk.rs
@@ -7,8 +7,8 @@
 use crate::duties::{Command, Duties, Outcome};
 use crate::said::{Answer, Ask};
 use crate::{Id, Part, Time};
-use cypresscleat_quorum as quorum;
-use cypresscleat_quorum::{Keeper, Machine, Out};
+use cypresscleat_consensus as quorum;
+use cypresscleat_consensus::{Keeper, Machine, Out};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Renewals and proposals that wait for an answer at once; more are not heard.
--- a/owners/src/duties.rs
+++ b/owners/src/duties.rs
@@ -3,7 +3,7 @@
 
 use crate::said::{Grant, Item, Line};
 use crate::{Id, Part, Time, Want, PARTS, SESSIONS, TOLD, WANTS};
-use cypresscleat_quorum::Machine;
+use cypresscleat_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/owners/src/sim.rs
+++ b/owners/src/sim.rs
@@ -8,10 +8,10 @@
 use crate::holder::{Event, Holder};
 use crate::said::{Answer, Ask};
 use crate::{Id, Part, Time, Want, MS};
-use cypresscleat_quorum::letter;
-use cypresscleat_quorum::sim::World;
-use cypresscleat_quorum::Answer as Answered;
-use cypresscleat_quorum::{Chance, Options};
+use cypresscleat_consensus::letter;
+use cypresscleat_consensus::sim::World;
+use cypresscleat_consensus::Answer as Answered;
+use cypresscleat_consensus::{Chance, Options};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards that tests take out.
@@ -280,7 +280,7 @@
         self.carry(at, out, said);
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_quorum::Out, said: Vec<(usize, Answer)>) {
+    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
         let more = !out.answers.is_empty() || !out.letters.is_empty() || !out.writes.is_empty();
         self.world.carry(at, out);
         for (to, answer) in said {
--- a/owners/tests/model.rs
+++ b/owners/tests/model.rs
@@ -1,10 +1,10 @@
 //! The rules of leases and tokens, walked by a model checker: two instances, the agreed state (the real one), one thing that is
 //! acted upon (the real fence), renewals and acts that arrive late or never, instances that stand still, clocks that may lie.
 
+use cypresscleat_consensus::Machine;
 use cypresscleat_owners::duties::{Command, Duties};
 use cypresscleat_owners::fence::Fence;
 use cypresscleat_owners::{Part, Want};
-use cypresscleat_quorum::Machine;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/owners/tests/owners.rs
+++ b/owners/tests/owners.rs
@@ -1,11 +1,11 @@
 //! One owner at a time, played in a simulated net: stops, deaths, drains, cuts, clocks that run apart. The journal of what was
 //! acted upon judges. Guards taken out are found out.
 
+use cypresscleat_consensus::sim::Weather;
+use cypresscleat_consensus::Chance;
 use cypresscleat_owners::fence::Fence;
 use cypresscleat_owners::sim::{Broken, Play, Setup};
 use cypresscleat_owners::{Part, MS, SECOND};
-use cypresscleat_quorum::sim::Weather;
-use cypresscleat_quorum::Chance;
 
 /// Clocks that are each so many parts in a thousand off run apart by no more than one part in `DRIFT`.
 const BOUND: i64 = 12;
--- a/relays/src/sim.rs
+++ b/relays/src/sim.rs
@@ -3,9 +3,9 @@
 //! what changes and not by looks at everybody, so that thousands can be played. Deterministic by seed.
 
 use crate::relay::{self, Out, Relay};
-use cypresscleat_quorum::letter;
-use cypresscleat_quorum::sim::World;
-use cypresscleat_quorum::{Answer as Answered, Options};
+use cypresscleat_consensus::letter;
+use cypresscleat_consensus::sim::World;
+use cypresscleat_consensus::{Answer as Answered, Options};
 use cypresscleat_rollout::desk::Desk;
 use cypresscleat_rollout::member::{self, Event as Happens, May, Member};
 use cypresscleat_rollout::policies::{News, Policies, Rules, Version};
@@ -521,7 +521,7 @@
         self.keeper_says(at, out, said);
     }
 
-    fn keeper_says(&mut self, at: usize, out: cypresscleat_quorum::Out, said: Vec<(usize, Answer)>) {
+    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
         self.world.carry(at, out);
         for (to, answer) in said {
             if to != OPERATOR {
--- a/rollout/src/desk.rs
+++ b/rollout/src/desk.rs
@@ -9,7 +9,7 @@
 use crate::said::{Answer, Ask, Line, Verdict};
 use crate::watch::{Found, Watch};
 use crate::{cut, Key, Time, NAME, SECOND, TOLD, WHY};
-use cypresscleat_quorum::{self as quorum, Keeper, Machine, Out};
+use cypresscleat_consensus::{self as quorum, Keeper, Machine, Out};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Askers that wait; one more is not heard, and asks again.
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod sim;
 pub mod watch;
 
-pub use cypresscleat_quorum::{id, Chance, Id, Time, MS, SECOND};
+pub use cypresscleat_consensus::{id, Chance, Id, Time, MS, SECOND};
 pub use policies::{Missing, Policies, Rules, Version, WatchRules};
 
 /// Clocks may run apart by one part in so many.
--- a/rollout/src/policies.rs
+++ b/rollout/src/policies.rs
@@ -2,7 +2,7 @@
 //! `quorum`: the same commands give the same state at every keeper.
 
 use crate::{cut, Id, Key, Time, DROPPED, HISTORY, MEMBERS, NAME, SECOND, TEXT, WHY};
-use cypresscleat_quorum::Machine;
+use cypresscleat_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/rollout/src/sim.rs
+++ b/rollout/src/sim.rs
@@ -6,10 +6,10 @@
 use crate::policies::{Missing, News, Policies, Rules, Version};
 use crate::said::{Answer, Ask, Verdict};
 use crate::{Id, Time, MS, SECOND};
-use cypresscleat_quorum::letter;
-use cypresscleat_quorum::sim::World;
-use cypresscleat_quorum::Answer as Answered;
-use cypresscleat_quorum::{Chance, Options};
+use cypresscleat_consensus::letter;
+use cypresscleat_consensus::sim::World;
+use cypresscleat_consensus::Answer as Answered;
+use cypresscleat_consensus::{Chance, Options};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
@@ -350,7 +350,7 @@
         }
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_quorum::Out, said: Vec<(usize, Answer)>) {
+    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
         self.world.carry(at, out);
         for (to, answer) in said {
             if to == OPERATOR {
--- a/rollout/tests/rollout.rs
+++ b/rollout/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Changes of policy in a simulated net: each hard case by itself, then faults by chance over many seeds, then the same with guards
 //! taken out, which has to be found.
 
-use cypresscleat_quorum::Machine;
+use cypresscleat_consensus::Machine;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{Command, Missing, Outcome, Policies, Rules, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Verdict};
@@ -423,7 +423,7 @@
 }
 
 mod letters {
-    use cypresscleat_quorum::letter;
+    use cypresscleat_consensus::letter;
     use cypresscleat_rollout::said::{Answer, Ask, Verdict};
     use cypresscleat_rollout::watch::Seen;
     use proptest::prelude::*;
--- a/server/src/owning/agreed.rs
+++ b/server/src/owning/agreed.rs
@@ -1,8 +1,8 @@
 //! All that the keepers agree on: who owns which duty, and which policy is in force. Two machines on one log; a command's first byte
 //! says whose it is.
 
+use cypresscleat_consensus::Machine;
 use cypresscleat_owners::duties::Duties;
-use cypresscleat_quorum::Machine;
 use cypresscleat_rollout::policies::{Policies, TAG};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/server/src/owning/hold.rs
+++ b/server/src/owning/hold.rs
@@ -2,10 +2,10 @@
 
 use super::wire::{learns, Wire};
 use super::{drawn, Keepers, Steady};
+use cypresscleat_consensus::letter;
 use cypresscleat_owners::holder::{Event, Holder};
 use cypresscleat_owners::said::Ask;
 use cypresscleat_owners::{id, Id, Part, Time, Want};
-use cypresscleat_quorum::letter;
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
--- a/server/src/owning/wire.rs
+++ b/server/src/owning/wire.rs
@@ -1,8 +1,8 @@
 //! What a datagram to or from a keeper holds, and a question asked of whichever keeper leads.
 
 use super::Keepers;
+use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_owners::{id, said, Id};
-use cypresscleat_quorum::letter::{self, Letter};
 use cypresscleat_rollout::said as policies;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
--- a/server/src/relaying/mod.rs
+++ b/server/src/relaying/mod.rs
@@ -8,7 +8,7 @@
 use crate::owning::{self, block_on, drawn, Keepers, Steady};
 use crate::rolling::texts::{keep, load, KEPT};
 use crate::rolling::{check, LEAVES};
-use cypresscleat_quorum::letter;
+use cypresscleat_consensus::letter;
 use cypresscleat_relays::{Out, Relay as Decider};
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_rollout::{id, Id, Version, TEXT};
--- a/server/src/rolling/member.rs
+++ b/server/src/rolling/member.rs
@@ -7,7 +7,7 @@
 use crate::log;
 use crate::owning::wire::{learns, Wire};
 use crate::owning::{self, addresses, drawn, from, Steady};
-use cypresscleat_quorum::letter;
+use cypresscleat_consensus::letter;
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Ask, Verdict};
 use cypresscleat_rollout::{cut, id, Id, Time, Version, WHY};
--- a/server/tests/relays.rs
+++ b/server/tests/relays.rs
@@ -1,9 +1,9 @@
 //! Changes of policy through relays, between processes of the program: keepers, two relays of one zone, app servers under load behind
 //! them and beside them, with faults in between. The journals on one clock judge, and what callers were answered.
 
+use cypresscleat_consensus::letter;
 use cypresscleat_examples::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_faults::{Disk, Order};
-use cypresscleat_quorum::letter;
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_server::owning::wire::Wire;
 use serde_json::{json, Value};
--- a/server/tests/wire.rs
+++ b/server/tests/wire.rs
@@ -1,10 +1,10 @@
 //! Keepers of the version before: what they send is read, what they wrote is read, and what they know is written as it was.
 
+use cypresscleat_consensus::letter::{self, Letter};
+use cypresscleat_consensus::{Machine, Member};
 use cypresscleat_owners::duties::Duties;
 use cypresscleat_owners::said::{Answer, Ask, Datagram};
 use cypresscleat_owners::{Part, Want};
-use cypresscleat_quorum::letter::{self, Letter};
-use cypresscleat_quorum::{Machine, Member};
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{self, Policies, Version};
 use cypresscleat_rollout::said as policy;
