--- a/owners/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -2,9 +2,9 @@
 //! acted upon (the real fence), renewals and acts that arrive late or never, instances that stand still, clocks that may lie.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_owners::duties::{Command, Duties};
-use cypresscleat_owners::fence::Fence;
-use cypresscleat_owners::{Part, Want};
+use cypresscleat_leases::duties::{Command, Duties};
+use cypresscleat_leases::fence::Fence;
+use cypresscleat_leases::{Part, Want};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/owners/tests/owners.rs
+++ b/crates/leases/tests/owners.rs
@@ -3,9 +3,9 @@
 
 use cypresscleat_consensus::sim::Weather;
 use cypresscleat_consensus::Chance;
-use cypresscleat_owners::fence::Fence;
-use cypresscleat_owners::sim::{Broken, Play, Setup};
-use cypresscleat_owners::{Part, MS, SECOND};
+use cypresscleat_leases::fence::Fence;
+use cypresscleat_leases::sim::{Broken, Play, Setup};
+use cypresscleat_leases::{Part, MS, SECOND};
 
 /// Clocks that are each so many parts in a thousand off run apart by no more than one part in `DRIFT`.
 const BOUND: i64 = 12;
@@ -244,7 +244,7 @@
     let part = |part| Part { duty: 9, part };
     assert!(fence.takes(part(0), 5) && fence.takes(part(0), 5) && fence.takes(part(0), 9));
     assert!(!fence.takes(part(0), 8) && !fence.takes(part(0), 0));
-    for number in 0..cypresscleat_owners::fence::KEPT as u32 + 10 {
+    for number in 0..cypresscleat_leases::fence::KEPT as u32 + 10 {
         assert!(fence.takes(part(number + 1), 100 + u64::from(number)));
     }
     assert!(!fence.takes(part(0), 8), "forgotten, and still too old");
@@ -255,9 +255,9 @@
 /// What was asked before it left is answered after: that is no word that it has left.
 #[test]
 fn one_that_leaves_waits_for_the_answer_to_that() {
-    use cypresscleat_owners::holder::Holder;
-    use cypresscleat_owners::said::{Answer, Ask, Grant};
-    use cypresscleat_owners::Want;
+    use cypresscleat_leases::holder::Holder;
+    use cypresscleat_leases::said::{Answer, Ask, Grant};
+    use cypresscleat_leases::Want;
     let wants = vec![Want { duty: 1, parts: 1, rank: 0 }];
     let mut holder = Holder::new(0, 5, 1, wants, vec![1, 2, 3]);
     let first = holder.tick(0);
@@ -284,9 +284,9 @@
 /// Keepers change in service: an instance that was started with the old list is sent to one that it does not know.
 #[test]
 fn a_leader_that_came_later_is_asked_once_it_is_known() {
-    use cypresscleat_owners::holder::Holder;
-    use cypresscleat_owners::said::Answer;
-    use cypresscleat_owners::Want;
+    use cypresscleat_leases::holder::Holder;
+    use cypresscleat_leases::said::Answer;
+    use cypresscleat_leases::Want;
     let mut holder = Holder::new(0, 5, 1, vec![Want { duty: 7, parts: 1, rank: 0 }], vec![1]);
     assert_eq!(holder.tick(0).first().map(|(to, _)| *to), Some(1));
     assert!(holder.hear(1, 1, Answer::Elsewhere { leader: 4 }).is_empty(), "nobody it knows");
--- a/lab/src/owners.rs
+++ b/lab/src/owners.rs
@@ -5,8 +5,8 @@
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
 use cypresscleat_forwarding::messages::{Envelope, Role};
 use cypresscleat_forwarding::Id;
-use cypresscleat_owners::sim::{Play, Setup};
-use cypresscleat_owners::{Part, Time, MS, SECOND};
+use cypresscleat_leases::sim::{Play, Setup};
+use cypresscleat_leases::{Part, Time, MS, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/lab/src/scale/hollow/members.rs
+++ b/lab/src/scale/hollow/members.rs
@@ -3,8 +3,8 @@
 
 use super::{Count, Flow, HEADERS};
 use cypresscleat_consensus::letter;
-use cypresscleat_owners::holder::Holder;
-use cypresscleat_owners::{id, Id, Want};
+use cypresscleat_leases::holder::Holder;
+use cypresscleat_leases::{id, Id, Want};
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Answer, Verdict};
 use cypresscleat_server::owning::wire::Wire;
@@ -279,7 +279,7 @@
             holder.events().for_each(drop);
             let Some((by, wire)) = self.hears(holder.due()).await else { continue };
             if let Wire::Answer { from, answer } = wire {
-                if matches!(answer, cypresscleat_owners::said::Answer::Held { .. }) {
+                if matches!(answer, cypresscleat_leases::said::Answer::Held { .. }) {
                     *self.books.leader.lock().expect("the leader") = Some(by);
                 }
                 let asks = holder.hear(self.clock.now(), from, answer);
--- a/lab/src/scale/hollow/rig.rs
+++ b/lab/src/scale/hollow/rig.rs
@@ -143,7 +143,7 @@
     pub fn start(program: &Program) -> Result<Quorum, String> {
         let folder = Folder::new()?;
         let all: Vec<(String, SocketAddr)> = (0..3).map(|at| (format!("k{at}"), free_port())).collect();
-        let set = Keepers { lease: 2 * cypresscleat_owners::SECOND, all, folder: None };
+        let set = Keepers { lease: 2 * cypresscleat_leases::SECOND, all, folder: None };
         let mut quorum = Quorum { keepers: Vec::new(), set, folder, program: program.path.clone() };
         for at in 0..quorum.set.all.len() {
             let name = format!("k{at}");
--- a/lab/src/scale/keepers.rs
+++ b/lab/src/scale/keepers.rs
@@ -2,7 +2,7 @@
 
 use super::row::{How, Row};
 use super::targets::TARGETS;
-use cypresscleat_owners::sim as owning;
+use cypresscleat_leases::sim as owning;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::sim::{Play, Setup};
 use cypresscleat_rollout::{Rules, MS, SECOND, TEXT};
--- a/server/src/owning/agreed.rs
+++ b/server/src/owning/agreed.rs
@@ -2,7 +2,7 @@
 //! says whose it is.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_owners::duties::Duties;
+use cypresscleat_leases::duties::Duties;
 use cypresscleat_rollout::policies::{Policies, TAG};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/server/src/owning/ask.rs
+++ b/server/src/owning/ask.rs
@@ -2,8 +2,8 @@
 
 use super::wire::{Asker, Heard, Wire};
 use super::Keepers;
-use cypresscleat_owners::said::{Answer, Ask, Line};
-use cypresscleat_owners::{id, Id, Part};
+use cypresscleat_leases::said::{Answer, Ask, Line};
+use cypresscleat_leases::{id, Id, Part};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io;
--- a/server/src/owning/hold.rs
+++ b/server/src/owning/hold.rs
@@ -3,9 +3,9 @@
 use super::wire::{learns, Wire};
 use super::{drawn, Keepers, Steady};
 use cypresscleat_consensus::letter;
-use cypresscleat_owners::holder::{Event, Holder};
-use cypresscleat_owners::said::Ask;
-use cypresscleat_owners::{id, Id, Part, Time, Want};
+use cypresscleat_leases::holder::{Event, Holder};
+use cypresscleat_leases::said::Ask;
+use cypresscleat_leases::{id, Id, Part, Time, Want};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
--- a/server/src/owning/mod.rs
+++ b/server/src/owning/mod.rs
@@ -14,7 +14,7 @@
 use crate::log;
 use crate::operator::{self, Operator};
 use cypresscleat_consensus::letter;
-use cypresscleat_owners::{id, Id, Time};
+use cypresscleat_leases::{id, Id, Time};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/server/src/owning/settle.rs
+++ b/server/src/owning/settle.rs
@@ -14,7 +14,7 @@
 use super::Keepers;
 use crate::core::keeping::{Loaded, Ran};
 use crate::log;
-use cypresscleat_owners::{id, Time};
+use cypresscleat_leases::{id, Time};
 use cypresscleat_store::disk::Folder;
 use cypresscleat_store::{Error, Options, Store};
 use serde_json::json;
--- a/server/src/owning/sums.rs
+++ b/server/src/owning/sums.rs
@@ -9,7 +9,7 @@
 use super::Keepers;
 use crate::hours::{self, Sum};
 use crate::{clock, log};
-use cypresscleat_owners::Time;
+use cypresscleat_leases::Time;
 use serde_json::json;
 use std::collections::{HashMap, VecDeque};
 use std::io;
--- a/server/src/owning/tally.rs
+++ b/server/src/owning/tally.rs
@@ -2,7 +2,7 @@
 
 use super::work::{self, Item, Source};
 use super::Keepers;
-use cypresscleat_owners::Time;
+use cypresscleat_leases::Time;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
--- a/server/src/owning/wire.rs
+++ b/server/src/owning/wire.rs
@@ -2,7 +2,7 @@
 
 use super::Keepers;
 use cypresscleat_consensus::letter::{self, Letter};
-use cypresscleat_owners::{id, said, Id};
+use cypresscleat_leases::{id, said, Id};
 use cypresscleat_rollout::said as policies;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
--- a/server/src/owning/work.rs
+++ b/server/src/owning/work.rs
@@ -11,8 +11,8 @@
 use super::hold::Hold;
 use super::Keepers;
 use crate::log;
-use cypresscleat_owners::holder::Event;
-use cypresscleat_owners::{id, Part, Time, Want};
+use cypresscleat_leases::holder::Event;
+use cypresscleat_leases::{id, Part, Time, Want};
 use serde_json::{json, Map, Value};
 use std::collections::HashMap;
 use std::io;
--- a/server/src/plan/mod.rs
+++ b/server/src/plan/mod.rs
@@ -14,8 +14,8 @@
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
 use cypresscleat_forwarding::plan::Plan;
 use cypresscleat_forwarding::{id, Time};
-use cypresscleat_owners::holder::Event;
-use cypresscleat_owners::{Part, Want};
+use cypresscleat_leases::holder::Event;
+use cypresscleat_leases::{Part, Want};
 use std::io;
 use std::net::SocketAddr;
 use tokio::signal::unix::{signal, SignalKind};
@@ -26,7 +26,7 @@
 
 /// The duty of leading the planners.
 fn part() -> Part {
-    Part { duty: cypresscleat_owners::id(PLANNERS), part: 0 }
+    Part { duty: cypresscleat_leases::id(PLANNERS), part: 0 }
 }
 
 /// Who leads: by the planner's own word, or by the keepers'.
--- a/server/tests/wire.rs
+++ b/server/tests/wire.rs
@@ -2,9 +2,9 @@
 
 use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_consensus::{Machine, Member};
-use cypresscleat_owners::duties::Duties;
-use cypresscleat_owners::said::{Answer, Ask, Datagram};
-use cypresscleat_owners::{Part, Want};
+use cypresscleat_leases::duties::Duties;
+use cypresscleat_leases::said::{Answer, Ask, Datagram};
+use cypresscleat_leases::{Part, Want};
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{self, Policies, Version};
 use cypresscleat_rollout::said as policy;
@@ -58,7 +58,7 @@
 
 #[test]
 fn an_image_of_duties_alone_is_read_and_both_machines_keep_to_their_own_commands() {
-    let open = cypresscleat_owners::duties::Command::Open {
+    let open = cypresscleat_leases::duties::Command::Open {
         instance: 1,
         life: 2,
         wants: vec![Want { duty: 6, parts: 2, rank: 0 }],
