--- a/relays/tests/properties.rs
+++ b/crates/rollout-relay/tests/properties.rs
@@ -1,11 +1,11 @@
 //! One relay by itself, in any order of events: what it says upward holds for whoever holds a lease of it, and no lease outlives its own.
 //! The harness stands in for the keepers and keeps its own account of what was given, also over lives that take a former one's place.
 
-use cypresscleat_relays::relay::{Broken, Out, Relay, MEMBERS};
 use cypresscleat_rollout::policies::{Missing, Rules, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Verdict};
 use cypresscleat_rollout::watch::Seen;
 use cypresscleat_rollout::{Key, Time, MS, SECOND};
+use cypresscleat_rollout_relay::relay::{Broken, Out, Relay, MEMBERS};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
--- a/relays/tests/relays.rs
+++ b/crates/rollout-relay/tests/relays.rs
@@ -1,11 +1,11 @@
 //! Relays in a simulated net: each hard case by itself, then faults by chance over many seeds, then the same with guards taken out,
 //! which has to be found.
 
-use cypresscleat_relays::relay::Broken;
-use cypresscleat_relays::sim::{Play, Setup};
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{Missing, Rules};
 use cypresscleat_rollout::{Time, MS, SECOND};
+use cypresscleat_rollout_relay::relay::Broken;
+use cypresscleat_rollout_relay::sim::{Play, Setup};
 
 fn rules() -> Rules {
     Setup::default().rules
--- a/lab/src/relays.rs
+++ b/lab/src/relays.rs
@@ -2,9 +2,9 @@
 //! relay and the leading keeper send and hear, at rest and in the busiest second of the change; a region apart and back. Simulated time
 //! and nets, real decisions.
 
-use cypresscleat_relays::sim::{Play, Setup, Traffic};
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
+use cypresscleat_rollout_relay::sim::{Play, Setup, Traffic};
 
 const ZONES: usize = 17;
 const REGIONS: usize = 8;
