--- a/records/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -4,7 +4,7 @@
 //! A program writes what it expects in the same language:
 //!
 //! ```
-//! use cypresscleat_records::Schema;
+//! use cypresscleat_operator_config::Schema;
 //!
 //! let schema = Schema::new(r#"
 //!     #Root: {
--- a/records/tests/records.rs
+++ b/crates/operator-config/tests/records.rs
@@ -1,10 +1,10 @@
 //! Texts against schemas: what is read, and every fault with its place. Failing properties print their seed.
 
-use cypresscleat_records::{render, Node, Schema, Value};
+use cypresscleat_operator_config::{render, Node, Schema, Value};
 use proptest::prelude::*;
 
 fn schema(text: &str) -> Schema {
-    let told = |faults: Vec<cypresscleat_records::Fault>| render("schema", text, &faults);
+    let told = |faults: Vec<cypresscleat_operator_config::Fault>| render("schema", text, &faults);
     Schema::new(text).unwrap_or_else(|faults| panic!("{}", told(faults)))
 }
 
@@ -206,7 +206,7 @@
     }
     assert!(all.read(&"x".repeat(300_000)).is_err());
     let many = "a: !\n".repeat(500);
-    assert_eq!(all.read(&many).expect_err("faults").len(), cypresscleat_records::MOST_FAULTS);
+    assert_eq!(all.read(&many).expect_err("faults").len(), cypresscleat_operator_config::MOST_FAULTS);
 }
 
 fn node() -> impl Strategy<Value = Node> {
--- a/server/src/operator.rs
+++ b/server/src/operator.rs
@@ -13,7 +13,7 @@
 use crate::rolling::{Policy, Rollout};
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{Pool, Setup};
-use cypresscleat_records::{render, Fault, Node, Schema};
+use cypresscleat_operator_config::{render, Fault, Node, Schema};
 use cypresscleat_rollout::{Missing, Rules, WatchRules};
 use cypresscleat_scgi::request::variable;
 use cypresscleat_scgi::{is_token, is_value, Bounds};
