--- a/faults/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -1,6 +1,6 @@
 //! The rig itself: what it says it does to links and processes is what happens.
 
-use cypresscleat_faults::{Disk, Net, Order, Process, Script};
+use cypresscleat_fault_injection::{Disk, Net, Order, Process, Script};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::path::Path;
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_port_is_given_once_and_nobody_who_asks_for_any_port_gets_it() {
-    let ports: Vec<u16> = (0..250).map(|_| cypresscleat_faults::free_port().port()).collect();
+    let ports: Vec<u16> = (0..250).map(|_| cypresscleat_fault_injection::free_port().port()).collect();
     let mut sorted = ports.clone();
     sorted.sort_unstable();
     sorted.dedup();
--- a/examples/src/owners.rs
+++ b/examples/src/owners.rs
@@ -1,7 +1,7 @@
 //! Keepers, instances that own parts of a tally, and the ledger that they act on, each the real program but for the ledger, with
 //! faults between them. The ledger's journal is the evidence: who acted, under which token, whether it was taken, on one clock.
 
-use cypresscleat_faults::{chance, free_port, Disk, Net, Order, Process};
+use cypresscleat_fault_injection::{chance, free_port, Disk, Net, Order, Process};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
--- a/examples/src/rollout.rs
+++ b/examples/src/rollout.rs
@@ -3,7 +3,7 @@
 //! who was answered.
 
 use crate::{invocation, run_cores, Kernel, Link, Router};
-use cypresscleat_faults::{chance, free_port, Disk, Net, Order, Process};
+use cypresscleat_fault_injection::{chance, free_port, Disk, Net, Order, Process};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/examples/src/split.rs
+++ b/examples/src/split.rs
@@ -2,7 +2,7 @@
 
 use crate::tier::{worker, Worker, CORES};
 use crate::Place;
-use cypresscleat_faults::{free_port, Process};
+use cypresscleat_fault_injection::{free_port, Process};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/examples/src/tier.rs
+++ b/examples/src/tier.rs
@@ -1,7 +1,7 @@
 //! Two levels on loopback: planners, forwarders and workers, each the real program, each worker with a kernel stand-in.
 
 use crate::{invocation, run_cores, Kernel, Place, Router};
-use cypresscleat_faults::free_port;
+use cypresscleat_fault_injection::free_port;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/examples/src/toy.rs
+++ b/examples/src/toy.rs
@@ -177,7 +177,7 @@
 
 /// A policy of the toy: pools by the draw; one in four can't be carried out by anybody, a third stops all first.
 fn policy(count: u64) -> String {
-    let draw = |at: u64| cypresscleat_faults::chance(count, "policy", at);
+    let draw = |at: u64| cypresscleat_fault_injection::chance(count, "policy", at);
     let operation = if draw(0) < 0.25 { "nosuch" } else { "lookup" };
     format!(
         "lease: 1s\nwithin: 6s\ntogether: {}\npools: {{limiter: \"fixed\", pools: {{quick: {{operations: [\"{operation}\"], \
--- a/lab/src/scale/hollow/relays.rs
+++ b/lab/src/scale/hollow/relays.rs
@@ -7,7 +7,7 @@
 use super::{told, Count, HEADERS};
 use crate::scale::row::{How, Row};
 use crate::scale::targets::TARGETS;
-use cypresscleat_faults::{free_port, Process};
+use cypresscleat_fault_injection::{free_port, Process};
 use cypresscleat_server::owning::Keepers;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
--- a/lab/src/scale/hollow/rig.rs
+++ b/lab/src/scale/hollow/rig.rs
@@ -1,6 +1,6 @@
 //! Real processes for hollow instances to speak to, what such a process spends, and the bounds that the machine sets.
 
-use cypresscleat_faults::{free_port, Process};
+use cypresscleat_fault_injection::{free_port, Process};
 use cypresscleat_server::owning::Keepers;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/server/tests/crossings.rs
+++ b/server/tests/crossings.rs
@@ -265,7 +265,7 @@
         assert!(made.is_ok_and(|status| status.success()), "a pipe at {path:?}");
         let mut all: Value = serde_json::from_str(CONFIG).expect("JSON");
         all["listen"] = json!("127.0.0.1:0");
-        all["kernel"] = json!(cypresscleat_faults::free_port().to_string());
+        all["kernel"] = json!(cypresscleat_fault_injection::free_port().to_string());
         (all["ledger"], all["roster"]) = (Value::Null, Value::Null);
         let mut program = Command::new(PROGRAM).env("EDGE_CONFIG", &path).spawn().expect("to start");
         let pipe = std::fs::File::options().write(true).open(&path).expect("a reader");
@@ -714,7 +714,8 @@
         [(1, true, "succeeded", 2), (1, false, "errored", 1), (2, true, "errored", 2)]
     {
         let (worker, heard) = closing_worker(closes, says);
-        let (listen, planner) = (cypresscleat_faults::free_port(), cypresscleat_faults::free_port());
+        let (listen, planner) =
+            (cypresscleat_fault_injection::free_port(), cypresscleat_fault_injection::free_port());
         let operator = format!(
             "tier: {{listen: \"{listen}\", planners: [{{name: \"p0\", address: \"{planner}\"}}], \
              workers: [{{name: \"w0\", address: \"{worker}\", places: 4}}]}}"
--- a/server/tests/owners.rs
+++ b/server/tests/owners.rs
@@ -2,7 +2,7 @@
 //! them. The ledger's journal judges, not what an instance says of itself.
 
 use cypresscleat_examples::owners::{judge, Act, Judged, Ledger, Setup, Stage};
-use cypresscleat_faults::{Disk, Order, Process};
+use cypresscleat_fault_injection::{Disk, Order, Process};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
--- a/server/tests/relays.rs
+++ b/server/tests/relays.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_consensus::letter;
 use cypresscleat_examples::rollout::{judge, Judged, Setup, Stage};
-use cypresscleat_faults::{Disk, Order};
+use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_server::owning::wire::Wire;
 use serde_json::{json, Value};
--- a/server/tests/rollout.rs
+++ b/server/tests/rollout.rs
@@ -2,7 +2,7 @@
 //! them. The journals on one clock judge, and what callers were answered.
 
 use cypresscleat_examples::rollout::{judge, Judged, Setup, Stage};
-use cypresscleat_faults::{free_port, Disk, Order};
+use cypresscleat_fault_injection::{free_port, Disk, Order};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::thread::sleep;
@@ -251,7 +251,7 @@
     std::fs::write(&path, text(6, "")).expect("to write a policy");
     let operator = stage.operator("operator");
     let words = ["policy", "propose", "--operator", &operator, "--text", &path];
-    let mut proposer = cypresscleat_faults::Process::new("proposer", Path::new(PROGRAM), &words);
+    let mut proposer = cypresscleat_fault_injection::Process::new("proposer", Path::new(PROGRAM), &words);
     proposer.start();
     let until = Instant::now() + PATIENCE;
     let leader = loop {
@@ -412,7 +412,7 @@
     assert!(stage.all_have(version, 4, PATIENCE));
     let again = stage.members[3].log().iter().filter(|line| line.1.contains("by its grants: epoch")).count();
     assert!(again >= 1);
-    let unlike = |one: &cypresscleat_faults::Process| {
+    let unlike = |one: &cypresscleat_fault_injection::Process| {
         one.log().iter().any(|line| line.1.contains("its grants are not used"))
     };
     assert!(stage.members[2..].iter().any(unlike), "unlike versions are told of while one has not heard");
--- a/server/tests/standing.rs
+++ b/server/tests/standing.rs
@@ -3,7 +3,7 @@
 //! See docs/design/crossings.md.
 
 use cypresscleat_examples::{frame, report, request, unix_ms, Kernel, Ledger, Link, Place, Router};
-use cypresscleat_faults::free_port;
+use cypresscleat_fault_injection::free_port;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -17,7 +17,7 @@
 
 /// An address where nobody listens: it was free a moment ago, and stays this test's.
 fn nobody() -> SocketAddr {
-    cypresscleat_faults::free_port()
+    cypresscleat_fault_injection::free_port()
 }
 
 /// A roster for all, which is there after a while.
