--- a/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
-use cypresscleat_lab::{index, owners, pools, relays, rollout, scale, tier};
+use cypresscleat_experiments::{index, owners, pools, relays, rollout, scale, tier};
 use indicatif::{ProgressBar, ProgressStyle};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
@@ -54,7 +54,7 @@
     let path = |name: &'static str| {
         Arg::new(name).long(name).value_name("FILE").value_parser(value_parser!(PathBuf))
     };
-    let words = Command::new("cypresscleat-lab")
+    let words = Command::new("cypresscleat-experiments")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Designs tried on a model of the deployment, in simulated time")
         .subcommand_required(true)
@@ -133,7 +133,7 @@
         }
         Some(("scale", words)) => {
             if let Err(error) = scales(words) {
-                eprintln!("cypresscleat-lab: {error}");
+                eprintln!("cypresscleat-experiments: {error}");
                 return ExitCode::FAILURE;
             }
             return ExitCode::SUCCESS;
@@ -165,7 +165,7 @@
     };
     let drawn = words.get_one::<PathBuf>("plot").map_or(Ok(()), |path| pools::plot(path, number("seconds")));
     if let Err(error) = written.map_err(|error| error.to_string()).and(drawn) {
-        eprintln!("cypresscleat-lab: {error}");
+        eprintln!("cypresscleat-experiments: {error}");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/lab/src/scale/table.rs
+++ b/crates/experiments/src/scale/table.rs
@@ -96,7 +96,7 @@
 /// Per role a table of what has a slope, then what has none.
 pub fn table(report: &Report) -> String {
     let mut out = format!(
-        "Made by `cypresscleat-lab scale --table`, seed {}. Residual: the worst distance of the shape from what was measured, as a \
+        "Made by `cypresscleat-experiments scale --table`, seed {}. Residual: the worst distance of the shape from what was measured, as a \
          part of it; past 25% the line is called bad and the shape that fits best is named. At the size: the shape there, lifted by \
          what the largest measured size lay over it. Beyond: the size to design for against \
          the largest measured.\n",
--- a/lab/tests/hollow.rs
+++ b/crates/experiments/tests/hollow.rs
@@ -1,9 +1,9 @@
 //! What one hollow instance sends and hears does not grow with the number of those beside it. Messages and bytes are counted; nothing is
 //! judged by time.
 
-use cypresscleat_lab::scale::hollow::rig::{Limits, Program};
-use cypresscleat_lab::scale::hollow::{keeper, tier};
-use cypresscleat_lab::scale::row::{How, Row};
+use cypresscleat_experiments::scale::hollow::rig::{Limits, Program};
+use cypresscleat_experiments::scale::hollow::{keeper, tier};
+use cypresscleat_experiments::scale::row::{How, Row};
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
--- a/lab/tests/pools.rs
+++ b/crates/experiments/tests/pools.rs
@@ -2,12 +2,12 @@
 
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{Pool, Setup, PATIENCE};
-use cypresscleat_lab::arrivals::{Day, Trouble, SECOND};
-use cypresscleat_lab::drive::{play, settings, Answer, Played};
-use cypresscleat_lab::pools::{
+use cypresscleat_experiments::arrivals::{Day, Trouble, SECOND};
+use cypresscleat_experiments::drive::{play, settings, Answer, Played};
+use cypresscleat_experiments::pools::{
     day, machine, setup, spread_out, troubles, worth, CHOSEN, LIMITERS, STATUS, TALLY,
 };
-use cypresscleat_lab::worker::Machine;
+use cypresscleat_experiments::worker::Machine;
 use cypresscleat_scheduler::api::*;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -305,13 +305,13 @@
 /// The command's own path: figures for each policy, a table, a plot.
 #[test]
 fn the_experiment_writes_what_it_found() {
-    let report = cypresscleat_lab::pools::compare(1, 6);
+    let report = cypresscleat_experiments::pools::compare(1, 6);
     assert_eq!(report.policies.len(), 8);
     let best = &report.policies[6];
     assert_eq!((best.policy.as_str(), best.billed_share_of_best_fixed.mean), ("best fixed split", 1.0));
-    assert!(cypresscleat_lab::pools::table(&report).contains("| lending, gradient |"));
+    assert!(cypresscleat_experiments::pools::table(&report).contains("| lending, gradient |"));
     let path = std::env::temp_dir().join(format!("cypresscleat-plot-{}.svg", std::process::id()));
-    cypresscleat_lab::pools::plot(&path, 20).expect("a plot");
+    cypresscleat_experiments::pools::plot(&path, 20).expect("a plot");
     let plot = std::fs::read_to_string(&path).expect("a file");
     assert!(
         plot.contains("<svg") && plot.contains("billing-tally") && plot.matches("<polyline").count() >= 10
--- a/lab/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -1,10 +1,10 @@
 //! What grows with size, counted: messages, bytes and entries at three sizes, each slope held against the one on record; nothing is
 //! judged by time. And the lines themselves: what they give back, when they are called bad, how factors are rounded.
 
-use cypresscleat_lab::scale::fits::{factor, fits, least_squares, Fit, Shape, Verdict, BAD};
-use cypresscleat_lab::scale::row::{How, Row};
-use cypresscleat_lab::scale::targets::{Targets, DATAGRAM, TARGETS};
-use cypresscleat_lab::scale::{gossip, keepers, table, tier, Report};
+use cypresscleat_experiments::scale::fits::{factor, fits, least_squares, Fit, Shape, Verdict, BAD};
+use cypresscleat_experiments::scale::row::{How, Row};
+use cypresscleat_experiments::scale::targets::{Targets, DATAGRAM, TARGETS};
+use cypresscleat_experiments::scale::{gossip, keepers, table, tier, Report};
 use proptest::prelude::*;
 
 /// Slope and intercept of what `figure` counts at three sizes.
