--- a/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -253,7 +253,7 @@
 }
 
 fn complain(what: String) {
-    eprintln!("cypresscleat-wirehost: {what}");
+    eprintln!("cypresscleat-simulator-adapter: {what}");
 }
 
 /// Ends with the input, or where batches can no longer be told apart.
