--- a/examples/src/measure.rs
+++ b/crates/demo/src/measure.rs
@@ -1,13 +1,13 @@
 //! What an invocation and an open connection cost, by program and protocol, in one run: CPU time of the process for
 //! each invocation, memory for each connection held open, and the SCGI codec's speed.
 //!
-//!     cargo run --release -p cypresscleat-examples --bin measure -- [--rounds 5] [--many 20000] PROGRAM...
+//!     cargo run --release -p cypresscleat-demo --bin measure -- [--rounds 5] [--many 20000] PROGRAM...
 //!
 //! Each program is measured in frames, and the last one in SCGI too, in rounds that take turns, so that what the machine
 //! does meanwhile falls on all alike. Printed: the median of the rounds, the least and the most.
 
 use clap::{value_parser, Arg, Command};
-use cypresscleat_examples::{frame, invocation, scgi_request, Gateway, Kernel, Place, Router};
+use cypresscleat_demo::{frame, invocation, scgi_request, Gateway, Kernel, Place, Router};
 use cypresscleat_scgi::{request::Reader, Bounds};
 use serde_json::json;
 use std::path::Path;
--- a/examples/src/toy.rs
+++ b/crates/demo/src/toy.rs
@@ -1,7 +1,7 @@
 //! A toy deployment: starts one app server between stand-ins, sends it a few invocations, prints what each party
 //! sees, and ends it as an operator would.
 //!
-//!     cargo build --release && cargo run --release -p cypresscleat-examples --bin toy
+//!     cargo build --release && cargo run --release -p cypresscleat-demo --bin toy
 //!
 //! Another program, or another configuration, may be named: `toy PROGRAM CONFIG`. With an address for gateways it serves
 //! them, for so many seconds: `toy --scgi 127.0.0.1:4000 --hold 60`. `toy --tier --hold 20 [--kill planners]` starts two
@@ -11,10 +11,10 @@
 //! under load, changes of policy every few seconds, faults between all; with `--relays` five of the six ask two relays in place of the keepers.
 
 use clap::{value_parser, Arg, Command};
-use cypresscleat_examples::owners::{judge, Setup, Stage};
-use cypresscleat_examples::split::{self, places, Split, PLACES};
-use cypresscleat_examples::tier::{self, Levels, Worker};
-use cypresscleat_examples::{frame, invocation, report, rollout, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::owners::{judge, Setup, Stage};
+use cypresscleat_demo::split::{self, places, Split, PLACES};
+use cypresscleat_demo::tier::{self, Levels, Worker};
+use cypresscleat_demo::{frame, invocation, report, rollout, Kernel, Ledger, Link, Place, Router};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -19,7 +19,7 @@
 pub const HEADERS: u64 = 28;
 
 /// The configuration that app servers and forwarders start from.
-pub const CONFIG: &str = include_str!("../../../examples/config.json");
+pub const CONFIG: &str = include_str!("../../../demo/config.json");
 
 /// What one part gives: its rows, a line for whoever waits.
 type Part = fn(&Program, &Limits, &[u64], &mut dyn FnMut(&str)) -> Result<Vec<Row>, String>;
--- a/crates/experiments/src/scale/hollow/load.rs
+++ b/crates/experiments/src/scale/hollow/load.rs
@@ -4,7 +4,7 @@
 use super::rig::{Limits, Program, Quorum, Spent};
 use super::{guarded, told, CONFIG};
 use crate::scale::row::{How, Row};
-use cypresscleat_examples::{request, unix_ms, Kernel, Place, Router};
+use cypresscleat_demo::{request, unix_ms, Kernel, Place, Router};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use std::io::{Read, Write};
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -7,7 +7,7 @@
 use super::rig::{Limits, Program, Spent};
 use super::{guarded, told, Flow, CONFIG};
 use crate::scale::row::{How, Row};
-use cypresscleat_examples::Place;
+use cypresscleat_demo::Place;
 use cypresscleat_fault_injection::free_port;
 use cypresscleat_forwarding::grants::{Held, RENEWED};
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
--- a/server/tests/both.rs
+++ b/server/tests/both.rs
@@ -17,14 +17,14 @@
 //!   term | ends                  notice to leave; the program ends by itself, well
 //! Each step is asserted, and what each party saw is written down and compared between the protocols.
 
-use cypresscleat_examples::{frame, invocation, Backend, Gateway, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, invocation, Backend, Gateway, Kernel, Ledger, Link, Place, Router};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const OPERATOR: &str = r#"
     scgi: {
         listen: "127.0.0.1:0"
@@ -59,7 +59,7 @@
         match self {
             Caller::Router(_) => invocation(1, &format!("{id:016x}"), operation, body.as_bytes()),
             Caller::Gateway(_) => {
-                cypresscleat_examples::scgi_request("POST", &format!("/{operation}"), &[], body.as_bytes())
+                cypresscleat_demo::scgi_request("POST", &format!("/{operation}"), &[], body.as_bytes())
             }
         }
     }
--- a/server/tests/core.rs
+++ b/server/tests/core.rs
@@ -62,7 +62,7 @@
 impl Play {
     fn start(changes: &[&str]) -> Play {
         let mut all: serde_json::Value =
-            serde_json::from_str(include_str!("../../examples/config.json")).expect("the example");
+            serde_json::from_str(include_str!("../../demo/config.json")).expect("the example");
         for change in changes {
             let (pointer, value) = change.split_once(' ').expect("POINTER JSON");
             *all.pointer_mut(pointer).expect(pointer) = serde_json::from_str(value).expect("JSON");
--- a/server/tests/crossings.rs
+++ b/server/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! What crosses a close, a start, a stop or a connection that rests, forced over loopback: the program is stopped while the bytes
 //! of both sides are laid out, and goes on with all of them there at once. See docs/design/crossings.md.
 
-use cypresscleat_examples::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
+use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 fn place(change: impl FnOnce(&mut Value)) -> Place {
     Place::start(Path::new(PROGRAM), CONFIG, change)
--- a/server/tests/drains.rs
+++ b/server/tests/drains.rs
@@ -4,7 +4,7 @@
 //! after the grace ran; it ended by itself. `DRAINS=200 cargo test --release -p cypresscleat-server --test drains` plays that many
 //! seeds, `SEED=7` one of them.
 
-use cypresscleat_examples::{frame, invocation, report, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const ROUTERS: u64 = 6;
 
 /// Draws of one party, from the seed and a name.
--- a/server/tests/owners.rs
+++ b/server/tests/owners.rs
@@ -1,7 +1,7 @@
 //! One owner at a time between processes of the program: keepers, instances and the ledger that they act on, with faults between
 //! them. The ledger's journal judges, not what an instance says of itself.
 
-use cypresscleat_examples::owners::{judge, Act, Judged, Ledger, Setup, Stage};
+use cypresscleat_demo::owners::{judge, Act, Judged, Ledger, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order, Process};
 use std::path::Path;
 use std::thread::sleep;
--- a/server/tests/parsers.rs
+++ b/server/tests/parsers.rs
@@ -188,7 +188,7 @@
         let named = path.replace('/', ".").replace(".1.", "[1].");
         let reads = |value: Value| {
             let mut all: Value =
-                serde_json::from_str(include_str!("../../examples/config.json")).expect("the example");
+                serde_json::from_str(include_str!("../../demo/config.json")).expect("the example");
             // The example lacks what is not required.
             let (row, word) = path.rsplit_once('/').unwrap_or(("", path));
             let row = if row.is_empty() { "/settings".to_string() } else { format!("/settings/{row}") };
--- a/server/tests/planners.rs
+++ b/server/tests/planners.rs
@@ -1,7 +1,7 @@
 //! A planner that dies at each step of the exchange, or speaks nonsense: a scripted one in front of a real forwarder and real
 //! workers. In every case each caller has its answer, in time, and nothing runs twice.
 
-use cypresscleat_examples::tier::{ran_twice, trickle, Levels};
+use cypresscleat_demo::tier::{ran_twice, trickle, Levels};
 use cypresscleat_forwarding::grants::LASTS;
 use cypresscleat_forwarding::messages::{self, Envelope, Grant, Message, Next};
 use cypresscleat_forwarding::{id, Id};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 /// What the planner does with its `count`-th report: the datagrams that go back.
 type Script =
--- a/server/tests/pools.rs
+++ b/server/tests/pools.rs
@@ -1,14 +1,14 @@
 //! Pools through the real server: a flood of the costly against stand-ins, in frames and in SCGI. The cheap ones are answered
 //! in time, all others with one final answer. The kernel stand-in runs what it is asked to on two cores of its own.
 
-use cypresscleat_examples::{frame, invocation, run_cores, Gateway, Kernel, Place, Router};
+use cypresscleat_demo::{frame, invocation, run_cores, Gateway, Kernel, Place, Router};
 use serde_json::json;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const POOLS: &str = r#"
     pools: pools: {
         cheap: {operations: ["lookup"], least: 0.5, reserve: 0.5}
--- a/server/tests/ramp.rs
+++ b/server/tests/ramp.rs
@@ -1,14 +1,14 @@
 //! A worker that comes back cold, under the sum of all that send to it: the program as worker and as 1, 8 and 30 forwarders, none of
 //! which counts the others. What it had open at once is its own count.
 
-use cypresscleat_examples::tier::{ran_twice, trickle, Levels, CORES};
+use cypresscleat_demo::tier::{ran_twice, trickle, Levels, CORES};
 use serde_json::Value;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 /// What the settings let a worker have on its cores so long after it came up cold.
 fn survives(after: Duration) -> f64 {
--- a/server/tests/relays.rs
+++ b/server/tests/relays.rs
@@ -2,7 +2,7 @@
 //! them and beside them, with faults in between. The journals on one clock judge, and what callers were answered.
 
 use cypresscleat_consensus::letter;
-use cypresscleat_examples::rollout::{judge, Judged, Setup, Stage};
+use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_server::owning::wire::Wire;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 /// For whatever has to happen at all.
 const PATIENCE: Duration = Duration::from_secs(25);
 const LEASE: Duration = Duration::from_secs(1);
--- a/server/tests/rollout.rs
+++ b/server/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Changes of policy between processes of the program: keepers, app servers under load, forwarders and a planner, with faults between
 //! them. The journals on one clock judge, and what callers were answered.
 
-use cypresscleat_examples::rollout::{judge, Judged, Setup, Stage};
+use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{free_port, Disk, Order};
 use serde_json::{json, Value};
 use std::path::Path;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 /// For whatever has to happen at all.
 const PATIENCE: Duration = Duration::from_secs(25);
 const LEASE: Duration = Duration::from_secs(1);
--- a/server/tests/scgi.rs
+++ b/server/tests/scgi.rs
@@ -1,9 +1,7 @@
 //! The gateways' front over loopback: every cut of a request, hostile and slow ones, room and descriptors, storms, drain,
 //! reload, backends. Scenarios that both protocols share are in tests/both.
 
-use cypresscleat_examples::{
-    frame, invocation, scgi_request, Backend, Gateway, Kernel, Place, Response, Router,
-};
+use cypresscleat_demo::{frame, invocation, scgi_request, Backend, Gateway, Kernel, Place, Response, Router};
 use serde_json::json;
 use std::path::Path;
 use std::process::Command;
@@ -11,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const ONE: &str = "00000000000000a1";
 
 fn operator(connections: usize, patience: &str) -> String {
@@ -410,7 +408,7 @@
         (ended.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
     let file = path.to_str().expect("a path");
-    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/config.json");
+    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../demo/config.json");
     let own = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.cue");
     assert_eq!(run(&["check", "--operator", own], Some(example)).0, Some(0));
     std::fs::write(&path, operator(64, "2s")).expect("to write");
--- a/server/tests/sockets.rs
+++ b/server/tests/sockets.rs
@@ -1,13 +1,13 @@
 //! The program itself over loopback, between the stand-ins of `examples`: whole paths, links that break, hostile
 //! peers, limits, drain. Nothing here waits for luck: each party speaks when it has heard what it waited for.
 
-use cypresscleat_examples::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
+use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::{Command, Stdio};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 fn place(change: impl FnOnce(&mut Value)) -> Place {
     Place::start(Path::new(PROGRAM), CONFIG, change)
--- a/server/tests/split.rs
+++ b/server/tests/split.rs
@@ -1,13 +1,13 @@
 //! The net between two planners is cut, each has a forwarder that sees only it. Without keepers both lead, and each worker's places
 //! go out twice; with keepers only the one that a majority hears gives out. No caller loses its answer either way.
 
-use cypresscleat_examples::split::{places, Split, PLACES};
-use cypresscleat_examples::tier::{served_value, trickle};
+use cypresscleat_demo::split::{places, Split, PLACES};
+use cypresscleat_demo::tier::{served_value, trickle};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::Duration;
 
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 fn split(kept: bool) -> Split {
     Split::start(Path::new(env!("CARGO_BIN_EXE_cypresscleat-server")), CONFIG, kept)
--- a/server/tests/standing.rs
+++ b/server/tests/standing.rs
@@ -2,7 +2,7 @@
 //! answers, a roster's whole list, a kill right behind `accept`, requests in all their forms and cuts, clients that write slowly.
 //! See docs/design/crossings.md.
 
-use cypresscleat_examples::{frame, report, request, unix_ms, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, report, request, unix_ms, Kernel, Ledger, Link, Place, Router};
 use cypresscleat_fault_injection::free_port;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const ONE: &str = "00000000000000a1";
 const TWO: &str = "00000000000000b2";
 const THREE: &str = "00000000000000c3";
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -2,7 +2,7 @@
 //! recover, or a configuration that is replaced in the first second. Each says itself when it was ready; nine in ten within ten
 //! seconds, all within thirty.
 
-use cypresscleat_examples::{report, Kernel, Link, Place};
+use cypresscleat_demo::{report, Kernel, Link, Place};
 use cypresscleat_store::disk::Folder;
 use cypresscleat_store::{Options, Store};
 use serde_json::json;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 const MANY: usize = 30;
 
 /// An address where nobody listens: it was free a moment ago, and stays this test's.
--- a/server/tests/store.rs
+++ b/server/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store behind the server: tokens across lives, billing rows against what callers were told, what was owed at a drain, a
 //! store that fails.
 
-use cypresscleat_examples::{scgi_request, Gateway, Kernel, Place};
+use cypresscleat_demo::{scgi_request, Gateway, Kernel, Place};
 use cypresscleat_scheduler::api::Effect;
 use cypresscleat_server::config;
 use cypresscleat_server::core::door::{Invocation, Peer};
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("cypresscleat-kept-{name}-{}", std::process::id()));
@@ -166,7 +166,7 @@
                         let number = (caller * 7 + at * 3 + life * 40) % 230;
                         let token = format!("t{number}");
                         let Ok(stream) = std::net::TcpStream::connect(address) else { return };
-                        let mut gateway = Gateway(cypresscleat_examples::Link::new(stream));
+                        let mut gateway = Gateway(cypresscleat_demo::Link::new(stream));
                         if !gateway.0.try_send(&put(&token, &token)) {
                             return;
                         }
--- a/server/tests/tier.rs
+++ b/server/tests/tier.rs
@@ -1,13 +1,13 @@
 //! Two levels on loopback: the real program as planners, forwarders and workers. Planners, workers and forwarders die; every
 //! caller of a forwarder that lives has one final answer, and nothing runs twice.
 
-use cypresscleat_examples::tier::{ran_twice, served_value, trickle, Levels};
+use cypresscleat_demo::tier::{ran_twice, served_value, trickle, Levels};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
-const CONFIG: &str = include_str!("../../examples/config.json");
+const CONFIG: &str = include_str!("../../demo/config.json");
 
 fn levels(planners: usize, forwarders: usize, workers: usize) -> Levels {
     let levels = Levels::start(Path::new(PROGRAM), CONFIG, planners, forwarders, workers);
@@ -19,7 +19,7 @@
     levels
 }
 
-fn count(all: &[cypresscleat_examples::tier::Got], how: &str) -> usize {
+fn count(all: &[cypresscleat_demo::tier::Got], how: &str) -> usize {
     all.iter().filter(|got| got.how == how).count()
 }
 
