--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 const SESSION: &str = include_str!("session.txt");
 
 fn host(input: &str) -> (bool, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cypresscleat-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_cypresscleat-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
