--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -19,8 +19,7 @@
 use limit::{Limit, Limiter, Sample};
 use std::fmt;
 
-/// Tenths of a millisecond.
-pub type Time = i64;
+pub use cypresscleat_primitives::Time;
 
 /// A pool with work waits this long at the most before it comes before all others.
 pub const PATIENCE: Time = 2_500;
--- a/crates/consensus/src/keeper.rs
+++ b/crates/consensus/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::kept::{self, Base, Hard, Kept, Write};
 use crate::letter::{Body, Entry, Letter, Mark, What, COMMAND, MEMBERS, PART};
-use crate::{Chance, DiskId, Id, Machine, Member, Time, MS};
+use crate::{DiskId, Machine, Member, NodeId, SeededRng, Time, MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Times and bounds. Derived where it can be: whoever sets `beat` sets them all.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Out {
     pub writes: Vec<Write>,
-    pub letters: Vec<(Id, Letter)>,
+    pub letters: Vec<(NodeId, Letter)>,
     pub answers: Vec<Answer>,
     /// What changed, for the log.
     pub said: Vec<String>,
@@ -84,7 +84,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Lead {
-    peers: BTreeMap<Id, Peer>,
+    peers: BTreeMap<NodeId, Peer>,
     round: u64,
     /// Its first entry: once that is decided it knows what is.
     first: u64,
@@ -92,13 +92,13 @@
     waiting: VecDeque<(u64, u64)>,
     beat: Time,
     /// Named keepers whose disks are no members, and when they last said so.
-    fresh: BTreeMap<Id, (DiskId, Time)>,
+    fresh: BTreeMap<NodeId, (DiskId, Time)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
     Follows,
-    Asks { pre: bool, votes: BTreeSet<Id> },
+    Asks { pre: bool, votes: BTreeSet<NodeId> },
     Leads(Box<Lead>),
 }
 
@@ -112,9 +112,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Keeper<M> {
     own: Member,
-    named: BTreeSet<Id>,
+    named: BTreeSet<NodeId>,
     options: Options,
-    chance: Chance,
+    rng: SeededRng,
     hard: Hard,
     formed: bool,
     base: Base,
@@ -124,16 +124,16 @@
     commit: u64,
     machine: M,
     role: Role,
-    leader: Option<Id>,
+    leader: Option<NodeId>,
     /// When the leader was last heard.
     heard: Time,
     due: Time,
     /// No vote before that: whoever knows that this disk is an older one has time to say so.
     quiet: Time,
     /// What was last heard of empty ones.
-    fresh: BTreeMap<Id, (DiskId, Time)>,
+    fresh: BTreeMap<NodeId, (DiskId, Time)>,
     /// What other disks acknowledged here, and voted.
-    seen: BTreeMap<Id, (DiskId, Mark, u64)>,
+    seen: BTreeMap<NodeId, (DiskId, Mark, u64)>,
     coming: Coming,
     /// Set once: this disk has forgotten something, and may not go on as itself.
     older: bool,
@@ -142,9 +142,9 @@
 /// Who a keeper is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Begin {
-    pub own: Id,
+    pub own: NodeId,
     /// All keepers of the operator's file, itself among them.
-    pub named: BTreeSet<Id>,
+    pub named: BTreeSet<NodeId>,
     /// The disk's own name, drawn by whoever opened it when it was empty.
     pub disk: DiskId,
     pub options: Options,
@@ -167,7 +167,7 @@
             own: Member { id: own, disk },
             named,
             options,
-            chance: Chance::new(seed ^ disk),
+            rng: SeededRng::new(seed ^ disk),
             hard,
             formed,
             commit: base.mark.index,
@@ -214,7 +214,7 @@
     pub fn commit(&self) -> u64 {
         self.commit
     }
-    pub fn leader(&self) -> Option<Id> {
+    pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
     /// This disk has forgotten what it said: the keeper stops, and comes back with an empty disk of another name.
@@ -244,7 +244,7 @@
         (self.log.len(), self.image.len())
     }
     /// The operator's file names others from now on; members follow, one at a time.
-    pub fn names(&mut self, named: BTreeSet<Id>) {
+    pub fn names(&mut self, named: BTreeSet<NodeId>) {
         self.named = named;
     }
 
@@ -327,7 +327,7 @@
     /// Time to the next election: at least the silence that others ask for.
     fn wait(&mut self, now: Time) {
         let least = self.options.least();
-        self.due = now + least + self.chance.below(least as u64) as Time;
+        self.due = now + least + self.rng.below(least as u64) as Time;
     }
 
     fn asks_for(&mut self, now: Time, pre: bool, out: &mut Out) {
@@ -387,7 +387,7 @@
         let Role::Leads(lead) = &mut self.role else { return };
         lead.beat = now + beat;
         lead.round += 1;
-        let heard: BTreeMap<Id, bool> =
+        let heard: BTreeMap<NodeId, bool> =
             lead.peers.iter().map(|(id, peer)| (*id, now - peer.heard < least)).collect();
         for peer in lead.peers.values_mut() {
             // What was on its way in the last beat and is not answered goes again.
@@ -458,7 +458,7 @@
     }
 
     fn send_all(&mut self, out: &mut Out) {
-        let to: Vec<Id> = match &self.role {
+        let to: Vec<NodeId> = match &self.role {
             Role::Leads(lead) => lead.peers.keys().copied().collect(),
             _ => return,
         };
@@ -468,7 +468,7 @@
     }
 
     /// What the peer lacks, as much as goes into a letter.
-    fn send(&mut self, to: Id, out: &mut Out) {
+    fn send(&mut self, to: NodeId, out: &mut Out) {
         let last = self.last().index;
         let Role::Leads(lead) = &self.role else { return };
         let (round, commit) = (lead.round, self.commit);
@@ -947,7 +947,7 @@
     }
 
     /// The greatest figure that a majority of the members reaches; a member's own is `own`.
-    fn majority(&self, own: u64, of: impl Fn(Id) -> u64) -> u64 {
+    fn majority(&self, own: u64, of: impl Fn(NodeId) -> u64) -> u64 {
         let members = self.members();
         let figure = |member: &Member| if member.id == self.own.id { own } else { of(member.id) };
         let mut all: Vec<u64> = members.iter().map(figure).collect();
--- a/crates/consensus/src/kept.rs
+++ b/crates/consensus/src/kept.rs
@@ -2,7 +2,7 @@
 //! are ordered such that any first part of them, which is what a crash leaves, reads as something that was promised.
 
 use crate::letter::{Entry, Mark};
-use crate::{DiskId, Id, Member};
+use crate::{DiskId, Member, NodeId};
 use cypresscleat_store::disk::Disk;
 use cypresscleat_store::Store;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
     /// Which disk this is; 0 on one that was never used.
     pub disk: DiskId,
     pub term: u64,
-    pub voted: Option<Id>,
+    pub voted: Option<NodeId>,
 }
 
 /// All up to here stands in the image.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -28,29 +28,16 @@
 
 pub use keeper::{Answer, Begin, Keeper, Options, Out};
 use serde::{Deserialize, Serialize};
-use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Tenths of a millisecond.
-pub type Time = i64;
-pub const MS: Time = 10;
-pub const SECOND: Time = 10_000;
+pub use cypresscleat_primitives::{node_id, NodeId, SeededRng, Time, MS, SECOND};
 
-/// A keeper: a number that its name hashes to.
-pub type Id = u64;
 /// A disk: drawn when it is first used, and never again.
 pub type DiskId = u64;
 
-/// The number of a name; the same everywhere.
-pub fn id(name: &str) -> Id {
-    let mut hasher = DefaultHasher::new();
-    name.hash(&mut hasher);
-    hasher.finish()
-}
-
 /// Whose votes count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    pub id: Id,
+    pub id: NodeId,
     pub disk: DiskId,
 }
 
@@ -62,29 +49,3 @@
     fn image(&self) -> Vec<u8>;
     fn from_image(bytes: &[u8]) -> Option<Self>;
 }
-
-/// Chance from a seed and a counter.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Chance {
-    seed: u64,
-    drawn: u64,
-}
-
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        Chance { seed, drawn: 0 }
-    }
-    pub fn draw(&mut self) -> u64 {
-        let mut hasher = DefaultHasher::new();
-        (self.seed, self.drawn).hash(&mut hasher);
-        self.drawn += 1;
-        hasher.finish()
-    }
-    /// Under `many`; 0 where there are none.
-    pub fn below(&mut self, many: u64) -> u64 {
-        self.draw().checked_rem(many).unwrap_or(0)
-    }
-    pub fn one_in(&mut self, many: u64) -> bool {
-        self.below(many) == 0
-    }
-}
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -5,7 +5,7 @@
 use crate::keeper::{Answer, Begin, Keeper, Options, Out};
 use crate::kept::{Kept, Write};
 use crate::letter::{self, Letter};
-use crate::{Chance, DiskId, Id, Machine, Time, MS};
+use crate::{DiskId, Machine, NodeId, SeededRng, Time, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A disk that keeps writes in their order: what is not synced may be there after a crash in any first part.
@@ -31,8 +31,8 @@
             }
         }
     }
-    fn crash(&mut self, chance: &mut Chance) {
-        let kept = chance.below(self.waiting.len() as u64 + 1) as usize;
+    fn crash(&mut self, rng: &mut SeededRng) {
+        let kept = rng.below(self.waiting.len() as u64 + 1) as usize;
         self.waiting.truncate(kept);
         self.sync();
     }
@@ -50,7 +50,7 @@
 
 /// One place: a keeper that runs or not, and its disk.
 pub struct Seat<M> {
-    pub id: Id,
+    pub id: NodeId,
     pub keeper: Option<Keeper<M>>,
     pub shelf: Shelf,
     starts: u64,
@@ -77,18 +77,18 @@
     pub seats: Vec<Seat<M>>,
     pub weather: Weather,
     /// Pairs (from, to) between which nothing gets through.
-    pub cut: BTreeSet<(Id, Id)>,
-    pub chance: Chance,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub rng: SeededRng,
     options: Options,
     empty: M,
-    mail: BTreeMap<(Time, u64), (Id, Letter)>,
+    mail: BTreeMap<(Time, u64), (NodeId, Letter)>,
     posted: u64,
     next_disk: DiskId,
     /// By whom, and what.
     pub answers: Vec<(usize, Answer)>,
     pub letters: u64,
     pub bytes: u64,
-    leaders: BTreeMap<u64, Id>,
+    leaders: BTreeMap<u64, NodeId>,
     /// What was wrong, the first of it.
     pub wrong: Option<String>,
 }
@@ -100,7 +100,7 @@
             seats: Vec::new(),
             weather: Weather::default(),
             cut: BTreeSet::new(),
-            chance: Chance::new(seed),
+            rng: SeededRng::new(seed),
             options,
             empty,
             mail: BTreeMap::new(),
@@ -113,7 +113,7 @@
             wrong: None,
         };
         for at in 0..many {
-            let id = at as Id + 1;
+            let id = at as NodeId + 1;
             world.seats.push(Seat { id, keeper: None, shelf: Shelf::default(), starts: 0 });
         }
         (0..many).for_each(|at| world.start(at));
@@ -133,7 +133,7 @@
             named,
             disk: seat.shelf.disk,
             options: self.options,
-            seed: self.chance.draw(),
+            seed: self.rng.next_u64(),
         };
         let kept = seat.shelf.read();
         let (keeper, out) = Keeper::start(self.now, begin, kept, self.empty.clone());
@@ -145,7 +145,7 @@
     pub fn kill(&mut self, at: usize) {
         let seat = &mut self.seats[at];
         seat.keeper = None;
-        seat.shelf.crash(&mut self.chance);
+        seat.shelf.crash(&mut self.rng);
     }
 
     /// Its disk is gone, and another one in its place.
@@ -198,22 +198,21 @@
             if let Some(bytes) = letter::write(&letter) {
                 self.bytes += bytes.len() as u64;
             }
-            let lost = self.weather.lost > 0 && self.chance.one_in(self.weather.lost);
+            let lost = self.weather.lost > 0 && self.rng.one_in(self.weather.lost);
             if lost || self.cut.contains(&(from, to)) {
                 continue;
             }
-            let twice = self.weather.doubled > 0 && self.chance.one_in(self.weather.doubled);
+            let twice = self.weather.doubled > 0 && self.rng.one_in(self.weather.doubled);
             for _ in 0..1 + u64::from(twice) {
-                let mut delay =
-                    self.weather.delay + self.chance.below(self.weather.delay.max(1) as u64) as Time;
-                if self.weather.slow > 0 && self.chance.one_in(20) {
-                    delay += self.chance.below(self.weather.slow as u64) as Time;
+                let mut delay = self.weather.delay + self.rng.below(self.weather.delay.max(1) as u64) as Time;
+                if self.weather.slow > 0 && self.rng.one_in(20) {
+                    delay += self.rng.below(self.weather.slow as u64) as Time;
                 }
                 self.posted += 1;
                 self.mail.insert((self.now + delay, self.posted), (to, letter.clone()));
             }
         }
-        if self.options.broken.says_before_disk && self.chance.one_in(3) {
+        if self.options.broken.says_before_disk && self.rng.one_in(3) {
             self.seats[at].shelf.sync();
         }
     }
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_consensus::keeper::Broken;
 use cypresscleat_consensus::sim::{Chain, Weather, World};
-use cypresscleat_consensus::{Answer, Chance, Options, MS, SECOND};
+use cypresscleat_consensus::{Answer, Options, SeededRng, MS, SECOND};
 use std::collections::BTreeMap;
 
 fn options() -> Options {
@@ -59,13 +59,13 @@
 /// Plays a seed; what was wrong.
 fn play(seed: u64, many: usize, options: Options, troubles: Troubles, seconds: i64) -> Result<(), String> {
     let mut world = World::new(many, Chain::default(), options, seed);
-    let mut chance = Chance::new(seed ^ 0x5eed);
+    let mut rng = SeededRng::new(seed ^ 0x5eed);
     let mut judge = Judge::default();
     world.weather = Weather {
-        delay: [MS / 2, 2 * MS, 8 * MS][chance.below(3) as usize],
-        lost: [0, 30, 8][chance.below(3) as usize],
-        doubled: [0, 10][chance.below(2) as usize],
-        slow: [0, 200 * MS][chance.below(2) as usize],
+        delay: [MS / 2, 2 * MS, 8 * MS][rng.below(3) as usize],
+        lost: [0, 30, 8][rng.below(3) as usize],
+        doubled: [0, 10][rng.below(2) as usize],
+        slow: [0, 200 * MS][rng.below(2) as usize],
     };
     world.run(2 * SECOND);
     let mut older = None;
@@ -74,7 +74,7 @@
     while world.now < end {
         let now = world.now;
         if now < faults_until {
-            trouble(&mut world, &mut chance, troubles, &mut older);
+            trouble(&mut world, &mut rng, troubles, &mut older);
         } else if faults_until > 0 {
             faults_until = 0;
             world.cut.clear();
@@ -85,9 +85,9 @@
                 }
             }
         }
-        for _ in 0..chance.below(4) {
+        for _ in 0..rng.below(4) {
             judge.proposed += 1;
-            let (number, at) = (judge.proposed, chance.below(many as u64) as usize);
+            let (number, at) = (judge.proposed, rng.below(many as u64) as usize);
             let at = world.leader().unwrap_or(at);
             world.propose(at, number, number.to_le_bytes().to_vec());
         }
@@ -118,30 +118,30 @@
 
 fn trouble(
     world: &mut World<Chain>,
-    chance: &mut Chance,
+    rng: &mut SeededRng,
     troubles: Troubles,
     older: &mut Option<(usize, cypresscleat_consensus::sim::Shelf)>,
 ) {
     let many = world.seats.len();
-    let at = chance.below(many as u64) as usize;
-    let due = |chance: &mut Chance, one_in: u64| one_in > 0 && chance.one_in(one_in);
-    if due(chance, troubles.kills) {
+    let at = rng.below(many as u64) as usize;
+    let due = |rng: &mut SeededRng, one_in: u64| one_in > 0 && rng.one_in(one_in);
+    if due(rng, troubles.kills) {
         world.kill(at);
     }
     let down: Vec<usize> = (0..many).filter(|at| world.seats[*at].keeper.is_none()).collect();
-    if let Some(at) = down.first().filter(|_| chance.one_in(4)) {
+    if let Some(at) = down.first().filter(|_| rng.one_in(4)) {
         world.start(*at);
     }
-    if due(chance, troubles.cuts) {
+    if due(rng, troubles.cuts) {
         world.cut.clear();
-        let side = chance.draw();
+        let side = rng.next_u64();
         for (from, to) in (1..=many as u64).flat_map(|from| (1..=many as u64).map(move |to| (from, to))) {
-            let one_way = chance.one_in(3);
-            if (side >> from) & 1 != (side >> to) & 1 || one_way && chance.one_in(4) {
+            let one_way = rng.one_in(3);
+            if (side >> from) & 1 != (side >> to) & 1 || one_way && rng.one_in(4) {
                 world.cut.insert((from, to));
             }
         }
-    } else if chance.one_in(8) {
+    } else if rng.one_in(8) {
         world.cut.clear();
     }
     // One disk at a time: the others all here, counted in, and in touch.
@@ -158,10 +158,10 @@
         });
         here == many && full && world.cut.is_empty() && least.zip(most).is_some_and(|(a, b)| a + 3 > b)
     };
-    if due(chance, troubles.lost_disks) && healthy(world) {
+    if due(rng, troubles.lost_disks) && healthy(world) {
         world.lose_disk(at);
     }
-    if due(chance, troubles.older_disks) && healthy(world) {
+    if due(rng, troubles.older_disks) && healthy(world) {
         match older.take() {
             Some((at, shelf)) if shelf.disk == world.seats[at].shelf.disk => world.put_back(at, shelf),
             _ => *older = Some((at, world.shelf(at))),
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 use cypresscleat_consensus::kept::{Base, Kept, Write};
 use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_consensus::sim::Chain;
-use cypresscleat_consensus::{Answer, Begin, Id, Keeper, Member, Options, Out, SECOND};
+use cypresscleat_consensus::{Answer, Begin, Keeper, Member, NodeId, Options, Out, SECOND};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     /// What is surely on each disk, and what may be lost with a death.
     disks: Vec<BTreeMap<Vec<u8>, Vec<u8>>>,
     unsynced: Vec<Vec<Write>>,
-    letters: BTreeSet<(Id, Vec<u8>)>,
+    letters: BTreeSet<(NodeId, Vec<u8>)>,
     answered: BTreeSet<u64>,
     proposals: u64,
     elections: u8,
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Propose(usize),
-    Deliver(Id, Vec<u8>),
+    Deliver(NodeId, Vec<u8>),
     Campaign(usize),
     /// It dies, and comes back with what was on its disk.
     Dies(usize),
@@ -42,13 +42,14 @@
 }
 
 fn member(at: usize, disk: u64) -> Member {
-    Member { id: at as Id + 1, disk }
+    Member { id: at as NodeId + 1, disk }
 }
 
 impl Small {
     fn keeper(&self, at: usize, disk: u64, kept: Kept) -> (Keeper<Chain>, Out) {
         let named = (1..=3).collect();
-        let begin = Begin { own: at as Id + 1, named, disk, options: options(self.broken), seed: at as u64 };
+        let begin =
+            Begin { own: at as NodeId + 1, named, disk, options: options(self.broken), seed: at as u64 };
         Keeper::start(0, begin, kept, Chain::default())
     }
 
--- a/crates/demo/src/toy.rs
+++ b/crates/demo/src/demo.rs
@@ -1,13 +1,13 @@
 //! A toy deployment: starts one app server between stand-ins, sends it a few invocations, prints what each party
 //! sees, and ends it as an operator would.
 //!
-//!     cargo build --release && cargo run --release -p cypresscleat-demo --bin toy
+//!     cargo build --release && cargo run --release -p cypresscleat-demo --bin demo
 //!
-//! Another program, or another configuration, may be named: `toy PROGRAM CONFIG`. With an address for gateways it serves
-//! them, for so many seconds: `toy --scgi 127.0.0.1:4000 --hold 60`. `toy --tier --hold 20 [--kill planners]` starts two
+//! Another program, or another configuration, may be named: `demo PROGRAM CONFIG`. With an address for gateways it serves
+//! them, for so many seconds: `demo --scgi 127.0.0.1:4000 --hold 60`. `demo --tier --hold 20 [--kill planners]` starts two
 //! planners, two forwarders and three workers, and beside them three workers that stand alone; the same steady trickle goes to
-//! both. Its last line is JSON. `toy --owners --seconds 30 --seed 7 --journal FILE` starts keepers, instances that own parts of a
-//! tally and the ledger that they act on, under faults drawn from the seed; its last line is JSON too. `toy --rollout` with the same words: app servers
+//! both. Its last line is JSON. `demo --owners --seconds 30 --seed 7 --journal FILE` starts keepers, instances that own parts of a
+//! tally and the ledger that they act on, under faults drawn from the seed; its last line is JSON too. `demo --rollout` with the same words: app servers
 //! under load, changes of policy every few seconds, faults between all; with `--relays` five of the six ask two relays in place of the keepers.
 
 use clap::{value_parser, Arg, Command};
@@ -24,7 +24,7 @@
 const INVOCATIONS: u32 = 6;
 
 fn main() -> ExitCode {
-    let words = Command::new("toy")
+    let words = Command::new("demo")
         .about("One app server between stand-ins of all that it talks to, on loopback")
         .arg(Arg::new("program").default_value("target/release/cypresscleat-server"))
         .arg(Arg::new("config").default_value("examples/config.json"))
--- a/crates/experiments/src/arrivals.rs
+++ b/crates/experiments/src/arrivals.rs
@@ -5,8 +5,7 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// Tenths of a millisecond.
-pub type Time = i64;
+pub use cypresscleat_primitives::Time;
 
 pub const SECOND: Time = 10_000;
 
--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -4,7 +4,7 @@
 use cypresscleat_forwarding::grants::{Lead, LASTS, SKEW};
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
 use cypresscleat_forwarding::messages::{Envelope, Role};
-use cypresscleat_forwarding::Id;
+use cypresscleat_forwarding::NodeId;
 use cypresscleat_leases::sim::{Play, Setup};
 use cypresscleat_leases::{Part, Time, MS, SECOND};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     let seeds: Vec<SocketAddr> = (0..many).map(address).collect();
     let mut all: Vec<(Membership, Lead)> = (0..many)
         .map(|at| {
-            let own = at as Id + 1;
+            let own = at as NodeId + 1;
             let role = Role::Planner;
             let members =
                 Membership::new(own, role, address(at), seeds.clone(), Options::default(), seed * 31 + own);
@@ -71,7 +71,7 @@
                 out.push((at, one.0.tick(now)));
             }
             one.0.changes();
-            let here: Vec<Id> = one.0.of_role(Role::Planner).map(|(planner, _)| planner).collect();
+            let here: Vec<NodeId> = one.0.of_role(Role::Planner).map(|(planner, _)| planner).collect();
             one.1.planners(now, here.into_iter());
         }
         for (from, sends) in out {
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -1,7 +1,7 @@
 //! A change of policy at size: how long until it is decided and in force everywhere, what it costs, how long two versions mix; beside
 //! two plain ways to make one. Simulated time and nets, real decisions; the plain ways are models of a few lines.
 
-use cypresscleat_consensus::Chance;
+use cypresscleat_consensus::SeededRng;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::sim::{Play, Setup, Traffic};
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
@@ -121,13 +121,13 @@
 /// Whether a fleet ends mixed where each member is told by itself, so many times, and nobody agrees on anything. A member can't carry the
 /// text out in one run of five; whoever tells dies in the middle in one of ten.
 fn plain(seed: u64, members: usize, lost: u64, down: bool, tries: u32) -> bool {
-    let mut chance = Chance::new(seed ^ 0x91a1);
-    let refuses = chance.one_in(5).then(|| chance.below(members as u64));
-    let dies = if chance.one_in(10) { chance.below(members as u64) } else { u64::MAX };
+    let mut rng = SeededRng::new(seed ^ 0x91a1);
+    let refuses = rng.one_in(5).then(|| rng.below(members as u64));
+    let dies = if rng.one_in(10) { rng.below(members as u64) } else { u64::MAX };
     let (mut old, mut new) = (0u64, 0u64);
     for at in 0..members as u64 {
         let is_down = down && at < (members * DOWN / 10) as u64;
-        let heard = (0..tries).any(|_| lost == 0 || !chance.one_in(lost));
+        let heard = (0..tries).any(|_| lost == 0 || !rng.one_in(lost));
         let goes = at < dies && heard && !is_down && refuses != Some(at);
         (old, new) = (old + u64::from(!goes), new + u64::from(goes));
     }
--- a/crates/experiments/src/scale/gossip.rs
+++ b/crates/experiments/src/scale/gossip.rs
@@ -6,7 +6,7 @@
 use cypresscleat_forwarding::membership::{Member, Membership, Options};
 use cypresscleat_forwarding::messages::State;
 use cypresscleat_forwarding::sim::{Net, World};
-use cypresscleat_forwarding::{Id, MS, SECOND};
+use cypresscleat_forwarding::{NodeId, MS, SECOND};
 use std::time::Instant;
 
 const ROLE: &str = "app-server";
@@ -92,7 +92,7 @@
             if loss == 0.01 {
                 add("entries", entries, "entries");
                 add("processor time, wall of the play", cores, "cores");
-                let entry = std::mem::size_of::<(Id, Member)>() as f64;
+                let entry = std::mem::size_of::<(NodeId, Member)>() as f64;
                 add("bytes of entries in all, entries x size_of", entries * entry, "B");
                 if held > 0.0 {
                     add("bytes in all, heap of the play", held / size as f64, "B");
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -4,7 +4,7 @@
 use super::{Count, Flow, HEADERS};
 use cypresscleat_consensus::letter;
 use cypresscleat_leases::holder::Holder;
-use cypresscleat_leases::{id, Id, Want};
+use cypresscleat_leases::{node_id, NodeId, Want};
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Answer, Verdict};
 use cypresscleat_server::owning::wire::Wire;
@@ -196,7 +196,7 @@
 struct End {
     at: usize,
     socket: UdpSocket,
-    to: HashMap<Id, SocketAddr>,
+    to: HashMap<NodeId, SocketAddr>,
     clock: Steady,
     books: Arc<Books>,
     /// One for all of a thread: none is held over a wait.
@@ -204,7 +204,7 @@
 }
 
 impl End {
-    fn posts(&self, to: Id, wire: &Wire) {
+    fn posts(&self, to: NodeId, wire: &Wire) {
         let Some(to) = self.to.get(&to) else { return };
         if let Some(bytes) = letter::write(wire) {
             if self.socket.try_send_to(&bytes, *to).is_ok() {
@@ -229,7 +229,7 @@
     async fn member(self) {
         let name = format!("h{}", self.at);
         let keepers = self.to.keys().copied().collect();
-        let mut member = Member::new(self.clock.now(), &name, (id(&name), drawn(&name)), keepers);
+        let mut member = Member::new(self.clock.now(), &name, (node_id(&name), drawn(&name)), keepers);
         loop {
             let now = self.clock.now();
             let mut asks = if now >= member.due() { member.tick(now) } else { Vec::new() };
@@ -267,8 +267,8 @@
     async fn owner(self) {
         let name = format!("o{}", self.at);
         let keepers = self.to.keys().copied().collect();
-        let wants = vec![Want { duty: id("scale"), parts: 1, rank: 0 }];
-        let mut holder = Holder::new(self.clock.now(), id(&name), drawn(&name), wants, keepers);
+        let wants = vec![Want { duty: node_id("scale"), parts: 1, rank: 0 }];
+        let mut holder = Holder::new(self.clock.now(), node_id(&name), drawn(&name), wants, keepers);
         let mut known = false;
         loop {
             let now = self.clock.now();
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -14,7 +14,7 @@
 use cypresscleat_forwarding::messages::{
     self, Demand, Envelope, Message, Next, Report, Role, Rumour, Sight, State,
 };
-use cypresscleat_forwarding::{id, Id, Time};
+use cypresscleat_forwarding::{node_id, NodeId, Time};
 use cypresscleat_server::clock::Clock;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -131,7 +131,7 @@
     }
 
     fn rumour(&self, at: usize) -> Rumour {
-        let (id, role, address) = (id(&name(at)), self.role(at), self.addresses[at]);
+        let (id, role, address) = (node_id(&name(at)), self.role(at), self.addresses[at]);
         Rumour { id, role, address, incarnation: 1, state: State::Alive }
     }
 
@@ -267,8 +267,13 @@
         let mut held = Held::default();
         let first = self.clock.now() + RENEWED * self.at as Time / many.max(1) as Time;
         let mut next = if workers > 0 { first } else { Time::MAX };
-        let sight =
-            |at: u64| Sight { worker: id(&format!("w{at}")), out: 2, ends: 50.0, throttled: 0.0, took: 80.0 };
+        let sight = |at: u64| Sight {
+            worker: node_id(&format!("w{at}")),
+            out: 2,
+            ends: 50.0,
+            throttled: 0.0,
+            took: 80.0,
+        };
         let sights: Vec<Sight> = (0..workers).map(sight).collect();
         let demand = |class: u16| Demand { class, rate: 100.0, held: 0, value: 1.0 };
         loop {
@@ -311,7 +316,7 @@
 }
 
 /// Waits until the real process knows so many members, then asks out of it what it still has to tell. What it could not do in time.
-fn settles(real: SocketAddr, from: Id, many: usize) -> Result<(), String> {
+fn settles(real: SocketAddr, from: NodeId, many: usize) -> Result<(), String> {
     let wrong = |error: std::io::Error| error.to_string();
     let socket = UdpSocket::bind("127.0.0.1:0").map_err(wrong)?;
     socket.set_read_timeout(Some(Duration::from_millis(100))).map_err(wrong)?;
--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -6,7 +6,7 @@
 use cypresscleat_forwarding::messages::{write, Demand, Envelope, Grant, Message, Report, Sight, GRANTS};
 use cypresscleat_forwarding::plan::Plan;
 use cypresscleat_forwarding::routes::{End, Routes};
-use cypresscleat_forwarding::{id, Time};
+use cypresscleat_forwarding::{node_id, Time};
 use std::time::Instant;
 
 /// Operations in a report.
@@ -17,7 +17,7 @@
 const TIMES: f64 = 2.0;
 
 fn worker(at: u64) -> u64 {
-    id(&format!("worker-{at}"))
+    node_id(&format!("worker-{at}"))
 }
 
 fn report(workers: u64) -> Report {
@@ -133,7 +133,7 @@
 
         let mut plan = Plan::default();
         (0..size).for_each(|at| plan.worker(worker(at), 50.0));
-        (0..FORWARDERS).for_each(|from| plan.report(0, id(&format!("forwarder-{from}")), report(size)));
+        (0..FORWARDERS).for_each(|from| plan.report(0, node_id(&format!("forwarder-{from}")), report(size)));
         let gives = timed(|| drop(std::hint::black_box(plan.grants())));
         add("planner", "plan for 20 forwarders, processor time of grants", gives, "us");
         add("planner", "plan for 20 forwarders, processor time twice a second", gives * TIMES / 1e6, "cores");
--- a/crates/experiments/src/worker.rs
+++ b/crates/experiments/src/worker.rs
@@ -3,8 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Tenths of a millisecond.
-pub type Time = i64;
+pub use cypresscleat_primitives::Time;
 
 /// What the machine is.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -11,7 +11,7 @@
 //! give out the places twice at the most, one for each side of the cut, and a forwarder counts one epoch only.
 
 use crate::messages::Grant;
-use crate::{Id, Time, MS, SECOND};
+use crate::{NodeId, Time, MS, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long grants last, and how often they are renewed in that time.
@@ -28,7 +28,7 @@
 /// A planner's side: whether it leads, since when, and under which epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lead {
-    own: Id,
+    own: NodeId,
     epoch: u64,
     /// The newest epoch heard of.
     seen: u64,
@@ -50,12 +50,12 @@
 }
 
 impl Lead {
-    pub fn new(own: Id) -> Lead {
+    pub fn new(own: NodeId) -> Lead {
         Lead::with_wait(own, LASTS + SKEW)
     }
 
     /// Another wait than the rule's, to show what the rule is for.
-    pub fn with_wait(own: Id, wait: Time) -> Lead {
+    pub fn with_wait(own: NodeId, wait: Time) -> Lead {
         Lead { own, wait, ..Lead::default() }
     }
 
@@ -73,8 +73,8 @@
     }
 
     /// The planners that are here, itself among them or not.
-    pub fn planners(&mut self, now: Time, others: impl Iterator<Item = Id>) -> Option<Turn> {
-        let least = others.fold(self.own, Id::min);
+    pub fn planners(&mut self, now: Time, others: impl Iterator<Item = NodeId>) -> Option<Turn> {
+        let least = others.fold(self.own, NodeId::min);
         match (least == self.own, self.leads()) {
             (true, false) => Some(self.begin(now)),
             (false, true) => {
@@ -149,7 +149,7 @@
     epoch: u64,
     number: u64,
     until: Time,
-    grants: BTreeMap<Id, u32>,
+    grants: BTreeMap<NodeId, u32>,
     /// The last reports, and when they went out.
     asked: VecDeque<(u32, Time)>,
     reports: u32,
@@ -209,7 +209,7 @@
     }
 
     /// Places granted on a worker now; `None` where no grants hold.
-    pub fn places(&self, now: Time, worker: Id) -> Option<u32> {
+    pub fn places(&self, now: Time, worker: NodeId) -> Option<u32> {
         self.holds(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
 
--- a/crates/forwarding/src/membership.rs
+++ b/crates/forwarding/src/membership.rs
@@ -5,7 +5,7 @@
 //! avoidance and control", 1988: mean and four deviations). A drain and a leave are told.
 
 use crate::messages::{Envelope, Message, Role, Rumour, State, KNOWN, PARTS, RUMOURS};
-use crate::{Chance, Id, Time, MS, SECOND};
+use crate::{NodeId, SeededRng, Time, MS, SECOND};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 }
 
 /// Which part of the members one belongs to.
-fn part_of(id: Id) -> usize {
+fn part_of(id: NodeId) -> usize {
     (id % PARTS as u64) as usize
 }
 
@@ -91,7 +91,7 @@
 /// What changed, for the log and for whoever plans or routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    pub id: Id,
+    pub id: NodeId,
     pub role: Role,
     pub from: Option<State>,
     pub to: State,
@@ -99,7 +99,7 @@
 
 #[derive(Clone, Debug)]
 struct Probe {
-    whom: Id,
+    whom: NodeId,
     number: u32,
     asked: Time,
     helped: bool,
@@ -119,9 +119,9 @@
     options: Options,
     own: Rumour,
     seeds: Vec<SocketAddr>,
-    members: BTreeMap<Id, Member>,
+    members: BTreeMap<NodeId, Member>,
     /// Those still to be asked in this round.
-    round: Vec<Id>,
+    round: Vec<NodeId>,
     /// What is told on, and how often it was.
     rumours: Vec<(Rumour, u32)>,
     probe: Option<Probe>,
@@ -131,9 +131,9 @@
     /// Mean time to an answer and its mean deviation.
     took: f64,
     varies: f64,
-    chance: Chance,
+    rng: SeededRng,
     /// Suspects that are to be asked from here, beside the round.
-    verify: Vec<Id>,
+    verify: Vec<NodeId>,
     changes: Vec<Change>,
     joined: bool,
     periods: u64,
@@ -141,7 +141,7 @@
 
 impl Membership {
     pub fn new(
-        id: Id,
+        id: NodeId,
         role: Role,
         address: SocketAddr,
         seeds: Vec<SocketAddr>,
@@ -162,7 +162,7 @@
             next_period: Time::MIN,
             took: (50 * MS) as f64,
             varies: (25 * MS) as f64,
-            chance: Chance::new(seed),
+            rng: SeededRng::new(seed),
             verify: Vec::new(),
             changes: Vec::new(),
             joined: false,
@@ -170,14 +170,14 @@
         }
     }
 
-    pub fn members(&self) -> impl Iterator<Item = (Id, &Member)> {
+    pub fn members(&self) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members.iter().map(|(id, member)| (*id, member))
     }
-    pub fn member(&self, id: Id) -> Option<&Member> {
+    pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.get(&id)
     }
     /// Those of a role that count: not dead, not gone.
-    pub fn of_role(&self, role: Role) -> impl Iterator<Item = (Id, &Member)> {
+    pub fn of_role(&self, role: Role) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members().filter(move |(_, member)| {
             member.role == role && !matches!(member.state, State::Dead | State::Left)
         })
@@ -255,7 +255,7 @@
         let some = all.len().min(self.options.helpers + 2);
         (0..some)
             .map(|_| {
-                let to = all[self.chance.below(all.len())];
+                let to = all[self.rng.index_below(all.len())];
                 self.number += 1;
                 let number = self.number;
                 self.send(to, Message::Ping { number })
@@ -300,7 +300,7 @@
                     .map(|(_, member)| member.address)
                     .collect();
                 for _ in 0..self.options.helpers.min(others.len()) {
-                    let to = others[self.chance.below(others.len())];
+                    let to = others[self.rng.index_below(others.len())];
                     let (number, whom) = (probe.number, probe.whom);
                     out.push(self.send(to, Message::PingFor { number, whom, at }));
                 }
@@ -327,8 +327,8 @@
             }
         } else if self.periods.is_multiple_of(SYNC) {
             let all: Vec<SocketAddr> = self.members.values().map(|member| member.address).collect();
-            let from = if self.chance.draw() < 0.5 && !self.seeds.is_empty() { &self.seeds } else { &all };
-            let to = from[self.chance.below(from.len())];
+            let from = if self.rng.next_f64() < 0.5 && !self.seeds.is_empty() { &self.seeds } else { &all };
+            let to = from[self.rng.index_below(from.len())];
             // One of a version that does not compare answers nothing: all is asked for as well, less often.
             out.push(match self.options.digests && !self.periods.is_multiple_of(SYNC * WHOLE) {
                 true => {
@@ -356,7 +356,7 @@
     /// Asks suspects that were drawn here. Nothing waits for the answer: it is the suspect's own word that counts.
     fn verifies(&mut self) -> Vec<Send> {
         let drawn = std::mem::take(&mut self.verify);
-        let suspects: Vec<(Id, Member)> = drawn
+        let suspects: Vec<(NodeId, Member)> = drawn
             .into_iter()
             .filter_map(|id| Some((id, self.members.get(&id)?.clone())))
             .filter(|(_, member)| member.state == State::Suspect)
@@ -365,7 +365,7 @@
     }
 
     /// A suspect hears of its suspicion from whoever asks it, and can say otherwise at once.
-    fn asks_suspect(&mut self, id: Id, member: Member) -> Send {
+    fn asks_suspect(&mut self, id: NodeId, member: Member) -> Send {
         self.number += 1;
         let mut send = self.send(member.address, Message::Ping { number: self.number });
         let Member { role, address, incarnation, state, .. } = member;
@@ -376,13 +376,13 @@
     }
 
     /// The next to be asked: each once a round, in an order drawn anew for each.
-    fn next(&mut self) -> Option<(Id, SocketAddr)> {
+    fn next(&mut self) -> Option<(NodeId, SocketAddr)> {
         loop {
             if self.round.is_empty() {
                 let asked = |member: &Member| !matches!(member.state, State::Dead | State::Left);
                 self.round = self.members.iter().filter(|(_, m)| asked(m)).map(|(id, _)| *id).collect();
                 for at in (1..self.round.len()).rev() {
-                    let other = self.chance.below(at + 1);
+                    let other = self.rng.index_below(at + 1);
                     self.round.swap(at, other);
                 }
             }
@@ -395,7 +395,7 @@
         }
     }
 
-    fn suspect(&mut self, now: Time, whom: Id) {
+    fn suspect(&mut self, now: Time, whom: NodeId) {
         let Some(member) =
             self.members.get(&whom).filter(|member| matches!(member.state, State::Alive | State::Draining))
         else {
@@ -489,8 +489,8 @@
     }
 
     /// All that is known of those members, ourselves among them where we are.
-    fn tells(&mut self, at: SocketAddr, which: impl Fn(Id) -> bool, out: &mut Vec<Send>) {
-        let rumour = |(id, m): (&Id, &Member)| Rumour {
+    fn tells(&mut self, at: SocketAddr, which: impl Fn(NodeId) -> bool, out: &mut Vec<Send>) {
+        let rumour = |(id, m): (&NodeId, &Member)| Rumour {
             id: *id,
             role: m.role,
             address: m.address,
@@ -508,7 +508,7 @@
     /// passes.
     fn parts(&self) -> Vec<u64> {
         let mut parts = vec![0u64; PARTS];
-        let mut add = |id: Id, incarnation: u32, state: State| {
+        let mut add = |id: NodeId, incarnation: u32, state: State| {
             if !matches!(state, State::Dead | State::Left) {
                 let mut hasher = DefaultHasher::new();
                 (id, incarnation, state == State::Draining).hash(&mut hasher);
@@ -552,7 +552,7 @@
         self.spread(Rumour { id, role, address, incarnation, state });
         if from != Some(state) && state == State::Suspect {
             let share = self.options.verifiers / self.members.len().max(1) as f64;
-            if share > 0.0 && self.verify.len() < VERIFY && self.chance.draw() < share {
+            if share > 0.0 && self.verify.len() < VERIFY && self.rng.next_f64() < share {
                 self.verify.push(id);
             }
         }
--- a/crates/forwarding/src/messages.rs
+++ b/crates/forwarding/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: a length, a version, then the message by postcard. What is too long, of another version or not
 //! to be understood is told as such; nothing panics, nothing is held past the bound.
 
-use crate::{Id, Time};
+use crate::{NodeId, Time};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
-    pub id: Id,
+    pub id: NodeId,
     pub role: Role,
     pub address: SocketAddr,
     pub incarnation: u32,
@@ -57,7 +57,7 @@
 /// What it saw of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sight {
-    pub worker: Id,
+    pub worker: NodeId,
     pub out: u32,
     /// Ends a second, those turned away among them, and mean time to an answer in tenths of a millisecond.
     pub ends: f32,
@@ -78,7 +78,7 @@
 /// So many places on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    pub worker: Id,
+    pub worker: NodeId,
     pub places: u32,
 }
 
@@ -94,7 +94,7 @@
     /// Ask that one for me.
     PingFor {
         number: u32,
-        whom: Id,
+        whom: NodeId,
         at: SocketAddr,
     },
     /// I am new here; the answer brings all that are known, in several messages.
@@ -126,7 +126,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    pub from: Id,
+    pub from: NodeId,
     pub incarnation: u32,
     pub rumours: Vec<Rumour>,
     pub message: Message,
--- a/crates/forwarding/src/mode.rs
+++ b/crates/forwarding/src/mode.rs
@@ -3,7 +3,7 @@
 //! to their grants in steps, so that many that come back at once do not jump together.
 
 use crate::grants::Held;
-use crate::{Id, Time, SECOND};
+use crate::{NodeId, Time, SECOND};
 
 /// Steps from its own part to its grants, and how long each lasts.
 pub const STEPS: u32 = 4;
@@ -69,7 +69,7 @@
     }
 
     /// Places that it may use on a worker. `alone` is its part of the worker where it decides by itself.
-    pub fn places(&self, now: Time, held: &Held, worker: Id, alone: f64) -> f64 {
+    pub fn places(&self, now: Time, held: &Held, worker: NodeId, alone: f64) -> f64 {
         let granted = held.places(now, worker).map(f64::from);
         match (self.state, granted) {
             (State::Planned, Some(granted)) => granted,
--- a/crates/forwarding/src/plan.rs
+++ b/crates/forwarding/src/plan.rs
@@ -3,7 +3,7 @@
 //! or slows has fewer to give.
 
 use crate::messages::{Demand, Grant, Report, Sight};
-use crate::{Id, Time, SECOND};
+use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
 /// Part of all places that is shared out evenly, whatever the demand.
@@ -30,14 +30,14 @@
 /// What a planner knows.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    workers: BTreeMap<Id, Worker>,
-    reports: BTreeMap<Id, (Time, Report)>,
+    workers: BTreeMap<NodeId, Worker>,
+    reports: BTreeMap<NodeId, (Time, Report)>,
     adapted_at: Time,
 }
 
 impl Plan {
     /// A worker that takes work, with the places that it is told to have; one that is known keeps what was learnt of it.
-    pub fn worker(&mut self, id: Id, told: f64) {
+    pub fn worker(&mut self, id: NodeId, told: f64) {
         let told = told.clamp(1.0, 1e6);
         let worker = self.workers.entry(id).or_insert(Worker { told, places: told, seen_at: Time::MIN });
         if worker.told != told {
@@ -45,23 +45,23 @@
         }
     }
 
-    pub fn without_worker(&mut self, id: Id) {
+    pub fn without_worker(&mut self, id: NodeId) {
         self.workers.remove(&id);
     }
 
-    pub fn without_forwarder(&mut self, id: Id) {
+    pub fn without_forwarder(&mut self, id: NodeId) {
         self.reports.remove(&id);
     }
 
-    pub fn report(&mut self, now: Time, from: Id, report: Report) {
+    pub fn report(&mut self, now: Time, from: NodeId, report: Report) {
         self.reports.insert(from, (now, report));
     }
 
-    pub fn forwarders(&self) -> impl Iterator<Item = Id> + '_ {
+    pub fn forwarders(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.reports.keys().copied()
     }
 
-    pub fn places(&self, worker: Id) -> f64 {
+    pub fn places(&self, worker: NodeId) -> f64 {
         self.workers.get(&worker).map_or(0.0, |worker| worker.places)
     }
 
@@ -72,7 +72,7 @@
             return;
         }
         self.adapted_at = now;
-        let mut sums: BTreeMap<Id, (f64, f64)> = BTreeMap::new();
+        let mut sums: BTreeMap<NodeId, (f64, f64)> = BTreeMap::new();
         for Sight { worker, ends, throttled, .. } in
             self.reports.values().flat_map(|(_, report)| &report.sights)
         {
@@ -99,10 +99,10 @@
     }
 
     /// Grants for each forwarder. Of each worker all places are given out, whole, and no more.
-    pub fn grants(&self) -> BTreeMap<Id, Vec<Grant>> {
-        let worths: Vec<(Id, f64)> =
+    pub fn grants(&self) -> BTreeMap<NodeId, Vec<Grant>> {
+        let worths: Vec<(NodeId, f64)> =
             self.reports.iter().map(|(id, (_, report))| (*id, Self::worth(report))).collect();
-        let mut out: BTreeMap<Id, Vec<Grant>> = worths.iter().map(|(id, _)| (*id, Vec::new())).collect();
+        let mut out: BTreeMap<NodeId, Vec<Grant>> = worths.iter().map(|(id, _)| (*id, Vec::new())).collect();
         let sum: f64 = worths.iter().map(|(_, worth)| worth).sum();
         let many = worths.len().max(1) as f64;
         // What was rounded away at one worker is made up for at the next, so small shares are not always nothing.
--- a/crates/forwarding/src/ramp.rs
+++ b/crates/forwarding/src/ramp.rs
@@ -8,7 +8,7 @@
 //! So while clocks run equally fast, and the budget does not fall, what all senders have out is never more than the budget, however
 //! many they are, and however they are cut off from each other: none of them needs to know of another.
 
-use crate::{Id, Time, SECOND};
+use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
 /// How long a promise holds: two questions may be lost.
@@ -27,13 +27,13 @@
 /// A worker's side.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ramp {
-    promises: BTreeMap<Id, Promise>,
+    promises: BTreeMap<NodeId, Promise>,
 }
 
 impl Ramp {
     /// The places that `who` may use, which has `out` here already. `budget` is what all together may have; `senders` are expected, and
     /// more may come.
-    pub fn asks(&mut self, now: Time, who: Id, out: u32, budget: f64, senders: usize) -> u32 {
+    pub fn asks(&mut self, now: Time, who: NodeId, out: u32, budget: f64, senders: usize) -> u32 {
         self.promises.retain(|id, promise| *id == who || promise.until > now);
         if self.promises.len() >= SENDERS && !self.promises.contains_key(&who) {
             return 0;
--- a/crates/forwarding/src/routes.rs
+++ b/crates/forwarding/src/routes.rs
@@ -6,7 +6,7 @@
 //!
 //! The table is looked up for each invocation: a dense list of those that may be chosen, and a ring of points for subjects.
 
-use crate::{Chance, Id, Time, SECOND};
+use crate::{NodeId, SeededRng, Time, SECOND};
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 struct Worker {
-    id: Id,
+    id: NodeId,
     /// Places that may be used there.
     places: f64,
     out: u32,
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct Routes {
     workers: Vec<Worker>,
-    by_id: HashMap<Id, usize>,
+    by_id: HashMap<NodeId, usize>,
     /// Workers that may be chosen.
     usable: Vec<usize>,
     /// Points of all, in order; each names its worker.
@@ -74,11 +74,11 @@
     seen_at: usize,
     out: u64,
     places: f64,
-    chance: Chance,
+    rng: SeededRng,
     scans: u64,
 }
 
-fn point(id: Id, number: u32) -> u64 {
+fn point(id: NodeId, number: u32) -> u64 {
     let mut hasher = DefaultHasher::new();
     (id, number).hash(&mut hasher);
     hasher.finish()
@@ -95,7 +95,7 @@
             seen_at: 0,
             out: 0,
             places: 0.0,
-            chance: Chance::new(seed),
+            rng: SeededRng::new(seed),
             scans: 0,
         }
     }
@@ -114,15 +114,15 @@
     pub fn places(&self) -> f64 {
         self.places
     }
-    pub fn out_at(&self, id: Id) -> u32 {
+    pub fn out_at(&self, id: NodeId) -> u32 {
         self.by_id.get(&id).map_or(0, |at| self.workers[*at].out)
     }
-    pub fn is_usable(&self, id: Id) -> bool {
+    pub fn is_usable(&self, id: NodeId) -> bool {
         self.by_id.get(&id).is_some_and(|at| self.workers[*at].at.is_some())
     }
 
     /// A worker that is here, with what may be used of it.
-    pub fn worker(&mut self, now: Time, id: Id, places: f64, takes_work: bool, _: Time) {
+    pub fn worker(&mut self, now: Time, id: NodeId, places: f64, takes_work: bool, _: Time) {
         let at = match self.by_id.get(&id) {
             Some(at) => *at,
             None => {
@@ -154,7 +154,7 @@
     }
 
     /// All of a worker is forgotten; tries that are out there still end by `ended`, unknown.
-    pub fn without(&mut self, id: Id) {
+    pub fn without(&mut self, id: NodeId) {
         let Some(at) = self.by_id.remove(&id) else { return };
         self.leave_list(at);
         self.out -= u64::from(self.workers[at].out);
@@ -197,12 +197,12 @@
     }
 
     /// The worker for an invocation, if any has room; not one of `not`.
-    pub fn choose(&mut self, _: Time, subject: Option<u64>, not: &[Id]) -> Option<Id> {
+    pub fn choose(&mut self, _: Time, subject: Option<u64>, not: &[NodeId]) -> Option<NodeId> {
         let at = subject.and_then(|subject| self.by_subject(subject, not)).or_else(|| self.by_draw(not))?;
         Some(self.workers[at].id)
     }
 
-    fn by_subject(&self, subject: u64, not: &[Id]) -> Option<usize> {
+    fn by_subject(&self, subject: u64, not: &[NodeId]) -> Option<usize> {
         let mean = (self.out + 1) as f64 / self.usable.len().max(1) as f64;
         let bound = (BOUND * mean).ceil();
         let start = self.ring.partition_point(|(point, _)| *point < subject);
@@ -224,14 +224,14 @@
         None
     }
 
-    fn by_draw(&mut self, not: &[Id]) -> Option<usize> {
+    fn by_draw(&mut self, not: &[NodeId]) -> Option<usize> {
         if self.usable.is_empty() {
             return None;
         }
         let line = self.line();
         let mut best: Option<usize> = None;
         for _ in 0..DRAWN {
-            let at = self.usable[self.chance.below(self.usable.len())];
+            let at = self.usable[self.rng.index_below(self.usable.len())];
             let worker = &self.workers[at];
             self.seen[self.seen_at] = worker.out;
             self.seen_at = (self.seen_at + 1) % self.seen.len();
@@ -257,7 +257,7 @@
         }
         // Seldom: none of those drawn has room. The emptiest of all, from a random place on.
         self.scans += 1;
-        let start = self.chance.below(self.usable.len());
+        let start = self.rng.index_below(self.usable.len());
         let all = self.usable[start..].iter().chain(&self.usable[..start]).copied();
         let free = all.filter(|at| self.room(*at) && !not.contains(&self.workers[*at].id));
         free.min_by_key(|at| self.workers[*at].out)
@@ -271,7 +271,7 @@
     }
 
     /// A try goes out; false where its worker is not known.
-    pub fn goes(&mut self, id: Id) -> bool {
+    pub fn goes(&mut self, id: NodeId) -> bool {
         let Some(at) = self.by_id.get(&id) else { return false };
         self.workers[*at].out += 1;
         self.out += 1;
@@ -279,7 +279,7 @@
     }
 
     /// A try has ended, after `took`; `later` is what its worker said of when to come back.
-    pub fn ended(&mut self, now: Time, id: Id, how: End, took: Time, later: Time) {
+    pub fn ended(&mut self, now: Time, id: NodeId, how: End, took: Time, later: Time) {
         let Some(at) = self.by_id.get(&id).copied() else { return };
         let worker = &mut self.workers[at];
         if worker.out > 0 {
@@ -361,7 +361,7 @@
 }
 
 /// A plain scan over the same table, to measure against: the fastest of the coldest of all.
-pub fn scan(routes: &Routes, _: Time) -> Option<Id> {
+pub fn scan(routes: &Routes, _: Time) -> Option<NodeId> {
     let free = (0..routes.workers.len()).filter(|at| routes.room(*at));
     let best = free.min_by(|a, b| {
         let (a, b) = (&routes.workers[*a], &routes.workers[*b]);
--- a/crates/forwarding/src/sim.rs
+++ b/crates/forwarding/src/sim.rs
@@ -3,7 +3,7 @@
 
 use crate::membership::{Membership, Options, Send};
 use crate::messages::{self, Role, State};
-use crate::{Chance, Id, Time, MS, SECOND};
+use crate::{NodeId, SeededRng, Time, MS, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     /// When each looks up next: one time for each, or ticks would breed.
     due: Vec<Time>,
     number: u64,
-    chance: Chance,
+    rng: SeededRng,
     pub messages: u64,
     pub bytes: u64,
     /// Of those, bytes that each member sent, and that were on their way to each and not lost.
@@ -59,8 +59,8 @@
     }
 }
 
-pub fn id_of(at: usize) -> Id {
-    crate::id(&format!("member-{at}"))
+pub fn id_of(at: usize) -> NodeId {
+    crate::node_id(&format!("member-{at}"))
 }
 
 impl World {
@@ -75,7 +75,7 @@
             free: Vec::new(),
             due: vec![Time::MAX; many],
             number: 0,
-            chance: Chance::new(seed),
+            rng: SeededRng::new(seed),
             messages: 0,
             bytes: 0,
             sent: vec![0; many],
@@ -85,7 +85,7 @@
         };
         for at in 0..many {
             world.members.push(None);
-            let start = (world.chance.draw() * SECOND as f64) as Time;
+            let start = (world.rng.next_f64() * SECOND as f64) as Time;
             world.start(at, start, 1);
         }
         world
@@ -136,12 +136,12 @@
                 let (a, b) = (from < line, to < line);
                 (start..end).contains(&self.now) && if one_way { a && !b } else { a != b }
             });
-            if to >= self.members.len() || cut || self.chance.draw() < self.net.loss {
+            if to >= self.members.len() || cut || self.rng.next_f64() < self.net.loss {
                 continue;
             }
             self.heard[to] += bytes.len() as u64;
             let (least, most) = self.net.delay;
-            let delay = least + ((most - least) as f64 * self.chance.draw()) as Time;
+            let delay = least + ((most - least) as f64 * self.rng.next_f64()) as Time;
             let place = self.free.pop().unwrap_or_else(|| {
                 self.mail.push(None);
                 self.mail.len() - 1
--- a/crates/forwarding/tests/ramp.rs
+++ b/crates/forwarding/tests/ramp.rs
@@ -1,7 +1,7 @@
 //! A cold worker's promises: what all senders have out at once, counted by whoever receives it, never passes the budget.
 
 use cypresscleat_forwarding::ramp::{Promised, Ramp, HOLDS, SENDERS};
-use cypresscleat_forwarding::{Id, Time, SECOND};
+use cypresscleat_forwarding::{NodeId, Time, SECOND};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
             Event::Answered(who, comes) => {
                 let one = parties.get_mut(who).expect("a sender");
                 let Some((asked, out)) = one.asked.take() else { continue };
-                let places = ramp.asks(now, *who as Id + 1, out, budget, expected);
+                let places = ramp.asks(now, *who as NodeId + 1, out, budget, expected);
                 if *comes {
                     one.promised.takes(asked, places);
                 }
@@ -92,7 +92,7 @@
             out[who].retain(|until| *until > now);
             if (step + who as Time * 17) % 500 == 0 {
                 one.asks();
-                let places = ramp.asks(now, who as Id + 1, out[who].len() as u32, budget, expected);
+                let places = ramp.asks(now, who as NodeId + 1, out[who].len() as u32, budget, expected);
                 one.takes(now, places);
             }
             while out[who].len() < one.places(now) as usize {
@@ -133,8 +133,8 @@
     assert_eq!(ramp.asks(0, 1, 0, 4.0, 1), 4);
     assert_eq!(ramp.asks(1, 2, 0, 4.0, 1), 0, "all is promised");
     assert_eq!(ramp.asks(HOLDS, 2, 0, 4.0, 1), 4, "and free again");
-    for who in 0..2 * SENDERS as Id {
+    for who in 0..2 * SENDERS as NodeId {
         ramp.asks(HOLDS, who + 3, 0, 1e9, 1);
     }
-    assert_eq!(ramp.asks(HOLDS, 3 * SENDERS as Id, 0, 1e9, 1), 0);
+    assert_eq!(ramp.asks(HOLDS, 3 * SENDERS as NodeId, 0, 1e9, 1), 0);
 }
--- a/crates/forwarding/tests/tier.rs
+++ b/crates/forwarding/tests/tier.rs
@@ -9,7 +9,7 @@
 use cypresscleat_forwarding::retry::{Budget, Known, FLOOR, SHARE};
 use cypresscleat_forwarding::routes::{End, Routes};
 use cypresscleat_forwarding::sim::{id_of, Net, World};
-use cypresscleat_forwarding::{mode, Id, Time, MS, SECOND};
+use cypresscleat_forwarding::{mode, NodeId, Time, MS, SECOND};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -383,13 +383,13 @@
     ) {
         let mut plan = Plan::default();
         for (at, places) in workers.iter().enumerate() {
-            plan.worker(at as Id, *places);
+            plan.worker(at as NodeId, *places);
         }
         for (at, rate) in rates.iter().enumerate() {
-            plan.report(0, at as Id, report(*rate, vec![]));
+            plan.report(0, at as NodeId, report(*rate, vec![]));
         }
-        let mut sums: BTreeMap<Id, u32> = BTreeMap::new();
-        let mut each: BTreeMap<Id, u32> = BTreeMap::new();
+        let mut sums: BTreeMap<NodeId, u32> = BTreeMap::new();
+        let mut each: BTreeMap<NodeId, u32> = BTreeMap::new();
         for (forwarder, grants) in plan.grants() {
             for grant in grants {
                 *sums.entry(grant.worker).or_default() += grant.places;
@@ -397,7 +397,7 @@
             }
         }
         for (at, places) in workers.iter().enumerate() {
-            prop_assert_eq!(sums.get(&(at as Id)).copied().unwrap_or(0), places.floor() as u32, "worker {}", at);
+            prop_assert_eq!(sums.get(&(at as NodeId)).copied().unwrap_or(0), places.floor() as u32, "worker {}", at);
         }
         // Small shares come to their own over the workers, to within a place and what is owed.
         let all: u32 = each.values().sum();
@@ -405,7 +405,7 @@
         for (at, rate) in rates.iter().enumerate() {
             let part = if sum > 0.0 { rate / sum } else { 1.0 / rates.len() as f32 };
             let wanted = (0.2 / rates.len() as f32 + 0.8 * part) * all as f32;
-            let got = each.get(&(at as Id)).copied().unwrap_or(0) as f32;
+            let got = each.get(&(at as NodeId)).copied().unwrap_or(0) as f32;
             prop_assert!((got - wanted).abs() <= 3.0, "{} of {} for {}", got, wanted, at);
         }
     }
@@ -450,7 +450,7 @@
 
 /// Plays arrivals against workers with their own speeds; answers how many each served.
 fn played(routes: &mut Routes, speeds: &[Time], fails: &[u64], arrivals: u64, gap: Time) -> Vec<u64> {
-    let mut ends: BTreeMap<(Time, u64), (Id, Time)> = BTreeMap::new();
+    let mut ends: BTreeMap<(Time, u64), (NodeId, Time)> = BTreeMap::new();
     let (mut served, mut now) = (vec![0; speeds.len()], 0);
     for number in 0..arrivals {
         now += gap;
@@ -496,9 +496,9 @@
 #[test]
 fn subjects_go_home_while_home_is_not_loaded() {
     let mut routes = table(20, 50.0);
-    let home: Vec<Option<Id>> =
+    let home: Vec<Option<NodeId>> =
         (0..200u64).map(|subject| routes.choose(0, Some(subject << 50), &[])).collect();
-    let again: Vec<Option<Id>> =
+    let again: Vec<Option<NodeId>> =
         (0..200u64).map(|subject| routes.choose(0, Some(subject << 50), &[])).collect();
     assert_eq!(home, again);
     // One worker goes: only its subjects move.
@@ -546,8 +546,8 @@
     #[test]
     fn no_worker_gets_more_than_its_places(steps in proptest::collection::vec((0..6u8, 0..8u64, any::<u64>()), 0..300)) {
         let mut routes = Routes::new(3);
-        let mut out: BTreeMap<Id, u32> = BTreeMap::new();
-        let mut places: BTreeMap<Id, f64> = BTreeMap::new();
+        let mut out: BTreeMap<NodeId, u32> = BTreeMap::new();
+        let mut places: BTreeMap<NodeId, f64> = BTreeMap::new();
         for (at, (what, id, more)) in steps.into_iter().enumerate() {
             let now = at as Time * 50;
             match what {
@@ -652,7 +652,7 @@
     let mut mode = Mode::new(0);
     (0..6).for_each(|step| drop(mode.tick(step * STEP, &held)));
     assert_eq!(mode.places(LASTS, &held, 9, alone), 4.0);
-    assert_eq!(id_of(1), cypresscleat_forwarding::id("member-1"));
+    assert_eq!(id_of(1), cypresscleat_forwarding::node_id("member-1"));
     assert_eq!(MS * 1000, SECOND);
 }
 
--- a/crates/leases/src/desk.rs
+++ b/crates/leases/src/desk.rs
@@ -6,7 +6,7 @@
 
 use crate::duties::{Command, Duties, Outcome};
 use crate::said::{Answer, Ask};
-use crate::{Id, Part, Time};
+use crate::{NodeId, Part, Time};
 use cypresscleat_consensus as quorum;
 use cypresscleat_consensus::{Keeper, Machine, Out};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 enum For<A> {
-    Open { from: A, number: u32, whose: (Id, u64) },
+    Open { from: A, number: u32, whose: (NodeId, u64) },
     Do { from: A, number: u32 },
     End,
 }
@@ -32,7 +32,7 @@
     hears: BTreeMap<u64, (A, (u64, Part))>,
     waiting: VecDeque<(u64, A, u64, u32)>,
     proposed: BTreeMap<u64, For<A>>,
-    opening: BTreeSet<(Id, u64)>,
+    opening: BTreeSet<(NodeId, u64)>,
     ending: BTreeSet<u64>,
     next: u64,
     looked: Time,
--- a/crates/leases/src/duties.rs
+++ b/crates/leases/src/duties.rs
@@ -2,7 +2,7 @@
 //! of `quorum`: the same commands give the same state at every keeper.
 
 use crate::said::{Grant, Item, Line};
-use crate::{Id, Part, Time, Want, PARTS, SESSIONS, TOLD, WANTS};
+use crate::{NodeId, Part, Time, Want, PARTS, SESSIONS, TOLD, WANTS};
 use cypresscleat_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 pub enum Command {
     /// A session for this life of an instance: the one there is, or a new one.
     Open {
-        instance: Id,
+        instance: NodeId,
         life: u64,
         wants: Vec<Want>,
     },
@@ -26,7 +26,7 @@
     },
     Bar {
         duty: u64,
-        instance: Option<Id>,
+        instance: Option<NodeId>,
         barred: bool,
     },
 }
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Session {
-    instance: Id,
+    instance: NodeId,
     life: u64,
     wants: Vec<Want>,
     owned: BTreeSet<(u64, Part)>,
@@ -73,7 +73,7 @@
     free: BTreeMap<u64, BTreeSet<u32>>,
     /// Parts of each duty, as the largest want had them.
     sizes: BTreeMap<u64, u32>,
-    barred: BTreeSet<(u64, Id)>,
+    barred: BTreeSet<(u64, NodeId)>,
     /// Sessions whose grants changed since they were last taken; of no account for what is agreed.
     #[serde(skip)]
     touched: BTreeSet<u64>,
@@ -86,17 +86,17 @@
 const CHANGES: usize = 4 * PARTS;
 
 impl Duties {
-    pub fn instance(&self, session: u64) -> Option<Id> {
+    pub fn instance(&self, session: u64) -> Option<NodeId> {
         self.sessions.get(&session).map(|session| session.instance)
     }
-    pub fn session_of(&self, instance: Id, life: u64) -> Option<u64> {
+    pub fn session_of(&self, instance: NodeId, life: u64) -> Option<u64> {
         let found = self.sessions.iter().find(|(_, one)| (one.instance, one.life) == (instance, life));
         found.map(|(session, _)| *session)
     }
     pub fn sessions(&self) -> impl Iterator<Item = u64> + '_ {
         self.sessions.keys().copied()
     }
-    pub fn owner(&self, part: Part) -> Option<(Id, u64)> {
+    pub fn owner(&self, part: Part) -> Option<(NodeId, u64)> {
         let state = self.parts.get(&part)?;
         Some((self.instance(state.session)?, state.token))
     }
@@ -210,7 +210,7 @@
         }
     }
 
-    fn opens(&mut self, index: u64, instance: Id, life: u64, wants: Vec<Want>) -> Outcome {
+    fn opens(&mut self, index: u64, instance: NodeId, life: u64, wants: Vec<Want>) -> Outcome {
         if let Some(session) = self.session_of(instance, life) {
             return Outcome::Opened(session);
         }
@@ -279,7 +279,7 @@
         Outcome::Did(did)
     }
 
-    fn bars(&mut self, index: u64, duty: u64, instance: Option<Id>, barred: bool) {
+    fn bars(&mut self, index: u64, duty: u64, instance: Option<NodeId>, barred: bool) {
         match (instance, barred) {
             (Some(instance), true) => drop(self.barred.insert((duty, instance))),
             (Some(instance), false) => drop(self.barred.remove(&(duty, instance))),
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,7 +1,7 @@
 //! At an instance: asks for its session, renews it, knows what it owns and until when.
 
 use crate::said::{Answer, Ask, Grant, Item};
-use crate::{Chance, Id, Part, Time, Want, DRIFT, ITEMS, SECOND};
+use crate::{NodeId, Part, SeededRng, Time, Want, DRIFT, ITEMS, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Renewals whose answers are still taken.
@@ -42,13 +42,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    instance: Id,
+    instance: NodeId,
     life: u64,
     wants: Vec<Want>,
-    keepers: Vec<Id>,
+    keepers: Vec<NodeId>,
     /// Which of them is asked.
     at: usize,
-    chance: Chance,
+    rng: SeededRng,
     /// As the keepers said last; before that, a guess.
     lease: Time,
     session: u64,
@@ -77,16 +77,16 @@
 
 impl Holder {
     /// `life` is drawn anew at each start of the instance.
-    pub fn new(now: Time, instance: Id, life: u64, wants: Vec<Want>, keepers: Vec<Id>) -> Holder {
-        let mut chance = Chance::new(instance ^ life);
-        let at = chance.below(keepers.len() as u64) as usize;
+    pub fn new(now: Time, instance: NodeId, life: u64, wants: Vec<Want>, keepers: Vec<NodeId>) -> Holder {
+        let mut rng = SeededRng::new(instance ^ life);
+        let at = rng.below(keepers.len() as u64) as usize;
         Holder {
             instance,
             life,
             wants,
             keepers,
             at,
-            chance,
+            rng,
             lease: 2 * SECOND,
             session: 0,
             until: Time::MIN,
@@ -108,7 +108,7 @@
         }
     }
 
-    pub fn instance(&self) -> Id {
+    pub fn instance(&self) -> NodeId {
         self.instance
     }
     pub fn session(&self) -> u64 {
@@ -169,7 +169,7 @@
     }
 
     /// The instance drains: all is free at once, and the next is ready. What was under way has stopped.
-    pub fn leaves(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    pub fn leaves(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         self.leaves = true;
         self.lose_all();
         // Whoever was asked last is asked: a renewal that is on its way is no silence.
@@ -195,13 +195,13 @@
     }
 
     /// A keeper that came after this instance was started.
-    pub fn knows(&mut self, keeper: Id) {
+    pub fn knows(&mut self, keeper: NodeId) {
         if !self.keepers.contains(&keeper) {
             self.keepers.push(keeper);
         }
     }
 
-    fn ask(&self, ask: Ask) -> Vec<(Id, Ask)> {
+    fn ask(&self, ask: Ask) -> Vec<(NodeId, Ask)> {
         self.keepers.get(self.at).map(|keeper| (*keeper, ask)).into_iter().collect()
     }
 
@@ -210,7 +210,7 @@
         self.number
     }
 
-    fn renews(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    fn renews(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         let number = self.next_number();
         self.asked.push_back((number, now));
         if self.asked.len() > ASKED {
@@ -221,7 +221,7 @@
         self.ask(Ask::Renew { instance, life, session, number, known, wants })
     }
 
-    pub fn tick(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    pub fn tick(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         let mut out = Vec::new();
         if now >= self.until && !self.owned.is_empty() && !self.broken {
             self.lose_all();
@@ -244,7 +244,7 @@
                 self.at = (self.at + 1) % self.keepers.len().max(1);
             }
             let wait = if self.silent < 3 { self.lease / 8 } else { self.lease / 2 };
-            let spread = self.chance.below((wait / 8).max(1) as u64) as Time;
+            let spread = self.rng.below((wait / 8).max(1) as u64) as Time;
             self.due = now + wait + spread;
             (self.silent, self.led) = (self.silent + 1, 0);
             out.extend(self.renews(now));
@@ -257,7 +257,7 @@
     }
 
     /// What waits to be decided, in one letter at a time; again until it is answered.
-    pub fn sends(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    pub fn sends(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         if self.sent.is_some() || self.items.is_empty() || self.session == 0 {
             return Vec::new();
         }
@@ -267,7 +267,7 @@
         self.ask(Ask::Do { session: self.session, number, items })
     }
 
-    pub fn hear(&mut self, now: Time, from: Id, answer: Answer) -> Vec<(Id, Ask)> {
+    pub fn hear(&mut self, now: Time, from: NodeId, answer: Answer) -> Vec<(NodeId, Ask)> {
         if !answer.bounded() {
             return Vec::new();
         }
@@ -343,7 +343,7 @@
         }
     }
 
-    fn heard(&mut self, from: Id) {
+    fn heard(&mut self, from: NodeId) {
         self.silent = 0;
         if let Some(at) = self.keepers.iter().position(|keeper| *keeper == from) {
             self.at = at;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod said;
 pub mod sim;
 
-pub use cypresscleat_consensus::{id, Chance, Id, Time, MS, SECOND};
+pub use cypresscleat_consensus::{node_id, NodeId, SeededRng, Time, MS, SECOND};
 use serde::{Deserialize, Serialize};
 
 /// Clocks may run apart by one part in so many.
--- a/crates/leases/src/said.rs
+++ b/crates/leases/src/said.rs
@@ -1,6 +1,6 @@
 //! What instances and the keepers' desk say to each other, one in each datagram (bytes as in `quorum::letter`).
 
-use crate::{Id, Part, Time, Want, CURSOR, ITEMS, TOLD, WANTS};
+use crate::{NodeId, Part, Time, Want, CURSOR, ITEMS, TOLD, WANTS};
 use serde::{Deserialize, Serialize};
 
 /// One thing done to the agreed state on behalf of a session. Doing it twice is doing it once.
@@ -16,13 +16,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Ask {
     /// It is here, and would take these. `session` 0 asks for one. `known` is the last grant that it has heard of.
-    Renew { instance: Id, life: u64, session: u64, number: u32, known: (u64, Part), wants: Vec<Want> },
+    Renew { instance: NodeId, life: u64, session: u64, number: u32, known: (u64, Part), wants: Vec<Want> },
     /// `number` comes back with the answer, which says that all of them are decided.
     Do { session: u64, number: u32, items: Vec<Item> },
     /// It leaves: all that it owns is free at once.
     Leave { session: u64, number: u32 },
     /// An operator: an instance may no longer, or may again, own a duty; `None` is all instances for one moment, which frees it.
-    Bar { number: u32, duty: u64, instance: Option<Id>, barred: bool },
+    Bar { number: u32, duty: u64, instance: Option<NodeId>, barred: bool },
     /// An operator asks for all there is, from this part on.
     List { number: u32, from: Part },
 }
@@ -43,7 +43,7 @@
 pub struct Line {
     pub part: Part,
     /// 0 where nobody owns it.
-    pub owner: Id,
+    pub owner: NodeId,
     pub token: u64,
     /// Of the owner's lease, as this keeper counts it.
     pub left: Time,
@@ -80,7 +80,7 @@
     },
     /// Another keeper leads, as far as this one knows.
     Elsewhere {
-        leader: Id,
+        leader: NodeId,
     },
     Lines {
         number: u32,
@@ -126,5 +126,5 @@
     /// To a keeper.
     Ask(Ask),
     /// From a keeper, whose number goes with it.
-    Answer { from: Id, answer: Answer },
+    Answer { from: NodeId, answer: Answer },
 }
--- a/crates/leases/src/sim.rs
+++ b/crates/leases/src/sim.rs
@@ -7,11 +7,11 @@
 use crate::fence::Fence;
 use crate::holder::{Event, Holder};
 use crate::said::{Answer, Ask};
-use crate::{Id, Part, Time, Want, MS};
+use crate::{NodeId, Part, Time, Want, MS};
 use cypresscleat_consensus::letter;
 use cypresscleat_consensus::sim::World;
 use cypresscleat_consensus::Answer as Answered;
-use cypresscleat_consensus::{Chance, Options};
+use cypresscleat_consensus::{Options, SeededRng};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards that tests take out.
@@ -44,7 +44,7 @@
 /// An instance, its clock and its work.
 pub struct Instance {
     pub holder: Option<Holder>,
-    id: Id,
+    id: NodeId,
     lives: u64,
     /// Stands still until then.
     pub stopped: Time,
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug)]
 enum Letter {
-    Answer(Id, Answer),
+    Answer(NodeId, Answer),
     Acted { part: Part, token: u64, item: u64, taken: bool },
 }
 
@@ -79,7 +79,7 @@
     pub part: Part,
     pub token: u64,
     pub item: u64,
-    pub by: Id,
+    pub by: NodeId,
     pub taken: bool,
     /// The item had been done: the act has no effect, and is none that counts.
     pub done_before: bool,
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 enum Mail {
     Ask { to: usize, from: usize, ask: Ask },
-    Answer { to: usize, from: Id, answer: Answer },
+    Answer { to: usize, from: NodeId, answer: Answer },
     Act { from: usize, part: Part, token: u64, item: u64 },
     Acted { to: usize, part: Part, token: u64, item: u64, taken: bool },
 }
@@ -100,7 +100,7 @@
     pub instances: Vec<Instance>,
     mail: BTreeMap<(Time, u64), Mail>,
     posted: u64,
-    chance: Chance,
+    rng: SeededRng,
     fence: Fence,
     done: BTreeMap<Part, BTreeSet<u64>>,
     pub journal: Vec<Act>,
@@ -121,8 +121,8 @@
 }
 
 /// The address of instance `at`, and back.
-fn instance_id(at: usize) -> Id {
-    1000 + at as Id
+fn instance_id(at: usize) -> NodeId {
+    1000 + at as NodeId
 }
 
 impl Play {
@@ -135,7 +135,7 @@
             instances: Vec::new(),
             mail: BTreeMap::new(),
             posted: 0,
-            chance: Chance::new(seed ^ 0x0b5),
+            rng: SeededRng::new(seed ^ 0x0b5),
             fence: Fence::default(),
             done: BTreeMap::new(),
             journal: Vec::new(),
@@ -191,7 +191,7 @@
         let now = self.clock(at);
         let one = &mut self.instances[at];
         let wants = vec![Want { duty: 1, parts: self.setup.parts, rank: 0 }];
-        let keepers = (0..self.setup.keepers).map(|keeper| keeper as Id + 1).collect();
+        let keepers = (0..self.setup.keepers).map(|keeper| keeper as NodeId + 1).collect();
         let mut holder = Holder::new(now, one.id, one.lives, wants, keepers);
         holder.broken = self.setup.broken.holds_on;
         (one.holder, one.stopped) = (Some(holder), 0);
@@ -235,16 +235,16 @@
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
-        let spread = self.chance.below(delay.max(1) as u64) as Time;
-        let lost = self.world.weather.lost > 0 && self.chance.one_in(self.world.weather.lost);
+        let spread = self.rng.below(delay.max(1) as u64) as Time;
+        let lost = self.world.weather.lost > 0 && self.rng.one_in(self.world.weather.lost);
         // Acts go over a connection: late, but not lost by themselves.
         if lost && matches!(mail, Mail::Ask { .. } | Mail::Answer { .. }) {
             return;
         }
-        let twice = self.world.weather.doubled > 0 && self.chance.one_in(self.world.weather.doubled);
+        let twice = self.world.weather.doubled > 0 && self.rng.one_in(self.world.weather.doubled);
         let mut late = 0;
-        if self.world.weather.slow > 0 && self.chance.one_in(20) {
-            late = self.chance.below(self.world.weather.slow as u64) as Time;
+        if self.world.weather.slow > 0 && self.rng.one_in(20) {
+            late = self.rng.below(self.world.weather.slow as u64) as Time;
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
@@ -252,7 +252,7 @@
         }
     }
 
-    fn post_asks(&mut self, from: usize, asks: Vec<(Id, Ask)>) {
+    fn post_asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             self.asks += 1;
             self.ask_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
@@ -287,7 +287,7 @@
             self.asks += 1;
             self.ask_bytes += letter::write(&answer).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_keepers.contains(&to) {
-                let from = at as Id + 1;
+                let from = at as NodeId + 1;
                 self.post(self.world.weather.delay, Mail::Answer { to, from, answer });
             }
         }
--- a/crates/leases/tests/owners.rs
+++ b/crates/leases/tests/owners.rs
@@ -2,7 +2,7 @@
 //! acted upon judges. Guards taken out are found out.
 
 use cypresscleat_consensus::sim::Weather;
-use cypresscleat_consensus::Chance;
+use cypresscleat_consensus::SeededRng;
 use cypresscleat_leases::fence::Fence;
 use cypresscleat_leases::sim::{Broken, Play, Setup};
 use cypresscleat_leases::{Part, MS, SECOND};
@@ -18,24 +18,24 @@
 /// Faults by chance for so many seconds, then peace: what was wrong, and how many items were done.
 fn play(seed: u64, setup: Setup, drift: i64, seconds: i64) -> Result<usize, String> {
     let mut play = Play::new(setup, seed);
-    let mut chance = Chance::new(seed ^ 0xfa17);
+    let mut rng = SeededRng::new(seed ^ 0xfa17);
     for at in 0..setup.instances {
-        play.instances[at].rate = chance.below(2 * drift as u64 + 1) as i64 - drift;
-        play.instances[at].ahead = [0, 3600 * SECOND][chance.below(2) as usize];
+        play.instances[at].rate = rng.below(2 * drift as u64 + 1) as i64 - drift;
+        play.instances[at].ahead = [0, 3600 * SECOND][rng.below(2) as usize];
     }
     play.world.weather = Weather {
-        delay: [MS / 2, 3 * MS][chance.below(2) as usize],
-        lost: [0, 20, 6][chance.below(3) as usize],
-        doubled: [0, 8][chance.below(2) as usize],
-        slow: [0, 500 * MS, 3 * SECOND][chance.below(3) as usize],
+        delay: [MS / 2, 3 * MS][rng.below(2) as usize],
+        lost: [0, 20, 6][rng.below(3) as usize],
+        doubled: [0, 8][rng.below(2) as usize],
+        slow: [0, 500 * MS, 3 * SECOND][rng.below(3) as usize],
     };
     let end = seconds * SECOND;
     while play.world.now < end {
-        let at = chance.below(setup.instances as u64) as usize;
-        let keeper = chance.below(setup.keepers as u64) as usize;
-        match chance.below(14) {
+        let at = rng.below(setup.instances as u64) as usize;
+        let keeper = rng.below(setup.keepers as u64) as usize;
+        match rng.below(14) {
             0 => play.kill(at),
-            1 => play.stop(at, [SECOND, 3 * SECOND, 9 * SECOND][chance.below(3) as usize]),
+            1 => play.stop(at, [SECOND, 3 * SECOND, 9 * SECOND][rng.below(3) as usize]),
             2 => play.drain(at),
             3 => drop(play.cut_keepers.insert(at)),
             4 => drop(play.cut_thing.insert(at)),
@@ -45,7 +45,7 @@
                 let one = keeper as u64 + 1;
                 ids.iter().filter(|id| **id != one).for_each(|id| {
                     play.world.cut.insert((one, *id));
-                    if chance.one_in(2) {
+                    if rng.one_in(2) {
                         play.world.cut.insert((*id, one));
                     }
                 });
@@ -56,13 +56,13 @@
             _ => {}
         }
         for at in 0..setup.instances {
-            if play.instances[at].holder.as_ref().is_none_or(|holder| holder.left()) && chance.one_in(3) {
+            if play.instances[at].holder.as_ref().is_none_or(|holder| holder.left()) && rng.one_in(3) {
                 play.kill(at);
                 play.start(at);
             }
         }
         for at in 0..setup.keepers {
-            if play.world.seats[at].keeper.is_none() && chance.one_in(3) {
+            if play.world.seats[at].keeper.is_none() && rng.one_in(3) {
                 play.world.start(at);
             }
         }
--- a/crates/rollout-relay/src/relay.rs
+++ b/crates/rollout-relay/src/relay.rs
@@ -29,7 +29,7 @@
 use cypresscleat_rollout::policies::Stage;
 use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
 use cypresscleat_rollout::watch::Seen;
-use cypresscleat_rollout::{cut, Id, Key, Missing, Rules, Time, Version, NAME, TOLD, WHY};
+use cypresscleat_rollout::{cut, Key, Missing, NodeId, Rules, Time, Version, NAME, TOLD, WHY};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Members of one relay; one more is not answered, and asks another.
@@ -50,7 +50,7 @@
 /// What is to be done: words to keepers, words to members, texts to be put on the disk (`kept` says how that went).
 #[derive(Clone, Debug)]
 pub struct Out<A> {
-    pub up: Vec<(Id, Ask)>,
+    pub up: Vec<(NodeId, Ask)>,
     pub down: Vec<(A, Answer)>,
     pub keep: Vec<Version>,
 }
@@ -138,7 +138,7 @@
 
 impl<A: Copy + Ord> Relay<A> {
     /// `most` is the longest lease that it gives, in any of its lives: to be raised by a restart, and lowered only after a wait.
-    pub fn new(now: Time, name: &str, key: Key, keepers: Vec<Id>, most: Time) -> Relay<A> {
+    pub fn new(now: Time, name: &str, key: Key, keepers: Vec<NodeId>, most: Time) -> Relay<A> {
         let mut up = Member::new(now, name, key, keepers);
         up.for_others();
         Relay {
@@ -185,7 +185,7 @@
     pub fn in_force(&self) -> Option<u64> {
         self.up.in_force()
     }
-    pub fn learns(&mut self, keeper: Id) {
+    pub fn learns(&mut self, keeper: NodeId) {
         self.up.learns(keeper);
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// A keeper's word.
-    pub fn from_above(&mut self, now: Time, from: Id, answer: Answer) -> Out<A> {
+    pub fn from_above(&mut self, now: Time, from: NodeId, answer: Answer) -> Out<A> {
         let over = match &answer {
             Answer::Held { key, number, check, .. } if *key == self.up.key() => {
                 // The change was over at a moment after the yes was said.
@@ -373,7 +373,7 @@
         true
     }
 
-    fn finds(&mut self, now: Time, key: Key, verdict: Option<(u64, Verdict)>) -> Vec<(Id, Ask)> {
+    fn finds(&mut self, now: Time, key: Key, verdict: Option<(u64, Verdict)>) -> Vec<(NodeId, Ask)> {
         let Some(one) = self.below.get_mut(&key) else { return Vec::new() };
         match verdict {
             Some((of, Verdict::Good)) => one.good = one.good.max(of),
@@ -457,7 +457,7 @@
     }
 
     /// What follows from what was just heard: to be called at the end of each step.
-    fn settles(&mut self, now: Time, mut asks: Vec<(Id, Ask)>, mut out: Out<A>) -> Out<A> {
+    fn settles(&mut self, now: Time, mut asks: Vec<(NodeId, Ask)>, mut out: Out<A>) -> Out<A> {
         self.looked = self.looked.max(now);
         while let Some((_, key)) = self.oldest.first().copied().filter(|first| first.0 <= now) {
             self.forgets(key);
@@ -565,7 +565,7 @@
     }
 
     /// Its words upward for all below, where they can be said.
-    fn speaks(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    fn speaks(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         let mut asks = Vec::new();
         if now < self.ready_at() {
             return asks;
--- a/crates/rollout-relay/src/sim.rs
+++ b/crates/rollout-relay/src/sim.rs
@@ -10,7 +10,7 @@
 use cypresscleat_rollout::member::{self, Event as Happens, May, Member};
 use cypresscleat_rollout::policies::{News, Policies, Rules, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Verdict};
-use cypresscleat_rollout::{Chance, Id, Missing, Time, MS, SECOND};
+use cypresscleat_rollout::{Missing, NodeId, SeededRng, Time, MS, SECOND};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -102,11 +102,11 @@
 pub struct Place {
     process: Process,
     pub name: String,
-    id: Id,
+    id: NodeId,
     lives: u64,
     pub region: usize,
     /// Whom it asks.
-    above: Vec<Id>,
+    above: Vec<NodeId>,
     /// Stands still until then.
     pub stopped: Time,
     /// Parts in a thousand by which its clock runs faster; and how far it is ahead.
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug)]
 enum Letter {
     Ask(usize, Ask),
-    Answer(Id, Answer),
+    Answer(NodeId, Answer),
 }
 
 enum Event {
@@ -176,8 +176,8 @@
 }
 
 const OPERATOR: usize = usize::MAX;
-const RELAY: Id = 100;
-const MEMBER: Id = 100_000;
+const RELAY: NodeId = 100;
+const MEMBER: NodeId = 100_000;
 
 pub struct Play {
     pub setup: Setup,
@@ -188,7 +188,7 @@
     pub first_member: usize,
     events: BinaryHeap<Planned>,
     posted: u64,
-    chance: Chance,
+    rng: SeededRng,
     /// Regions that reach no other.
     pub apart: BTreeSet<usize>,
     pub keepers: Vec<Traffic>,
@@ -218,7 +218,7 @@
             first_member: setup.zones * setup.relays,
             events: BinaryHeap::new(),
             posted: 0,
-            chance: Chance::new(seed ^ 0x5e1a),
+            rng: SeededRng::new(seed ^ 0x5e1a),
             apart: BTreeSet::new(),
             keepers: vec![Traffic::default(); setup.keepers],
             proposed: BTreeMap::new(),
@@ -231,11 +231,11 @@
             log: Vec::new(),
             stuck: (0, 0),
         };
-        let keepers: Vec<Id> = (1..=setup.keepers as Id).collect();
+        let keepers: Vec<NodeId> = (1..=setup.keepers as NodeId).collect();
         for at in 0..play.first_member {
             let zone = at / setup.relays;
             let name = format!("r{zone}{}", (b'a' + (at % setup.relays) as u8) as char);
-            play.adds(Process::Relay(None), name, RELAY + at as Id, zone, keepers.clone());
+            play.adds(Process::Relay(None), name, RELAY + at as NodeId, zone, keepers.clone());
         }
         for at in 0..setup.members {
             play.adds_member(at, at + setup.direct >= setup.members);
@@ -245,14 +245,14 @@
 
     fn adds_member(&mut self, at: usize, direct: bool) {
         let (zone, each) = (at % self.setup.zones, self.setup.relays);
-        let above: Vec<Id> = match direct || each == 0 {
-            true => (1..=self.setup.keepers as Id).collect(),
-            false => (0..each).map(|one| RELAY + (zone * each + one) as Id).collect(),
+        let above: Vec<NodeId> = match direct || each == 0 {
+            true => (1..=self.setup.keepers as NodeId).collect(),
+            false => (0..each).map(|one| RELAY + (zone * each + one) as NodeId).collect(),
         };
-        self.adds(Process::Member(None), format!("m{at}"), MEMBER + at as Id, zone, above);
+        self.adds(Process::Member(None), format!("m{at}"), MEMBER + at as NodeId, zone, above);
     }
 
-    fn adds(&mut self, process: Process, name: String, id: Id, zone: usize, above: Vec<Id>) {
+    fn adds(&mut self, process: Process, name: String, id: NodeId, zone: usize, above: Vec<NodeId>) {
         self.places.push(Place {
             process,
             name,
@@ -437,22 +437,22 @@
         let weather = self.world.weather;
         let far = from != to;
         let cut = far && (self.apart.contains(&from) || self.apart.contains(&to));
-        if (weather.lost > 0 && self.chance.one_in(weather.lost)) || cut {
+        if (weather.lost > 0 && self.rng.one_in(weather.lost)) || cut {
             return None;
         }
-        let twice = weather.doubled > 0 && self.chance.one_in(weather.doubled);
+        let twice = weather.doubled > 0 && self.rng.one_in(weather.doubled);
         let base = if far { self.setup.far } else { self.setup.near };
         let ways = (0..1 + usize::from(twice)).map(|_| {
-            let mut way = base + self.chance.below(self.setup.near.max(1) as u64) as Time;
-            if weather.slow > 0 && self.chance.one_in(20) {
-                way += self.chance.below(weather.slow as u64) as Time;
+            let mut way = base + self.rng.below(self.setup.near.max(1) as u64) as Time;
+            if weather.slow > 0 && self.rng.one_in(20) {
+                way += self.rng.below(weather.slow as u64) as Time;
             }
             way
         });
         Some(ways.collect())
     }
 
-    fn asks(&mut self, from: usize, asks: Vec<(Id, Ask)>) {
+    fn asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         let now = self.world.now;
         for (to, ask) in asks {
             let bytes = letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
@@ -476,7 +476,7 @@
         }
     }
 
-    fn answers(&mut self, from: Id, region: usize, to: usize, answer: &Answer) -> u64 {
+    fn answers(&mut self, from: NodeId, region: usize, to: usize, answer: &Answer) -> u64 {
         let bytes = letter::write(answer).map_or(0, |bytes| bytes.len() as u64);
         let now = self.world.now;
         for way in self.way(region, self.places[to].region).unwrap_or_default() {
@@ -526,7 +526,8 @@
         for (to, answer) in said {
             if to != OPERATOR {
                 let cut = self.places[to].cut;
-                let bytes = if cut { 0 } else { self.answers(at as Id + 1, self.region(at), to, &answer) };
+                let bytes =
+                    if cut { 0 } else { self.answers(at as NodeId + 1, self.region(at), to, &answer) };
                 self.keepers[at].counts(self.world.now, bytes, true);
             }
         }
@@ -775,19 +776,19 @@
         let mut text = 0;
         for at in 0..self.places.len() {
             // Two of them are apart by less than one part in 40.
-            self.places[at].rate = self.chance.below(25) as i64 - 12;
+            self.places[at].rate = self.rng.below(25) as i64 - 12;
             // So that no clock jumps as its rate changes.
             self.places[at].ahead -= self.world.now * self.places[at].rate / 1000;
             self.plans(at);
         }
         while self.world.now < end && self.wrong.is_none() && self.world.wrong.is_none() {
-            let until = self.world.now + 50 * MS + self.chance.below(500) as Time * MS;
-            let any = self.chance.below(self.places.len() as u64) as usize;
+            let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
+            let any = self.rng.below(self.places.len() as u64) as usize;
             // Relays as often as all members.
-            let relay = self.chance.below(self.first_member.max(1) as u64) as usize;
-            let at = if self.first_member > 0 && self.chance.one_in(2) { relay } else { any };
-            let keeper = self.chance.below(self.setup.keepers as u64) as usize;
-            match self.chance.below(18) {
+            let relay = self.rng.below(self.first_member.max(1) as u64) as usize;
+            let at = if self.first_member > 0 && self.rng.one_in(2) { relay } else { any };
+            let keeper = self.rng.below(self.setup.keepers as u64) as usize;
+            match self.rng.below(18) {
                 0 => self.kill(at),
                 1 | 2 => {
                     if !self.runs(at) || self.places[at].drained {
@@ -795,14 +796,14 @@
                     }
                 }
                 3 => {
-                    let time = self.chance.below(40) as Time * SECOND / 10;
+                    let time = self.rng.below(40) as Time * SECOND / 10;
                     self.stop(at, time);
                 }
                 4 => self.places[at].cut = true,
                 5 => self.places.iter_mut().for_each(|one| one.cut = false),
                 6 => {
                     self.lose_disk(at);
-                    if self.chance.one_in(2) {
+                    if self.rng.one_in(2) {
                         self.start(at);
                     }
                 }
@@ -818,7 +819,7 @@
                 // At once again, as a supervisor does it.
                 10 => self.start(at),
                 11 => {
-                    let region = self.chance.below(self.setup.regions as u64) as usize;
+                    let region = self.rng.below(self.setup.regions as u64) as usize;
                     self.parts(region);
                 }
                 12 => self.joined(),
@@ -826,18 +827,18 @@
                 _ => {
                     text += 1;
                     let mut rules = self.setup.rules;
-                    rules.together = self.chance.one_in(2);
-                    if self.chance.one_in(4) {
+                    rules.together = self.rng.one_in(2);
+                    if self.rng.one_in(4) {
                         rules.missing = match rules.missing {
                             Missing::Fence => Missing::Wait,
                             Missing::Wait => Missing::Fence,
                         };
                     }
-                    if self.chance.one_in(4) {
+                    if self.rng.one_in(4) {
                         rules.lease /= 2;
                     }
                     let next = self.proposed.keys().next_back().copied().unwrap_or(0) + 1;
-                    if self.chance.one_in(4) && any >= self.first_member {
+                    if self.rng.one_in(4) && any >= self.first_member {
                         self.places[any].refuses.insert(next);
                     }
                     self.propose(self.now(), rules, &format!("text {text}"));
@@ -854,7 +855,7 @@
             (0..self.setup.keepers).flat_map(|one| (0..self.setup.keepers).map(move |other| (one, other)))
         {
             if (self.region(one) == region) != (self.region(other) == region) {
-                self.world.cut.insert((one as Id + 1, other as Id + 1));
+                self.world.cut.insert((one as NodeId + 1, other as NodeId + 1));
             }
         }
     }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod sim;
 pub mod watch;
 
-pub use cypresscleat_consensus::{id, Chance, Id, Time, MS, SECOND};
+pub use cypresscleat_consensus::{node_id, NodeId, SeededRng, Time, MS, SECOND};
 pub use policies::{Missing, Policies, Rules, Version, WatchRules};
 
 /// Clocks may run apart by one part in so many.
@@ -42,7 +42,7 @@
 }
 
 /// One life of an instance: the number of its name, and one drawn at its start.
-pub type Key = (Id, u64);
+pub type Key = (NodeId, u64);
 
 /// Bounds: bytes of a text, of names and reasons; versions and refusals that are remembered; members.
 pub const TEXT: usize = 16 * 1024;
--- a/crates/rollout/src/member.rs
+++ b/crates/rollout/src/member.rs
@@ -4,7 +4,7 @@
 use crate::policies::Version;
 use crate::said::{Answer, Ask, Verdict};
 use crate::watch::Seen;
-use crate::{early, Chance, Id, Key, Time, SECOND};
+use crate::{early, Key, NodeId, SeededRng, Time, SECOND};
 use std::collections::VecDeque;
 
 /// Askings whose answers are still taken.
@@ -43,9 +43,9 @@
 pub struct Member {
     key: Key,
     name: String,
-    keepers: Vec<Id>,
+    keepers: Vec<NodeId>,
     at: usize,
-    chance: Chance,
+    rng: SeededRng,
     /// From when it asks what; and how often, as the keepers said last.
     due: Time,
     period: Time,
@@ -86,15 +86,15 @@
 }
 
 impl Member {
-    pub fn new(now: Time, name: &str, key: Key, keepers: Vec<Id>) -> Member {
-        let mut chance = Chance::new(key.0 ^ key.1);
-        let at = chance.below(keepers.len() as u64) as usize;
+    pub fn new(now: Time, name: &str, key: Key, keepers: Vec<NodeId>) -> Member {
+        let mut rng = SeededRng::new(key.0 ^ key.1);
+        let at = rng.below(keepers.len() as u64) as usize;
         Member {
             key,
             name: name.to_string(),
             keepers,
             at,
-            chance,
+            rng,
             due: now,
             period: SECOND / 2,
             silent: 0,
@@ -143,7 +143,7 @@
     }
 
     /// All for whom it speaks have stopped for this change.
-    pub fn stopped(&mut self, now: Time, change: u64) -> Vec<(Id, Ask)> {
+    pub fn stopped(&mut self, now: Time, change: u64) -> Vec<(NodeId, Ask)> {
         self.stopped = Some(change);
         self.soon(now)
     }
@@ -196,17 +196,17 @@
     }
 
     /// A keeper that came after this instance was started.
-    pub fn learns(&mut self, keeper: Id) {
+    pub fn learns(&mut self, keeper: NodeId) {
         if !self.keepers.contains(&keeper) {
             self.keepers.push(keeper);
         }
     }
 
-    fn ask(&self, ask: Ask) -> Vec<(Id, Ask)> {
+    fn ask(&self, ask: Ask) -> Vec<(NodeId, Ask)> {
         self.keepers.get(self.at).map(|keeper| (*keeper, ask)).into_iter().collect()
     }
 
-    fn here(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    fn here(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         self.number = self.number.wrapping_add(1);
         self.asked.push_back((self.number, now));
         if self.asked.len() > ASKED {
@@ -253,7 +253,7 @@
         }
     }
 
-    pub fn tick(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    pub fn tick(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         let mut out = Vec::new();
         if self.left {
             return out;
@@ -275,7 +275,7 @@
             // is over with the lease, so that keepers that come back are not met by all at once for long.
             let runs_out = self.in_force.is_some() && self.until < Time::MAX;
             let wait = if runs_out || self.silent < 4 { self.quick() } else { 2 * self.period };
-            let spread = self.chance.below((wait / 8).max(1) as u64) as Time;
+            let spread = self.rng.below((wait / 8).max(1) as u64) as Time;
             self.due = now + wait + spread;
             (self.silent, self.led) = (self.silent.saturating_add(1), 0);
             out.extend(if self.leaves { self.goes() } else { self.here(now) });
@@ -293,7 +293,7 @@
         (self.period / 2).max(crate::desk::TRY)
     }
 
-    fn goes(&mut self) -> Vec<(Id, Ask)> {
+    fn goes(&mut self) -> Vec<(NodeId, Ask)> {
         self.number = self.number.wrapping_add(1);
         if self.left_by == 0 {
             self.left_by = self.number;
@@ -301,26 +301,26 @@
         self.ask(Ask::Leave { key: self.key, number: self.number })
     }
 
-    fn fetch(&mut self, version: u64) -> Vec<(Id, Ask)> {
+    fn fetch(&mut self, version: u64) -> Vec<(NodeId, Ask)> {
         self.number = self.number.wrapping_add(1);
         self.ask(Ask::Fetch { number: self.number, version })
     }
 
     /// Something that the keepers should hear of soon: a verdict, a pause.
-    fn soon(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    fn soon(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         self.due = now;
         self.silent = 0;
         self.tick(now)
     }
 
     /// It drains and admits nothing any more: changes go on without it.
-    pub fn leaves(&mut self, now: Time) -> Vec<(Id, Ask)> {
+    pub fn leaves(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
         (self.leaves, self.in_force, self.until, self.coming) = (true, None, Time::MIN, None);
         self.soon(now)
     }
 
     /// A text was checked, and is on the disk where it was good.
-    pub fn checked(&mut self, now: Time, number: u64, verdict: Verdict) -> Vec<(Id, Ask)> {
+    pub fn checked(&mut self, now: Time, number: u64, verdict: Verdict) -> Vec<(NodeId, Ask)> {
         self.found(number, verdict);
         if self.coming.is_some_and(|coming| coming.0 == number) {
             self.coming = None;
@@ -340,7 +340,7 @@
         }
     }
 
-    pub fn hear(&mut self, now: Time, from: Id, answer: Answer) -> Vec<(Id, Ask)> {
+    pub fn hear(&mut self, now: Time, from: NodeId, answer: Answer) -> Vec<(NodeId, Ask)> {
         if !answer.bounded() || self.left {
             return Vec::new();
         }
@@ -409,7 +409,7 @@
         (asked, number): (Time, u32),
         lease: Option<Time>,
         (version, check, pause): (u64, u64, u64),
-    ) -> Vec<(Id, Ask)> {
+    ) -> Vec<(NodeId, Ask)> {
         if version < self.wanted {
             return Vec::new(); // of before what it has heard already
         }
@@ -482,7 +482,7 @@
         out
     }
 
-    fn heard(&mut self, from: Id) {
+    fn heard(&mut self, from: NodeId) {
         self.silent = 0;
         if let Some(at) = self.keepers.iter().position(|keeper| *keeper == from) {
             self.at = at;
--- a/crates/rollout/src/policies.rs
+++ b/crates/rollout/src/policies.rs
@@ -1,7 +1,7 @@
 //! What the keepers agree on: the version in force, those before it, the change under way, and the members that count. A machine of
 //! `quorum`: the same commands give the same state at every keeper.
 
-use crate::{cut, Id, Key, Time, DROPPED, HISTORY, MEMBERS, NAME, SECOND, TEXT, WHY};
+use crate::{cut, Key, NodeId, Time, DROPPED, HISTORY, MEMBERS, NAME, SECOND, TEXT, WHY};
 use cypresscleat_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -100,7 +100,7 @@
     },
     /// All lives of an instance: an operator says that it will not come back.
     Forget {
-        member: Id,
+        member: NodeId,
     },
     Propose(Version),
     /// `generation` is that of the members that were counted.
@@ -224,7 +224,7 @@
         Outcome::Done
     }
 
-    fn lives(&self, member: Id) -> Vec<Key> {
+    fn lives(&self, member: NodeId) -> Vec<Key> {
         self.members.range((member, 0)..=(member, u64::MAX)).map(|(key, _)| *key).collect()
     }
 
--- a/crates/rollout/src/said.rs
+++ b/crates/rollout/src/said.rs
@@ -2,7 +2,7 @@
 
 use crate::policies::{Dropped, Outcome, Stage, Version};
 use crate::watch::Seen;
-use crate::{Id, Key, Time, HISTORY, NAME, TEXT, TOLD, WHY};
+use crate::{Key, NodeId, Time, HISTORY, NAME, TEXT, TOLD, WHY};
 use serde::{Deserialize, Serialize};
 
 /// What a member found of a text.
@@ -38,7 +38,7 @@
     /// An operator, or the watch. `number` of the version and its stage are of no account.
     Propose { number: u32, version: Version },
     /// An operator: that instance will not come back.
-    Forget { number: u32, member: Id },
+    Forget { number: u32, member: NodeId },
     /// An operator asks how all stands; members from this one on.
     Status { number: u32, from: Key },
     /// An operator asks for what was taken and dropped.
@@ -103,7 +103,7 @@
     },
     /// Another keeper leads, as far as this one knows.
     Elsewhere {
-        leader: Id,
+        leader: NodeId,
     },
     /// Something changed: ask now.
     News,
--- a/crates/rollout/src/sim.rs
+++ b/crates/rollout/src/sim.rs
@@ -5,11 +5,11 @@
 use crate::member::{self, Event, May, Member};
 use crate::policies::{Missing, News, Policies, Rules, Version};
 use crate::said::{Answer, Ask, Verdict};
-use crate::{Id, Time, MS, SECOND};
+use crate::{NodeId, Time, MS, SECOND};
 use cypresscleat_consensus::letter;
 use cypresscleat_consensus::sim::World;
 use cypresscleat_consensus::Answer as Answered;
-use cypresscleat_consensus::{Chance, Options};
+use cypresscleat_consensus::{Options, SeededRng};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
     kept: BTreeSet<u64>,
     /// Checks under way: when they end, and of what.
     checks: Vec<(Time, u64)>,
-    letters: Vec<(Id, Answer)>,
+    letters: Vec<(NodeId, Answer)>,
     /// It refuses these.
     pub refuses: BTreeSet<u64>,
     /// It was told to leave.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 enum Mail {
     Ask { to: usize, from: usize, ask: Ask },
-    Answer { to: usize, life: u64, from: Id, answer: Answer },
+    Answer { to: usize, life: u64, from: NodeId, answer: Answer },
 }
 
 /// Letters between one keeper and the members, and their bytes; lost ones among what it said, not among what it heard.
@@ -76,7 +76,7 @@
     pub seats: Vec<Seat>,
     mail: BTreeMap<(Time, u64), Mail>,
     posted: u64,
-    chance: Chance,
+    rng: SeededRng,
     /// Members that reach no keeper.
     pub cut: BTreeSet<usize>,
     pub asks: u64,
@@ -120,7 +120,7 @@
             seats: Vec::new(),
             mail: BTreeMap::new(),
             posted: 0,
-            chance: Chance::new(seed ^ 0x7011),
+            rng: SeededRng::new(seed ^ 0x7011),
             cut: BTreeSet::new(),
             asks: 0,
             ask_bytes: 0,
@@ -191,10 +191,10 @@
     pub fn start(&mut self, at: usize) {
         self.seats[at].lives += 1;
         let now = self.clock(at);
-        let keepers = (0..self.setup.keepers).map(|keeper| keeper as Id + 1).collect();
+        let keepers = (0..self.setup.keepers).map(|keeper| keeper as NodeId + 1).collect();
         let broken = self.setup.member;
         let one = &mut self.seats[at];
-        let mut member = Member::new(now, &one.name, (1000 + at as Id, one.lives), keepers);
+        let mut member = Member::new(now, &one.name, (1000 + at as NodeId, one.lives), keepers);
         member.broken = broken;
         one.kept.iter().for_each(|number| member.knows(*number));
         (one.member, one.stopped, one.drained) = (Some(member), 0, false);
@@ -267,7 +267,7 @@
     }
 
     pub fn forget(&mut self, at: usize) {
-        self.asked_by_others(Ask::Forget { number: 2, member: 1000 + at as Id });
+        self.asked_by_others(Ask::Forget { number: 2, member: 1000 + at as NodeId });
     }
 
     /// Somebody who is no member of the play asks the keeper that leads.
@@ -289,15 +289,15 @@
 
     fn post(&mut self, delay: Time, mail: Mail) {
         let weather = self.world.weather;
-        let lost = weather.lost > 0 && self.chance.one_in(weather.lost);
+        let lost = weather.lost > 0 && self.rng.one_in(weather.lost);
         let by_operator = matches!(mail, Mail::Ask { from: OPERATOR, .. });
         if lost && !by_operator {
             return;
         }
-        let twice = weather.doubled > 0 && self.chance.one_in(weather.doubled);
-        let mut late = self.chance.below(delay.max(1) as u64) as Time;
-        if weather.slow > 0 && self.chance.one_in(20) {
-            late += self.chance.below(weather.slow as u64) as Time;
+        let twice = weather.doubled > 0 && self.rng.one_in(weather.doubled);
+        let mut late = self.rng.below(delay.max(1) as u64) as Time;
+        if weather.slow > 0 && self.rng.one_in(20) {
+            late += self.rng.below(weather.slow as u64) as Time;
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
@@ -305,7 +305,7 @@
         }
     }
 
-    fn post_asks(&mut self, from: usize, asks: Vec<(Id, Ask)>) {
+    fn post_asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             self.asks += 1;
             self.ask_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
@@ -363,7 +363,7 @@
             self.traffic[at].said += 1;
             self.traffic[at].said_bytes += bytes;
             if !self.cut.contains(&to) {
-                let (from, life) = (at as Id + 1, self.seats[to].lives);
+                let (from, life) = (at as NodeId + 1, self.seats[to].lives);
                 self.post(self.world.weather.delay, Mail::Answer { to, life, from, answer });
             }
         }
@@ -564,12 +564,12 @@
         let end = self.world.now + time;
         let mut text = 0;
         while self.world.now < end && self.wrong.is_none() && self.world.wrong.is_none() {
-            let until = self.world.now + 50 * MS + self.chance.below(500) as Time * MS;
+            let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
             let (at, keeper) = (
-                self.chance.below(self.seats.len() as u64) as usize,
-                self.chance.below(self.setup.keepers as u64) as usize,
+                self.rng.below(self.seats.len() as u64) as usize,
+                self.rng.below(self.setup.keepers as u64) as usize,
             );
-            match self.chance.below(15) {
+            match self.rng.below(15) {
                 0 => self.kill(at),
                 1 | 2 => {
                     if self.seats[at].member.is_none() || self.seats[at].drained {
@@ -577,7 +577,7 @@
                     }
                 }
                 3 => {
-                    let time = self.chance.below(40) as Time * SECOND / 10;
+                    let time = self.rng.below(40) as Time * SECOND / 10;
                     self.stop(at, time);
                 }
                 4 => drop(self.cut.insert(at)),
@@ -593,22 +593,22 @@
                     }
                 }
                 10 => {
-                    let other = self.chance.below(self.setup.keepers as u64) as Id + 1;
-                    self.world.cut.insert((keeper as Id + 1, other));
+                    let other = self.rng.below(self.setup.keepers as u64) as NodeId + 1;
+                    self.world.cut.insert((keeper as NodeId + 1, other));
                 }
                 11 => self.world.cut.clear(),
                 12 if self.seats.len() < self.setup.members + 4 => drop(self.joins()),
                 _ => {
                     text += 1;
                     let mut rules = self.setup.rules;
-                    rules.together = self.chance.one_in(2);
-                    if self.chance.one_in(4) {
+                    rules.together = self.rng.one_in(2);
+                    if self.rng.one_in(4) {
                         rules.missing = match rules.missing {
                             Missing::Fence => Missing::Wait,
                             Missing::Wait => Missing::Fence,
                         };
                     }
-                    let refused = self.chance.one_in(3);
+                    let refused = self.rng.one_in(3);
                     let next = self.proposed.keys().next_back().copied().unwrap_or(0) + 1;
                     if refused {
                         self.seats[at].refuses.insert(next);
--- a/crates/rollout/tests/size.rs
+++ b/crates/rollout/tests/size.rs
@@ -3,7 +3,7 @@
 use cypresscleat_rollout::member::{May, Member};
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_rollout::sim::{Play, Setup};
-use cypresscleat_rollout::{Id, Rules, Time, MS, SECOND};
+use cypresscleat_rollout::{NodeId, Rules, Time, MS, SECOND};
 
 /// A change, with so many of which one letter in ten is lost: how long until all are under it at one moment, at the longest 20 s, and
 /// how many were out of service at once, at the most.
@@ -49,10 +49,10 @@
     assert_ne!(figures(3), figures(4));
 }
 
-const KEY: (Id, u64) = (7, 1);
+const KEY: (NodeId, u64) = (7, 1);
 
 /// A member whose first asking was answered after `round`, and no other; when it asked whom, from then on, for so long.
-fn unanswered(round: Time, time: Time) -> Vec<(Time, Id)> {
+fn unanswered(round: Time, time: Time) -> Vec<(Time, NodeId)> {
     let mut member = Member::new(0, "m", KEY, vec![1, 2, 3]);
     let asked = member.tick(0);
     let [(leader, Ask::Here { number, .. })] = asked.as_slice() else { panic!("{asked:?}") };
@@ -76,7 +76,7 @@
     let within = asks.iter().filter(|(at, _)| *at < lease).count();
     assert!((9..=12).contains(&within), "{within} in its lease: {asks:?}");
     // The one that answered first, as mostly it was the letter that was lost; then each of the others.
-    let whom: Vec<Id> = asks.iter().map(|(_, to)| *to).collect();
+    let whom: Vec<NodeId> = asks.iter().map(|(_, to)| *to).collect();
     assert_eq!(whom[0], whom[1]);
     assert!((1..=3).all(|keeper| whom[..6].contains(&keeper)), "{whom:?}");
     // Keepers that are gone, and come back, are not asked by all at once for long.
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,7 +1,6 @@
 //! The interface of the decision module: plain types and the `Host` trait. Nothing here decides.
 
-/// A point in time or a span, in whole tenths of a millisecond.
-pub type Time = i64;
+pub use cypresscleat_primitives::Time;
 
 /// One invocation: a small index the adapter hands out and may hand out again after `Host::release`.
 pub type Inv = usize;
--- a/crates/server/src/forward/fleet.rs
+++ b/crates/server/src/forward/fleet.rs
@@ -17,7 +17,7 @@
 use cypresscleat_forwarding::ramp::Promised;
 use cypresscleat_forwarding::retry::{Budget, Known};
 use cypresscleat_forwarding::routes::{End, Routes};
-use cypresscleat_forwarding::{id, Id};
+use cypresscleat_forwarding::{node_id, NodeId};
 use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
 
 struct Try {
     number: u64,
-    worker: Id,
+    worker: NodeId,
     tries: u32,
     started: Time,
     wanted: Wanted,
@@ -56,7 +56,7 @@
 
 /// One connection to a worker.
 struct Wire {
-    worker: Id,
+    worker: NodeId,
     address: SocketAddr,
     out: Outbox,
     next: Cell<u32>,
@@ -82,7 +82,7 @@
 }
 
 pub struct Fleet {
-    own: Id,
+    own: NodeId,
     shared: Shared,
     queue: Sender<Note>,
     clock: Clock,
@@ -92,7 +92,7 @@
     pub mode: RefCell<Mode>,
     pub forwarders: Cell<usize>,
     tries: RefCell<HashMap<Txn, Try>>,
-    workers: RefCell<HashMap<Id, WorkerState>>,
+    workers: RefCell<HashMap<NodeId, WorkerState>>,
     /// Arrivals by class since the last report.
     came: RefCell<Vec<u64>>,
     value: Vec<f64>,
@@ -167,10 +167,10 @@
                 throttled: 0.0,
                 took: 0.0,
             };
-            (id(&set.name), state)
+            (node_id(&set.name), state)
         });
         Rc::new(Fleet {
-            own: id(name),
+            own: node_id(name),
             shared: shared.clone(),
             queue,
             clock,
@@ -233,7 +233,7 @@
     // ---- tries ----
 
     /// Sends a try to a worker, not to one of `not`; back with it where none has room.
-    fn go(self: &Rc<Fleet>, now: Time, mut one: Try, not: &[Id]) -> Result<(), Try> {
+    fn go(self: &Rc<Fleet>, now: Time, mut one: Try, not: &[NodeId]) -> Result<(), Try> {
         let chosen = self.routes.borrow_mut().choose(now, one.wanted.subject, not);
         let Some(worker) = chosen else { return Err(one) };
         self.routes.borrow_mut().goes(worker);
@@ -275,7 +275,7 @@
     }
 
     /// A connection to a worker with a free stream; a new one where there is none and may be.
-    fn wire(self: &Rc<Fleet>, worker: Id) -> Option<Rc<Wire>> {
+    fn wire(self: &Rc<Fleet>, worker: NodeId) -> Option<Rc<Wire>> {
         let mut workers = self.workers.borrow_mut();
         let state = workers.get_mut(&worker)?;
         let free = |wire: &&Rc<Wire>| {
@@ -470,7 +470,7 @@
 
     /// Asks each worker for its health, on a connection of its own, and looks at grants and mode.
     pub async fn watch(self: Rc<Fleet>) {
-        let workers: Vec<(Id, SocketAddr, Rc<Notify>)> = self
+        let workers: Vec<(NodeId, SocketAddr, Rc<Notify>)> = self
             .workers
             .borrow()
             .iter()
@@ -517,7 +517,7 @@
     }
 
     /// Asks one worker; its promise is taken over. True where it takes work; the connection is kept where it may be used again.
-    async fn asks(&self, worker: Id, address: SocketAddr, kept: &mut Option<(TcpStream, u32)>) -> bool {
+    async fn asks(&self, worker: NodeId, address: SocketAddr, kept: &mut Option<(TcpStream, u32)>) -> bool {
         let asked = self.clock.now();
         let out = self.routes.borrow().out_at(worker);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
--- a/crates/server/src/forward/talk.rs
+++ b/crates/server/src/forward/talk.rs
@@ -7,7 +7,7 @@
 use crate::rolling::gate::Gate;
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
 use cypresscleat_forwarding::messages::{self, Envelope, Message, Next, Report, Role};
-use cypresscleat_forwarding::{grants::RENEWED, id, Time};
+use cypresscleat_forwarding::{grants::RENEWED, node_id, Time};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
         let own = socket.local_addr()?;
         log!("{} hears members at {own}", name);
         let seeds = tier.planners.iter().map(|planner| planner.address).collect();
-        let members = Membership::new(id(name), role, own, seeds, Options::default(), seed);
+        let members = Membership::new(node_id(name), role, own, seeds, Options::default(), seed);
         let bytes = vec![0; messages::LONGEST + 8];
         Ok(Talk { socket, members, clock, bytes, gate: None, unlike: None })
     }
--- a/crates/server/src/owning/ask.rs
+++ b/crates/server/src/owning/ask.rs
@@ -3,7 +3,7 @@
 use super::wire::{Asker, Heard, Wire};
 use super::Keepers;
 use cypresscleat_leases::said::{Answer, Ask, Line};
-use cypresscleat_leases::{id, Id, Part};
+use cypresscleat_leases::{node_id, NodeId, Part};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io;
@@ -33,9 +33,9 @@
     let number = std::process::id();
     let ask = match what {
         What::List { json } => return Ok(list(&mut asker, *json, names)?.unwrap_or(none)),
-        What::Release { duty } => Ask::Bar { number, duty: id(duty), instance: None, barred: true },
+        What::Release { duty } => Ask::Bar { number, duty: node_id(duty), instance: None, barred: true },
         What::Bar { duty, instance, barred } => {
-            Ask::Bar { number, duty: id(duty), instance: Some(id(instance)), barred: *barred }
+            Ask::Bar { number, duty: node_id(duty), instance: Some(node_id(instance)), barred: *barred }
         }
     };
     let done = |answer: &Answer| matches!(answer, Answer::Done { number: one, .. } if *one == number);
@@ -51,8 +51,8 @@
 }
 
 fn list(asker: &mut Asker, as_json: bool, names: &[String]) -> io::Result<Option<(u8, String)>> {
-    let named: HashMap<Id, &String> = names.iter().map(|name| (id(name), name)).collect();
-    let name = |number: Id| match (number, named.get(&number)) {
+    let named: HashMap<NodeId, &String> = names.iter().map(|name| (node_id(name), name)).collect();
+    let name = |number: NodeId| match (number, named.get(&number)) {
         (0, _) => "nobody".to_string(),
         (_, Some(name)) => (*name).clone(),
         (_, None) => format!("{number:016x}"),
--- a/crates/server/src/owning/hold.rs
+++ b/crates/server/src/owning/hold.rs
@@ -5,7 +5,7 @@
 use cypresscleat_consensus::letter;
 use cypresscleat_leases::holder::{Event, Holder};
 use cypresscleat_leases::said::Ask;
-use cypresscleat_leases::{id, Id, Part, Time, Want};
+use cypresscleat_leases::{node_id, NodeId, Part, Time, Want};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 pub struct Hold {
     socket: UdpSocket,
-    to: HashMap<Id, SocketAddr>,
+    to: HashMap<NodeId, SocketAddr>,
     pub clock: Steady,
     holder: Holder,
     events: VecDeque<Event>,
@@ -25,13 +25,13 @@
     pub async fn new(name: &str, set: &Keepers, wants: Vec<Want>) -> io::Result<Hold> {
         let socket = UdpSocket::bind(set.from()).await?;
         let clock = Steady::start();
-        let keepers = set.all.iter().map(|(name, _)| id(name)).collect();
-        let holder = Holder::new(clock.now(), id(name), drawn(name), wants, keepers);
+        let keepers = set.all.iter().map(|(name, _)| node_id(name)).collect();
+        let holder = Holder::new(clock.now(), node_id(name), drawn(name), wants, keepers);
         let bytes = vec![0; letter::LONGEST + 1];
         Ok(Hold { socket, to: set.addresses(), clock, holder, events: VecDeque::new(), bytes })
     }
 
-    fn post(&mut self, asks: Vec<(Id, Ask)>) {
+    fn post(&mut self, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             if let Some(to) = self.to.get(&to) {
                 super::send(&self.socket, *to, &Wire::Ask(ask));
--- a/crates/server/src/owning/keep.rs
+++ b/crates/server/src/owning/keep.rs
@@ -9,7 +9,7 @@
 use cypresscleat_consensus::{kept, letter, Begin, Keeper, Options, Out};
 use cypresscleat_leases::desk::Desk;
 use cypresscleat_leases::said::Answer;
-use cypresscleat_leases::{id, Id};
+use cypresscleat_leases::{node_id, NodeId};
 use cypresscleat_rollout::policies::News;
 use cypresscleat_rollout::{desk as policy, said as policies};
 use cypresscleat_store::disk::Folder;
@@ -126,8 +126,8 @@
 
 struct Desked {
     socket: UdpSocket,
-    to: HashMap<Id, SocketAddr>,
-    own: Id,
+    to: HashMap<NodeId, SocketAddr>,
+    own: NodeId,
     keeper: Keeper<Agreed>,
     desk: Desk<SocketAddr>,
     /// Of changes of policy.
@@ -222,7 +222,7 @@
     let mut hup = signal(SignalKind::hangup())?;
     let mut set = set.clone();
     let folder = set.folder.clone().ok_or_else(|| other("keepers.folder says where this keeper keeps"))?;
-    let own = id(name);
+    let own = node_id(name);
     let listen =
         set.addresses().get(&own).copied().ok_or_else(|| other(format!("no {name:?} in keepers.all")))?;
     let socket = UdpSocket::bind(listen)
@@ -281,7 +281,7 @@
         if formed { format!("{entries} entries") } else { "empty".into() }
     );
     let named = to.keys().copied().collect();
-    let begin = Begin { own: id(name), named, disk, options: Options::default(), seed: drawn(name) };
+    let begin = Begin { own: node_id(name), named, disk, options: Options::default(), seed: drawn(name) };
     let (keeper, out) = Keeper::start(clock.now(), begin, kept, Agreed::default());
     // A second handle of the same socket, so that the next life has it too.
     let shared = UdpSocket::from_std({
@@ -292,7 +292,7 @@
     let mut all = Desked {
         socket: shared,
         to: to.clone(),
-        own: id(name),
+        own: node_id(name),
         keeper,
         desk: Desk::new(set.lease),
         policy: policy::Desk::default(),
--- a/crates/server/src/owning/mod.rs
+++ b/crates/server/src/owning/mod.rs
@@ -14,7 +14,7 @@
 use crate::log;
 use crate::operator::{self, Operator};
 use cypresscleat_consensus::letter;
-use cypresscleat_leases::{id, Id, Time};
+use cypresscleat_leases::{node_id, NodeId, Time};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 }
 
 impl Keepers {
-    pub fn addresses(&self) -> HashMap<Id, SocketAddr> {
+    pub fn addresses(&self) -> HashMap<NodeId, SocketAddr> {
         addresses(&self.all)
     }
     /// An address from which the keepers can be asked.
@@ -43,8 +43,8 @@
     }
 }
 
-pub fn addresses(peers: &[(String, SocketAddr)]) -> HashMap<Id, SocketAddr> {
-    peers.iter().map(|(name, address)| (id(name), *address)).collect()
+pub fn addresses(peers: &[(String, SocketAddr)]) -> HashMap<NodeId, SocketAddr> {
+    peers.iter().map(|(name, address)| (node_id(name), *address)).collect()
 }
 
 /// An address from which these can be asked: of loopback where they are there.
--- a/crates/server/src/owning/settle.rs
+++ b/crates/server/src/owning/settle.rs
@@ -14,7 +14,7 @@
 use super::Keepers;
 use crate::core::keeping::{Loaded, Ran};
 use crate::log;
-use cypresscleat_leases::{id, Time};
+use cypresscleat_leases::{node_id, Time};
 use cypresscleat_store::disk::Folder;
 use cypresscleat_store::{Error, Options, Store};
 use serde_json::json;
@@ -101,7 +101,7 @@
         let row = one.left.front().ok_or(self.every)?;
         let more = [("row", &row.key), ("what", &row.what)];
         let more = more.into_iter().map(|(key, value)| (key.to_string(), json!(value))).collect();
-        Ok(Item { number: id(&row.key), more, after: None })
+        Ok(Item { number: node_id(&row.key), more, after: None })
     }
     fn done(&mut self, part: u32, _number: u64) -> Time {
         if let Some(one) = self.parts.get_mut(&part) {
--- a/crates/server/src/owning/wire.rs
+++ b/crates/server/src/owning/wire.rs
@@ -2,7 +2,7 @@
 
 use super::Keepers;
 use cypresscleat_consensus::letter::{self, Letter};
-use cypresscleat_leases::{id, said, Id};
+use cypresscleat_leases::{node_id, said, NodeId};
 use cypresscleat_rollout::said as policies;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -19,17 +19,17 @@
     Ask(said::Ask),
     /// From a keeper, whose number goes with it.
     Answer {
-        from: Id,
+        from: NodeId,
         answer: said::Answer,
     },
     PolicyAsk(policies::Ask),
     PolicyAnswer {
-        from: Id,
+        from: NodeId,
         answer: policies::Answer,
     },
     /// Where a keeper hears, said ahead of the word that it leads: it may have come since whoever asks was started.
     At {
-        keeper: Id,
+        keeper: NodeId,
         address: SocketAddr,
     },
 }
@@ -38,7 +38,12 @@
 const KNOWN: usize = 32;
 
 /// Takes over where a keeper hears, said by one that is known. True where it was not known.
-pub fn learns(known: &mut HashMap<Id, SocketAddr>, said_by: SocketAddr, keeper: Id, at: SocketAddr) -> bool {
+pub fn learns(
+    known: &mut HashMap<NodeId, SocketAddr>,
+    said_by: SocketAddr,
+    keeper: NodeId,
+    at: SocketAddr,
+) -> bool {
     let trusted = known.values().any(|address| *address == said_by);
     if !trusted || known.contains_key(&keeper) || known.len() >= KNOWN {
         return false;
@@ -55,7 +60,7 @@
 pub enum Heard<T> {
     Fits(T),
     /// Another keeper leads, as far as that one knows.
-    Elsewhere(Id),
+    Elsewhere(NodeId),
     Other,
 }
 
@@ -63,8 +68,8 @@
 pub struct Asker {
     socket: UdpSocket,
     /// Those of the file, and those that came later.
-    keepers: HashMap<Id, SocketAddr>,
-    order: Vec<Id>,
+    keepers: HashMap<NodeId, SocketAddr>,
+    order: Vec<NodeId>,
     at: usize,
     until: Instant,
 }
@@ -72,7 +77,7 @@
 impl Asker {
     pub fn new(keepers: &Keepers) -> io::Result<Asker> {
         let socket = UdpSocket::bind(keepers.from())?;
-        let order = keepers.all.iter().map(|(name, _)| id(name)).collect();
+        let order = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
         let until = Instant::now() + PATIENCE;
         Ok(Asker { socket, keepers: keepers.addresses(), order, at: 0, until })
     }
--- a/crates/server/src/owning/work.rs
+++ b/crates/server/src/owning/work.rs
@@ -12,7 +12,7 @@
 use super::Keepers;
 use crate::log;
 use cypresscleat_leases::holder::Event;
-use cypresscleat_leases::{id, Part, Time, Want};
+use cypresscleat_leases::{node_id, Part, Time, Want};
 use serde_json::{json, Map, Value};
 use std::collections::HashMap;
 use std::io;
@@ -108,7 +108,7 @@
     mut source: impl Source,
 ) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
-    let number = id(duty);
+    let number = node_id(duty);
     let mut hold = Hold::new(name, keepers, vec![Want { duty: number, parts, rank: 0 }]).await?;
     log!("{name} is ready for {duty:?} in {parts} parts");
     let (to, acts) = channel(256);
--- a/crates/server/src/plan/mod.rs
+++ b/crates/server/src/plan/mod.rs
@@ -13,7 +13,7 @@
 use cypresscleat_forwarding::membership::Send;
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
 use cypresscleat_forwarding::plan::Plan;
-use cypresscleat_forwarding::{id, Time};
+use cypresscleat_forwarding::{node_id, Time};
 use cypresscleat_leases::holder::Event;
 use cypresscleat_leases::{Part, Want};
 use std::io;
@@ -26,7 +26,7 @@
 
 /// The duty of leading the planners.
 fn part() -> Part {
-    Part { duty: cypresscleat_leases::id(PLANNERS), part: 0 }
+    Part { duty: cypresscleat_leases::node_id(PLANNERS), part: 0 }
 }
 
 /// Who leads: by the planner's own word, or by the keepers'.
@@ -82,7 +82,7 @@
         spawn_local(task.run());
     }
     let mut by = match keepers {
-        None => By::Itself(Lead::new(id(name))),
+        None => By::Itself(Lead::new(node_id(name))),
         Some(keepers) => {
             if keepers.folder.is_some() {
                 owning::keeps_beside(name, keepers)?;
@@ -94,7 +94,7 @@
     };
     let mut plan = Plan::default();
     for worker in &tier.workers {
-        plan.worker(id(&worker.name), worker.places);
+        plan.worker(node_id(&worker.name), worker.places);
     }
     let mut said = 0;
     loop {
--- a/crates/server/src/relaying/mod.rs
+++ b/crates/server/src/relaying/mod.rs
@@ -10,7 +10,7 @@
 use crate::rolling::{check, LEAVES};
 use cypresscleat_consensus::letter;
 use cypresscleat_rollout::said::{Answer, Ask};
-use cypresscleat_rollout::{id, Id, Version, TEXT};
+use cypresscleat_rollout::{node_id, NodeId, Version, TEXT};
 use cypresscleat_rollout_relay::{Out, Relay as Decider};
 use cypresscleat_scheduler::api::Time;
 use std::collections::{HashMap, VecDeque};
@@ -93,10 +93,10 @@
 
 struct Task {
     name: String,
-    own: Id,
+    own: NodeId,
     below: UdpSocket,
     above: UdpSocket,
-    to: HashMap<Id, SocketAddr>,
+    to: HashMap<NodeId, SocketAddr>,
     clock: Steady,
     relay: Decider<SocketAddr>,
     disk: SyncSender<Version>,
@@ -122,8 +122,8 @@
     }
     log!("relay {name} hears members at {}", below.local_addr()?);
     let clock = Steady::start();
-    let key = (id(name), drawn(name));
-    let all = keepers.all.iter().map(|(name, _)| id(name)).collect();
+    let key = (node_id(name), drawn(name));
+    let all = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
     let mut relay = Decider::new(clock.now(), name, key, all, set.most);
     for version in load(&set.folder) {
         // What a disk garbled is not handed out: members would refuse it under its number.
@@ -249,7 +249,7 @@
         }
     }
 
-    fn says_up(&self, to: Id, ask: Ask) {
+    fn says_up(&self, to: NodeId, ask: Ask) {
         if let Some(to) = self.to.get(&to) {
             add(&self.counters.up);
             self.sends(&self.above, *to, &Wire::PolicyAsk(ask));
--- a/crates/server/src/rolling/ask.rs
+++ b/crates/server/src/rolling/ask.rs
@@ -7,7 +7,7 @@
 use crate::rolling::read;
 use cypresscleat_rollout::policies::{Outcome, Stage, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
-use cypresscleat_rollout::{cut, id, Key, NAME, WHY};
+use cypresscleat_rollout::{cut, node_id, Key, NAME, WHY};
 use serde_json::{json, Value};
 use std::io::{self, IsTerminal, Write};
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
             if words.instance.is_empty() {
                 return Ok(Err((BAD, "--instance says which".into())));
             }
-            let ask = Ask::Forget { number: number(), member: id(&words.instance) };
+            let ask = Ask::Forget { number: number(), member: node_id(&words.instance) };
             let done = asks(&mut asker, ask, |answer| matches!(answer, Answer::Done { .. }).then_some(()))?;
             Ok(done.map(|()| "decided\n".into()).ok_or_else(none))
         }
--- a/crates/server/src/rolling/member.rs
+++ b/crates/server/src/rolling/member.rs
@@ -10,7 +10,7 @@
 use cypresscleat_consensus::letter;
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Ask, Verdict};
-use cypresscleat_rollout::{cut, id, Id, Time, Version, WHY};
+use cypresscleat_rollout::{cut, node_id, NodeId, Time, Version, WHY};
 use cypresscleat_settings::Names;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -39,7 +39,7 @@
     queue: Option<Sender<Note>>,
     apply: Apply,
     socket: UdpSocket,
-    to: HashMap<Id, SocketAddr>,
+    to: HashMap<NodeId, SocketAddr>,
     clock: Steady,
     member: Member,
     policies: BTreeMap<u64, Policy>,
@@ -58,8 +58,8 @@
     ) -> io::Result<Task> {
         let socket = UdpSocket::bind(from(above)).await?;
         let clock = Steady::start();
-        let all = above.iter().map(|(name, _)| id(name)).collect();
-        let member = Member::new(clock.now(), name, (id(name), drawn(name)), all);
+        let all = above.iter().map(|(name, _)| node_id(name)).collect();
+        let member = Member::new(clock.now(), name, (node_id(name), drawn(name)), all);
         let gate = Rc::new(Gate::new(clock, name));
         let mut task = Task {
             name: name.to_string(),
@@ -100,7 +100,7 @@
         self.last = text.trim().parse().ok().filter(|number| self.policies.contains_key(number));
     }
 
-    fn post(&self, asks: Vec<(Id, Ask)>) {
+    fn post(&self, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             if let Some(to) = self.to.get(&to) {
                 owning::send(&self.socket, *to, &Wire::PolicyAsk(ask));
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -4,7 +4,7 @@
 use cypresscleat_demo::tier::{ran_twice, trickle, Levels};
 use cypresscleat_forwarding::grants::LASTS;
 use cypresscleat_forwarding::messages::{self, Envelope, Grant, Message, Next};
-use cypresscleat_forwarding::{id, Id};
+use cypresscleat_forwarding::{node_id, NodeId};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,13 +20,16 @@
     fn(count: u32, answers: u32, say: &dyn Fn(u64, u64, u32, Vec<Grant>) -> Vec<u8>) -> Vec<Vec<u8>>;
 
 fn grants() -> Vec<Grant> {
-    ["w0", "w1"].map(|name| Grant { worker: id(name), places: 4 }).to_vec()
+    ["w0", "w1"].map(|name| Grant { worker: node_id(name), places: 4 }).to_vec()
 }
 
 fn say(epoch: u64, number: u64, answers: u32, grants: Vec<Grant>) -> Vec<u8> {
     let message = Message::Grants { epoch, number, answers, lasts: LASTS, grants };
     let mut bytes = Vec::new();
-    messages::write(&mut bytes, &Envelope { from: id("p0"), incarnation: 1, rumours: Vec::new(), message });
+    messages::write(
+        &mut bytes,
+        &Envelope { from: node_id("p0"), incarnation: 1, rumours: Vec::new(), message },
+    );
     bytes
 }
 
@@ -48,7 +51,8 @@
                 Message::Ping { number } => {
                     let mut ack = Vec::new();
                     let message = Message::Ack { number };
-                    let envelope = Envelope { from: id("p0"), incarnation: 1, rumours: Vec::new(), message };
+                    let envelope =
+                        Envelope { from: node_id("p0"), incarnation: 1, rumours: Vec::new(), message };
                     messages::write(&mut ack, &envelope);
                     let _ = socket.send_to(&ack, from);
                 }
@@ -152,10 +156,10 @@
 fn figures_out_of_all_proportion() {
     survives("figures", |count, answers, say| {
         let mad = vec![
-            Grant { worker: id("w0"), places: u32::MAX },
-            Grant { worker: 12345 as Id, places: 7 },
-            Grant { worker: id("w0"), places: 0 },
-            Grant { worker: id("w1"), places: u32::MAX },
+            Grant { worker: node_id("w0"), places: u32::MAX },
+            Grant { worker: 12345 as NodeId, places: 7 },
+            Grant { worker: node_id("w0"), places: 0 },
+            Grant { worker: node_id("w1"), places: u32::MAX },
         ];
         vec![say(1 << 16, u64::from(count), answers, mad)]
     });
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -403,7 +403,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
     let at = SocketAddr::from(([127, 0, 0, 1], above[0]));
     let nobody = Answer::Elsewhere { leader: 0 };
-    let said = Wire::PolicyAnswer { from: cypresscleat_rollout::id("k0"), answer: nobody };
+    let said = Wire::PolicyAnswer { from: cypresscleat_rollout::node_id("k0"), answer: nobody };
     let stranger = socket.local_addr().expect("an address");
     let led = Wire::At { keeper: 7, address: stranger };
     for word in [said, led] {
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -8,7 +8,7 @@
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{self, Policies, Version};
 use cypresscleat_rollout::said as policy;
-use cypresscleat_rollout::{id, Key, SECOND, TEXT};
+use cypresscleat_rollout::{node_id, Key, SECOND, TEXT};
 use cypresscleat_server::owning::agreed::Agreed;
 use cypresscleat_server::owning::wire::Wire;
 use cypresscleat_server::rolling::member::Task;
@@ -155,7 +155,7 @@
 }
 
 async fn says(by: &UdpSocket, to: std::net::SocketAddr, answer: policy::Answer) {
-    let bytes = letter::write(&Wire::PolicyAnswer { from: id("k"), answer }).expect("it is short");
+    let bytes = letter::write(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
     by.send_to(&bytes, to).await.expect("it goes");
 }
 
