--- a/crates/experiments/src/scale/hollow/relays.rs
+++ b/crates/experiments/src/scale/hollow/relays.rs
@@ -8,7 +8,7 @@
 use crate::scale::row::{How, Row};
 use crate::scale::targets::TARGETS;
 use cypresscleat_fault_injection::{free_port, Process};
-use cypresscleat_server::owning::Keepers;
+use cypresscleat_server::leases::Keepers;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
--- a/crates/experiments/src/scale/hollow/rig.rs
+++ b/crates/experiments/src/scale/hollow/rig.rs
@@ -1,7 +1,7 @@
 //! Real processes for hollow instances to speak to, what such a process spends, and the bounds that the machine sets.
 
 use cypresscleat_fault_injection::{free_port, Process};
-use cypresscleat_server::owning::Keepers;
+use cypresscleat_server::leases::Keepers;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/experiments/src/scale/tenants.rs
+++ b/crates/experiments/src/scale/tenants.rs
@@ -5,7 +5,7 @@
 use cypresscleat_scgi::request::{self, Reader};
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
-use cypresscleat_server::fronts::routes::{From, Route, Routes};
+use cypresscleat_server::listeners::routes::{From, Route, Routes};
 use cypresscleat_server::pool::Pool;
 use std::time::Instant;
 
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
-use crate::owning::ask::What;
-use crate::owning::Job;
-use crate::rolling::ask::{What as Policy, Words};
+use crate::leases::ask::What;
+use crate::leases::Job;
+use crate::rollout::ask::{What as Policy, Words};
 use clap::{Arg, ArgMatches, Command};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::pool::{Buf, Outbox, Pool};
 use crate::ready::Ready;
-use crate::rolling::gate::Gate;
+use crate::rollout::gate::Gate;
 use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::member::May;
 use cypresscleat_scheduler::api::*;
--- a/crates/server/src/forward/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -4,7 +4,7 @@
 use super::Tier;
 use crate::clock::Clock;
 use crate::log;
-use crate::rolling::gate::Gate;
+use crate::rollout::gate::Gate;
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
 use cypresscleat_forwarding::messages::{self, Envelope, Message, Next, Report, Role};
 use cypresscleat_forwarding::{grants::RENEWED, node_id, Time};
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -5,23 +5,23 @@
 use cypresscleat_forwarding::retry;
 use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_server::args::{self, Task};
-use cypresscleat_server::calls::scgi::Place;
-use cypresscleat_server::calls::{ledger, scgi as backend};
 use cypresscleat_server::clock::{unix, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
 use cypresscleat_server::core::keeping::Keeping;
 use cypresscleat_server::core::{Core, Note, Shared};
 use cypresscleat_server::counters::add;
-use cypresscleat_server::forward::fleet::Fleet;
-use cypresscleat_server::forward::talk::{self, Talk};
-use cypresscleat_server::forward::Tier;
-use cypresscleat_server::fronts::scgi::Door;
-use cypresscleat_server::fronts::{Front, Speaks};
+use cypresscleat_server::downstream::scgi::Place;
+use cypresscleat_server::downstream::{ledger, scgi as backend};
+use cypresscleat_server::forwarder::fleet::Fleet;
+use cypresscleat_server::forwarder::talk::{self, Talk};
+use cypresscleat_server::forwarder::Tier;
 use cypresscleat_server::lines::Notice;
+use cypresscleat_server::listeners::scgi::Door;
+use cypresscleat_server::listeners::{Front, Speaks};
 use cypresscleat_server::operator::{self, Operator};
 use cypresscleat_server::ready::Ready;
-use cypresscleat_server::rolling::{self, member, Policy};
-use cypresscleat_server::{kernel, log, owning, plan, pool, recovery, relaying, roster};
+use cypresscleat_server::rollout::{self, member, Policy};
+use cypresscleat_server::{kernel, leases, log, planner, pool, recovery, relay, roster};
 use cypresscleat_settings::Names;
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -65,9 +65,9 @@
     };
     let (operator, role) = match task {
         Task::Check { operator, show } => return check(&operator, show),
-        Task::Policy { operator, words } => return rolling::ask::start(&operator, &words),
-        Task::Owning { operator, name, job } => return owning::start(&operator, &name, &job),
-        Task::Relay { operator, name } => return relaying::start(&operator, &name),
+        Task::Policy { operator, words } => return rollout::ask::start(&operator, &words),
+        Task::Owning { operator, name, job } => return leases::start(&operator, &name, &job),
+        Task::Relay { operator, name } => return relay::start(&operator, &name),
         Task::Serve { operator } => (operator, Role::Worker),
         Task::Forward { operator } => (Some(operator), Role::Forwarder),
         Task::Plan { operator } => (Some(operator), Role::Planner),
@@ -130,7 +130,7 @@
     }
     if let (Role::Planner, Some(tier)) = (role, &operator.tier) {
         let keepers = operator.keepers.as_ref();
-        return plan::run(&config.name, tier, keepers, operator.rollout.as_ref(), config.settings.seed)
+        return planner::run(&config.name, tier, keepers, operator.rollout.as_ref(), config.settings.seed)
             .await
             .map(|()| ExitCode::SUCCESS);
     }
@@ -396,7 +396,7 @@
     }
     if let Some(gate) = gate {
         gate.leaves.notify_one();
-        let _ = tokio::time::timeout(rolling::LEAVES, gate.left.notified()).await;
+        let _ = tokio::time::timeout(rollout::LEAVES, gate.left.notified()).await;
     }
     core.abort(); // with it goes whoever sends to the store
     recovery::ends(store.take()).await;
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -1,16 +1,16 @@
 //! The only reader of the operator's file: text to typed settings, against the schema in `operator.cue`.
 
-use crate::calls::scgi::Backend;
 use crate::clock::MS;
-use crate::forward::{PlannerSet, Tier, WorkerSet};
-use crate::fronts::routes::{From, Route, Routes};
-use crate::owning::settle::Settle;
-use crate::owning::sums::Sums;
-use crate::owning::tally::Tally;
-use crate::owning::Keepers;
+use crate::downstream::scgi::Backend;
+use crate::forwarder::{PlannerSet, Tier, WorkerSet};
+use crate::leases::settle::Settle;
+use crate::leases::sums::Sums;
+use crate::leases::tally::Tally;
+use crate::leases::Keepers;
+use crate::listeners::routes::{From, Route, Routes};
 use crate::recovery::Durability;
-use crate::relaying::Relay;
-use crate::rolling::{Policy, Rollout};
+use crate::relay::Relay;
+use crate::rollout::{Policy, Rollout};
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{Pool, Setup};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
--- a/crates/server/src/plan/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -2,13 +2,13 @@
 //! worker; one that is gone costs nobody an answer.
 
 use crate::clock::Clock;
-use crate::forward::talk::Talk;
-use crate::forward::Tier;
-use crate::owning::hold::Hold;
-use crate::owning::{self, Keepers, PLANNERS};
-use crate::rolling::member::Task;
-use crate::rolling::Rollout;
-use crate::{log, rolling};
+use crate::forwarder::talk::Talk;
+use crate::forwarder::Tier;
+use crate::leases::hold::Hold;
+use crate::leases::{self, Keepers, PLANNERS};
+use crate::rollout::member::Task;
+use crate::rollout::Rollout;
+use crate::{log, rollout};
 use cypresscleat_forwarding::grants::{Lead, Owned, Turn, LASTS};
 use cypresscleat_forwarding::membership::Send;
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
@@ -85,7 +85,7 @@
         None => By::Itself(Lead::new(node_id(name))),
         Some(keepers) => {
             if keepers.folder.is_some() {
-                owning::keeps_beside(name, keepers)?;
+                leases::keeps_beside(name, keepers)?;
             }
             let rank = tier.planners.iter().position(|planner| planner.name == name).unwrap_or(255) as u8;
             let wants = vec![Want { duty: part().duty, parts: 1, rank }];
@@ -136,7 +136,7 @@
     }
     if let Some(gate) = &talk.gate {
         gate.leaves.notify_one();
-        let _ = tokio::time::timeout(rolling::LEAVES, gate.left.notified()).await;
+        let _ = tokio::time::timeout(rollout::LEAVES, gate.left.notified()).await;
     }
     let out = talk.members.leaves();
     talk.send(out);
--- a/crates/server/src/relaying/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -2,12 +2,12 @@
 //! texts on the disk, time and signals.
 
 use crate::counters::{add, counters};
+use crate::leases::wire::{learns, Wire};
+use crate::leases::{self, block_on, drawn, Keepers, Steady};
 use crate::log;
 use crate::operator;
-use crate::owning::wire::{learns, Wire};
-use crate::owning::{self, block_on, drawn, Keepers, Steady};
-use crate::rolling::texts::{keep, load, KEPT};
-use crate::rolling::{check, LEAVES};
+use crate::rollout::texts::{keep, load, KEPT};
+use crate::rollout::{check, LEAVES};
 use cypresscleat_consensus::letter;
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_rollout::{node_id, NodeId, Version, TEXT};
@@ -265,7 +265,7 @@
     }
 
     fn sends(&self, socket: &UdpSocket, to: SocketAddr, datagram: &Wire) {
-        if !owning::send(socket, to, datagram) {
+        if !leases::send(socket, to, datagram) {
             add(&self.counters.unsent);
         }
     }
--- a/crates/server/src/rolling/ask.rs
+++ b/crates/server/src/rollout/ask.rs
@@ -1,10 +1,10 @@
 //! The command `policy`: a text checked, proposed and watched until it is decided; how all stands; what was; an undoing, which is a
 //! change like any other.
 
+use crate::leases::wire::{Asker, Heard, Wire};
+use crate::leases::Keepers;
 use crate::operator::{self, Operator};
-use crate::owning::wire::{Asker, Heard, Wire};
-use crate::owning::Keepers;
-use crate::rolling::read;
+use crate::rollout::read;
 use cypresscleat_rollout::policies::{Outcome, Stage, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
 use cypresscleat_rollout::{cut, node_id, Key, NAME, WHY};
--- a/crates/server/src/rolling/gate.rs
+++ b/crates/server/src/rollout/gate.rs
@@ -2,7 +2,7 @@
 //! the clock is read there, so one that stood still admits nothing more when it wakes.
 
 use crate::journal::{monotonic, Journal};
-use crate::owning::Steady;
+use crate::leases::Steady;
 use cypresscleat_rollout::member::{May, Member};
 use cypresscleat_rollout::watch::Seen;
 use cypresscleat_rollout::Time;
--- a/crates/server/src/rolling/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -4,9 +4,9 @@
 use super::texts::{keep, load, put, KEPT};
 use super::{check, Policy, Rollout};
 use crate::core::Note;
+use crate::leases::wire::{learns, Wire};
+use crate::leases::{self, addresses, drawn, from, Steady};
 use crate::log;
-use crate::owning::wire::{learns, Wire};
-use crate::owning::{self, addresses, drawn, from, Steady};
 use cypresscleat_consensus::letter;
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Ask, Verdict};
@@ -103,7 +103,7 @@
     fn post(&self, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             if let Some(to) = self.to.get(&to) {
-                owning::send(&self.socket, *to, &Wire::PolicyAsk(ask));
+                leases::send(&self.socket, *to, &Wire::PolicyAsk(ask));
             }
         }
     }
--- a/crates/server/src/rolling/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -7,8 +7,8 @@
 pub mod member;
 pub mod texts;
 
+use crate::leases::Keepers;
 use crate::operator::{self, Wrong};
-use crate::owning::Keepers;
 use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::{Rules, Version};
 use cypresscleat_scheduler::api::Time;
--- a/crates/server/tests/crossings.rs
+++ b/crates/server/tests/crossings.rs
@@ -530,9 +530,9 @@
 #[test]
 fn a_call_crosses_the_close_of_its_connection() {
     use cypresscleat_scheduler::api::Outcome;
-    use cypresscleat_server::calls::ledger;
     use cypresscleat_server::config::{parse, Addresses};
     use cypresscleat_server::core::{Command, Note, Shared};
+    use cypresscleat_server::downstream::ledger;
     use std::rc::Rc;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let play = async |spoilt: Spoilt| {
@@ -573,13 +573,13 @@
 /// on.
 #[test]
 fn a_call_is_not_written_to_a_connection_that_was_closed_while_it_rested() {
-    use cypresscleat_server::calls::ledger;
     use cypresscleat_server::clock::{unix, Clock};
     use cypresscleat_server::config::{parse, Addresses};
     use cypresscleat_server::core::door::Peer;
     use cypresscleat_server::core::{Core, Note, Shared};
-    use cypresscleat_server::fronts::frames::{read, Frames};
+    use cypresscleat_server::downstream::ledger;
     use cypresscleat_server::lines;
+    use cypresscleat_server::listeners::frames::{read, Frames};
     use cypresscleat_server::pool::Outbox;
     use std::rc::Rc;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -5,7 +5,7 @@
 use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::said::{Answer, Ask};
-use cypresscleat_server::owning::wire::Wire;
+use cypresscleat_server::leases::wire::Wire;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -9,10 +9,10 @@
 use cypresscleat_rollout::policies::{self, Policies, Version};
 use cypresscleat_rollout::said as policy;
 use cypresscleat_rollout::{node_id, Key, SECOND, TEXT};
-use cypresscleat_server::owning::agreed::Agreed;
-use cypresscleat_server::owning::wire::Wire;
-use cypresscleat_server::rolling::member::Task;
-use cypresscleat_server::rolling::{texts, Rollout};
+use cypresscleat_server::leases::agreed::Agreed;
+use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::rollout::member::Task;
+use cypresscleat_server::rollout::{texts, Rollout};
 use tokio::net::UdpSocket;
 
 #[test]
@@ -92,7 +92,7 @@
 /// Where a keeper hears is believed of one that is known only, and no list grows without end.
 #[test]
 fn where_a_keeper_hears_is_learnt_from_known_ones_only() {
-    use cypresscleat_server::owning::wire::learns;
+    use cypresscleat_server::leases::wire::learns;
     use std::collections::HashMap;
     use std::net::SocketAddr;
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
