--- a/crates/server/tests/scgi.rs
+++ b/crates/server/tests/scgi.rs
@@ -409,7 +409,7 @@
     };
     let file = path.to_str().expect("a path");
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../demo/config.json");
-    let own = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.cue");
+    let own = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.cue");
     assert_eq!(run(&["check", "--operator", own], Some(example)).0, Some(0));
     std::fs::write(&path, operator(64, "2s")).expect("to write");
     assert_eq!(run(&["check", "--operator", file], Some(example)).0, Some(0));
