--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -663,7 +663,9 @@
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no line with {words:?}"));
+            let line = self.log.recv_timeout(left).unwrap_or_else(|error| {
+                panic!("no line with {words:?}, {error}; it said {:#?}", self.passed.borrow())
+            });
             self.passed.borrow_mut().push(line.clone());
             if line.contains(words) {
                 return line;
