--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -9,12 +9,12 @@
 //!
 //! A pool's own places are `least` of all places. Those it does not use are lent to whoever waits, except its `reserve`.
 //! They come back with the next place that ends: while a pool with work waits and has fewer than its own, no pool past
-//! its own starts. A pool with work that has waited for longer than [`PATIENCE`] is the only one that may start, the one that
-//! waited longest first. So no pool with work waits longer for a place than [`PATIENCE`] and, for each pool, the longest time
+//! its own starts. A pool with work that has waited for longer than [`MAX_STARVATION`] is the only one that may start, the one that
+//! waited longest first. So no pool with work waits longer for a place than [`MAX_STARVATION`] and, for each pool, the longest time
 //! for which a place is held.
 
-pub mod index;
 pub mod limit;
+pub mod rank_index;
 
 use limit::{Limit, Limiter, Sample};
 use std::fmt;
@@ -22,23 +22,23 @@
 pub use cypresscleat_primitives::Time;
 
 /// A pool with work waits this long at the most before it comes before all others.
-pub const PATIENCE: Time = 2_500;
+pub const MAX_STARVATION: Time = 2_500;
 /// Samples are taken over this long at the least, and over so many ended runs.
-const WINDOW: Time = 1_000;
-const ENDS: u32 = 8;
+const SAMPLE_WINDOW: Time = 1_000;
+const MIN_COMPLETED: u32 = 8;
 /// Left of the slow-moving least time, as a drift up for each second: a class whose cost changed is believed in a minute.
-const DRIFT: f64 = 0.03;
+const MIN_TIME_DRIFT: f64 = 0.03;
 const SECOND: f64 = 10_000.0;
 
 /// One pool as configured. Parts are of all places, from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pool {
+pub struct PoolConfig {
     pub name: String,
     /// Operations by their index in the settings.
-    pub operations: Vec<usize>,
+    pub classes: Vec<usize>,
     /// Its own part, lent while it is not used.
-    pub least: f64,
-    pub most: f64,
+    pub min_share: f64,
+    pub max_share: f64,
     /// Its claim, against other pools', on places that are nobody's own.
     pub weight: f64,
     /// What of its own part is never lent: of the places, of the line and of the memory.
@@ -47,19 +47,19 @@
 
 /// The pools, and how their limits adapt. No pools: nothing is decided here.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Setup {
-    pub pools: Vec<Pool>,
+pub struct PoolsConfig {
+    pub pools: Vec<PoolConfig>,
     pub limiter: Limiter,
 }
 
 /// What is wrong with a setup: which pool, by its place, and what.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wrong {
+pub struct ConfigError {
     pub pool: Option<usize>,
     pub what: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ConfigError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.pool {
             Some(pool) => write!(to, "pool {pool}: {}", self.what),
@@ -68,65 +68,65 @@
     }
 }
 
-impl Setup {
+impl PoolsConfig {
     /// Pools by rule, from nothing but what the settings tell of each operation: a pool each, half of the places shared out
     /// evenly as their own, the rest by billed value, and an eighth kept for the one with the shortest objective.
-    pub fn ruled(objectives: &[Time], billed: &[f64]) -> Setup {
+    pub fn derive(objectives: &[Time], billed: &[f64]) -> PoolsConfig {
         let many = objectives.len().max(1) as f64;
         let shortest =
-            objectives.iter().enumerate().min_by_key(|(_, objective)| **objective).map(|(op, _)| op);
-        let pool = |(op, billed): (usize, &f64)| Pool {
-            name: op.to_string(),
-            operations: vec![op],
-            least: 0.5 / many + if shortest == Some(op) { 0.125 } else { 0.0 },
-            most: 1.0,
+            objectives.iter().enumerate().min_by_key(|(_, objective)| **objective).map(|(class, _)| class);
+        let pool = |(class, billed): (usize, &f64)| PoolConfig {
+            name: class.to_string(),
+            classes: vec![class],
+            min_share: 0.5 / many + if shortest == Some(class) { 0.125 } else { 0.0 },
+            max_share: 1.0,
             weight: billed.max(0.1),
-            reserve: if shortest == Some(op) { 0.125 } else { 0.0 },
+            reserve: if shortest == Some(class) { 0.125 } else { 0.0 },
         };
-        Setup {
+        PoolsConfig {
             pools: billed.iter().enumerate().map(pool).collect(),
             limiter: Limiter::Gradient { tolerance: 1.5 },
         }
     }
 
     /// All that is wrong with it, for settings with so many operations.
-    pub fn check(&self, operations: usize) -> Vec<Wrong> {
+    pub fn validate(&self, operations: usize) -> Vec<ConfigError> {
         let mut wrong = Vec::new();
-        let sum = |part: fn(&Pool) -> f64| self.pools.iter().map(part).sum::<f64>();
-        for (what, all) in [("least", sum(|pool| pool.least)), ("reserve", sum(|pool| pool.reserve))] {
+        let sum = |part: fn(&PoolConfig) -> f64| self.pools.iter().map(part).sum::<f64>();
+        for (what, all) in [("least", sum(|pool| pool.min_share)), ("reserve", sum(|pool| pool.reserve))] {
             if all > 1.0 + 1e-9 {
-                wrong.push(Wrong {
+                wrong.push(ConfigError {
                     pool: None,
                     what: format!("the parts called {what} sum to {all:.2}, past 1"),
                 });
             }
         }
         for (at, pool) in self.pools.iter().enumerate() {
-            let mut say = |what: String| wrong.push(Wrong { pool: Some(at), what });
+            let mut say = |what: String| wrong.push(ConfigError { pool: Some(at), what });
             let part = |value: f64| (0.0..=1.0).contains(&value);
-            if !part(pool.least) || !part(pool.most) || !part(pool.reserve) {
+            if !part(pool.min_share) || !part(pool.max_share) || !part(pool.reserve) {
                 say("least, most and reserve are parts from 0 to 1".into());
             }
-            if pool.most <= 0.0 || pool.most < pool.least {
-                say(format!("most {} is under least {}, or 0", pool.most, pool.least));
+            if pool.max_share <= 0.0 || pool.max_share < pool.min_share {
+                say(format!("most {} is under least {}, or 0", pool.max_share, pool.min_share));
             }
-            if pool.reserve > pool.least {
-                say(format!("reserve {} is past least {}", pool.reserve, pool.least));
+            if pool.reserve > pool.min_share {
+                say(format!("reserve {} is past least {}", pool.reserve, pool.min_share));
             }
             if !(pool.weight > 0.0 && pool.weight.is_finite()) {
                 say(format!("weight {} is not above 0", pool.weight));
             }
-            if pool.operations.is_empty() {
+            if pool.classes.is_empty() {
                 say("no operation".into());
             }
-            for op in &pool.operations {
-                if *op >= operations {
-                    say(format!("no operation {op}"));
+            for class in &pool.classes {
+                if *class >= operations {
+                    say(format!("no operation {class}"));
                 }
                 let uses =
-                    self.pools[..=at].iter().flat_map(|pool| &pool.operations).filter(|known| *known == op);
+                    self.pools[..=at].iter().flat_map(|pool| &pool.classes).filter(|known| *known == class);
                 if uses.count() > 1 {
-                    say(format!("operation {op} is in a pool already"));
+                    say(format!("operation {class} is in a pool already"));
                 }
             }
             if self.pools[..at].iter().any(|known| known.name == pool.name) {
@@ -139,40 +139,40 @@
 
 /// What one pool is doing.
 #[derive(Clone, Debug, Default)]
-struct State {
-    set: Option<Pool>,
-    held: usize,
+struct PoolState {
+    config: Option<PoolConfig>,
+    queued: usize,
     /// Sizes of what it holds, summed; of those past their customer's share, and how many these are.
-    line: f64,
-    past: f64,
-    past_held: usize,
-    held_kb: f64,
+    queued_size: f64,
+    over_quota_size: f64,
+    over_quota: usize,
+    queued_kb: f64,
     running: usize,
     /// Since when it has work and got no place.
-    waits_from: Option<Time>,
+    waiting_since: Option<Time>,
     limit: Limit,
     /// Time in place for a unit of work, over the present window: sums and count.
-    took: f64,
+    time_in_slot: f64,
     work: f64,
-    ends: u32,
-    spoilt: u32,
+    completed: u32,
+    dropped: u32,
     /// Most that ran at once, and whether any waited.
     peak: usize,
-    waited: bool,
-    window_from: Time,
+    had_waiters: bool,
+    window_started: Time,
     /// The slow-moving least of the above.
-    least_time: f64,
-    last_ratio: f64,
+    min_time: f64,
+    latency_ratio: f64,
 }
 
 /// The pools of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
-    of: Vec<usize>,
-    states: Vec<State>,
+    pool_of_class: Vec<usize>,
+    pools: Vec<PoolState>,
     limiter: Limiter,
     /// Places there are now, in whole ones.
-    places: usize,
+    slots: usize,
     running: usize,
     now: Time,
 }
@@ -180,158 +180,161 @@
 impl Pools {
     /// With no pools in `setup` everything may start and nothing is kept. Operations in no pool share one of their own,
     /// without a part of its own.
-    pub fn new(setup: &Setup, operations: usize, places: f64) -> Pools {
+    pub fn new(setup: &PoolsConfig, operations: usize, places: f64) -> Pools {
         if setup.pools.is_empty() {
             return Pools::default();
         }
         let rest = setup.pools.len();
-        let mut pools = Pools { of: vec![rest; operations], limiter: setup.limiter, ..Pools::default() };
+        let mut pools =
+            Pools { pool_of_class: vec![rest; operations], limiter: setup.limiter, ..Pools::default() };
         for (at, pool) in setup.pools.iter().enumerate() {
-            for op in pool.operations.iter().filter(|op| **op < operations) {
-                pools.of[*op] = at;
+            for class in pool.classes.iter().filter(|class| **class < operations) {
+                pools.pool_of_class[*class] = at;
             }
-            pools.states.push(State { set: Some(pool.clone()), ..State::default() });
+            pools.pools.push(PoolState { config: Some(pool.clone()), ..PoolState::default() });
         }
-        pools.states.push(State::default());
-        pools.places = whole(places);
-        for state in &mut pools.states {
-            state.limit = Limit::new(most(state, pools.places));
+        pools.pools.push(PoolState::default());
+        pools.slots = whole_slots(places);
+        for state in &mut pools.pools {
+            state.limit = Limit::new(max_slots(state, pools.slots));
         }
         pools
     }
 
-    pub fn is_off(&self) -> bool {
-        self.states.is_empty()
+    pub fn is_disabled(&self) -> bool {
+        self.pools.is_empty()
     }
 
     /// Takes over another setup while work goes on: pools are known by their names, so limits stay with them; what is
     /// held and runs is counted where its operation belongs now.
-    pub fn follow(&mut self, setup: &Setup, operations: usize, counts: &[Count]) {
+    pub fn reconfigure(&mut self, setup: &PoolsConfig, operations: usize, counts: &[ClassUsage]) {
         let old = std::mem::take(self);
-        *self = Pools::new(setup, operations, old.places as f64);
+        *self = Pools::new(setup, operations, old.slots as f64);
         self.now = old.now;
-        for state in &mut self.states {
-            let name = |state: &State| state.set.as_ref().map(|set| set.name.clone());
-            if let Some(before) = old.states.iter().find(|before| name(before) == name(state)) {
-                (state.limit, state.least_time) = (before.limit, before.least_time);
+        for state in &mut self.pools {
+            let name = |state: &PoolState| state.config.as_ref().map(|set| set.name.clone());
+            if let Some(before) = old.pools.iter().find(|before| name(before) == name(state)) {
+                (state.limit, state.min_time) = (before.limit, before.min_time);
             }
         }
         for count in counts {
             let now = self.now;
-            if let Some(state) = self.state(count.op) {
-                state.held += count.held;
-                state.past_held += count.past_held;
-                state.line += count.line;
-                state.past += count.past;
-                state.held_kb += count.held_kb;
+            if let Some(state) = self.state(count.class) {
+                state.queued += count.queued;
+                state.over_quota += count.over_quota;
+                state.queued_size += count.queued_size;
+                state.over_quota_size += count.over_quota_size;
+                state.queued_kb += count.queued_kb;
                 state.running += count.running;
-                state.waits_from = (state.held > 0).then_some(now);
+                state.waiting_since = (state.queued > 0).then_some(now);
             }
             self.running += count.running;
         }
     }
 
-    fn state(&mut self, op: usize) -> Option<&mut State> {
-        let at = *self.of.get(op)?;
-        self.states.get_mut(at)
+    fn state(&mut self, class: usize) -> Option<&mut PoolState> {
+        let at = *self.pool_of_class.get(class)?;
+        self.pools.get_mut(at)
     }
 
     // ---- what happens ----
 
-    pub fn held(&mut self, now: Time, op: usize, size: f64, kb: f64) {
-        let Some(state) = self.state(op) else { return };
-        state.held += 1;
-        state.line += size;
-        state.held_kb += kb;
-        state.waits_from.get_or_insert(now);
+    pub fn enqueue(&mut self, now: Time, class: usize, size: f64, kb: f64) {
+        let Some(state) = self.state(class) else { return };
+        state.queued += 1;
+        state.queued_size += size;
+        state.queued_kb += kb;
+        state.waiting_since.get_or_insert(now);
     }
 
     /// One that is held turned out to be past its customer's share.
-    pub fn past_share(&mut self, op: usize, size: f64) {
-        if let Some(state) = self.state(op) {
-            (state.past, state.past_held) = (state.past + size, state.past_held + 1);
+    pub fn mark_over_quota(&mut self, class: usize, size: f64) {
+        if let Some(state) = self.state(class) {
+            (state.over_quota_size, state.over_quota) = (state.over_quota_size + size, state.over_quota + 1);
         }
     }
 
-    pub fn unheld(&mut self, op: usize, size: f64, kb: f64, in_share: bool) {
-        let Some(state) = self.state(op) else { return };
-        state.held = state.held.saturating_sub(1);
-        (state.line, state.held_kb) = (state.line - size, state.held_kb - kb);
-        if !in_share {
-            (state.past, state.past_held) = (state.past - size, state.past_held.saturating_sub(1));
+    pub fn dequeue(&mut self, class: usize, size: f64, kb: f64, within_quota: bool) {
+        let Some(state) = self.state(class) else { return };
+        state.queued = state.queued.saturating_sub(1);
+        (state.queued_size, state.queued_kb) = (state.queued_size - size, state.queued_kb - kb);
+        if !within_quota {
+            (state.over_quota_size, state.over_quota) =
+                (state.over_quota_size - size, state.over_quota.saturating_sub(1));
         }
-        if state.past_held == 0 {
-            state.past = 0.0;
+        if state.over_quota == 0 {
+            state.over_quota_size = 0.0;
         }
-        if state.held == 0 {
-            (state.line, state.held_kb, state.waits_from) = (0.0, 0.0, None);
+        if state.queued == 0 {
+            (state.queued_size, state.queued_kb, state.waiting_since) = (0.0, 0.0, None);
         }
     }
 
-    pub fn starts(&mut self, now: Time, op: usize) {
-        let Some(state) = self.state(op) else { return };
+    pub fn acquire(&mut self, now: Time, class: usize) {
+        let Some(state) = self.state(class) else { return };
         state.running += 1;
         state.peak = state.peak.max(state.running);
-        if state.held > 0 {
-            (state.waits_from, state.waited) = (Some(now), true);
+        if state.queued > 0 {
+            (state.waiting_since, state.had_waiters) = (Some(now), true);
         }
         self.running += 1;
     }
 
-    pub fn leaves(&mut self, op: usize) {
-        let Some(state) = self.state(op) else { return };
+    pub fn release(&mut self, class: usize) {
+        let Some(state) = self.state(class) else { return };
         state.running = state.running.saturating_sub(1);
         self.running = self.running.saturating_sub(1);
     }
 
     /// A run that ended well after `took` in its place, for so much expected work.
-    pub fn ended(&mut self, op: usize, took: Time, work: f64) {
-        let Some(state) = self.state(op) else { return };
-        state.took += took.max(0) as f64;
+    pub fn record_success(&mut self, class: usize, took: Time, work: f64) {
+        let Some(state) = self.state(class) else { return };
+        state.time_in_slot += took.max(0) as f64;
         state.work += work.max(1.0);
-        state.ends += 1;
+        state.completed += 1;
     }
 
     /// One that was turned away or late: what there was did not do.
-    pub fn spoilt(&mut self, op: usize) {
-        if let Some(state) = self.state(op) {
-            state.spoilt += 1;
+    pub fn record_drop(&mut self, class: usize) {
+        if let Some(state) = self.state(class) {
+            state.dropped += 1;
         }
     }
 
     /// The time, and how many places there are now.
     pub fn tick(&mut self, now: Time, places: f64) {
         self.now = now;
-        if self.is_off() {
+        if self.is_disabled() {
             return;
         }
-        self.places = whole(places);
-        for state in &mut self.states {
-            let span = now - state.window_from;
-            let most = most(state, self.places);
-            let own = own(state, self.places).max(1.0);
-            if span < WINDOW || state.ends < ENDS && span < 10 * WINDOW {
-                state.limit.bound(own, most);
+        self.slots = whole_slots(places);
+        for state in &mut self.pools {
+            let span = now - state.window_started;
+            let most = max_slots(state, self.slots);
+            let own = min_slots(state, self.slots).max(1.0);
+            if span < SAMPLE_WINDOW || state.completed < MIN_COMPLETED && span < 10 * SAMPLE_WINDOW {
+                state.limit.set_bounds(own, most);
                 continue;
             }
-            if state.ends > 0 {
-                let time = state.took / state.work;
-                let drift = 1.0 + DRIFT * span as f64 / SECOND;
-                let known = state.least_time > 0.0;
-                state.least_time = if known { (state.least_time * drift).min(time) } else { time };
-                state.last_ratio = time / state.least_time.max(1e-9);
+            if state.completed > 0 {
+                let time = state.time_in_slot / state.work;
+                let drift = 1.0 + MIN_TIME_DRIFT * span as f64 / SECOND;
+                let known = state.min_time > 0.0;
+                state.min_time = if known { (state.min_time * drift).min(time) } else { time };
+                state.latency_ratio = time / state.min_time.max(1e-9);
                 let sample = Sample {
-                    ratio: state.last_ratio,
+                    latency_ratio: state.latency_ratio,
                     running: state.peak.max(state.running) as f64,
-                    waits: state.waited || state.held > 0,
-                    spoilt: f64::from(state.spoilt) / f64::from(state.spoilt + state.ends),
-                    span: span as f64 / SECOND,
+                    has_waiters: state.had_waiters || state.queued > 0,
+                    drop_ratio: f64::from(state.dropped) / f64::from(state.dropped + state.completed),
+                    seconds: span as f64 / SECOND,
                 };
-                state.limit.take(self.limiter, sample);
+                state.limit.update(self.limiter, sample);
             }
-            state.limit.bound(own, most);
-            (state.took, state.work, state.ends, state.spoilt, state.window_from) = (0.0, 0.0, 0, 0, now);
-            (state.peak, state.waited) = (state.running, false);
+            state.limit.set_bounds(own, most);
+            (state.time_in_slot, state.work, state.completed, state.dropped, state.window_started) =
+                (0.0, 0.0, 0, 0, now);
+            (state.peak, state.had_waiters) = (state.running, false);
         }
     }
 
@@ -339,168 +342,171 @@
 
     /// Whether one of this operation may take the next place. One past its customer's share may not while another of
     /// its pool that is within its own waits: a flood would else take the places of the pool that it comes in.
-    pub fn may_start(&self, now: Time, op: usize, in_share: bool) -> bool {
-        let Some(at) = self.of.get(op).copied() else { return true };
-        let state = &self.states[at];
-        if !in_share && state.held > state.past_held {
+    pub fn can_start(&self, now: Time, class: usize, within_quota: bool) -> bool {
+        let Some(at) = self.pool_of_class.get(class).copied() else { return true };
+        let state = &self.pools[at];
+        if !within_quota && state.queued > state.over_quota {
             return false;
         }
-        if state.running as f64 + 1.0 > state.limit.places().max(1.0) {
+        if state.running as f64 + 1.0 > state.limit.slots().max(1.0) {
             return false;
         }
         // One that waited past patience comes before all, the longest first.
         let waited =
-            |state: &State| state.waits_from.filter(|_| self.has_limit(state)).map(|from| now - from);
-        let longest = self.states.iter().filter_map(waited).max().filter(|longest| *longest >= PATIENCE);
+            |state: &PoolState| state.waiting_since.filter(|_| self.has_limit(state)).map(|from| now - from);
+        let longest = self.pools.iter().filter_map(waited).max().filter(|longest| *longest >= MAX_STARVATION);
         if let Some(longest) = longest {
             return waited(state) == Some(longest);
         }
-        if self.owed(state) {
+        if self.is_below_min_share(state) {
             return true;
         }
         // Past its own: only while nobody waits for theirs, and not what is reserved for others.
-        if self.states.iter().any(|other| self.owed(other)) {
+        if self.pools.iter().any(|other| self.is_below_min_share(other)) {
             return false;
         }
         let kept: usize =
-            (0..self.states.len()).filter(|other| *other != at).map(|other| self.kept(other)).sum();
-        if self.places.saturating_sub(self.running) <= kept {
+            (0..self.pools.len()).filter(|other| *other != at).map(|other| self.reserved_slots(other)).sum();
+        if self.slots.saturating_sub(self.running) <= kept {
             return false;
         }
         // What is nobody's own goes by weight: none gets ahead of one that waits by more than a place.
-        let claim = |state: &State| (state.running as f64 - own(state, self.places)).max(0.0) / weight(state);
-        let ahead = self.states.iter().filter(|other| other.held > 0 && self.has_limit(other));
+        let claim = |state: &PoolState| {
+            (state.running as f64 - min_slots(state, self.slots)).max(0.0) / weight(state)
+        };
+        let ahead = self.pools.iter().filter(|other| other.queued > 0 && self.has_limit(other));
         ahead.map(claim).fold(f64::INFINITY, f64::min) + 1.0 / weight(state) >= claim(state)
     }
 
-    fn has_limit(&self, state: &State) -> bool {
-        state.running as f64 + 1.0 <= state.limit.places().max(1.0)
+    fn has_limit(&self, state: &PoolState) -> bool {
+        state.running as f64 + 1.0 <= state.limit.slots().max(1.0)
     }
 
     /// It has work and fewer places than its own.
-    fn owed(&self, state: &State) -> bool {
-        state.held > 0 && (state.running as f64) < own(state, self.places) && self.has_limit(state)
+    fn is_below_min_share(&self, state: &PoolState) -> bool {
+        state.queued > 0 && (state.running as f64) < min_slots(state, self.slots) && self.has_limit(state)
     }
 
     /// Places kept free for a pool. All reserves together leave one place at least.
-    fn kept(&self, at: usize) -> usize {
-        let Some(set) = self.states[at].set.as_ref().filter(|set| set.reserve > 0.0) else { return 0 };
-        let wanted = ((set.reserve * self.places as f64).ceil() as usize).max(1);
-        let before: usize = self.states[..at]
+    fn reserved_slots(&self, at: usize) -> usize {
+        let Some(set) = self.pools[at].config.as_ref().filter(|set| set.reserve > 0.0) else { return 0 };
+        let wanted = ((set.reserve * self.slots as f64).ceil() as usize).max(1);
+        let before: usize = self.pools[..at]
             .iter()
-            .filter_map(|state| state.set.as_ref())
+            .filter_map(|state| state.config.as_ref())
             .filter(|set| set.reserve > 0.0)
-            .map(|set| ((set.reserve * self.places as f64).ceil() as usize).max(1))
+            .map(|set| ((set.reserve * self.slots as f64).ceil() as usize).max(1))
             .sum();
-        let left = self.places.saturating_sub(1).saturating_sub(before);
-        wanted.min(left).saturating_sub(self.states[at].running)
+        let left = self.slots.saturating_sub(1).saturating_sub(before);
+        wanted.min(left).saturating_sub(self.pools[at].running)
     }
 
     /// The line before one of this operation: the sizes its pool holds, and the places that serve them while all pools that
     /// have work now go on having some. `None` where the common line counts.
-    pub fn line_of(&self, op: usize, in_share: bool) -> Option<(f64, f64)> {
-        let at = *self.of.get(op)?;
-        let state = self.states.get(at)?;
-        let busy = |other: &(usize, &State)| other.0 == at || other.1.held > 0 || other.1.running > 0;
-        let busy: Vec<&State> = self.states.iter().enumerate().filter(busy).map(|(_, state)| state).collect();
-        let places = self.places as f64;
+    pub fn queue_ahead(&self, class: usize, within_quota: bool) -> Option<(f64, f64)> {
+        let at = *self.pool_of_class.get(class)?;
+        let state = self.pools.get(at)?;
+        let busy = |other: &(usize, &PoolState)| other.0 == at || other.1.queued > 0 || other.1.running > 0;
+        let busy: Vec<&PoolState> =
+            self.pools.iter().enumerate().filter(busy).map(|(_, state)| state).collect();
+        let places = self.slots as f64;
         // What is nobody's own now goes by weight, but to none more than it may have.
         let owned: f64 =
-            busy.iter().map(|state| own(state, self.places).min(state.running.max(1) as f64)).sum();
+            busy.iter().map(|state| min_slots(state, self.slots).min(state.running.max(1) as f64)).sum();
         let weights: f64 = busy.iter().map(|state| weight(state)).sum();
         let shared = (places - owned).max(0.0) * weight(state) / weights;
-        let served = own(state, self.places) + shared;
-        let line = state.line - if in_share { state.past } else { 0.0 };
-        Some((line, served.max(1.0).min(state.limit.places()).min(places)))
+        let served = min_slots(state, self.slots) + shared;
+        let line = state.queued_size - if within_quota { state.over_quota_size } else { 0.0 };
+        Some((line, served.max(1.0).min(state.limit.slots()).min(places)))
     }
 
     /// Whether two operations stand in one line.
-    pub fn together(&self, op: usize, other: usize) -> bool {
-        self.of.get(op) == self.of.get(other)
+    pub fn is_same_pool(&self, class: usize, other: usize) -> bool {
+        self.pool_of_class.get(class) == self.pool_of_class.get(other)
     }
 
     /// Whether one of this operation may be put out of memory for another's sake: not while its pool is within its
     /// reserve of `kb`, all the memory there is.
-    pub fn may_go(&self, op: usize, kb: f64) -> bool {
-        let state = self.of.get(op).and_then(|at| self.states.get(*at));
-        state.is_none_or(|state| state.held_kb > reserve(state) * kb)
+    pub fn can_evict(&self, class: usize, kb: f64) -> bool {
+        let state = self.pool_of_class.get(class).and_then(|at| self.pools.get(*at));
+        state.is_none_or(|state| state.queued_kb > reserve(state) * kb)
     }
 
     /// Memory (KB) that one of this operation leaves to the reserves of other pools.
-    pub fn kept_kb(&self, op: usize, kb: f64) -> f64 {
-        let Some(at) = self.of.get(op) else { return 0.0 };
-        let others = self.states.iter().enumerate().filter(|(other, _)| other != at);
-        others.map(|(_, state)| (reserve(state) * kb - state.held_kb).max(0.0)).sum()
+    pub fn kb_reserved_by_others(&self, class: usize, kb: f64) -> f64 {
+        let Some(at) = self.pool_of_class.get(class) else { return 0.0 };
+        let others = self.pools.iter().enumerate().filter(|(other, _)| other != at);
+        others.map(|(_, state)| (reserve(state) * kb - state.queued_kb).max(0.0)).sum()
     }
 
     /// A line for the log: what each pool may take, holds and runs.
-    pub fn line(&self) -> String {
-        let words = self.states.iter().map(|state| {
-            let name = state.set.as_ref().map_or("rest", |set| &set.name);
-            let (limit, ratio) = (state.limit.places(), state.last_ratio);
-            format!("{name} {}/{limit:.1} held {} slower {ratio:.2}", state.running, state.held)
+    pub fn summary(&self) -> String {
+        let words = self.pools.iter().map(|state| {
+            let name = state.config.as_ref().map_or("rest", |set| &set.name);
+            let (limit, ratio) = (state.limit.slots(), state.latency_ratio);
+            format!("{name} {}/{limit:.1} held {} slower {ratio:.2}", state.running, state.queued)
         });
         words.collect::<Vec<_>>().join(", ")
     }
 
     /// For measurements: for each pool, whether it has work and no place, and may have one by its limit.
-    pub fn waits(&self, mut each: impl FnMut(usize, bool)) {
-        for (at, state) in self.states.iter().enumerate() {
-            each(at, state.held > 0 && state.running == 0);
+    pub fn for_each_starved(&self, mut each: impl FnMut(usize, bool)) {
+        for (at, state) in self.pools.iter().enumerate() {
+            each(at, state.queued > 0 && state.running == 0);
         }
     }
 
     /// For measurements: name, limit, running, held, and time against its least.
-    pub fn view(&self) -> Vec<View> {
-        let view = |state: &State| View {
-            name: state.set.as_ref().map_or("rest".into(), |set| set.name.clone()),
-            limit: state.limit.places(),
+    pub fn snapshots(&self) -> Vec<PoolSnapshot> {
+        let view = |state: &PoolState| PoolSnapshot {
+            name: state.config.as_ref().map_or("rest".into(), |set| set.name.clone()),
+            limit: state.limit.slots(),
             running: state.running,
-            held: state.held,
-            slower: state.last_ratio,
+            queued: state.queued,
+            latency_ratio: state.latency_ratio,
         };
-        self.states.iter().map(view).collect()
+        self.pools.iter().map(view).collect()
     }
 }
 
 /// What of an operation is here when the pools change.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
-    pub op: usize,
-    pub held: usize,
-    pub past_held: usize,
-    pub line: f64,
-    pub past: f64,
-    pub held_kb: f64,
+pub struct ClassUsage {
+    pub class: usize,
+    pub queued: usize,
+    pub over_quota: usize,
+    pub queued_size: f64,
+    pub over_quota_size: f64,
+    pub queued_kb: f64,
     pub running: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct PoolSnapshot {
     pub name: String,
     pub limit: f64,
     pub running: usize,
-    pub held: usize,
-    pub slower: f64,
+    pub queued: usize,
+    pub latency_ratio: f64,
 }
 
 /// Places that a cap of so many means: one starts while fewer run than the cap.
-fn whole(cap: f64) -> usize {
+fn whole_slots(cap: f64) -> usize {
     (cap.ceil() as usize).max(1)
 }
 
-fn own(state: &State, places: usize) -> f64 {
-    state.set.as_ref().map_or(0.0, |set| set.least * places as f64)
+fn min_slots(state: &PoolState, places: usize) -> f64 {
+    state.config.as_ref().map_or(0.0, |set| set.min_share * places as f64)
 }
 
-fn most(state: &State, places: usize) -> f64 {
-    state.set.as_ref().map_or(1.0, |set| set.most) * places as f64
+fn max_slots(state: &PoolState, places: usize) -> f64 {
+    state.config.as_ref().map_or(1.0, |set| set.max_share) * places as f64
 }
 
-fn weight(state: &State) -> f64 {
-    state.set.as_ref().map_or(1.0, |set| set.weight)
+fn weight(state: &PoolState) -> f64 {
+    state.config.as_ref().map_or(1.0, |set| set.weight)
 }
 
-fn reserve(state: &State) -> f64 {
-    state.set.as_ref().map_or(0.0, |set| set.reserve)
+fn reserve(state: &PoolState) -> f64 {
+    state.config.as_ref().map_or(0.0, |set| set.reserve)
 }
--- a/crates/concurrency/tests/recorded_decisions.rs
+++ b/crates/concurrency/tests/recorded_decisions.rs
@@ -2,7 +2,7 @@
 //! decision in order, and the line that goes to the log. A change of a constant or of the order of the arithmetic shows here.
 
 use cypresscleat_concurrency::limit::{Limit, Limiter, Sample};
-use cypresscleat_concurrency::{Count, Pool, Pools, Setup};
+use cypresscleat_concurrency::{ClassUsage, PoolConfig, Pools, PoolsConfig};
 use cypresscleat_primitives::SeededRng;
 
 /// FNV-1a over 64-bit words.
@@ -24,7 +24,7 @@
     class: usize,
     size: f64,
     kb: f64,
-    in_share: bool,
+    within_quota: bool,
 }
 
 struct Running {
@@ -35,12 +35,12 @@
 const CLASSES: usize = 5;
 const MEMORY_KB: f64 = 4_000.0;
 
-fn setup(limiter: Limiter) -> Setup {
-    let pool = |name: &str, operations: &[usize], least, most, weight, reserve| Pool {
+fn setup(limiter: Limiter) -> PoolsConfig {
+    let pool = |name: &str, classes: &[usize], min_share, max_share, weight, reserve| PoolConfig {
         name: name.into(),
-        operations: operations.to_vec(),
-        least,
-        most,
+        classes: classes.to_vec(),
+        min_share,
+        max_share,
         weight,
         reserve,
     };
@@ -49,19 +49,20 @@
         pool("lookup", &[1, 2], 0.3, 0.75, 2.0, 0.1),
         pool("report", &[3], 0.0, 0.5, 1.0, 0.0),
     ];
-    Setup { pools, limiter }
+    PoolsConfig { pools, limiter }
 }
 
-fn counts(queue: &[Queued], running: &[Running]) -> Vec<Count> {
-    let mut counts: Vec<Count> = (0..CLASSES).map(|op| Count { op, ..Count::default() }).collect();
+fn counts(queue: &[Queued], running: &[Running]) -> Vec<ClassUsage> {
+    let mut counts: Vec<ClassUsage> =
+        (0..CLASSES).map(|class| ClassUsage { class, ..ClassUsage::default() }).collect();
     for request in queue {
         let count = &mut counts[request.class];
-        count.held += 1;
-        count.line += request.size;
-        count.held_kb += request.kb;
-        if !request.in_share {
-            count.past_held += 1;
-            count.past += request.size;
+        count.queued += 1;
+        count.queued_size += request.size;
+        count.queued_kb += request.kb;
+        if !request.within_quota {
+            count.over_quota += 1;
+            count.over_quota_size += request.size;
         }
     }
     for run in running {
@@ -83,18 +84,18 @@
         for _ in 0..below(4) {
             let class = below(CLASSES as u64) as usize;
             let size = (1 + below(900)) as f64 / 3.0;
-            let request = Queued { class, size, kb: below(64) as f64, in_share: below(3) > 0 };
-            pools.held(now, class, request.size, request.kb);
-            if !request.in_share {
-                pools.past_share(class, request.size);
+            let request = Queued { class, size, kb: below(64) as f64, within_quota: below(3) > 0 };
+            pools.enqueue(now, class, request.size, request.kb);
+            if !request.within_quota {
+                pools.mark_over_quota(class, request.size);
             }
             queue.push(request);
         }
         running.retain(|run| {
             let ends = now - run.started > (run.request.size as i64 + 200) * slowness;
             if ends {
-                pools.leaves(run.request.class);
-                pools.ended(run.request.class, now - run.started, run.request.size);
+                pools.release(run.request.class);
+                pools.record_success(run.request.class, now - run.started, run.request.size);
             }
             !ends
         });
@@ -104,12 +105,12 @@
         let mut at = 0;
         while at < queue.len() {
             let request = queue[at];
-            let may = pools.may_start(now, request.class, request.in_share);
+            let may = pools.can_start(now, request.class, request.within_quota);
             digest.add(u64::from(may));
             if may && running.len() < 9 {
                 queue.remove(at);
-                pools.unheld(request.class, request.size, request.kb, request.in_share);
-                pools.starts(now, request.class);
+                pools.dequeue(request.class, request.size, request.kb, request.within_quota);
+                pools.acquire(now, request.class);
                 running.push(Running { request, started: now });
             } else {
                 at += 1;
@@ -117,43 +118,43 @@
         }
         while queue.len() > 40 {
             let request = queue.swap_remove(below(queue.len() as u64) as usize);
-            pools.unheld(request.class, request.size, request.kb, request.in_share);
-            pools.spoilt(request.class);
+            pools.dequeue(request.class, request.size, request.kb, request.within_quota);
+            pools.record_drop(request.class);
         }
         for class in 0..CLASSES {
-            for in_share in [true, false] {
-                let (line, places) = pools.line_of(class, in_share).unwrap_or((-1.0, -1.0));
+            for within_quota in [true, false] {
+                let (line, places) = pools.queue_ahead(class, within_quota).unwrap_or((-1.0, -1.0));
                 digest.add_f64(line);
                 digest.add_f64(places);
             }
-            digest.add_f64(pools.kept_kb(class, MEMORY_KB));
-            digest.add(u64::from(pools.may_go(class, MEMORY_KB)));
-            digest.add(u64::from(pools.together(class, 2)));
+            digest.add_f64(pools.kb_reserved_by_others(class, MEMORY_KB));
+            digest.add(u64::from(pools.can_evict(class, MEMORY_KB)));
+            digest.add(u64::from(pools.is_same_pool(class, 2)));
         }
-        pools.waits(|pool, waits| digest.add(pool as u64 * 2 + u64::from(waits)));
-        for view in pools.view() {
+        pools.for_each_starved(|pool, waits| digest.add(pool as u64 * 2 + u64::from(waits)));
+        for view in pools.snapshots() {
             digest.add_f64(view.limit);
-            digest.add_f64(view.slower);
-            digest.add((view.held * 1_000 + view.running) as u64);
+            digest.add_f64(view.latency_ratio);
+            digest.add((view.queued * 1_000 + view.running) as u64);
         }
         if step == 2_500 {
             let mut other = setup(limiter);
             other.pools.swap(0, 2);
-            other.pools[1].operations = vec![2, 4];
-            pools.follow(&other, CLASSES, &counts(&queue, &running));
+            other.pools[1].classes = vec![2, 4];
+            pools.reconfigure(&other, CLASSES, &counts(&queue, &running));
         }
     }
-    (digest.0, pools.line())
+    (digest.0, pools.summary())
 }
 
 #[test]
-fn the_pools_answer_as_recorded() {
+fn pools_decide_as_recorded() {
     let recorded: [(Limiter, u64, &str); 5] = [
         (Limiter::Fixed, 0xd148_ac9f_bd04_7be0, "report 2/4.5 held 1 slower 1.64, lookup 1/6.8 held 0 slower 1.40, status 1/9.0 held 0 slower 1.02, rest 1/9.0 held 0 slower 1.00"),
-        (Limiter::Aimd { slower: 2.0 }, 0x67ef_2725_656e_37aa, "report 2/4.5 held 0 slower 1.61, lookup 0/6.8 held 0 slower 1.07, status 0/9.0 held 0 slower 1.05, rest 0/9.0 held 0 slower 1.12"),
+        (Limiter::Aimd { max_latency_ratio: 2.0 }, 0x67ef_2725_656e_37aa, "report 2/4.5 held 0 slower 1.61, lookup 0/6.8 held 0 slower 1.07, status 0/9.0 held 0 slower 1.05, rest 0/9.0 held 0 slower 1.12"),
         (Limiter::Gradient { tolerance: 1.5 }, 0x0675_9df0_5e6a_4586, "report 0/4.5 held 0 slower 1.19, lookup 2/6.8 held 0 slower 1.37, status 1/7.9 held 0 slower 1.18, rest 1/9.0 held 0 slower 1.12"),
         (Limiter::Vegas, 0xd148_ac9f_bd04_7be0, "report 2/4.5 held 1 slower 1.64, lookup 1/6.8 held 0 slower 1.40, status 1/9.0 held 0 slower 1.02, rest 1/9.0 held 0 slower 1.00"),
-        (Limiter::Pid { tolerated: 0.1 }, 0x78eb_449f_9c11_27e3, "report 2/4.5 held 0 slower 1.61, lookup 0/6.8 held 0 slower 1.07, status 0/9.0 held 0 slower 1.05, rest 0/9.0 held 0 slower 1.12"),
+        (Limiter::Pid { target_drop_ratio: 0.1 }, 0x78eb_449f_9c11_27e3, "report 2/4.5 held 0 slower 1.61, lookup 0/6.8 held 0 slower 1.07, status 0/9.0 held 0 slower 1.05, rest 0/9.0 held 0 slower 1.12"),
     ];
     let mut found = String::new();
     let mut unlike = Vec::new();
@@ -168,14 +169,14 @@
 }
 
 #[test]
-fn the_rule_for_pools_gives_what_was_recorded() {
-    let setup = Setup::ruled(&[500, 200, 900], &[1.0, 0.05, 4.0]);
+fn derived_pools_are_as_recorded() {
+    let setup = PoolsConfig::derive(&[500, 200, 900], &[1.0, 0.05, 4.0]);
     assert_eq!(setup.limiter, Limiter::Gradient { tolerance: 1.5 });
     let found: Vec<_> = setup
         .pools
         .iter()
         .map(|pool| {
-            (pool.name.as_str(), &pool.operations[..], pool.least, pool.most, pool.weight, pool.reserve)
+            (pool.name.as_str(), &pool.classes[..], pool.min_share, pool.max_share, pool.weight, pool.reserve)
         })
         .collect();
     let third = 0.5 / 3.0;
@@ -189,7 +190,7 @@
 
 /// Limits by themselves, far above the few slots of [`play`], where Vegas decreases as well.
 #[test]
-fn limits_take_the_recorded_course() {
+fn limits_adapt_as_recorded() {
     let course = |limiter: Limiter| {
         let mut rng = SeededRng::new(5);
         let mut digest = Digest(0xcbf2_9ce4_8422_2325);
@@ -197,24 +198,24 @@
         for step in 0..600u32 {
             let calm = step % 200 < 100;
             let sample = Sample {
-                ratio: 1.0 + rng.next_f64() * if calm { 0.3 } else { 6.0 },
-                running: limit.places() * (0.3 + rng.next_f64()),
-                waits: rng.one_in(3),
-                spoilt: rng.next_f64() * if calm { 0.1 } else { 1.0 },
-                span: 0.1 + rng.next_f64(),
+                latency_ratio: 1.0 + rng.next_f64() * if calm { 0.3 } else { 6.0 },
+                running: limit.slots() * (0.3 + rng.next_f64()),
+                has_waiters: rng.one_in(3),
+                drop_ratio: rng.next_f64() * if calm { 0.1 } else { 1.0 },
+                seconds: 0.1 + rng.next_f64(),
             };
-            limit.take(limiter, sample);
-            limit.bound(rng.next_f64() * 8.0, 64.0 + rng.next_f64());
-            digest.add_f64(limit.places());
+            limit.update(limiter, sample);
+            limit.set_bounds(rng.next_f64() * 8.0, 64.0 + rng.next_f64());
+            digest.add_f64(limit.slots());
         }
         digest.0
     };
     let recorded: [(Limiter, u64); 5] = [
         (Limiter::Fixed, 0xf7e2_43af_f112_6db4),
-        (Limiter::Aimd { slower: 2.0 }, 0x41aa_37ee_3535_6fa0),
+        (Limiter::Aimd { max_latency_ratio: 2.0 }, 0x41aa_37ee_3535_6fa0),
         (Limiter::Gradient { tolerance: 1.5 }, 0xfc66_a0b1_e1d9_cd5f),
         (Limiter::Vegas, 0x2be4_0306_a353_6cba),
-        (Limiter::Pid { tolerated: 0.1 }, 0xd7f6_f663_0974_4998),
+        (Limiter::Pid { target_drop_ratio: 0.1 }, 0xd7f6_f663_0974_4998),
     ];
     let found = recorded.map(|(limiter, _)| (limiter, course(limiter)));
     assert_eq!(found, recorded);
--- a/crates/experiments/src/drive.rs
+++ b/crates/experiments/src/drive.rs
@@ -3,7 +3,7 @@
 
 use crate::arrivals::{Coming, Day, Trouble, SECOND};
 use crate::worker::{Done, Machine, Worker};
-use cypresscleat_concurrency::{Setup, View};
+use cypresscleat_concurrency::{PoolSnapshot, PoolsConfig};
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
 use std::cmp::Reverse;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Moment {
     pub at: Time,
-    pub pools: Vec<View>,
+    pub pools: Vec<PoolSnapshot>,
     pub running: usize,
 }
 
@@ -171,7 +171,7 @@
 }
 
 /// What the module is told of the day: its classes as operations, two customers with their shares.
-pub fn settings(day: &Day, machine: &Machine, pools: &Setup) -> Settings {
+pub fn settings(day: &Day, machine: &Machine, pools: &PoolsConfig) -> Settings {
     let operations = day.classes.iter().map(|class| Operation {
         objective: class.objective,
         timeout: class.timeout,
@@ -209,7 +209,7 @@
 }
 
 /// Plays the day to its end. With `look` a moment is kept for each second.
-pub fn play(day: &Day, comings: &[Coming], machine: &Machine, pools: &Setup, look: bool) -> Played {
+pub fn play(day: &Day, comings: &[Coming], machine: &Machine, pools: &PoolsConfig, look: bool) -> Played {
     let mut side = Side {
         now: 0,
         worker: Worker::new(machine.clone()),
@@ -282,7 +282,7 @@
                     side.push(wake, Event::Tick);
                     if look && at >= next_look {
                         let running = side.worker.wanting();
-                        played.moments.push(Moment { at, pools: brain.pools().view(), running });
+                        played.moments.push(Moment { at, pools: brain.pools().snapshots(), running });
                         next_look = at + SECOND;
                     }
                 }
@@ -307,10 +307,10 @@
 
 /// How long each pool with work and no place has waited for one.
 fn watch(brain: &Brain, now: Time, waits: &mut Vec<Option<Time>>, waited: &mut Vec<Time>) {
-    if brain.pools().is_off() {
+    if brain.pools().is_disabled() {
         return;
     }
-    brain.pools().waits(|at, waiting| {
+    brain.pools().for_each_starved(|at, waiting| {
         if waits.len() <= at {
             waits.resize(at + 1, None);
             waited.resize(at + 1, 0);
--- a/crates/experiments/src/index.rs
+++ b/crates/experiments/src/index.rs
@@ -1,7 +1,7 @@
 //! What a draw costs: the index of `pools` beside what the module does, which copies all that may start, selects, and
 //! removes the drawn one from its list. Real times on this machine, by the number held, in one list and in four pools.
 
-use cypresscleat_concurrency::index::{select_among, Index, Key};
+use cypresscleat_concurrency::rank_index::{select_across, RankIndex, RankKey};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::time::{Duration, Instant};
@@ -26,15 +26,16 @@
     began.elapsed().as_nanos() as f64 / f64::from(many)
 }
 
-fn by_order(a: &Key, b: &Key) -> std::cmp::Ordering {
+fn by_order(a: &RankKey, b: &RankKey) -> std::cmp::Ordering {
     a.size.total_cmp(&b.size).then(a.seq.cmp(&b.seq))
 }
 
 /// As the module has it: keys stand in records, the list holds their places.
 fn vector(held: usize) -> f64 {
     let mut chance = Pcg64Mcg::new(7);
-    let mut recs: Vec<Key> =
-        (0..held).map(|inv| Key { size: chance.random::<f64>(), seq: inv as u64, inv }).collect();
+    let mut recs: Vec<RankKey> = (0..held)
+        .map(|inv| RankKey { size: chance.random::<f64>(), seq: inv as u64, request: inv })
+        .collect();
     let (mut list, mut seq): (Vec<usize>, u64) = ((0..held).collect(), held as u64);
     timed(|| {
         let mut ranked: Vec<usize> = list.iter().copied().filter(|inv| recs[*inv].size >= 0.0).collect();
@@ -42,7 +43,7 @@
         let (_, drawn, _) = ranked.select_nth_unstable_by(rank, |a, b| by_order(&recs[*a], &recs[*b]));
         let drawn = *drawn;
         list.retain(|other| *other != drawn);
-        recs[drawn] = Key { size: chance.random(), seq, inv: drawn };
+        recs[drawn] = RankKey { size: chance.random(), seq, request: drawn };
         list.push(drawn);
         seq += 1;
     })
@@ -50,19 +51,19 @@
 
 fn index(held: usize, pools: usize) -> f64 {
     let mut chance = Pcg64Mcg::new(7);
-    let mut indexes = vec![Index::default(); pools];
+    let mut indexes = vec![RankIndex::default(); pools];
     for inv in 0..held {
-        indexes[inv % pools].insert(Key { size: chance.random(), seq: inv as u64, inv });
+        indexes[inv % pools].insert(RankKey { size: chance.random(), seq: inv as u64, request: inv });
     }
     let mut seq = held as u64;
     timed(|| {
         let rank = rank(held, chance.random());
-        let some: Vec<&Index> = indexes.iter().collect();
-        let drawn = if pools == 1 { indexes[0].select(rank) } else { select_among(&some, rank) };
+        let some: Vec<&RankIndex> = indexes.iter().collect();
+        let drawn = if pools == 1 { indexes[0].select(rank) } else { select_across(&some, rank) };
         let Some(drawn) = drawn else { return };
-        let at = drawn.inv % pools;
+        let at = drawn.request % pools;
         indexes[at].remove(&drawn);
-        indexes[at].insert(Key { size: chance.random(), seq, inv: drawn.inv });
+        indexes[at].insert(RankKey { size: chance.random(), seq, request: drawn.request });
         seq += 1;
     })
 }
--- a/crates/experiments/src/pools.rs
+++ b/crates/experiments/src/pools.rs
@@ -5,7 +5,7 @@
 use crate::drive::{play, Answer, Played, OVER_SHARE};
 use crate::worker::Machine;
 use cypresscleat_concurrency::limit::Limiter;
-use cypresscleat_concurrency::{Pool, Setup};
+use cypresscleat_concurrency::{PoolConfig, PoolsConfig};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -55,26 +55,26 @@
 }
 
 /// The pools of the experiment: one for each class; the cheapest has a reserve.
-pub fn setup(limiter: Limiter) -> Setup {
+pub fn setup(limiter: Limiter) -> PoolsConfig {
     let names = ["status", "position", "report", "billing-tally"];
     let least = [0.25, 0.125, 0.2, 0.25];
-    let pools = names.iter().zip(least).enumerate().map(|(op, (name, least))| Pool {
+    let pools = names.iter().zip(least).enumerate().map(|(op, (name, least))| PoolConfig {
         name: (*name).into(),
-        operations: vec![op],
-        least,
-        most: 1.0,
+        classes: vec![op],
+        min_share: least,
+        max_share: 1.0,
         weight: 1.0,
         reserve: if op == STATUS { 0.125 } else { 0.0 },
     });
-    Setup { pools: pools.collect(), limiter }
+    PoolsConfig { pools: pools.collect(), limiter }
 }
 
 /// Each pool has its part, no more and no less; nothing is lent.
-fn fixed(parts: &[usize]) -> Setup {
+fn fixed(parts: &[usize]) -> PoolsConfig {
     let mut setup = setup(Limiter::Fixed);
     for (pool, part) in setup.pools.iter_mut().zip(parts) {
         let part = *part as f64 / STEPS as f64;
-        (pool.least, pool.most, pool.reserve) = (part, part, 0.0);
+        (pool.min_share, pool.max_share, pool.reserve) = (part, part, 0.0);
     }
     setup
 }
@@ -96,10 +96,10 @@
 
 pub const LIMITERS: [(&str, Limiter); 5] = [
     ("lending, limits fixed", Limiter::Fixed),
-    ("lending, AIMD", Limiter::Aimd { slower: 2.0 }),
+    ("lending, AIMD", Limiter::Aimd { max_latency_ratio: 2.0 }),
     ("lending, gradient", Limiter::Gradient { tolerance: 1.5 }),
     ("lending, Vegas", Limiter::Vegas),
-    ("lending, PID", Limiter::Pid { tolerated: 0.1 }),
+    ("lending, PID", Limiter::Pid { target_drop_ratio: 0.1 }),
 ];
 /// The one that was chosen, by the figures.
 pub const CHOSEN: usize = 2;
@@ -199,8 +199,8 @@
 fn on_day(seed: u64, seconds: u64, troubles: &[Trouble]) -> Vec<Worth> {
     let day = day(seed, seconds, LOAD, troubles.to_vec());
     let comings = day.all();
-    let run = |setup: &Setup| worth(&day, &play(&day, &comings, &machine(), setup, false));
-    let mut all = vec![run(&Setup::default())];
+    let run = |setup: &PoolsConfig| worth(&day, &play(&day, &comings, &machine(), setup, false));
+    let mut all = vec![run(&PoolsConfig::default())];
     all.extend(LIMITERS.iter().map(|(_, limiter)| run(&setup(*limiter))));
     let (best, parts) = search(&day, &comings);
     all.push(best);
@@ -344,10 +344,11 @@
     let parts = root.split_evenly((3, 1));
     let colours = [RED, BLUE, GREEN, MAGENTA, BLACK];
     let seconds = day.length as f64 / SECOND as f64;
-    let series = |value: fn(&cypresscleat_concurrency::View) -> f64, pool: usize| -> Vec<(f64, f64)> {
-        let at = |moment: &crate::drive::Moment| moment.at as f64 / SECOND as f64;
-        played.moments.iter().filter_map(|m| Some((at(m), value(m.pools.get(pool)?)))).collect()
-    };
+    let series =
+        |value: fn(&cypresscleat_concurrency::PoolSnapshot) -> f64, pool: usize| -> Vec<(f64, f64)> {
+            let at = |moment: &crate::drive::Moment| moment.at as f64 / SECOND as f64;
+            played.moments.iter().filter_map(|m| Some((at(m), value(m.pools.get(pool)?)))).collect()
+        };
     type Line = Vec<(f64, f64)>;
     let charts: [(&str, Vec<Line>); 3] = [
         ("limit of each pool, places", (0..4).map(|pool| series(|view| view.limit, pool)).collect()),
--- a/crates/experiments/tests/pools.rs
+++ b/crates/experiments/tests/pools.rs
@@ -1,7 +1,7 @@
 //! The pools on the model, by properties and by the earlier version's own answers.
 
 use cypresscleat_concurrency::limit::Limiter;
-use cypresscleat_concurrency::{Pool, Setup, PATIENCE};
+use cypresscleat_concurrency::{PoolConfig, PoolsConfig, MAX_STARVATION};
 use cypresscleat_experiments::arrivals::{Day, Trouble, SECOND};
 use cypresscleat_experiments::drive::{play, settings, Answer, Played};
 use cypresscleat_experiments::pools::{
@@ -35,16 +35,16 @@
     let days: Vec<_> = [Vec::new()].into_iter().chain(troubles(30).into_iter().map(|(_, day)| day)).collect();
     let now = spread_out(days.len(), |at| {
         let day = day(at as u64 + 1, 30, [1.1, 0.7, 1.6][at % 3], days[at].clone());
-        play(&day, &day.all(), &machine(), &Setup::default(), false).digest
+        play(&day, &day.all(), &machine(), &PoolsConfig::default(), false).digest
     });
     assert_eq!(now, BEFORE);
 }
 
-fn chosen() -> Setup {
+fn chosen() -> PoolsConfig {
     setup(LIMITERS[CHOSEN].1)
 }
 
-fn played(day: &Day, setup: &Setup) -> Played {
+fn played(day: &Day, setup: &PoolsConfig) -> Played {
     play(day, &day.all(), &machine(), setup, true)
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// Any setup on any day: small machines, more pools than cores, floods, slow spells, every limiter.
-fn any_day(seed: u64) -> (Day, Machine, Setup) {
+fn any_day(seed: u64) -> (Day, Machine, PoolsConfig) {
     let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
     let cores = [1.0, 2.0, 4.0, 8.0][chance.random_range(0..4)];
     let machine = Machine { cores, ..Machine::default() };
@@ -122,14 +122,14 @@
     day.rate *= chance.random_range(0.4..2.5) * cores / 8.0;
     // Each class in one of the pools, some of which stay empty and are left out; or in none.
     let many = chance.random_range(1..=4);
-    let mut pools: Vec<Pool> = Vec::new();
+    let mut pools: Vec<PoolConfig> = Vec::new();
     for at in 0..many {
         let least = chance.random_range(0.0..1.0 / many as f64);
-        pools.push(Pool {
+        pools.push(PoolConfig {
             name: format!("p{at}"),
-            operations: Vec::new(),
-            least,
-            most: chance.random_range(least.max(0.3)..=1.0),
+            classes: Vec::new(),
+            min_share: least,
+            max_share: chance.random_range(least.max(0.3)..=1.0),
             weight: chance.random_range(0.2..5.0),
             reserve: if chance.random_bool(0.4) { least * chance.random_range(0.0..=1.0) } else { 0.0 },
         });
@@ -137,12 +137,12 @@
     for op in 0..4 {
         let at = chance.random_range(0..=many);
         if let Some(pool) = pools.get_mut(at) {
-            pool.operations.push(op);
+            pool.classes.push(op);
         }
     }
-    pools.retain(|pool| !pool.operations.is_empty());
+    pools.retain(|pool| !pool.classes.is_empty());
     let limiter = LIMITERS[chance.random_range(0..LIMITERS.len())].1;
-    (day, machine, Setup { pools, limiter })
+    (day, machine, PoolsConfig { pools, limiter })
 }
 
 /// The stated bound: patience, and for each pool the longest time for which a place was held, here with what keeps all
@@ -152,9 +152,9 @@
     let over = spread_out(1000, |at| {
         let seed = at as u64 + 1;
         let (day, machine, setup) = any_day(seed);
-        assert!(setup.check(4).is_empty(), "seed {seed}: {:?}", setup.check(4));
+        assert!(setup.validate(4).is_empty(), "seed {seed}: {:?}", setup.validate(4));
         let played = play(&day, &day.all(), &machine, &setup, false);
-        let bound = PATIENCE + (setup.pools.len() + 1) as Time * played.placed.max(SECOND / 10);
+        let bound = MAX_STARVATION + (setup.pools.len() + 1) as Time * played.placed.max(SECOND / 10);
         let longest = played.waited.iter().copied().max().unwrap_or(0);
         (longest > bound).then(|| format!("seed {seed}: {longest} past {bound}, {setup:?}"))
     });
@@ -171,15 +171,16 @@
     day.classes[STATUS].timeout = 20_000;
     (day.classes[TALLY].work, day.classes[TALLY].part) = (1600.0, 0.5);
     day.rate = 3.0 * 8.0 * SECOND as f64 / 1000.0;
-    let pool = |name: &str, op| Pool {
+    let pool = |name: &str, op| PoolConfig {
         name: name.into(),
-        operations: vec![op],
-        least: 0.0,
-        most: 1.0,
+        classes: vec![op],
+        min_share: 0.0,
+        max_share: 1.0,
         weight: 1.0,
         reserve: 0.0,
     };
-    let setup = Setup { pools: vec![pool("short", STATUS), pool("long", TALLY)], limiter: Limiter::Fixed };
+    let setup =
+        PoolsConfig { pools: vec![pool("short", STATUS), pool("long", TALLY)], limiter: Limiter::Fixed };
     let played = played(&day, &setup);
     let mean = |at: usize| {
         let all: Vec<f64> =
@@ -219,7 +220,7 @@
     fn release(&mut self, _: Inv) {}
 }
 
-fn brain(setup: &Setup) -> (cypresscleat_scheduler::Brain, Seen) {
+fn brain(setup: &PoolsConfig) -> (cypresscleat_scheduler::Brain, Seen) {
     let day = day(1, 1, 1.0, Vec::new());
     let machine = Machine { cores: 4.0, ..Machine::default() };
     let mut seen = Seen::default();
@@ -241,7 +242,7 @@
     assert_eq!(running, 3, "one of four places is kept: {:?}", seen.0);
     brain.arrived(2, arrival(20, STATUS), &mut seen);
     assert_eq!(seen.0.last().map(String::as_str), Some("run 20"));
-    let (mut brain, mut seen) = self::brain(&Setup::default());
+    let (mut brain, mut seen) = self::brain(&PoolsConfig::default());
     for inv in 0..8 {
         brain.arrived(1, arrival(inv, TALLY), &mut seen);
     }
@@ -272,16 +273,16 @@
     for inv in 0..12 {
         brain.arrived(1, arrival(inv, [TALLY, STATUS, 2][inv % 3]), &mut seen);
     }
-    let mut setups = vec![Setup::default(), chosen()];
+    let mut setups = vec![PoolsConfig::default(), chosen()];
     setups[1].pools.remove(2);
     setups[1].pools[0].name = "renamed".into();
     setups.push(chosen());
     for (at, setup) in setups.iter().enumerate() {
         brain.pool(10 + at as Time, setup, &mut seen);
     }
-    let view = brain.pools().view();
+    let view = brain.pools().snapshots();
     let (held, running): (usize, usize) =
-        view.iter().fold((0, 0), |sum, pool| (sum.0 + pool.held, sum.1 + pool.running));
+        view.iter().fold((0, 0), |sum, pool| (sum.0 + pool.queued, sum.1 + pool.running));
     let count = |word: &str, seen: &Seen| seen.0.iter().filter(|line| line.starts_with(word)).count();
     let ran: Vec<Inv> = seen.0.iter().filter_map(|line| line.strip_prefix("run ")?.parse().ok()).collect();
     assert_eq!((held, running), (12 - ran.len() - count("throttle", &seen), ran.len()));
@@ -296,9 +297,9 @@
         }
     }
     assert!(
-        brain.pools().view().iter().all(|pool| (pool.held, pool.running) == (0, 0)),
+        brain.pools().snapshots().iter().all(|pool| (pool.queued, pool.running) == (0, 0)),
         "{:?}",
-        brain.pools().view()
+        brain.pools().snapshots()
     );
 }
 
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -89,7 +89,7 @@
     pub max_backoff: Time,
     pub seed: u64,
     /// None: every operation takes what it gets.
-    pub pools: cypresscleat_concurrency::Setup,
+    pub pools: cypresscleat_concurrency::PoolsConfig,
 }
 
 /// An invocation that was read and waits for a decision.
--- a/crates/scheduler/src/brain.rs
+++ b/crates/scheduler/src/brain.rs
@@ -7,8 +7,8 @@
 //! Same events, same actions: no clock, no shared state, chance only from the seed and a counter.
 
 use crate::api::*;
-use cypresscleat_concurrency::index::{Index, Key};
-use cypresscleat_concurrency::{Count, Pools, Setup};
+use cypresscleat_concurrency::rank_index::{RankIndex, RankKey};
+use cypresscleat_concurrency::{ClassUsage, Pools, PoolsConfig};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -256,7 +256,7 @@
     calls_slow: bool,
     pools: Pools,
     /// What is held, by size, and the most memory of any since none was.
-    ranks: Index,
+    ranks: RankIndex,
     kb_most: f64,
     /// Places beyond which none starts, whatever the cap; told from outside.
     granted: Option<f64>,
@@ -341,8 +341,8 @@
         }
         self.used_kb += rec.kb;
         self.line += rec.size;
-        self.pools.held(now, rec.op, rec.size, rec.kb);
-        self.ranks.insert(Key { size: rec.size, seq: rec.seq, inv: a.inv });
+        self.pools.enqueue(now, rec.op, rec.size, rec.kb);
+        self.ranks.insert(RankKey { size: rec.size, seq: rec.seq, request: a.inv });
         self.kb_most = self.kb_most.max(rec.kb);
         self.recs[a.inv] = Some(rec);
         self.held.push(a.inv);
@@ -483,22 +483,23 @@
     }
 
     /// Other pools from now on; what is held and runs is counted where it belongs then.
-    pub fn pool(&mut self, now: Time, setup: &Setup, host: &mut impl Host) {
-        let mut counts: Vec<Count> = (0..self.ops.len()).map(|op| Count { op, ..Count::default() }).collect();
+    pub fn pool(&mut self, now: Time, setup: &PoolsConfig, host: &mut impl Host) {
+        let mut counts: Vec<ClassUsage> =
+            (0..self.ops.len()).map(|op| ClassUsage { class: op, ..ClassUsage::default() }).collect();
         for rec in self.held.iter().chain(&self.active).filter_map(|inv| self.recs[*inv].as_ref()) {
             let count = &mut counts[rec.op];
             if rec.at == At::Held {
                 let past = if rec.in_share { 0.0 } else { 1.0 };
-                count.held += 1;
-                count.past_held += past as usize;
-                count.line += rec.size;
-                count.past += rec.size * past;
-                count.held_kb += rec.kb;
+                count.queued += 1;
+                count.over_quota += past as usize;
+                count.queued_size += rec.size;
+                count.over_quota_size += rec.size * past;
+                count.queued_kb += rec.kb;
             }
             count.running += usize::from(rec.at == At::Running);
         }
-        self.pools.follow(setup, self.ops.len(), &counts);
-        host.log(&format!("pools: {}", self.pools.line()));
+        self.pools.reconfigure(setup, self.ops.len(), &counts);
+        host.log(&format!("pools: {}", self.pools.summary()));
         self.fill(now, host);
     }
 
@@ -571,7 +572,7 @@
             let part = if in_share { 1.0 } else { self.over_share };
             self.edit(a.inv, |rec| (rec.in_share, rec.value) = (in_share, rec.value * part));
             if let Some(rec) = self.recs[a.inv].as_ref().filter(|_| !in_share) {
-                self.pools.past_share(rec.op, rec.size);
+                self.pools.mark_over_quota(rec.op, rec.size);
             }
         }
         Step::Pass
@@ -590,10 +591,10 @@
 
     /// Past the high mark, less what other pools keep of it, the largest held goes, until the rest fits.
     fn memory_in(&mut self, now: Time, a: &Arrival, host: &mut dyn Host) -> Step {
-        while self.used_kb + self.pools.kept_kb(a.op, self.high_kb) > self.high_kb {
+        while self.used_kb + self.pools.kb_reserved_by_others(a.op, self.high_kb) > self.high_kb {
             let key = |inv: &Inv| self.of(*inv).map_or((0, 0), |rec| ((rec.kb * 16.0) as u64, rec.seq));
             // Its pool's reserve keeps one, unless it is past its customer's share.
-            let goes = |rec: &Rec| !rec.in_share || self.pools.may_go(rec.op, self.high_kb);
+            let goes = |rec: &Rec| !rec.in_share || self.pools.can_evict(rec.op, self.high_kb);
             let may = |inv: &Inv| *inv == a.inv || self.of(*inv).is_some_and(goes);
             let Some(largest) = self.held.iter().copied().filter(may).max_by_key(key) else { break };
             self.give_up(now, largest, host);
@@ -611,14 +612,15 @@
             let part = if rec.in_share { 1.0 } else { OVER_LINE };
             let room = (FIT * ((rec.goal - now) as f64 - self.need(a.inv))).min(self.shortest * LINE) * part;
             let free = self.cap - self.running as f64 >= self.held.len() as f64;
-            let (line, places) = self.pools.line_of(a.op, rec.in_share).unwrap_or((self.line, self.cap));
+            let (line, places) = self.pools.queue_ahead(a.op, rec.in_share).unwrap_or((self.line, self.cap));
             let ahead = line * self.pace / places - rec.size * self.pace / places;
             let no_calls = self.calls(a.inv) && self.calls_line() > FIT * (rec.goal - now) as f64;
             if !no_calls && (free || ahead <= room.max(0.0)) {
                 break;
             }
             let may = self.held.iter().copied().filter(|inv| !no_calls || self.calls(*inv));
-            let may = may.filter(|inv| self.of(*inv).is_some_and(|rec| self.pools.together(rec.op, a.op)));
+            let may =
+                may.filter(|inv| self.of(*inv).is_some_and(|rec| self.pools.is_same_pool(rec.op, a.op)));
             let Some(victim) = may.min_by(|a, b| self.by_value(*a, *b)) else { break };
             self.shed += self.of(victim).is_some_and(|rec| rec.in_share) as usize;
             self.give_up(now, victim, host);
@@ -657,20 +659,22 @@
     fn draw(&mut self, now: Time, no_calls: bool) -> Option<Inv> {
         let fits = |inv: &&Inv| {
             let calls = no_calls && self.below != Below::Nothing && self.calls(**inv);
-            let grows = |rec: &Rec| rec.kb * (self.blowup - 1.0) + self.pools.kept_kb(rec.op, self.high_kb);
+            let grows = |rec: &Rec| {
+                rec.kb * (self.blowup - 1.0) + self.pools.kb_reserved_by_others(rec.op, self.high_kb)
+            };
             let fits = |rec: &Rec| self.used_kb + grows(rec) <= self.high_kb;
             !calls
                 && self
                     .of(**inv)
-                    .is_some_and(|rec| fits(rec) && self.pools.may_start(now, rec.op, rec.in_share))
+                    .is_some_and(|rec| fits(rec) && self.pools.can_start(now, rec.op, rec.in_share))
         };
         // All may start, as the largest fits: then nothing is copied.
         if !no_calls
-            && self.pools.is_off()
+            && self.pools.is_disabled()
             && self.used_kb + self.kb_most * (self.blowup - 1.0) <= self.high_kb
         {
             let rank = self.rank(self.held.len());
-            return self.ranks.select(rank).map(|key| key.inv);
+            return self.ranks.select(rank).map(|key| key.request);
         }
         let mut ranked: Vec<Inv> = self.held.iter().filter(fits).copied().collect();
         if ranked.is_empty() {
@@ -779,7 +783,7 @@
             let (op, work, placed) = (rec.op, rec.work, rec.placed + now - rec.placed_from);
             self.ops[op].took += placed as f64;
             self.ops[op].hinted += work;
-            self.pools.ended(op, placed, work);
+            self.pools.record_success(op, placed, work);
         }
     }
 
@@ -848,7 +852,7 @@
         if let (true, Some(customer)) = (rec.in_share, rec.customer) {
             self.customers[customer].tokens += 1.0;
         }
-        self.pools.spoilt(op);
+        self.pools.record_drop(op);
         host.throttle(inv, back, stays);
         self.over(now, inv, host);
     }
@@ -859,7 +863,7 @@
         let Some(rec) = self.rec(inv).filter(|rec| !rec.answered) else { return };
         rec.answered = true;
         let (at, op) = (rec.at, rec.op);
-        self.pools.spoilt(op);
+        self.pools.record_drop(op);
         host.error(inv);
         match at {
             At::Held | At::Following => self.over(now, inv, host),
@@ -924,14 +928,14 @@
         match from {
             At::Held => {
                 self.held.retain(|other| *other != inv);
-                self.pools.unheld(rec.op, rec.size, rec.kb, rec.in_share);
-                self.ranks.remove(&Key { size: rec.size, seq: rec.seq, inv });
+                self.pools.dequeue(rec.op, rec.size, rec.kb, rec.in_share);
+                self.ranks.remove(&RankKey { size: rec.size, seq: rec.seq, request: inv });
                 self.kb_most = if self.held.is_empty() { 0.0 } else { self.kb_most };
                 self.line = if self.held.is_empty() { 0.0 } else { self.line - rec.size };
             }
             At::Running => {
                 rec.placed += now - rec.placed_from;
-                self.pools.leaves(rec.op);
+                self.pools.release(rec.op);
                 self.running -= 1;
             }
             At::Asking => self.asking.retain(|other| *other != inv),
@@ -941,11 +945,11 @@
         match to {
             At::Held => {
                 self.held.push(inv);
-                self.ranks.insert(Key { size: rec.size, seq: rec.seq, inv });
+                self.ranks.insert(RankKey { size: rec.size, seq: rec.seq, request: inv });
                 self.kb_most = self.kb_most.max(rec.kb);
-                self.pools.held(now, rec.op, rec.size, rec.kb);
+                self.pools.enqueue(now, rec.op, rec.size, rec.kb);
                 if !rec.in_share {
-                    self.pools.past_share(rec.op, rec.size);
+                    self.pools.mark_over_quota(rec.op, rec.size);
                 }
                 self.line += rec.size;
             }
@@ -954,7 +958,7 @@
                     rec.parked += now - rec.parked_from;
                 }
                 rec.placed_from = now;
-                self.pools.starts(now, rec.op);
+                self.pools.acquire(now, rec.op);
                 self.running += 1;
             }
             At::Asking => self.asking.push(inv),
@@ -1102,8 +1106,8 @@
             host.log(&format!(
                 "{state}: held {held} running {running} cap {cap:.1} pace {pace:.2} wait {wait:.0} ms"
             ));
-            if !self.pools.is_off() {
-                host.log(&format!("pools: {}", self.pools.line()));
+            if !self.pools.is_disabled() {
+                host.log(&format!("pools: {}", self.pools.summary()));
             }
         }
         let slow = self.ops.iter().any(|op| self.call_time > op.set.objective as f64 * CALLS_SLOW);
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -10,7 +10,7 @@
 use crate::pool::{Buf, Outbox, Pool};
 use crate::ready::Ready;
 use crate::rollout::gate::Gate;
-use cypresscleat_concurrency::Setup;
+use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::member::May;
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
@@ -124,11 +124,11 @@
         within: Time,
     },
     /// Other pools of the instance's own from now on.
-    Pools(Setup),
+    Pools(PoolsConfig),
     /// A policy is in force, with its pools, or the instance's own.
     Policy {
         number: u64,
-        pools: Option<Setup>,
+        pools: Option<PoolsConfig>,
     },
     /// The gate stands otherwise: what is held is looked at again.
     Gate,
@@ -273,8 +273,8 @@
     /// Read and not admitted yet, while a change of policy stops all for a moment.
     held: VecDeque<(Time, Rc<Peer>, u32, Invocation)>,
     /// The policy's pools, in place of the instance's own.
-    policy: Option<Setup>,
-    own: Setup,
+    policy: Option<PoolsConfig>,
+    own: PoolsConfig,
     side: Side,
 }
 
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,6 +1,6 @@
 //! Wires the tasks of one app server together, and its signals.
 
-use cypresscleat_concurrency::Setup;
+use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_forwarding::messages::Role;
 use cypresscleat_forwarding::retry;
 use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
@@ -185,7 +185,7 @@
 impl Followed {
     /// Reads the file again. A faulty one changes nothing; what can't change in service is said and left. Returns the pools
     /// that hold from now on, where they are others.
-    fn follow(&mut self) -> Option<Setup> {
+    fn follow(&mut self) -> Option<PoolsConfig> {
         let path = self.path.as_ref()?;
         let new = match operator::read(path, Some(&self.names)) {
             Ok((new, _)) => new,
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -12,7 +12,7 @@
 use crate::relay::Relay;
 use crate::rollout::{Policy, Rollout};
 use cypresscleat_concurrency::limit::Limiter;
-use cypresscleat_concurrency::{Pool, Setup};
+use cypresscleat_concurrency::{PoolConfig, PoolsConfig};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
 use cypresscleat_rollout::{Missing, Rules, WatchRules};
 use cypresscleat_scgi::request::variable;
@@ -33,7 +33,7 @@
     pub scgi: Option<Scgi>,
     pub calls: Option<Backend>,
     /// None: every operation takes what it gets.
-    pub pools: Setup,
+    pub pools: PoolsConfig,
     pub store: Option<Kept>,
     pub tier: Option<Tier>,
     pub keepers: Option<Keepers>,
@@ -118,7 +118,7 @@
             segment: node.get("segment").size(),
             hours: node.find("hours").map(|hours| hours.duration().as_millis() as u64),
         }),
-        pools: root.find("pools").map_or_else(Setup::default, |node| reader.pools(node)),
+        pools: root.find("pools").map_or_else(PoolsConfig::default, |node| reader.pools(node)),
     };
     let direct = operator.rollout.as_ref().is_some_and(|rollout| rollout.relays.is_empty());
     for (key, asks) in [("rollout", direct), ("relay", operator.relay.is_some())] {
@@ -205,11 +205,11 @@
         })
     }
 
-    fn pools(&mut self, node: &Node) -> Setup {
+    fn pools(&mut self, node: &Node) -> PoolsConfig {
         let limiter = match node.get("limiter").text() {
-            "aimd" => Limiter::Aimd { slower: 2.0 },
+            "aimd" => Limiter::Aimd { max_latency_ratio: 2.0 },
             "vegas" => Limiter::Vegas,
-            "pid" => Limiter::Pid { tolerated: 0.1 },
+            "pid" => Limiter::Pid { target_drop_ratio: 0.1 },
             "fixed" => Limiter::Fixed,
             _ => Limiter::Gradient { tolerance: 1.5 },
         };
@@ -230,11 +230,18 @@
             let part = |key: &str| pool.get(key).number();
             let (least, most, weight, reserve) =
                 (part("least"), part("most"), part("weight"), part("reserve"));
-            pools.push(Pool { name: name.clone(), operations, least, most, weight, reserve });
+            pools.push(PoolConfig {
+                name: name.clone(),
+                classes: operations,
+                min_share: least,
+                max_share: most,
+                weight,
+                reserve,
+            });
         }
-        let setup = Setup { pools, limiter };
+        let setup = PoolsConfig { pools, limiter };
         let operations = names.map_or(known.len(), <[String]>::len);
-        for wrong in setup.check(operations) {
+        for wrong in setup.validate(operations) {
             let fields = node.get("pools").fields();
             let (at, path) = match wrong.pool.and_then(|pool| fields.get(pool)) {
                 Some((name, pool)) => (pool, format!("pools.pools.{name}")),
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::leases::Keepers;
 use crate::operator::{self, Wrong};
-use cypresscleat_concurrency::Setup;
+use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::{Rules, Version};
 use cypresscleat_scheduler::api::Time;
 use cypresscleat_settings::Names;
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     pub rules: Rules,
-    pub pools: Option<Setup>,
+    pub pools: Option<PoolsConfig>,
     pub patience: Option<Time>,
     pub retries: Option<f64>,
     /// Of its canonical text.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Reads event batches, hosts one `Brain` per instance, writes one reply per batch. Decides nothing.
 
-use cypresscleat_concurrency::Setup;
+use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
 use cypresscleat_settings::{self as settings, Names, NS};
@@ -194,7 +194,7 @@
             let operations = &settings.operations;
             let objectives: Vec<Time> = operations.iter().map(|op| op.objective).collect();
             let billed: Vec<f64> = operations.iter().map(|op| op.billed).collect();
-            settings.pools = Setup::ruled(&objectives, &billed);
+            settings.pools = PoolsConfig::derive(&objectives, &billed);
         }
         let mut ids = Ids::default();
         let brain = Brain::start(now, settings, &mut Wire { out, who, ids: &mut ids });
@@ -292,7 +292,7 @@
     }
 }
 
-/// With `--pools` the operations are pooled by the rule of `Setup::ruled`.
+/// With `--pools` the operations are pooled by the rule of `PoolsConfig::derive`.
 fn main() {
     let pooled = std::env::args().any(|word| word == "--pools");
     if let Err(what) = serve(io::stdin().lock(), io::stdout().lock(), pooled) {
