--- a/crates/concurrency/src/rank_index.rs
+++ b/crates/concurrency/src/rank_index.rs
@@ -1,81 +1,103 @@
-//! An index for the weighted draw: what is held in order of size, with insertion, removal and the j-th smallest, alone or
-//! over several pools together. Sorted blocks of bounded length: a search over the blocks' last keys, one over a
-//! block. Made against the plain way, which copies all that may start and selects: see `docs/results.md`, where each wins.
+//! An index of queued requests in order of size for the weighted draw: insertion, removal and the request of a given rank, in one
+//! index or over several together.
+//!
+//! Keys stand in sorted blocks of bounded length. A lookup searches the last keys of the blocks, then one block.
 
-/// Size, then age: the order of the draw. Sizes are no NaN.
+use std::cmp::Ordering;
+
+/// A block with more keys is split.
+const MAX_BLOCK_LEN: usize = 128;
+/// A block with fewer keys is merged with a short successor, so that a long queue that has shrunk leaves no row of tiny blocks.
+const MIN_BLOCK_LEN: usize = MAX_BLOCK_LEN / 4;
+/// A successor with fewer keys counts as short.
+const MAX_MERGED_LEN: usize = MAX_BLOCK_LEN / 2;
+
+/// Position of a request in the draw: by size, then by age. The size must not be NaN.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankKey {
+    /// Expected work, scaled as the draw wants it.
     pub size: f64,
+    /// Sequence number of the arrival.
     pub seq: u64,
+    /// Id of the request; not part of the order.
     pub request: usize,
 }
 
 impl RankKey {
-    fn order(&self, other: &RankKey) -> std::cmp::Ordering {
+    fn order(&self, other: &RankKey) -> Ordering {
         self.size.total_cmp(&other.size).then(self.seq.cmp(&other.seq))
     }
-}
 
-/// A block is split past this many.
-const MAX_BLOCK_LEN: usize = 128;
+    fn is_before(&self, other: &RankKey) -> bool {
+        self.order(other).is_lt()
+    }
+}
 
+/// Keys in order, with access by rank.
 #[derive(Clone, Debug, Default)]
 pub struct RankIndex {
-    /// None is empty; all keys of one stand before those of the next.
+    /// No block is empty; all keys of a block precede those of the next.
     blocks: Vec<Vec<RankKey>>,
     len: usize,
 }
 
 impl RankIndex {
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.len
     }
+
+    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The first block whose last key is not before `key`.
-    fn block(&self, key: &RankKey) -> usize {
-        self.blocks.partition_point(|block| block.last().is_some_and(|last| last.order(key).is_lt()))
+    /// Index of the first block whose last key is not before `key`.
+    fn block_of(&self, key: &RankKey) -> usize {
+        self.blocks.partition_point(|block| block.last().is_some_and(|last| last.is_before(key)))
     }
 
+    /// Inserts a key.
     pub fn insert(&mut self, key: RankKey) {
         self.len += 1;
         if self.blocks.is_empty() {
             self.blocks.push(Vec::with_capacity(MAX_BLOCK_LEN));
         }
-        let at = self.block(&key).min(self.blocks.len() - 1);
+        let at = self.block_of(&key).min(self.blocks.len() - 1);
         let block = &mut self.blocks[at];
-        let place = block.partition_point(|known| known.order(&key).is_lt());
-        block.insert(place, key);
+        let position = block.partition_point(|known| known.is_before(&key));
+        block.insert(position, key);
         if block.len() > MAX_BLOCK_LEN {
-            let rest = block.split_off(MAX_BLOCK_LEN / 2);
-            self.blocks.insert(at + 1, rest);
+            let upper_half = block.split_off(MAX_BLOCK_LEN / 2);
+            self.blocks.insert(at + 1, upper_half);
         }
     }
 
-    /// False where it is not here.
+    /// Removes a key; returns whether it was present.
     pub fn remove(&mut self, key: &RankKey) -> bool {
-        let at = self.block(key);
+        let at = self.block_of(key);
         let Some(block) = self.blocks.get_mut(at) else { return false };
-        let Ok(place) = block.binary_search_by(|known| known.order(key)) else { return false };
-        block.remove(place);
+        let Ok(position) = block.binary_search_by(|known| known.order(key)) else { return false };
+        block.remove(position);
         self.len -= 1;
-        let size = block.len();
-        if size == 0 {
+        self.merge_short_blocks(at);
+        true
+    }
+
+    fn merge_short_blocks(&mut self, at: usize) {
+        let len = self.blocks[at].len();
+        if len == 0 {
             self.blocks.remove(at);
-        } else if size < MAX_BLOCK_LEN / 4
-            && at + 1 < self.blocks.len()
-            && self.blocks[at + 1].len() < MAX_BLOCK_LEN / 2
-        {
-            // Guards against many near-empty blocks after a long line has shrunk.
-            let rest = self.blocks.remove(at + 1);
-            self.blocks[at].extend(rest);
+            return;
+        }
+        let has_short_successor = self.blocks.get(at + 1).is_some_and(|next| next.len() < MAX_MERGED_LEN);
+        if len < MIN_BLOCK_LEN && has_short_successor {
+            let next = self.blocks.remove(at + 1);
+            self.blocks[at].extend(next);
         }
-        true
     }
 
-    /// The one with `rank` others before it.
+    /// The key with `rank` keys before it.
     pub fn select(&self, mut rank: usize) -> Option<RankKey> {
         for block in &self.blocks {
             if rank < block.len() {
@@ -86,39 +108,45 @@
         None
     }
 
-    /// How many stand before `key`.
+    /// Number of keys before `key`, which need not be present.
     pub fn rank_of(&self, key: &RankKey) -> usize {
-        let at = self.block(key);
-        let whole: usize = self.blocks[..at].iter().map(Vec::len).sum();
-        whole + self.blocks.get(at).map_or(0, |block| block.partition_point(|known| known.order(key).is_lt()))
+        let at = self.block_of(key);
+        let in_earlier_blocks: usize = self.blocks[..at].iter().map(Vec::len).sum();
+        let in_block =
+            self.blocks.get(at).map_or(0, |block| block.partition_point(|known| known.is_before(key)));
+        in_earlier_blocks + in_block
     }
 
+    /// All keys in order.
     pub fn iter(&self) -> impl Iterator<Item = &RankKey> {
         self.blocks.iter().flatten()
     }
 }
 
-/// The one with `rank` others before it in all of `indexes` together, without merging them: in each index in turn, a search
-/// for a key that has so many before it in all.
+/// The key with `rank` keys before it in all indexes together, without merging them: searches each index in turn for a key with so
+/// many before it.
 pub fn select_across(indexes: &[&RankIndex], rank: usize) -> Option<RankKey> {
     if rank >= indexes.iter().map(|index| index.len()).sum() {
         return None;
     }
-    for (at, index) in indexes.iter().enumerate() {
-        let before = |key: &RankKey| -> usize {
-            let others = indexes.iter().enumerate().filter(|(other, _)| *other != at);
-            others.map(|(_, other)| other.rank_of(key)).sum()
-        };
-        // Ranks in all rise with ranks in one.
-        let (mut low, mut high) = (0, index.len());
-        while low < high {
-            let middle = (low + high) / 2;
-            let Some(key) = index.select(middle) else { break };
-            match (middle + before(&key)).cmp(&rank) {
-                std::cmp::Ordering::Equal => return Some(key),
-                std::cmp::Ordering::Less => low = middle + 1,
-                std::cmp::Ordering::Greater => high = middle,
-            }
+    (0..indexes.len()).find_map(|at| select_within(indexes, at, rank))
+}
+
+/// The key of the index `at` that has `rank` keys before it in all indexes together, if it is there.
+fn select_within(indexes: &[&RankIndex], at: usize, rank: usize) -> Option<RankKey> {
+    let rank_in_others = |key: &RankKey| -> usize {
+        let others = indexes.iter().enumerate().filter(|(other, _)| *other != at);
+        others.map(|(_, other)| other.rank_of(key)).sum()
+    };
+    // Ranks over all indexes rise with those in one.
+    let (mut low, mut high) = (0, indexes[at].len());
+    while low < high {
+        let middle = (low + high) / 2;
+        let key = indexes[at].select(middle)?;
+        match (middle + rank_in_others(&key)).cmp(&rank) {
+            Ordering::Equal => return Some(key),
+            Ordering::Less => low = middle + 1,
+            Ordering::Greater => high = middle,
         }
     }
     None
--- a/crates/concurrency/tests/limits_and_ranks.rs
+++ b/crates/concurrency/tests/limits_and_ranks.rs
@@ -1,4 +1,4 @@
-//! Setups that are wrong, limits by themselves, and the index against a sorted vector.
+//! Validation of the configuration, the adaptive limits by themselves, and the rank index against a sorted vector.
 
 use cypresscleat_concurrency::limit::{Limit, Limiter, Sample};
 use cypresscleat_concurrency::rank_index::{select_across, RankIndex, RankKey};
@@ -20,7 +20,7 @@
 fn validate_reports_every_error() {
     let told = |pools: Vec<PoolConfig>| {
         let setup = PoolsConfig { pools, limiter: Limiter::Fixed };
-        setup.validate(3).iter().map(|wrong| wrong.to_string()).collect::<Vec<_>>()
+        setup.validate(3).err().unwrap_or_default().iter().map(|error| error.to_string()).collect::<Vec<_>>()
     };
     assert!(told(vec![pool("a", &[0], 0.5), pool("b", &[1, 2], 0.5)]).is_empty());
     assert_eq!(
--- a/crates/concurrency/tests/recorded_decisions.rs
+++ b/crates/concurrency/tests/recorded_decisions.rs
@@ -131,7 +131,7 @@
             digest.add(u64::from(pools.can_evict(class, MEMORY_KB)));
             digest.add(u64::from(pools.is_same_pool(class, 2)));
         }
-        pools.for_each_starved(|pool, waits| digest.add(pool as u64 * 2 + u64::from(waits)));
+        pools.visit_starvation(|pool, waits| digest.add(pool as u64 * 2 + u64::from(waits)));
         for view in pools.snapshots() {
             digest.add_f64(view.limit);
             digest.add_f64(view.latency_ratio);
@@ -172,20 +172,17 @@
 fn derived_pools_are_as_recorded() {
     let setup = PoolsConfig::derive(&[500, 200, 900], &[1.0, 0.05, 4.0]);
     assert_eq!(setup.limiter, Limiter::Gradient { tolerance: 1.5 });
-    let found: Vec<_> = setup
-        .pools
-        .iter()
-        .map(|pool| {
-            (pool.name.as_str(), &pool.classes[..], pool.min_share, pool.max_share, pool.weight, pool.reserve)
-        })
-        .collect();
     let third = 0.5 / 3.0;
-    let recorded: [(&str, &[usize], f64, f64, f64, f64); 3] = [
-        ("0", &[0], third, 1.0, 1.0, 0.0),
-        ("1", &[1], third + 0.125, 1.0, 0.1, 0.125),
-        ("2", &[2], third, 1.0, 4.0, 0.0),
-    ];
-    assert_eq!(found, recorded);
+    let pool = |class: usize, min_share, weight, reserve| PoolConfig {
+        name: class.to_string(),
+        classes: vec![class],
+        min_share,
+        max_share: 1.0,
+        weight,
+        reserve,
+    };
+    let recorded = [pool(0, third, 1.0, 0.0), pool(1, third + 0.125, 0.1, 0.125), pool(2, third, 4.0, 0.0)];
+    assert_eq!(setup.pools, recorded);
 }
 
 /// Limits by themselves, far above the few slots of [`play`], where Vegas decreases as well.
--- a/crates/experiments/src/drive.rs
+++ b/crates/experiments/src/drive.rs
@@ -310,7 +310,7 @@
     if brain.pools().is_disabled() {
         return;
     }
-    brain.pools().for_each_starved(|at, waiting| {
+    brain.pools().visit_starvation(|at, waiting| {
         if waits.len() <= at {
             waits.resize(at + 1, None);
             waited.resize(at + 1, 0);
--- a/crates/experiments/tests/pools.rs
+++ b/crates/experiments/tests/pools.rs
@@ -152,7 +152,7 @@
     let over = spread_out(1000, |at| {
         let seed = at as u64 + 1;
         let (day, machine, setup) = any_day(seed);
-        assert!(setup.validate(4).is_empty(), "seed {seed}: {:?}", setup.validate(4));
+        assert_eq!(setup.validate(4), Ok(()), "seed {seed}");
         let played = play(&day, &day.all(), &machine, &setup, false);
         let bound = MAX_STARVATION + (setup.pools.len() + 1) as Time * played.placed.max(SECOND / 10);
         let longest = played.waited.iter().copied().max().unwrap_or(0);
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -12,7 +12,7 @@
 use crate::relay::Relay;
 use crate::rollout::{Policy, Rollout};
 use cypresscleat_concurrency::limit::Limiter;
-use cypresscleat_concurrency::{PoolConfig, PoolsConfig};
+use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
 use cypresscleat_rollout::{Missing, Rules, WatchRules};
 use cypresscleat_scgi::request::variable;
@@ -241,13 +241,17 @@
         }
         let setup = PoolsConfig { pools, limiter };
         let operations = names.map_or(known.len(), <[String]>::len);
-        for wrong in setup.validate(operations) {
+        for error in setup.validate(operations).err().unwrap_or_default() {
             let fields = node.get("pools").fields();
-            let (at, path) = match wrong.pool.and_then(|pool| fields.get(pool)) {
+            let (pool, reason) = match &error {
+                ConfigError::Pool { pool, error } => (fields.get(*pool), error.to_string()),
+                ConfigError::SharesExceedWhole { .. } => (None, error.to_string()),
+            };
+            let (at, path) = match pool {
                 Some((name, pool)) => (pool, format!("pools.pools.{name}")),
                 None => (node.get("pools"), "pools.pools".to_string()),
             };
-            self.fault(at, &path, wrong.what);
+            self.fault(at, &path, reason);
         }
         setup
     }
