--- /dev/null
+++ b/crates/server/tests/operator_interface.rs
@@ -0,0 +1,423 @@
+//! What operators type and what their scripts read: subcommands, flags, exit codes, keys of the operator's file with their defaults,
+//! counters, fields of JSON. Recorded as it stands; a new name comes beside the old one, which stays.
+
+use cypresscleat_demo::{owners, rollout, Place};
+use cypresscleat_fault_injection::{free_port, Order, Process};
+use serde_json::Value;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
+const CONFIG: &str = include_str!("../../demo/config.json");
+const LEASE: Duration = Duration::from_secs(1);
+/// For whatever has to happen at all.
+const PATIENCE: Duration = Duration::from_secs(25);
+
+const SUCCESS: i32 = 0;
+const BAD_INPUT: i32 = 2;
+const DROPPED: i32 = 3;
+const NO_QUORUM: i32 = 4;
+
+/// Runs the program to its end, without the platform's configuration.
+fn run(words: &[&str]) -> Output {
+    let mut command = Command::new(PROGRAM);
+    command.args(words).env_remove("EDGE_CONFIG").env_remove("EDGE_NAME").env("USER", "operator");
+    command.output().expect("to run the program")
+}
+
+fn stdout(output: &Output) -> String {
+    String::from_utf8_lossy(&output.stdout).into_owned()
+}
+
+fn stderr(output: &Output) -> String {
+    String::from_utf8_lossy(&output.stderr).into_owned()
+}
+
+fn recorded(name: &str) -> String {
+    format!("{}/tests/operator_interface/{name}", env!("CARGO_MANIFEST_DIR"))
+}
+
+/// A folder of the test's own, gone with it.
+struct TempFolder(PathBuf);
+
+impl TempFolder {
+    fn new() -> TempFolder {
+        let name = format!("cypresscleat-interface-{}-{}", std::process::id(), free_port().port());
+        let folder = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&folder).expect("a folder");
+        TempFolder(folder)
+    }
+
+    fn file(&self, name: &str, text: &str) -> String {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).expect("to write a file");
+        path.display().to_string()
+    }
+}
+
+impl Drop for TempFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The key `keepers` with addresses where nobody listens.
+fn three_keepers() -> String {
+    let all: Vec<String> =
+        (0..3).map(|at| format!("{{name: \"k{at}\", address: \"{}\"}}", free_port())).collect();
+    format!("keepers: {{lease: 1s, all: [{}]}}\n", all.join(", "))
+}
+
+// ---- subcommands and flags ----
+
+/// The flags of a subcommand as its help shows them: names, values, defaults; without the prose.
+fn flags(help: &str) -> Vec<String> {
+    let is_listed = |line: &&str| line.trim_start().starts_with('-') || line.trim_start().starts_with('<');
+    let datum = |line: &str| {
+        let (names, rest) = line.trim().split_once("  ").unwrap_or((line.trim(), ""));
+        let marks = ["[env: ", "[default: ", "[possible values: "].map(|mark| {
+            let from = rest.find(mark)?;
+            let to = rest[from..].find(']')? + from + 1;
+            // The value of the variable is that of whoever runs the test.
+            let shown = &rest[from..to];
+            Some(shown.split_once('=').map_or(shown.to_string(), |(name, _)| format!("{name}]")))
+        });
+        [Some(names.to_string())].into_iter().chain(marks).flatten().collect::<Vec<_>>().join(" ")
+    };
+    help.lines().filter(is_listed).map(datum).collect()
+}
+
+const OPERATOR: &str = "--operator <FILE>";
+const NAME: &str = "--name <NAME> [env: EDGE_NAME] [default: \"\"]";
+const HELP: &str = "-h, --help";
+
+#[test]
+fn subcommands_take_the_recorded_flags() {
+    let named: &[&str] = &[OPERATOR, NAME, HELP];
+    let rows: [(&str, &[&str]); 12] = [
+        ("", &[OPERATOR, HELP, "-V, --version"]),
+        ("serve", &[OPERATOR, HELP]),
+        ("forward", &[OPERATOR, HELP]),
+        ("plan", &[OPERATOR, HELP]),
+        ("keep", named),
+        ("relay", named),
+        ("tally", named),
+        ("settle", named),
+        ("sums", named),
+        (
+            "owners",
+            &[
+                OPERATOR,
+                NAME,
+                "--json",
+                "--release <DUTY>",
+                "--bar <DUTY>",
+                "--unbar <DUTY>",
+                "--instance <NAME>",
+                HELP,
+            ],
+        ),
+        (
+            "policy",
+            &[
+                "<what> [possible values: check, propose, status, history, show, undo, forget]",
+                OPERATOR,
+                "--text <FILE>",
+                "--why <WORDS> [default: \"\"]",
+                "--by <NAME> [env: USER] [default: operator]",
+                "--version <N>",
+                "--from <N>",
+                "--instance <NAME>",
+                "--relay <ADDRESS>",
+                "--wait <SECONDS> [default: 60]",
+                "--json",
+                HELP,
+            ],
+        ),
+        ("check", &[OPERATOR, "--show", HELP]),
+    ];
+    for (subcommand, expected) in rows {
+        let words: Vec<&str> = [subcommand, "--help"].into_iter().filter(|word| !word.is_empty()).collect();
+        let output = run(&words);
+        assert_eq!(output.status.code(), Some(SUCCESS), "{subcommand}");
+        assert_eq!(flags(&stdout(&output)), expected, "{subcommand}");
+    }
+}
+
+// ---- exit codes ----
+
+#[test]
+fn exit_codes_are_as_recorded() {
+    let folder = TempFolder::new();
+    let empty = &folder.file("empty.cue", "");
+    let faulty = &folder.file("faulty.cue", "pools: {limiter: \"gradeint\", pools: {}}\n");
+    let missing = &folder.0.join("missing.cue").display().to_string();
+    let (good, policy) = (&recorded("required_keys.cue"), &recorded("policy.cue"));
+    // What is run, its exit code, and words that stand on stdout and stderr.
+    let rows: &[(&[&str], i32, &str, &str)] = &[
+        (&["--help"], SUCCESS, "Usage: cypresscleat-server", ""),
+        (&["--version"], SUCCESS, "cypresscleat-server ", ""),
+        (&["nonsense"], BAD_INPUT, "", "unrecognized subcommand 'nonsense'"),
+        (&[], BAD_INPUT, "", "cypresscleat: EDGE_CONFIG is not set"),
+        (&["serve", "--operator", good], BAD_INPUT, "", "cypresscleat: EDGE_CONFIG is not set"),
+        (&["check"], BAD_INPUT, "", "--operator <FILE>"),
+        (&["check", "--operator", good], SUCCESS, ": good; without EDGE_CONFIG names are not checked", ""),
+        (&["check", "--operator", faulty], BAD_INPUT, "gradeint", ""),
+        (&["check", "--operator", missing], BAD_INPUT, "No such file", ""),
+        (&["owners", "--operator", empty], BAD_INPUT, "", ": no keepers"),
+        (&["owners", "--operator", good], NO_QUORUM, "no quorum of keepers answers", ""),
+        (
+            &["owners", "--operator", good, "--release", "tally"],
+            NO_QUORUM,
+            "no quorum of keepers answers",
+            "",
+        ),
+        (&["owners", "--operator", good, "--bar", "tally"], BAD_INPUT, "", "--instance <NAME>"),
+        (
+            &["owners", "--operator", good, "--release", "a", "--unbar", "b", "--instance", "c"],
+            BAD_INPUT,
+            "",
+            "cannot be used with",
+        ),
+        (&["keep", "--operator", good], BAD_INPUT, "", "no name: --name or EDGE_NAME"),
+        (&["keep", "--operator", empty, "--name", "k0"], BAD_INPUT, "", ": no keepers"),
+        (&["relay", "--operator", empty, "--name", "r0"], BAD_INPUT, "", ": no relay"),
+        (&["policy", "check", "--operator", empty, "--text", policy], SUCCESS, "good, 7a94c4ca36152597", ""),
+        (&["policy", "check", "--operator", empty, "--text", faulty], BAD_INPUT, "", "gradeint"),
+        (&["policy", "check", "--operator", empty], BAD_INPUT, "", "--text names the file of the policy"),
+        (&["policy", "status", "--operator", empty], BAD_INPUT, "", "no keepers in the operator's file"),
+        (&["policy", "status", "--operator", good], NO_QUORUM, "", "no quorum of keepers answers"),
+        (
+            &["policy", "status", "--operator", good, "--json"],
+            NO_QUORUM,
+            r#"{"code":4,"error":"no quorum of keepers answers","version":null}"#,
+            "",
+        ),
+        (
+            &["policy", "status", "--operator", empty, "--relay", "127.0.0.1:9"],
+            NO_QUORUM,
+            "",
+            "no relay answers at 127.0.0.1:9",
+        ),
+        (
+            &["policy", "show", "--operator", empty, "--relay", "127.0.0.1:9"],
+            BAD_INPUT,
+            "",
+            "--relay goes with status only",
+        ),
+        (&["policy", "forget", "--operator", good], BAD_INPUT, "", "--instance says which"),
+        (&["policy", "adopt", "--operator", good], BAD_INPUT, "", "invalid value 'adopt'"),
+    ];
+    for (words, code, out, err) in rows {
+        let output = run(words);
+        assert_eq!(output.status.code(), Some(*code), "{words:?}: {}{}", stdout(&output), stderr(&output));
+        assert!(stdout(&output).contains(out), "{words:?}: {}", stdout(&output));
+        assert!(stderr(&output).contains(err), "{words:?}: {}", stderr(&output));
+    }
+}
+
+/// Roles beside the app server that act on a duty, with the key of the operator's file that each needs.
+const DUTY_ROLES: [(&str, &str); 3] = [("tally", "tally"), ("settle", "settle"), ("sums", "sums")];
+
+#[test]
+fn duty_roles_refuse_to_start_without_their_key_or_a_name() {
+    let folder = TempFolder::new();
+    let keepers = folder.file("keepers.cue", &three_keepers());
+    for (role, key) in DUTY_ROLES {
+        let output = run(&[role, "--operator", &keepers, "--name", "n0"]);
+        assert_eq!(output.status.code(), Some(BAD_INPUT), "{role}");
+        assert!(stderr(&output).contains(&format!(": no {key}")), "{role}: {}", stderr(&output));
+        let output = run(&[role, "--operator", &recorded("required_keys.cue")]);
+        assert_eq!(output.status.code(), Some(BAD_INPUT), "{role}");
+        assert!(stderr(&output).contains("no name: --name or EDGE_NAME"), "{role}: {}", stderr(&output));
+    }
+}
+
+// ---- the operator's file ----
+
+#[test]
+fn operator_keys_and_defaults_are_as_recorded() {
+    for name in ["required_keys", "every_key"] {
+        let output = run(&["check", "--show", "--operator", &recorded(&format!("{name}.cue"))]);
+        assert_eq!(output.status.code(), Some(SUCCESS), "{}", stdout(&output));
+        let shown = std::fs::read_to_string(recorded(&format!("{name}.shown"))).expect("the recording");
+        assert_eq!(stdout(&output), shown, "{name}");
+    }
+}
+
+// ---- counters ----
+
+fn counter_names(line: &str) -> Vec<&str> {
+    line.split(", ").filter_map(|pair| pair.split(' ').next()).collect()
+}
+
+#[test]
+fn app_server_prints_its_counters_in_the_recorded_order() {
+    let (mut place, _kernel) = Place::up(Path::new(PROGRAM), CONFIG, |all| all["stop_ms"] = 500.into());
+    place.signal("USR1");
+    let line = place.logged("connections ");
+    let expected = [
+        "connections",
+        "accept_errors",
+        "idle_closed",
+        "stuck_closed",
+        "silent_closed",
+        "turned_away",
+        "checks",
+        "invocations",
+        "open_most",
+        "policy_held",
+        "policy_refused",
+        "tokens_refused",
+        "resent",
+        "malformed",
+        "caller_left",
+        "succeeded",
+        "throttled",
+        "errored",
+        "late_answers",
+        "runs",
+        "stops",
+        "runs_succeeded",
+        "runs_errored",
+        "runs_stopped",
+        "kernel_links",
+        "kernel_resent",
+        "kernel_rejected",
+        "calls",
+        "calls_succeeded",
+        "calls_throttled",
+        "calls_errored",
+        "calls_expired",
+        "calls_lost",
+        "calls_abandoned",
+        "tried_again",
+        "rows",
+        "recorded",
+        "unrecorded",
+        "repeated",
+        "reports",
+        "reports_lost",
+        "reloads",
+        "clock_late_ms",
+    ];
+    assert_eq!(counter_names(line.trim_start_matches("cypresscleat: ")), expected);
+    place.signal("TERM");
+    let last = place.logged("stopped: connections ");
+    let last = last.trim_start_matches("cypresscleat: ").trim_start_matches("stopped: ");
+    assert_eq!(counter_names(last), expected);
+    assert!(place.exit().success());
+}
+
+#[test]
+fn relay_prints_its_counters_in_the_recorded_order() {
+    let folder = TempFolder::new();
+    let (listen, disk) = (free_port(), folder.0.join("disk"));
+    let text = format!("{}relay: {{listen: \"{listen}\", folder: {disk:?}}}\n", three_keepers());
+    let path = folder.file("relay.cue", &text);
+    let mut relay = Process::new("r0", Path::new(PROGRAM), &["relay", "--operator", &path, "--name", "r0"]);
+    relay.start();
+    assert!(relay.logged("relay r0 hears members at ", 0, PATIENCE).is_some());
+    relay.signal("USR1");
+    let at = relay.logged("asks ", 0, PATIENCE).expect("the counters");
+    let line = relay.log()[at - 1].1.clone();
+    let expected = [
+        "asks",
+        "told",
+        "texts",
+        "up",
+        "heard",
+        "strangers",
+        "garbled",
+        "unsent",
+        "kept",
+        "unkept",
+        "members",
+        "in_force",
+    ];
+    assert_eq!(counter_names(line.trim_start_matches("cypresscleat: ")), expected);
+}
+
+// ---- JSON ----
+
+fn fields(value: &Value) -> Vec<&str> {
+    let mut fields: Vec<&str> = value.as_object().expect("an object").keys().map(String::as_str).collect();
+    fields.sort_unstable();
+    fields
+}
+
+const ACT_FIELDS: [&str; 7] = ["at_ns", "by", "duty", "item", "resource", "taken", "token"];
+const OWNERSHIP_FIELDS: [&str; 5] = ["at_ns", "duty", "event", "owner", "token"];
+
+#[test]
+fn owners_and_the_journal_of_the_demo_have_the_recorded_fields() {
+    let (program, every) = (Path::new(PROGRAM), Duration::from_millis(20));
+    let setup =
+        owners::Setup { program, keepers: 3, instances: 1, parts: 1, lease: LEASE, every, seed: 1, drift: 0 };
+    let mut stage = owners::Stage::start(&setup);
+    assert!(stage.progress(3, PATIENCE), "nobody began\n{}", stage.logs());
+    stage.obey(&Order::Keep("k0".into()));
+    let (lines, code) = stage.owners();
+    assert_eq!((lines.len(), code), (1, SUCCESS));
+    let expected = ["cursor", "duty", "last_done_ms_ago", "lease_left_ms", "owner", "part", "token"];
+    assert_eq!(fields(&lines[0]), expected);
+    let path = stage.folder().join("journal.json");
+    stage.write(&path).expect("to write the journal");
+    let text = std::fs::read_to_string(&path).expect("the journal");
+    let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+    let (mut acts, mut ownership, mut faults) = (0, 0, 0);
+    for line in &lines {
+        let fields = fields(line);
+        acts += usize::from(fields == ACT_FIELDS);
+        ownership += usize::from(fields == OWNERSHIP_FIELDS);
+        faults += usize::from(fields == ["at_ns", "fault"]);
+    }
+    assert!(acts > 0 && ownership > 0 && faults == 1, "{acts} {ownership} {faults}\n{text}");
+    assert_eq!(acts + ownership + faults, lines.len(), "{text}");
+}
+
+#[test]
+fn policy_and_the_test_journal_have_the_recorded_fields() {
+    let (program, more, own) = (Path::new(PROGRAM), |_| String::new(), |_, _: &mut Value| {});
+    let setup =
+        rollout::Setup { program, config: CONFIG, keepers: 3, members: 1, more: &more, own: &own, seed: 1 };
+    let mut stage = rollout::Stage::start(&setup);
+    assert!(stage.all_have(0, 1, PATIENCE), "they never began");
+    let (lines, code) = stage.propose("lease: 1s\n", 20);
+    assert_eq!((fields(&lines[0]), code), (vec!["taken", "version"], SUCCESS));
+    assert!(stage.all_have(1, 1, PATIENCE) && stage.serve_under(1, &[0], PATIENCE));
+
+    let (lines, code) = stage.policy(&["status"]);
+    assert_eq!((fields(&lines[0]), code), (vec!["change", "in_force", "members"], SUCCESS));
+    let member = ["member", "silent_ms", "stopped", "verdict", "version"];
+    assert_eq!(fields(&lines[0]["members"][0]), member);
+
+    let version = ["at_ms", "by", "from", "hash", "undoes", "version", "why"];
+    let (lines, code) = stage.policy(&["history"]);
+    assert_eq!((fields(&lines[0]), code), (vec!["in_force", "of", "taken"], SUCCESS));
+    assert_eq!(fields(&lines[0]["of"]), version);
+    let (lines, code) = stage.policy(&["show"]);
+    let shown = ["at_ms", "by", "from", "hash", "text", "undoes", "version", "why"];
+    assert_eq!((fields(&lines[0]), code), (shown.to_vec(), SUCCESS));
+
+    let text = recorded("policy.cue");
+    let (lines, code) = stage.policy(&["propose", "--text", &text, "--from", "0"]);
+    assert_eq!((fields(&lines[0]), code), (vec!["code", "error", "version"], DROPPED));
+
+    stage.load(1, Duration::from_millis(20));
+    let admitted = ["at_ns", "event", "invocation", "member", "version"];
+    let until = Instant::now() + PATIENCE;
+    while !stage.journal().iter().any(|line| fields(line) == admitted) {
+        assert!(Instant::now() < until, "nothing was admitted");
+        thread::sleep(Duration::from_millis(20));
+    }
+    let by_keepers = ["at_ns", "event", "version"];
+    let by_members = ["at_ns", "event", "member", "version"];
+    for line in stage.journal() {
+        let fields = fields(&line);
+        assert!(fields == admitted || fields == by_keepers || fields == by_members, "{line}");
+    }
+    stage.rests();
+}
