--- /dev/null
+++ b/crates/server/tests/store_golden.rs
@@ -0,0 +1,169 @@
+//! What the server keeps in its store stays as it is: rows recorded from commit 67fc394 are read, and written again equal. The
+//! files under `tests/golden/store` were written by the program of that commit with `recorded_jobs` and `write_recorded_rows`.
+
+use cypresscleat_server::core::keeping::{Job, Keeping, Loaded, Ran, Row, Token};
+use cypresscleat_server::hours::{self, Hours, Sum};
+use cypresscleat_store::disk::{Disk, Folder};
+use cypresscleat_store::{Options, Store};
+use std::path::{Path, PathBuf};
+
+/// Milliseconds that one span of summed billing rows covers.
+const SPAN: u64 = 3_600_000;
+
+/// Key and value of each row, in order; bytes that are no text stand as `\xNN`.
+const ROWS: [(&str, &str); 8] = [
+    ("b/0001700000000042/00000000000000a1", "put,acme,2.5,1700000000000,1700000000042,succeeded"),
+    ("b/0001700000000043/00000000000000a5", "put,acme,1,1700000000000,1700000000043,succeeded"),
+    ("b/0001700005000000/00000000000000a2", "report,,0.125,1700000000000,1700005000000,succeeded"),
+    ("h/3600000/000000472222", "1,2500"),
+    ("l/3600000/000000472223", "1,1000"),
+    ("o/00000000000000a4", "report,,1700000000001"),
+    ("t/order-17", "\\x08\\x07\\x06\\x05\\x04\\x03\\x02\\x01\\xc07\\xff\\x1ev\\x0f\\x00\\x00\\x01done"),
+    ("t/order-18", "\\x12\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\xc07\\xff\\x1ev\\x0f\\x00\\x00\\x00"),
+];
+
+fn token(said: u64) -> Token {
+    Token { said, until: 17_000_000_600_000, ran: Ran::Begun }
+}
+
+/// The jobs of two tokens, of which one ends with a result, two billing rows, and two requests that a drain cut off, of which
+/// one is answered after all.
+fn recorded_jobs() -> Vec<Job> {
+    let (to, jobs) = std::sync::mpsc::sync_channel(64);
+    let (mut keeping, _) = Keeping::new(to, true, false, Loaded::default());
+    for (name, said) in [("order-17", 0x0102_0304_0506_0708), ("order-18", 18)] {
+        keeping.remember(name.into(), token(said));
+        keeping.begins(name);
+    }
+    let (came, now) = (17_000_000_000_000, 17_000_000_000_420);
+    let (txn, customer) = (b"00000000000000a1", "acme");
+    let row = Row { txn, operation: "put", customer, billed: 2.5, came, now };
+    keeping.bill(&row, Some("order-17"), b"done");
+    let (txn, customer, now) = (b"00000000000000a2", "", 17_000_050_000_000);
+    let row = Row { txn, operation: "report", customer, billed: 0.125, came, now };
+    keeping.bill(&row, None, b"");
+    let cut_off = [
+        (*b"00000000000000a3", "put,acme,1700000000000".to_string()),
+        (*b"00000000000000a4", "report,,1700000000001".to_string()),
+    ];
+    keeping.owes(cut_off.into_iter());
+    keeping.owes_no_more(b"00000000000000a3");
+    jobs.try_iter().collect()
+}
+
+/// Writes the jobs as the store's thread does, a commit for each, and a billing row that comes late.
+fn write_recorded_rows(store: &mut Store<impl Disk>) -> Hours {
+    let mut hours = Hours::load(store, SPAN).expect("no rows yet");
+    let mut put = |store: &mut Store<_>, key: &[u8], value: &[u8]| {
+        for (key, value) in hours.writes(key, value) {
+            store.put(&key, &value).expect("a write");
+        }
+        store.put(key, value).expect("a write");
+    };
+    for job in recorded_jobs() {
+        for (key, value) in job.writes {
+            match value {
+                Some(value) => put(store, &key, &value),
+                None => drop(store.remove(&key).expect("a removal")),
+            }
+        }
+        store.commit(true).expect("a commit");
+    }
+    put(store, ROWS[1].0.as_bytes(), ROWS[1].1.as_bytes());
+    store.commit(true).expect("a commit");
+    hours
+}
+
+fn shown(bytes: &[u8]) -> String {
+    bytes
+        .iter()
+        .flat_map(|byte| {
+            if byte.is_ascii_graphic() {
+                vec![char::from(*byte)]
+            } else {
+                format!("\\x{byte:02x}").chars().collect()
+            }
+        })
+        .collect()
+}
+
+fn rows(store: &mut Store<impl Disk>) -> Vec<(String, String)> {
+    let snapshot = store.snapshot();
+    let read = |key: &[u8]| store.get_at(&snapshot, key).expect("to be read").expect("a value");
+    snapshot
+        .keys(b"")
+        .map(read)
+        .zip(snapshot.keys(b""))
+        .map(|(value, key)| (shown(key), shown(&value)))
+        .collect()
+}
+
+fn recorded_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/store")
+}
+
+/// A folder for one test, with a folder `store` in it where the store goes.
+fn empty_folder(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("cypresscleat-kept-golden-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(path.join("store")).expect("a folder");
+    path
+}
+
+fn open(folder: &Path) -> Store<Folder> {
+    Store::open(Folder::open(folder).expect("a folder"), Options::default()).expect("a store")
+}
+
+fn segments(folder: &Path) -> Vec<(std::ffi::OsString, Vec<u8>)> {
+    let entries = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry"));
+    let all = entries.map(|entry| (entry.file_name(), std::fs::read(entry.path()).expect("its bytes")));
+    let mut all: Vec<_> = all.filter(|(name, _)| name != "LOCK").collect();
+    all.sort();
+    all
+}
+
+fn expected_rows() -> Vec<(String, String)> {
+    ROWS.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect()
+}
+
+#[test]
+fn rows_are_written_with_their_recorded_bytes() {
+    let path = empty_folder("written");
+    let folder = path.join("store");
+    let mut store = open(&folder);
+    let mut hours = write_recorded_rows(&mut store);
+    assert_eq!(rows(&mut store), expected_rows());
+    drop(store);
+    assert_eq!(segments(&folder), segments(&recorded_folder()));
+    hours.hands_out(&folder).expect("handed out");
+    let recorded = std::fs::read(hours::handed(&recorded_folder())).expect("the recorded hours");
+    assert_eq!(std::fs::read(hours::handed(&folder)).expect("hours"), recorded);
+    std::fs::remove_dir_all(&path).expect("to clean up");
+}
+
+#[test]
+fn rows_of_67fc394_are_read_and_written_on() {
+    let path = empty_folder("read");
+    let folder = path.join("store");
+    for (name, bytes) in segments(&recorded_folder()) {
+        std::fs::write(folder.join(name), bytes).expect("to copy");
+    }
+    let mut store = open(&folder);
+    assert_eq!(rows(&mut store), expected_rows());
+    let loaded = Loaded::read(&mut store).expect("to be read");
+    let done = Token { ran: Ran::Done(b"done".to_vec()), ..token(0x0102_0304_0506_0708) };
+    assert_eq!(loaded.tokens, [("order-17".to_string(), done), ("order-18".to_string(), token(18))]);
+    let cut_off = (b"o/00000000000000a4".to_vec(), "00000000000000a4 report,,1700000000001".to_string());
+    assert_eq!(loaded.cut_off, [cut_off]);
+    let mut hours = Hours::load(&mut store, SPAN).expect("sums");
+    assert_eq!(hours.closed, [(472_222, Sum { rows: 1, milli: 2500 })]);
+    // The open hour is summed from its own row and the late one.
+    assert_eq!(hours.closes(472_224), [(b"h/3600000/000000472223".to_vec(), b"2,1125".to_vec())]);
+    for (key, value) in hours.all_closed() {
+        store.put(&key, &value).expect("a write");
+    }
+    store.commit(true).expect("a commit");
+    drop(store);
+    assert_eq!(rows(&mut open(&folder)).len(), ROWS.len() + 1);
+    std::fs::remove_dir_all(&path).expect("to clean up");
+}
--- /dev/null
+++ b/crates/store/tests/golden.rs
@@ -0,0 +1,195 @@
+//! The format of stored data stays: bytes recorded from commit 67fc394 are read, and written again equal. The files under
+//! `tests/golden/folder` were written by the program of that commit with `write_recorded_workload`.
+
+use cypresscleat_store::disk::{Disk, Folder};
+use cypresscleat_store::format::{self, Header, Hint, Kind};
+use cypresscleat_store::{Options, Store};
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+const OPTIONS: Options = Options { segment: 600, dead: 0.4, step: 300, salvage: false };
+
+/// Segment header: magic, first and last segment, length of the one before, CRC-32.
+const HEADER: &str = "43434c4541545331020100000000000003020000000000000403000000000000d5c8397c";
+/// Records of a put, a removal and a mark behind one another.
+const PUT: &str = "130000004045c06b08070605040302010103006b657976616c7565";
+const REMOVE: &str = "0e0000006bb0793709070605040302010203006b6579";
+const MARK: &str = "130000005111f6070a070605040302010300002c01000000000000";
+/// Hints of a segment of 300 bytes: a put and a removal.
+const HINTS: &str = "2c0100000000000008070605040302010124000000000000001b00000003006b65790907060504030201023f00000000000000160000000400676f6e65d012a1cd";
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn recorded_header() -> Header {
+    Header { from: 0x0102, to: 0x0203, before: 0x0304 }
+}
+
+fn recorded_hints() -> Vec<Hint> {
+    vec![
+        Hint { seq: 0x0102_0304_0506_0708, kind: Kind::Put, offset: 36, size: 27, key: b"key".to_vec() },
+        Hint { seq: 0x0102_0304_0506_0709, kind: Kind::Remove, offset: 63, size: 22, key: b"gone".to_vec() },
+    ]
+}
+
+#[test]
+fn segment_header_has_its_recorded_bytes() {
+    let bytes = recorded_header().write();
+    assert_eq!(hex(&bytes), HEADER);
+    assert_eq!(Header::read(&bytes), Ok(recorded_header()));
+}
+
+#[test]
+fn records_have_their_recorded_bytes() {
+    let length = 300u64.to_le_bytes();
+    let records: [(Kind, u64, &[u8], &[u8], &str); 3] = [
+        (Kind::Put, 0x0102_0304_0506_0708, b"key", b"value", PUT),
+        (Kind::Remove, 0x0102_0304_0506_0709, b"key", b"", REMOVE),
+        (Kind::Mark, 0x0102_0304_0506_070a, b"", &length, MARK),
+    ];
+    for (kind, seq, key, value, recorded) in records {
+        let mut bytes = Vec::new();
+        let size = format::write(&mut bytes, seq, kind, key, value);
+        assert_eq!((hex(&bytes).as_str(), size), (recorded, bytes.len()), "{kind:?}");
+        let record = format::read(&bytes).expect("a whole record");
+        assert_eq!((record.kind, record.seq, record.key, record.value), (kind, seq, key, value));
+    }
+}
+
+#[test]
+fn hints_have_their_recorded_bytes() {
+    let bytes = format::write_hints(300, &recorded_hints());
+    assert_eq!(hex(&bytes), HINTS);
+    assert_eq!(format::read_hints(&bytes, 300), Some(recorded_hints()));
+    assert_eq!(format::read_hints(&bytes, 301), None, "of another length");
+}
+
+#[test]
+fn segment_names_are_as_recorded() {
+    assert_eq!(format::segment_name(0xabc, 0x1f), "0000000000000abc-0000001f.seg");
+    assert_eq!(format::parse_name("0000000000000abc-0000001f.seg", ".seg"), Some((0xabc, 0x1f)));
+}
+
+/// The workload whose files are checked in: overwrites, removals, rotation and one compaction. Each commit is synced.
+fn write_recorded_workload(store: &mut Store<impl Disk>) {
+    for step in 0..70u32 {
+        let key = format!("key{:02}", step * 7 % 17);
+        if step % 10 == 3 {
+            store.remove(key.as_bytes()).expect("a removal");
+        } else {
+            store.put(key.as_bytes(), &vec![step as u8; (step * 11 % 50) as usize]).expect("a write");
+        }
+        if step % 4 == 3 {
+            store.commit(true).expect("a commit");
+        }
+        if step == 50 {
+            while store.compact_step().expect("a step") {}
+        }
+    }
+    store.commit(true).expect("a commit");
+    store.put(b"last", b"behind the mark").expect("a write");
+    store.commit(true).expect("a commit");
+}
+
+/// What the workload leaves, by a plain map.
+fn recorded_contents() -> BTreeMap<Vec<u8>, Vec<u8>> {
+    let mut map = BTreeMap::new();
+    for step in 0..70u32 {
+        let key = format!("key{:02}", step * 7 % 17).into_bytes();
+        if step % 10 == 3 {
+            map.remove(&key);
+        } else {
+            map.insert(key, vec![step as u8; (step * 11 % 50) as usize]);
+        }
+    }
+    map.insert(b"last".to_vec(), b"behind the mark".to_vec());
+    map
+}
+
+fn recorded_files() -> BTreeMap<String, Vec<u8>> {
+    files(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/folder"))
+}
+
+/// Name and bytes of each file but the lock.
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = std::fs::read_dir(folder).expect("the folder").map(|entry| entry.expect("an entry"));
+    let named = entries.map(|entry| {
+        let name = entry.file_name().into_string().expect("a plain name");
+        (name, std::fs::read(entry.path()).expect("its bytes"))
+    });
+    named.filter(|(name, _)| name != "LOCK").collect()
+}
+
+fn empty_folder(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("cypresscleat-store-golden-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    path
+}
+
+fn contents(store: &mut Store<impl Disk>) -> BTreeMap<Vec<u8>, Vec<u8>> {
+    let snapshot = store.snapshot();
+    let keys: Vec<Vec<u8>> = snapshot.keys(b"").map(<[u8]>::to_vec).collect();
+    keys.into_iter()
+        .map(|key| {
+            let value = store.get(&key).expect("to be read").expect("a value");
+            (key, value)
+        })
+        .collect()
+}
+
+#[test]
+fn the_recorded_workload_writes_the_recorded_files() {
+    let path = empty_folder("written");
+    let mut store = Store::open(Folder::open(&path).expect("a folder"), OPTIONS).expect("an empty store");
+    write_recorded_workload(&mut store);
+    drop(store);
+    let (written, recorded) = (files(&path), recorded_files());
+    assert_eq!(written.keys().collect::<Vec<_>>(), recorded.keys().collect::<Vec<_>>());
+    for (name, bytes) in &recorded {
+        assert_eq!(hex(&written[name]), hex(bytes), "{name}");
+    }
+    std::fs::remove_dir_all(&path).expect("to clean up");
+}
+
+#[test]
+fn a_folder_of_67fc394_opens_and_is_written_on() {
+    for with_hints in [true, false] {
+        let path = empty_folder(if with_hints { "hinted" } else { "unhinted" });
+        std::fs::create_dir_all(&path).expect("a folder");
+        for (name, bytes) in recorded_files() {
+            if with_hints || name.ends_with(".seg") {
+                std::fs::write(path.join(name), bytes).expect("to copy");
+            }
+        }
+        let open = || Store::open(Folder::open(&path).expect("a folder"), OPTIONS).expect("a store");
+        let mut store = open();
+        let stats = store.stats();
+        assert_eq!(
+            (stats.keys, stats.segments, stats.bytes, stats.live, stats.last, stats.torn),
+            (16, 5, 2238, 779, 95, 0)
+        );
+        assert_eq!(contents(&mut store), recorded_contents());
+        assert_eq!(store.verify(), Vec::new());
+        if with_hints {
+            drop(store);
+            assert_eq!(files(&path), recorded_files(), "opening changes no file");
+            store = open();
+        }
+        let mut expected = recorded_contents();
+        store.put(b"key00", b"today").expect("a write");
+        store.remove(b"key01").expect("a removal");
+        store.commit(true).expect("a commit");
+        expected.insert(b"key00".to_vec(), b"today".to_vec());
+        expected.remove(b"key01".as_slice());
+        let mut store = {
+            drop(store);
+            open()
+        };
+        assert_eq!(contents(&mut store), expected);
+        store.compact_all().expect("compacted");
+        drop(store);
+        assert_eq!(contents(&mut open()), expected);
+        std::fs::remove_dir_all(&path).expect("to clean up");
+    }
+}
