--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -38,7 +38,7 @@
     }
     /// As a keeper reads it at its start, through a real store.
     fn read(&self) -> Kept {
-        let disk = cypresscleat_store::sim::SimDisk::default();
+        let disk = cypresscleat_store::simulation::SimulatedDisk::default();
         let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("an empty disk");
         for (key, value) in &self.kept {
             store.put(key, value).expect("room");
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -87,9 +87,11 @@
 }
 
 fn read(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> Kept {
-    let mut store =
-        cypresscleat_store::Store::open(cypresscleat_store::sim::SimDisk::default(), Default::default())
-            .expect("an empty disk");
+    let mut store = cypresscleat_store::Store::open(
+        cypresscleat_store::simulation::SimulatedDisk::default(),
+        Default::default(),
+    )
+    .expect("an empty disk");
     disk.iter().for_each(|(key, value)| drop(store.put(key, value)));
     store.commit(true).expect("a good disk");
     cypresscleat_consensus::kept::read(&mut store).expect("it can be read")
--- a/crates/server/src/hours.rs
+++ b/crates/server/src/hours.rs
@@ -11,8 +11,8 @@
 //! The open hour is summed again from its rows when a store is opened. While an instance lives it holds its store, so it hands out
 //! the closed hours as a file beside the folder, `FOLDER.hours`, replaced as a whole after the commit that closed one.
 
-use cypresscleat_store::disk::{Disk, Folder};
-use cypresscleat_store::{Error, Options, Result, Store};
+use cypresscleat_store::disk::{Disk, DiskDirectory};
+use cypresscleat_store::{Error, Result, Store, StoreOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
@@ -180,11 +180,11 @@
     unix_ms: u64,
 ) -> std::result::Result<Vec<(u64, Sum)>, String> {
     let said = |error: Error| error.to_string();
-    let mut all = match Folder::open(folder) {
+    let mut all = match DiskDirectory::open(folder) {
         Err(Error::Locked) => read_handed(folder, span)?,
         Err(error) => return Err(said(error)),
         Ok(disk) => {
-            let mut store = Store::open(disk, Options::default()).map_err(said)?;
+            let mut store = Store::open(disk, StoreOptions::default()).map_err(said)?;
             let mut hours = Hours::load(&mut store, span).map_err(said)?;
             hours.closes_at(unix_ms);
             // What is told of is closed for good, before a word of it leaves: its instance counts later rows elsewhere.
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -12,7 +12,7 @@
 use cypresscleat_leases::{node_id, NodeId};
 use cypresscleat_rollout::policies::News;
 use cypresscleat_rollout::{desk as policy, said as policies};
-use cypresscleat_store::disk::Folder;
+use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{Error, Store};
 use std::collections::HashMap;
 use std::io;
@@ -44,7 +44,7 @@
 
 /// The disk's own number, and the store in the folder. A folder that was copied, or has no number, counts as empty; what stood
 /// in it is set aside, as `aside`.
-fn open(name: &str, folder: &Path) -> io::Result<(u64, Store<Folder>)> {
+fn open(name: &str, folder: &Path) -> io::Result<(u64, Store<DiskDirectory>)> {
     let (identity, log, marked) = (folder.join("identity"), folder.join("log"), folder.join("marks"));
     std::fs::create_dir_all(folder)?;
     let known =
@@ -69,9 +69,9 @@
     }
     let text = std::fs::read_to_string(&identity)?;
     let disk = u64::from_str_radix(text.trim(), 16).map_err(|_| other("no number in identity"))?;
-    let mut files = Folder::open(&log).map_err(other)?;
+    let mut files = DiskDirectory::open(&log).map_err(other)?;
     if let Some(many) = std::env::var("CLEAT_TEST_SYNCS").ok().and_then(|many| many.parse().ok()) {
-        files.fails_after(many);
+        files.fail_syncs_after(many);
     }
     let store = Store::open(files, Default::default()).map_err(other)?;
     Ok((disk, store))
@@ -84,7 +84,7 @@
 }
 
 struct Kept0 {
-    store: Store<Folder>,
+    store: Store<DiskDirectory>,
     folder: PathBuf,
 }
 
--- a/crates/server/src/leases/settle.rs
+++ b/crates/server/src/leases/settle.rs
@@ -15,8 +15,8 @@
 use crate::core::keeping::{Loaded, Ran};
 use crate::log;
 use cypresscleat_leases::{node_id, Time};
-use cypresscleat_store::disk::Folder;
-use cypresscleat_store::{Error, Options, Store};
+use cypresscleat_store::disk::DiskDirectory;
+use cypresscleat_store::{Error, Store, StoreOptions};
 use serde_json::json;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
@@ -47,11 +47,11 @@
     if !folder.is_dir() {
         return Ok(None);
     }
-    let disk = match Folder::open(folder) {
+    let disk = match DiskDirectory::open(folder) {
         Err(Error::Locked) => return Ok(None),
         other => other.map_err(|error| error.to_string())?,
     };
-    let mut store = Store::open(disk, Options::default()).map_err(|error| error.to_string())?;
+    let mut store = Store::open(disk, StoreOptions::default()).map_err(|error| error.to_string())?;
     let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
     let owed =
         loaded.cut_off.into_iter().map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
--- a/crates/server/src/recovery.rs
+++ b/crates/server/src/recovery.rs
@@ -5,8 +5,8 @@
 use crate::core::Note;
 use crate::hours::Hours;
 use crate::{clock, log};
-use cypresscleat_store::disk::Folder;
-use cypresscleat_store::{Options, Store};
+use cypresscleat_store::disk::DiskDirectory;
+use cypresscleat_store::{Store, StoreOptions};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
 use std::thread::JoinHandle;
@@ -42,7 +42,7 @@
     hours: Option<u64>,
     notes: Sender<Note>,
 ) -> Result<(SyncSender<Job>, Loaded, JoinHandle<()>), String> {
-    let options = Options { segment, ..Options::default() };
+    let options = StoreOptions { max_segment_bytes: segment, ..StoreOptions::default() };
     let disk = held(folder)?;
     let mut store = Store::open(disk, options).map_err(|error| error.to_string())?;
     let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
@@ -51,7 +51,7 @@
         "store: {} keys in {} segments, {} bytes dropped behind the end, {} tokens, {} invocations cut off",
         stats.keys,
         stats.segments,
-        stats.torn,
+        stats.torn_bytes,
         loaded.tokens.len(),
         loaded.cut_off.len()
     );
@@ -82,10 +82,10 @@
 }
 
 /// The folder, held. Whoever settles for this instance while it is down holds it for a moment at a time.
-fn held(folder: &Path) -> Result<Folder, String> {
+fn held(folder: &Path) -> Result<DiskDirectory, String> {
     let until = Instant::now() + MOMENT;
     loop {
-        match Folder::open(folder) {
+        match DiskDirectory::open(folder) {
             Err(cypresscleat_store::Error::Locked) if Instant::now() < until => {
                 std::thread::sleep(Duration::from_millis(10))
             }
@@ -129,14 +129,14 @@
     (clock::unix() / 10) as u64
 }
 
-fn put(store: &mut Store<Folder>, writes: Vec<(Vec<u8>, Vec<u8>)>) -> Result<(), String> {
+fn put(store: &mut Store<DiskDirectory>, writes: Vec<(Vec<u8>, Vec<u8>)>) -> Result<(), String> {
     writes
         .iter()
         .try_for_each(|(key, value)| store.put(key, value).map(|_| ()).map_err(|error| error.to_string()))
 }
 
 fn keep(
-    mut store: Store<Folder>,
+    mut store: Store<DiskDirectory>,
     durability: Durability,
     mut summed: Option<Summed>,
     jobs: &Receiver<Job>,
@@ -192,7 +192,7 @@
     }
 }
 
-fn write(store: &mut Store<Folder>, summed: &mut Option<Summed>, job: Job) -> Result<(), String> {
+fn write(store: &mut Store<DiskDirectory>, summed: &mut Option<Summed>, job: Job) -> Result<(), String> {
     for (key, value) in job.writes {
         if let (Some(summed), Some(value)) = (summed.as_mut(), &value) {
             // Before the row: a first part of these writes never has a row behind an hour that is not closed.
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -408,7 +408,7 @@
     };
     // The second one was killed: rows, no sums.
     {
-        let disk = cypresscleat_store::disk::Folder::open(&folders[1]).expect("a folder");
+        let disk = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a folder");
         let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
         for number in 0..70 {
             let (key, value) = row(number);
@@ -468,7 +468,7 @@
 
 /// A store as an instance leaves it that is killed: so many invocations taken in, one token begun, one done.
 fn left_behind(folder: &Path, many: u64) {
-    let disk = cypresscleat_store::disk::Folder::open(folder).expect("a folder");
+    let disk = cypresscleat_store::disk::DiskDirectory::open(folder).expect("a folder");
     let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
     for number in 0..many {
         store.put(format!("o/{number:016x}").as_bytes(), b"report, taken in").expect("room");
@@ -487,7 +487,7 @@
     left_behind(&folders[0], 300);
     left_behind(&folders[1], 20);
     // The second one's instance is here: it settles by itself.
-    let held = cypresscleat_store::disk::Folder::open(&folders[1]).expect("a folder");
+    let held = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a folder");
     let list: Vec<String> =
         folders.iter().map(|folder| format!("{:?}", folder.display().to_string())).collect();
     let rest =
--- a/crates/server/tests/starts.rs
+++ b/crates/server/tests/starts.rs
@@ -3,8 +3,8 @@
 //! seconds, all within thirty.
 
 use cypresscleat_demo::{report, Kernel, Link, Place};
-use cypresscleat_store::disk::Folder;
-use cypresscleat_store::{Options, Store};
+use cypresscleat_store::disk::DiskDirectory;
+use cypresscleat_store::{Store, StoreOptions};
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -112,8 +112,8 @@
     let own = Own::new("starts-store");
     let first = own.0.join("s0");
     std::fs::create_dir_all(&first).expect("a folder");
-    let mut store =
-        Store::open(Folder::open(&first).expect("a folder"), Options::default()).expect("a store");
+    let mut store = Store::open(DiskDirectory::open(&first).expect("a folder"), StoreOptions::default())
+        .expect("a store");
     for row in 0..20_000 {
         store.put(format!("b/{row:016}/x").as_bytes(), &[7; 100]).expect("to put");
     }
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -10,8 +10,8 @@
 use cypresscleat_server::lines;
 use cypresscleat_server::listeners::frames::Frames;
 use cypresscleat_server::pool::Outbox;
-use cypresscleat_store::disk::Folder;
-use cypresscleat_store::{Options, Store};
+use cypresscleat_store::disk::DiskDirectory;
+use cypresscleat_store::{Store, StoreOptions};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -72,8 +72,8 @@
 }
 
 fn rows(folder: &Path, from: &str) -> BTreeMap<String, String> {
-    let mut store =
-        Store::open(Folder::open(folder).expect("the folder"), Options::default()).expect("a store");
+    let mut store = Store::open(DiskDirectory::open(folder).expect("the folder"), StoreOptions::default())
+        .expect("a store");
     let snapshot = store.snapshot();
     let keys: Vec<Vec<u8>> = snapshot.keys(from.as_bytes()).map(<[u8]>::to_vec).collect();
     let own = keys.into_iter().filter(|key| key.starts_with(from.as_bytes()));
@@ -339,7 +339,7 @@
 
 mod hours {
     use cypresscleat_server::hours::{Hours, Sum};
-    use cypresscleat_store::sim::SimDisk;
+    use cypresscleat_store::simulation::SimulatedDisk;
     use cypresscleat_store::Store;
     use proptest::prelude::*;
 
@@ -350,7 +350,7 @@
         /// Whatever the rows' times, and wherever it is opened again: each row counts in one hour, a closed hour never changes.
         #[test]
         fn each_row_counts_once(steps in proptest::collection::vec((0u64..4, 0u64..260, 0u64..5000), 1..80)) {
-            let mut store = Store::open(SimDisk::default(), Default::default()).expect("a store");
+            let mut store = Store::open(SimulatedDisk::default(), Default::default()).expect("a store");
             let mut hours = Hours::load(&mut store, SPAN).expect("sums");
             let (mut now, mut count, mut all) = (1_000u64, 0u64, Sum::default());
             let mut told = std::collections::BTreeMap::new();
--- a/crates/server/tests/store_golden.rs
+++ b/crates/server/tests/store_golden.rs
@@ -3,8 +3,8 @@
 
 use cypresscleat_server::core::keeping::{Job, Keeping, Loaded, Ran, Row, Token};
 use cypresscleat_server::hours::{self, Hours, Sum};
-use cypresscleat_store::disk::{Disk, Folder};
-use cypresscleat_store::{Options, Store};
+use cypresscleat_store::disk::{Disk, DiskDirectory};
+use cypresscleat_store::{Store, StoreOptions};
 use std::path::{Path, PathBuf};
 
 /// Milliseconds that one span of summed billing rows covers.
@@ -110,8 +110,8 @@
     path
 }
 
-fn open(folder: &Path) -> Store<Folder> {
-    Store::open(Folder::open(folder).expect("a folder"), Options::default()).expect("a store")
+fn open(folder: &Path) -> Store<DiskDirectory> {
+    Store::open(DiskDirectory::open(folder).expect("a folder"), StoreOptions::default()).expect("a store")
 }
 
 fn segments(folder: &Path) -> Vec<(std::ffi::OsString, Vec<u8>)> {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -20,7 +20,7 @@
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()>;
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
     fn sync(&mut self, name: &str) -> Result<()>;
-    fn sync_folder(&mut self) -> Result<()>;
+    fn sync_directory(&mut self) -> Result<()>;
     /// Replaces what had the name `to`.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
     fn remove(&mut self, name: &str) -> Result<()>;
@@ -33,7 +33,7 @@
 
 /// A folder of the system's. Holds its lock for as long as it lives, and few files open.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DiskDirectory {
     path: PathBuf,
     open: HashMap<String, File>,
     /// Syncs until one fails, in tests.
@@ -44,23 +44,25 @@
 /// Files kept open for reading and writing.
 const OPEN: usize = 16;
 
-impl Folder {
+impl DiskDirectory {
     /// Made if it is not there.
-    pub fn open(path: &Path) -> Result<Folder> {
+    pub fn open(path: &Path) -> Result<DiskDirectory> {
         let shown = path.display().to_string();
         std::fs::create_dir_all(path).map_err(|error| said("make", &shown, error))?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("LOCK"));
         let lock = lock.map_err(|error| said("open", "LOCK", error))?;
         // Given back by the system when this process ends, however it does.
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), open: HashMap::new(), fails: None, _lock: lock }),
+            Ok(()) => {
+                Ok(DiskDirectory { path: path.to_path_buf(), open: HashMap::new(), fails: None, _lock: lock })
+            }
             Err(std::fs::TryLockError::WouldBlock) => Err(Error::Locked),
             Err(std::fs::TryLockError::Error(error)) => Err(said("lock", "LOCK", error)),
         }
     }
 
     /// After so many syncs of files each fails, as on a disk that breaks: for tests.
-    pub fn fails_after(&mut self, syncs: u64) {
+    pub fn fail_syncs_after(&mut self, syncs: u64) {
         self.fails = Some(syncs);
     }
 
@@ -77,7 +79,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for DiskDirectory {
     fn list(&mut self) -> Result<Vec<String>> {
         let entries = std::fs::read_dir(&self.path).map_err(|error| said("list", ".", error))?;
         let names = entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
@@ -121,7 +123,7 @@
         }
         self.file(name)?.sync_data().map_err(|error| said("sync", name, error))
     }
-    fn sync_folder(&mut self) -> Result<()> {
+    fn sync_directory(&mut self) -> Result<()> {
         let synced = File::open(&self.path).and_then(|folder| folder.sync_all());
         synced.map_err(|error| said("sync", ".", error))
     }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,24 +1,24 @@
 //! Bytes of segments, records and hints. No I/O.
 
-use crate::{KEY, VALUE};
+use crate::{MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 pub const MAGIC: &[u8; 8] = b"CCLEATS1";
-pub const HEADER: usize = 36;
+pub const HEADER_BYTES: usize = 36;
 /// Length and checksum before, sequence number, kind and length of the key behind.
-pub const FRAME: usize = 8;
+pub const FRAME_BYTES: usize = 8;
 const BODY: usize = 11;
 /// Longest record, with its frame.
-pub const LONGEST: usize = FRAME + BODY + KEY + VALUE;
+pub const MAX_RECORD_BYTES: usize = FRAME_BYTES + BODY + MAX_KEY_BYTES + MAX_VALUE_BYTES;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RecordKind {
     Put,
     Remove,
     Mark,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
+pub struct SegmentHeader {
     /// Segments that it stands for.
     pub from: u64,
     pub to: u64,
@@ -26,7 +26,7 @@
     pub before: u64,
 }
 
-impl Header {
+impl SegmentHeader {
     pub fn write(&self) -> Vec<u8> {
         let mut out = MAGIC.to_vec();
         for number in [self.from, self.to, self.before] {
@@ -37,8 +37,8 @@
     }
 
     /// `Err` tells what is there instead.
-    pub fn read(bytes: &[u8]) -> Result<Header, String> {
-        let Some(bytes) = bytes.get(..HEADER) else { return Err("a header cut short".into()) };
+    pub fn read(bytes: &[u8]) -> Result<SegmentHeader, String> {
+        let Some(bytes) = bytes.get(..HEADER_BYTES) else { return Err("a header cut short".into()) };
         if bytes[..7] != MAGIC[..7] {
             return Err("no header of a segment".into());
         }
@@ -48,7 +48,7 @@
         if crc32fast::hash(&bytes[..32]).to_le_bytes() != bytes[32..] {
             return Err("a header whose checksum does not hold".into());
         }
-        Ok(Header { from: number(bytes, 8), to: number(bytes, 16), before: number(bytes, 24) })
+        Ok(SegmentHeader { from: number(bytes, 8), to: number(bytes, 16), before: number(bytes, 24) })
     }
 
     /// A version other than ours, in a header that is one.
@@ -66,14 +66,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
     pub seq: u64,
-    pub kind: Kind,
+    pub kind: RecordKind,
     pub key: &'a [u8],
     pub value: &'a [u8],
     /// With its frame.
     pub size: usize,
 }
 
-pub fn write(out: &mut Vec<u8>, seq: u64, kind: Kind, key: &[u8], value: &[u8]) -> usize {
+pub fn write_record(out: &mut Vec<u8>, seq: u64, kind: RecordKind, key: &[u8], value: &[u8]) -> usize {
     let start = out.len();
     out.extend(((BODY + key.len() + value.len()) as u32).to_le_bytes());
     out.extend([0; 4]);
@@ -82,39 +82,39 @@
     out.extend((key.len() as u16).to_le_bytes());
     out.extend(key);
     out.extend(value);
-    let sum = crc32fast::hash(&out[start + FRAME..]);
-    out[start + 4..start + FRAME].copy_from_slice(&sum.to_le_bytes());
+    let sum = crc32fast::hash(&out[start + FRAME_BYTES..]);
+    out[start + 4..start + FRAME_BYTES].copy_from_slice(&sum.to_le_bytes());
     out.len() - start
 }
 
 /// The record at the start of `bytes`; `Err` says why there is none. The length is believed only within bounds, and only
 /// with its checksum, which covers what it spans.
-pub fn read(bytes: &[u8]) -> Result<Record<'_>, &'static str> {
-    let Some(frame) = bytes.get(..FRAME) else { return Err("a frame cut short") };
+pub fn read_record(bytes: &[u8]) -> Result<Record<'_>, &'static str> {
+    let Some(frame) = bytes.get(..FRAME_BYTES) else { return Err("a frame cut short") };
     let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize;
-    if !(BODY..=LONGEST - FRAME).contains(&length) {
+    if !(BODY..=MAX_RECORD_BYTES - FRAME_BYTES).contains(&length) {
         return Err("a length out of bounds");
     }
-    let Some(body) = bytes.get(FRAME..FRAME + length) else { return Err("a record cut short") };
+    let Some(body) = bytes.get(FRAME_BYTES..FRAME_BYTES + length) else { return Err("a record cut short") };
     if crc32fast::hash(body).to_le_bytes() != frame[4..] {
         return Err("a checksum that does not hold");
     }
     let kind = match body[8] {
-        1 => Kind::Put,
-        2 => Kind::Remove,
-        3 => Kind::Mark,
+        1 => RecordKind::Put,
+        2 => RecordKind::Remove,
+        3 => RecordKind::Mark,
         _ => return Err("an unknown kind"),
     };
     let key = usize::from(u16::from_le_bytes([body[9], body[10]]));
     let Some((key, value)) = body[BODY..].split_at_checked(key) else { return Err("a key past its record") };
-    Ok(Record { seq: number(body, 0), kind, key, value, size: FRAME + length })
+    Ok(Record { seq: number(body, 0), kind, key, value, size: FRAME_BYTES + length })
 }
 
 /// Where a put's record stands; a hint names one for each, and each removal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hint {
     pub seq: u64,
-    pub kind: Kind,
+    pub kind: RecordKind,
     pub offset: u64,
     pub size: u32,
     pub key: Vec<u8>,
@@ -146,8 +146,8 @@
     while !rest.is_empty() {
         let head = rest.get(..23)?;
         let kind = match head[8] {
-            1 => Kind::Put,
-            2 => Kind::Remove,
+            1 => RecordKind::Put,
+            2 => RecordKind::Remove,
             _ => return None,
         };
         let size = u32::from_le_bytes([head[17], head[18], head[19], head[20]]);
@@ -164,7 +164,7 @@
 }
 
 /// Number and generation of a segment's name, or of that of its hints.
-pub fn parse_name(name: &str, ending: &str) -> Option<(u64, u32)> {
+pub fn parse_segment_name(name: &str, ending: &str) -> Option<(u64, u32)> {
     let (to, generation) = name.strip_suffix(ending)?.split_once('-')?;
     let plain = to.len() == 16 && generation.len() == 8;
     let digits = |word: &str| word.bytes().all(|byte| byte.is_ascii_hexdigit() && !byte.is_ascii_uppercase());
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -28,17 +28,17 @@
 pub mod disk;
 pub mod format;
 pub mod measure;
-pub mod recover;
-pub mod sim;
+pub mod recovery;
+pub mod simulation;
 mod store;
 
-pub use store::{Options, Snapshot, Stats, Store};
+pub use store::{Snapshot, Store, StoreOptions, StoreStats};
 
 use std::fmt;
 
 /// Longest key and value, in bytes.
-pub const KEY: usize = 1024;
-pub const VALUE: usize = 1 << 20;
+pub const MAX_KEY_BYTES: usize = 1024;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Error {
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -1,8 +1,8 @@
 //! The store's own tool: look at one, check it, compact it, get billing rows out of it, fill one, measure.
 
 use clap::{value_parser, Arg, ArgMatches, Command};
-use cypresscleat_store::disk::{Disk, Folder};
-use cypresscleat_store::{measure, Error, Options, Store};
+use cypresscleat_store::disk::{Disk, DiskDirectory};
+use cypresscleat_store::{measure, Error, Store, StoreOptions};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::io::{self, Write};
@@ -26,7 +26,7 @@
         .subcommand(on("verify", "Read every record that counts; tell all damage"))
         .subcommand(on("stats", "Keys, segments, bytes"))
         .subcommand(
-            on("dump", "A line KEY<TAB>VALUE for each key, in order; bytes that are no text as \\xNN").arg(
+            on("dump", "A line MAX_KEY_BYTES<TAB>MAX_VALUE_BYTES for each key, in order; bytes that are no text as \\xNN").arg(
                 Arg::new("salvage")
                     .long("salvage")
                     .action(clap::ArgAction::SetTrue)
@@ -113,7 +113,8 @@
         });
     }
     let salvage = name == "dump" && words.get_flag("salvage");
-    let mut store = Store::open(Folder::open(path)?, Options { salvage, ..Options::default() })?;
+    let mut store =
+        Store::open(DiskDirectory::open(path)?, StoreOptions { salvage, ..StoreOptions::default() })?;
     match name {
         "verify" => {
             let damage = store.verify();
@@ -126,22 +127,22 @@
                 "{} keys, {} damaged, {} bytes dropped behind the end",
                 stats.keys,
                 damage.len(),
-                stats.torn
+                stats.torn_bytes
             )
             .map_err(broken)?;
             return Ok(if damage.is_empty() { 0 } else { DAMAGE });
         }
         "stats" => {
             let stats = store.stats();
-            let dead = stats.bytes.saturating_sub(stats.live);
+            let dead = stats.segment_bytes.saturating_sub(stats.live_bytes);
             writeln!(
                 out,
                 "keys {}\nsegments {}\nbytes {}\ndead {dead}\nlast {}\ntorn {}\nmemory {}",
                 stats.keys,
                 stats.segments,
-                stats.bytes,
-                stats.last,
-                stats.torn,
+                stats.segment_bytes,
+                stats.last_sequence,
+                stats.torn_bytes,
                 measure::resident()
             )
             .map_err(broken)?;
@@ -154,10 +155,10 @@
             return Ok(if store.damage().is_empty() { 0 } else { DAMAGE });
         }
         "compact" => {
-            let before = store.stats().bytes;
+            let before = store.stats().segment_bytes;
             store.compact_all()?;
             store.commit(true)?;
-            writeln!(out, "{before} bytes before, {} now", store.stats().bytes).map_err(broken)?;
+            writeln!(out, "{before} bytes before, {} now", store.stats().segment_bytes).map_err(broken)?;
         }
         "export" => dump(&mut store, format!("b/{:016}", number("since")).as_bytes(), b"b0", out)?,
         _ => {
--- a/crates/store/src/measure.rs
+++ b/crates/store/src/measure.rs
@@ -1,8 +1,8 @@
 //! What the store costs on this machine's disk, beside a plain file with a sync for each write; and the index beside a
 //! plain map that is copied for each snapshot.
 
-use crate::disk::{said, Folder};
-use crate::{Options, Result, Store};
+use crate::disk::{said, DiskDirectory};
+use crate::{Result, Store, StoreOptions};
 use hdrhistogram::Histogram;
 use imbl::OrdMap;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
         ("none", 1, false, writes),
     ] {
         clean();
-        let mut store = Store::open(Folder::open(&path)?, Options::default())?;
+        let mut store = Store::open(DiskDirectory::open(&path)?, StoreOptions::default())?;
         let Some(mut times) = Times::new() else { continue };
         let began = Instant::now();
         let mut at = 0;
@@ -91,7 +91,10 @@
 /// Overwrites while compaction goes on in steps: the longest that a writer waited for one.
 fn compaction(path: &Path, writes: u64) -> Result<String> {
     let _ = std::fs::remove_dir_all(path);
-    let mut store = Store::open(Folder::open(path)?, Options { segment: 1 << 20, ..Options::default() })?;
+    let mut store = Store::open(
+        DiskDirectory::open(path)?,
+        StoreOptions { max_segment_bytes: 1 << 20, ..StoreOptions::default() },
+    )?;
     let (Some(mut steps), mut longest) = (Times::new(), Duration::ZERO) else { return Ok(String::new()) };
     for at in 0..writes * 4 {
         store.put(&key(at % (writes / 4).max(1)), &VALUE)?;
@@ -111,9 +114,9 @@
          written for each of those; a step waits {} us at the median, {} at the 99th percentile, {} at the most.\n",
         writes * 4,
         stats.keys,
-        stats.bytes,
+        stats.segment_bytes,
         user,
-        stats.written as f64 / user as f64,
+        stats.written_bytes as f64 / user as f64,
         steps.at(0.5),
         steps.at(0.99),
         longest.as_micros()
@@ -124,7 +127,7 @@
     let mut out = "\n| keys | bytes | recovery without hints, ms | with hints, ms | memory for each key, bytes |\n| --- | --- | --- | --- | --- |\n".to_string();
     for keys in [writes, writes * 5, writes * 25] {
         let _ = std::fs::remove_dir_all(path);
-        let mut store = Store::open(Folder::open(path)?, Options::default())?;
+        let mut store = Store::open(DiskDirectory::open(path)?, StoreOptions::default())?;
         for at in 0..keys {
             store.put(&key(at), &VALUE)?;
             if at % 1000 == 999 {
@@ -132,10 +135,10 @@
             }
         }
         store.commit(true)?;
-        let bytes = store.stats().bytes;
+        let bytes = store.stats().segment_bytes;
         drop(store);
         let began = Instant::now();
-        let store = Store::open(Folder::open(path)?, Options::default())?;
+        let store = Store::open(DiskDirectory::open(path)?, StoreOptions::default())?;
         let hinted = began.elapsed();
         drop(store);
         let each = (of_a_process(path) - of_a_process(&path.join("empty"))).max(0.0) / keys as f64;
@@ -146,7 +149,7 @@
             let _ = std::fs::remove_file(entry.path());
         }
         let began = Instant::now();
-        drop(Store::open(Folder::open(path)?, Options::default())?);
+        drop(Store::open(DiskDirectory::open(path)?, StoreOptions::default())?);
         let _ = writeln!(
             out,
             "| {keys} | {bytes} | {:.0} | {:.0} | {each:.0} |",
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recovery.rs
@@ -2,12 +2,12 @@
 //! what only a torn end. Reads, and repairs nothing that could still be wanted.
 
 use crate::disk::Disk;
-use crate::format::{self, Header, Hint, Kind, FRAME, HEADER, LONGEST};
+use crate::format::{self, Hint, RecordKind, SegmentHeader, FRAME_BYTES, HEADER_BYTES, MAX_RECORD_BYTES};
 use crate::{Error, Result};
 
 /// One segment as it was found.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct RecoveredSegment {
     pub name: String,
     pub from: u64,
     pub to: u64,
@@ -22,9 +22,9 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Recovered {
+pub struct Recovery {
     /// In the order of the log.
-    pub segments: Vec<Found>,
+    pub segments: Vec<RecoveredSegment>,
     /// Names that stand for nothing any more.
     pub rest: Vec<String>,
     /// Bytes dropped behind the last valid record.
@@ -37,17 +37,17 @@
 const PIECE: usize = 256 * 1024;
 
 /// With `salvage` damage is told in the result and what is behind it in its segment is left out; else it is an error.
-pub fn recover(disk: &mut impl Disk, salvage: bool) -> Result<Recovered> {
+pub fn recover(disk: &mut impl Disk, salvage: bool) -> Result<Recovery> {
     let mut all = Vec::new();
-    let mut out = Recovered::default();
+    let mut out = Recovery::default();
     let mut headless: Vec<(u64, u32, String)> = Vec::new();
     for name in disk.list()? {
-        if let Some((to, generation)) = format::parse_name(&name, ".seg") {
-            let head = disk.read(&name, 0, HEADER)?;
-            if Header::other_version(&head) {
+        if let Some((to, generation)) = format::parse_segment_name(&name, ".seg") {
+            let head = disk.read(&name, 0, HEADER_BYTES)?;
+            if SegmentHeader::other_version(&head) {
                 return Err(Error::Version(format!("{name} has {:?}", char::from(head[7]))));
             }
-            match Header::read(&head) {
+            match SegmentHeader::read(&head) {
                 Ok(header) if header.to == to && header.from <= to => all.push((header, generation, name)),
                 _ => headless.push((to, generation, name)),
             }
@@ -67,7 +67,7 @@
         out.rest.push(name);
     }
     // A compacted one stands for all that it covers.
-    let covers = |a: &(Header, u32, String), b: &(Header, u32, String)| {
+    let covers = |a: &(SegmentHeader, u32, String), b: &(SegmentHeader, u32, String)| {
         let inside = a.0.from <= b.0.from && b.0.to <= a.0.to;
         inside && (a.1 > b.1 || a.0.from < b.0.from || a.0.to > b.0.to) && a.1 > 0
     };
@@ -105,7 +105,7 @@
             }
             _ => None,
         };
-        let mut found = Found {
+        let mut found = RecoveredSegment {
             name: name.clone(),
             from: header.from,
             to: header.to,
@@ -142,7 +142,7 @@
     Ok(out)
 }
 
-fn damage(out: &mut Recovered, salvage: bool, error: Error) -> Result<()> {
+fn damage(out: &mut Recovery, salvage: bool, error: Error) -> Result<()> {
     if !salvage {
         return Err(error);
     }
@@ -151,33 +151,37 @@
 }
 
 fn has_record(disk: &mut impl Disk, name: &str) -> Result<bool> {
-    let bytes = disk.read(name, HEADER as u64, LONGEST)?;
-    Ok(format::read(&bytes).is_ok())
+    let bytes = disk.read(name, HEADER_BYTES as u64, MAX_RECORD_BYTES)?;
+    Ok(format::read_record(&bytes).is_ok())
 }
 
 /// Reads records into `found` up to its length; where they end, and why, if before it. In a segment as it was written each
 /// has the number after the one before; compacted, a higher one.
-fn scan(disk: &mut impl Disk, found: &mut Found, dense: bool) -> Result<(u64, Option<&'static str>)> {
-    let mut at = HEADER as u64;
+fn scan(
+    disk: &mut impl Disk,
+    found: &mut RecoveredSegment,
+    dense: bool,
+) -> Result<(u64, Option<&'static str>)> {
+    let mut at = HEADER_BYTES as u64;
     let (mut bytes, mut start) = (Vec::new(), at);
     let mut first = true;
     while at < found.length {
         let left = (found.length - at) as usize;
         let have = bytes.len() - (at - start) as usize;
-        if have < left.min(FRAME) {
+        if have < left.min(FRAME_BYTES) {
             bytes = disk.read(&found.name, at, PIECE.min(left))?;
             start = at;
         }
         let mut here = &bytes[(at - start) as usize..];
         if let Some(frame) = here.get(..4) {
-            let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize + FRAME;
-            if length > here.len() && length <= LONGEST && here.len() < left {
+            let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize + FRAME_BYTES;
+            if length > here.len() && length <= MAX_RECORD_BYTES && here.len() < left {
                 bytes = disk.read(&found.name, at, length.max(PIECE).min(left))?;
                 start = at;
                 here = &bytes;
             }
         }
-        let record = match format::read(here) {
+        let record = match format::read_record(here) {
             Ok(record) => record,
             Err(what) => return Ok((at, Some(what))),
         };
@@ -187,7 +191,7 @@
         }
         first = false;
         found.last = record.seq;
-        if record.kind != Kind::Mark {
+        if record.kind != RecordKind::Mark {
             found.hints.push(Hint {
                 seq: record.seq,
                 kind: record.kind,
@@ -203,7 +207,7 @@
 
 /// Whether a whole mark behind `end` says that more than `end` was synced.
 fn synced_past(disk: &mut impl Disk, name: &str, end: u64, stored: u64) -> Result<Option<u64>> {
-    const MARK: usize = FRAME + 11 + 8;
+    const MARK: usize = FRAME_BYTES + 11 + 8;
     let (mut at, mut most) = (end, None);
     while at < stored {
         let bytes = disk.read(name, at, PIECE + MARK)?;
@@ -214,7 +218,7 @@
             let here = &bytes[offset..offset + MARK];
             // Cheap to rule out: length, kind and empty key of a mark.
             if here[..4] == [19, 0, 0, 0] && here[16] == 3 && here[17..19] == [0, 0] {
-                if let Ok(record) = format::read(here) {
+                if let Ok(record) = format::read_record(here) {
                     let mut eight = [0; 8];
                     eight.copy_from_slice(record.value);
                     let synced = u64::from_le_bytes(eight);
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/simulation.rs
@@ -40,11 +40,11 @@
     /// No space: half of what is written is there.
     Full,
     /// The write or the sync fails.
-    Broken,
+    IoError,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct SimDisk {
+pub struct SimulatedDisk {
     files: Vec<File>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
@@ -59,15 +59,15 @@
     Error::Disk { doing, file: file.into(), what: what.into(), full }
 }
 
-impl SimDisk {
-    pub fn with_fault(mut self, at: u64, fault: Fault) -> SimDisk {
+impl SimulatedDisk {
+    pub fn inject_fault(mut self, at: u64, fault: Fault) -> SimulatedDisk {
         self.faults.push((at, fault));
         self
     }
 
     /// One of the states in which the machine may come back: of the changes since each sync any part, of the folder's
     /// too, each write in pieces.
-    pub fn crash(&self, seed: u64) -> SimDisk {
+    pub fn crash(&self, seed: u64) -> SimulatedDisk {
         let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
         // Some crashes lose all that was not synced, some nothing, most a part.
         let keeps = [0.0, 1.0, chance.random::<f64>(), chance.random::<f64>()][chance.random_range(0..4)];
@@ -97,7 +97,7 @@
             File { now: bytes.clone(), synced: bytes, since: Vec::new() }
         });
         let files = files.collect();
-        SimDisk { files, names: names.clone(), synced_names: names, ..SimDisk::default() }
+        SimulatedDisk { files, names: names.clone(), synced_names: names, ..SimulatedDisk::default() }
     }
 
     /// The bytes of a file, to be changed at will.
@@ -107,11 +107,16 @@
     }
 
     /// All that is there as if it had been synced: what an end of the process leaves.
-    pub fn settled(&self) -> SimDisk {
+    pub fn after_process_exit(&self) -> SimulatedDisk {
         let settle =
             |file: &File| File { now: file.now.clone(), synced: file.now.clone(), since: Vec::new() };
         let files = self.files.iter().map(settle).collect();
-        SimDisk { files, names: self.names.clone(), synced_names: self.names.clone(), ..SimDisk::default() }
+        SimulatedDisk {
+            files,
+            names: self.names.clone(),
+            synced_names: self.names.clone(),
+            ..SimulatedDisk::default()
+        }
     }
 
     /// Counts an operation that changes something; the fault that is due with it.
@@ -152,7 +157,7 @@
     }
 }
 
-impl Disk for SimDisk {
+impl Disk for SimulatedDisk {
     fn list(&mut self) -> Result<Vec<String>> {
         Ok(self.names.keys().cloned().collect())
     }
@@ -209,7 +214,7 @@
         file.since.clear();
         Ok(())
     }
-    fn sync_folder(&mut self) -> Result<()> {
+    fn sync_directory(&mut self) -> Result<()> {
         if self.operation("sync", ".")?.is_some() {
             return Err(said("sync", ".", "it would not", false));
         }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,28 +1,33 @@
 //! The store itself: writes and their commits, reads, snapshots, compaction in steps.
 
 use crate::disk::Disk;
-use crate::format::{self, Header, Hint, Kind, HEADER};
-use crate::recover::{recover, Recovered};
-use crate::{Error, Result, KEY, VALUE};
+use crate::format::{self, Hint, RecordKind, SegmentHeader, HEADER_BYTES};
+use crate::recovery::{recover, Recovery};
+use crate::{Error, Result, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 use imbl::OrdMap;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Options {
+pub struct StoreOptions {
     /// A segment is sealed past this many bytes.
-    pub segment: u64,
+    pub max_segment_bytes: u64,
     /// Compacted once this part of the oldest segments is dead.
-    pub dead: f64,
+    pub min_dead_fraction: f64,
     /// Most bytes that one step of compaction reads: writers wait for one step at the most.
-    pub step: usize,
+    pub compaction_step_bytes: usize,
     /// Opened with what can be read of a damaged store; nothing is written then.
     pub salvage: bool,
 }
 
-impl Default for Options {
-    fn default() -> Options {
-        Options { segment: 4 << 20, dead: 0.5, step: 256 * 1024, salvage: false }
+impl Default for StoreOptions {
+    fn default() -> StoreOptions {
+        StoreOptions {
+            max_segment_bytes: 4 << 20,
+            min_dead_fraction: 0.5,
+            compaction_step_bytes: 256 * 1024,
+            salvage: false,
+        }
     }
 }
 
@@ -96,24 +101,24 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Stats {
+pub struct StoreStats {
     pub keys: usize,
     pub segments: usize,
-    pub bytes: u64,
-    pub live: u64,
-    pub last: u64,
-    pub acknowledged: u64,
+    pub segment_bytes: u64,
+    pub live_bytes: u64,
+    pub last_sequence: u64,
+    pub acknowledged_sequence: u64,
     pub syncs: u64,
-    pub written: u64,
-    pub compacted: u64,
+    pub written_bytes: u64,
+    pub compacted_bytes: u64,
     pub failed_segments: u64,
     /// Bytes dropped behind the last valid record when it was opened.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 pub struct Store<D: Disk> {
     disk: D,
-    options: Options,
+    options: StoreOptions,
     index: OrdMap<Key, Entry>,
     segments: BTreeMap<u64, Segment>,
     active: Active,
@@ -127,14 +132,14 @@
     compaction: Option<Compaction>,
     /// Files that go once no snapshot needs them.
     doomed: Vec<(String, Arc<()>)>,
-    stats: Stats,
+    stats: StoreStats,
     damage: Vec<Error>,
 }
 
 impl<D: Disk> Store<D> {
     /// Recovers what is there; an empty folder is an empty store.
-    pub fn open(mut disk: D, options: Options) -> Result<Store<D>> {
-        let Recovered { segments, rest, torn, damage } = recover(&mut disk, options.salvage)?;
+    pub fn open(mut disk: D, options: StoreOptions) -> Result<Store<D>> {
+        let Recovery { segments, rest, torn, damage } = recover(&mut disk, options.salvage)?;
         let mut store = Store {
             disk,
             options,
@@ -148,7 +153,7 @@
             read_only: options.salvage,
             compaction: None,
             doomed: Vec::new(),
-            stats: Stats { torn, ..Stats::default() },
+            stats: StoreStats { torn_bytes: torn, ..StoreStats::default() },
             damage,
         };
         let last =
@@ -160,7 +165,7 @@
             store.segments.insert(to, Segment { name, from, generation, length, live: 0, pin });
             for hint in found.hints {
                 let entry = Entry { to, generation, offset: hint.offset, size: hint.size, seq: hint.seq };
-                store.place(hint.key, (hint.kind == Kind::Put).then_some(entry));
+                store.place(hint.key, (hint.kind == RecordKind::Put).then_some(entry));
             }
             store.seq = store.seq.max(found.last);
         }
@@ -170,7 +175,7 @@
         }
         // What stands for nothing goes only once the folder surely has what stands for it.
         if !rest.is_empty() {
-            store.disk.sync_folder()?;
+            store.disk.sync_directory()?;
             for name in rest {
                 store.disk.remove(&name)?;
                 let hints = name.replace(".seg", ".hint");
@@ -178,7 +183,7 @@
                     store.disk.remove(&hints)?;
                 }
             }
-            store.disk.sync_folder()?;
+            store.disk.sync_directory()?;
         }
         match last {
             Some((to, 0, length, hints)) => {
@@ -208,13 +213,13 @@
 
     fn begin(&mut self, to: u64, before: u64) -> Result<()> {
         let name = format::segment_name(to, 0);
-        let header = Header { from: to, to, before }.write();
+        let header = SegmentHeader { from: to, to, before }.write();
         self.disk.create(&name)?;
         self.disk.write(&name, 0, &header)?;
         self.disk.sync(&name)?;
-        self.disk.sync_folder()?;
+        self.disk.sync_directory()?;
         self.stats.syncs += 2;
-        let length = HEADER as u64;
+        let length = HEADER_BYTES as u64;
         let pin = Arc::new(());
         self.segments.insert(to, Segment { name, from: to, generation: 0, length, live: 0, pin });
         self.active = Active { to, written: length, synced: length, hints: Vec::new() };
@@ -249,31 +254,31 @@
 
     /// Its number; acknowledged once `commit` returns that or more.
     pub fn put(&mut self, key: &[u8], value: &[u8]) -> Result<u64> {
-        if key.is_empty() || key.len() > KEY || value.len() > VALUE {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES || value.len() > MAX_VALUE_BYTES {
             return Err(Error::TooLarge(key.len().max(value.len())));
         }
-        self.append(Kind::Put, key, value)
+        self.append(RecordKind::Put, key, value)
     }
 
     pub fn remove(&mut self, key: &[u8]) -> Result<u64> {
-        if key.is_empty() || key.len() > KEY {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return Err(Error::TooLarge(key.len()));
         }
-        self.append(Kind::Remove, key, b"")
+        self.append(RecordKind::Remove, key, b"")
     }
 
-    fn append(&mut self, kind: Kind, key: &[u8], value: &[u8]) -> Result<u64> {
+    fn append(&mut self, kind: RecordKind, key: &[u8], value: &[u8]) -> Result<u64> {
         if self.read_only {
             return Err(Error::ReadOnly);
         }
-        if self.active.written + self.buffer.len() as u64 >= self.options.segment {
+        if self.active.written + self.buffer.len() as u64 >= self.options.max_segment_bytes {
             self.rotate()?;
         }
         self.seq += 1;
         let offset = self.active.written + self.buffer.len() as u64;
-        let size = format::write(&mut self.buffer, self.seq, kind, key, value) as u32;
+        let size = format::write_record(&mut self.buffer, self.seq, kind, key, value) as u32;
         let entry = Entry { to: self.active.to, generation: 0, offset, size, seq: self.seq };
-        let before = self.place(key.to_vec(), (kind == Kind::Put).then_some(entry));
+        let before = self.place(key.to_vec(), (kind == RecordKind::Put).then_some(entry));
         self.undo.push((key.to_vec(), before));
         self.active.hints.push(Hint { seq: self.seq, kind, offset, size, key: key.to_vec() });
         Ok(self.seq)
@@ -307,7 +312,7 @@
                 return Err(error);
             }
             self.active.written += self.buffer.len() as u64;
-            self.stats.written += self.buffer.len() as u64;
+            self.stats.written_bytes += self.buffer.len() as u64;
             self.buffer.clear();
         }
         if let Some(segment) = self.segments.get_mut(&self.active.to) {
@@ -325,7 +330,7 @@
             // By it recovery knows that this was synced; the mark itself may be lost.
             let mark = self.active.synced.to_le_bytes();
             self.seq += 1;
-            format::write(&mut self.buffer, self.seq, Kind::Mark, b"", &mark);
+            format::write_record(&mut self.buffer, self.seq, RecordKind::Mark, b"", &mark);
             return Ok(self.acknowledged);
         }
         if !sync {
@@ -405,21 +410,21 @@
         };
         let damage =
             |what: &str| Error::Damage { file: name.clone(), offset: entry.offset, what: what.into() };
-        match format::read(&bytes) {
+        match format::read_record(&bytes) {
             Ok(record) if record.seq == entry.seq && record.key == key => Ok(record.value.to_vec()),
             Ok(_) => Err(damage("another record stands here")),
             Err(what) => Err(damage(what)),
         }
     }
 
-    pub fn stats(&self) -> Stats {
-        Stats {
+    pub fn stats(&self) -> StoreStats {
+        StoreStats {
             keys: self.index.len(),
             segments: self.segments.len(),
-            bytes: self.segments.values().map(|segment| segment.length).sum(),
-            live: self.segments.values().map(|segment| segment.live).sum(),
-            last: self.seq,
-            acknowledged: self.acknowledged,
+            segment_bytes: self.segments.values().map(|segment| segment.length).sum(),
+            live_bytes: self.segments.values().map(|segment| segment.live).sum(),
+            last_sequence: self.seq,
+            acknowledged_sequence: self.acknowledged,
             ..self.stats
         }
     }
@@ -438,7 +443,7 @@
             .segments
             .iter()
             .filter(|(to, _)| **to != self.active.to)
-            .map(|(to, segment)| (*to, segment.length - HEADER as u64, segment.live))
+            .map(|(to, segment)| (*to, segment.length - HEADER_BYTES as u64, segment.live))
             .collect();
         // Removals may go only where no older record is left: so always a first part of the log.
         let (mut bytes, mut live, mut best) = (0, 0, (most_dead, 0));
@@ -459,7 +464,7 @@
             return Ok(false);
         }
         if self.compaction.is_none() {
-            let inputs = self.choose(self.options.dead);
+            let inputs = self.choose(self.options.min_dead_fraction);
             return self.start_compaction(inputs);
         }
         let Some(mut work) = self.compaction.take() else { return Ok(false) };
@@ -482,7 +487,7 @@
         while self.compaction.is_some() {
             self.compact_step()?;
         }
-        if self.active.written > HEADER as u64 || !self.buffer.is_empty() {
+        if self.active.written > HEADER_BYTES as u64 || !self.buffer.is_empty() {
             self.rotate()?;
         }
         let inputs: Vec<u64> = self.segments.keys().copied().filter(|to| *to != self.active.to).collect();
@@ -501,7 +506,7 @@
         let (from, to, generation) = (first.from, *last, end.generation + 1);
         let name = format::segment_name(to, generation).replace(".seg", ".tmp");
         self.disk.create(&name)?;
-        let header = Header { from, to, before: 0 }.write();
+        let header = SegmentHeader { from, to, before: 0 }.write();
         let (out, moved) = (header, Vec::new());
         self.compaction = Some(Compaction {
             inputs,
@@ -510,7 +515,7 @@
             to,
             generation,
             input: 0,
-            offset: HEADER as u64,
+            offset: HEADER_BYTES as u64,
             out,
             written: 0,
             last: 0,
@@ -533,9 +538,9 @@
         self.disk.sync(&work.name)?;
         let name = format::segment_name(work.to, work.generation);
         self.disk.rename(&work.name, &name)?;
-        self.disk.sync_folder()?;
+        self.disk.sync_directory()?;
         self.stats.syncs += 2;
-        self.stats.compacted += work.written;
+        self.stats.compacted_bytes += work.written;
         work.name = name.clone();
         work.placed = Some(0);
         let hints: Vec<Hint> = work.moved.iter().map(|(.., hint)| hint.clone()).collect();
@@ -563,10 +568,14 @@
             return Ok(());
         };
         let left = (length - work.offset.min(length)) as usize;
-        let bytes = self.disk.read(&name, work.offset, left.min(self.options.step.max(format::LONGEST)))?;
+        let bytes = self.disk.read(
+            &name,
+            work.offset,
+            left.min(self.options.compaction_step_bytes.max(format::MAX_RECORD_BYTES)),
+        )?;
         let mut at = 0;
-        while at < bytes.len() && at < self.options.step {
-            let record = match format::read(&bytes[at..]) {
+        while at < bytes.len() && at < self.options.compaction_step_bytes {
+            let record = match format::read_record(&bytes[at..]) {
                 Ok(record) => record,
                 Err(_) if bytes.len() < left && at > 0 => break, // the rest of it comes with the next step
                 Err(what) => {
@@ -578,12 +587,17 @@
             let entry = Entry { to, generation, offset, size: record.size as u32, seq: record.seq };
             // One that a write not yet acknowledged takes the place of lives on: that write may be given up.
             let waits = || self.undo.iter().any(|(key, before)| key == record.key && *before == Some(entry));
-            if record.kind == Kind::Put && (self.index.get(record.key) == Some(&entry) || waits()) {
+            if record.kind == RecordKind::Put && (self.index.get(record.key) == Some(&entry) || waits()) {
                 let offset = work.written + work.out.len() as u64;
-                let size =
-                    format::write(&mut work.out, record.seq, Kind::Put, record.key, record.value) as u32;
+                let size = format::write_record(
+                    &mut work.out,
+                    record.seq,
+                    RecordKind::Put,
+                    record.key,
+                    record.value,
+                ) as u32;
                 let key = record.key.to_vec();
-                let hint = Hint { seq: record.seq, kind: Kind::Put, offset, size, key: key.clone() };
+                let hint = Hint { seq: record.seq, kind: RecordKind::Put, offset, size, key: key.clone() };
                 work.moved.push((key, entry, hint));
                 work.last = record.seq;
             }
@@ -591,12 +605,12 @@
         }
         work.offset += at as u64;
         if work.offset >= length {
-            (work.input, work.offset) = (work.input + 1, HEADER as u64);
+            (work.input, work.offset) = (work.input + 1, HEADER_BYTES as u64);
         }
-        if work.out.len() >= self.options.step || work.input >= work.inputs.len() {
+        if work.out.len() >= self.options.compaction_step_bytes || work.input >= work.inputs.len() {
             self.disk.write(&work.name, work.written, &work.out)?;
             work.written += work.out.len() as u64;
-            self.stats.written += work.out.len() as u64;
+            self.stats.written_bytes += work.out.len() as u64;
             work.out.clear();
         }
         Ok(())
@@ -605,7 +619,7 @@
     /// The index learns where the live ones stand now, so many a step; those written anew meanwhile are left out.
     fn place_moved(&mut self, work: &mut Compaction) -> Result<bool> {
         let from = work.placed.unwrap_or(0);
-        let to = (from + (self.options.step / 256).max(1)).min(work.moved.len());
+        let to = (from + (self.options.compaction_step_bytes / 256).max(1)).min(work.moved.len());
         for (key, was, hint) in &work.moved[from..to] {
             // A write that is not acknowledged may have taken its place, and may be given up.
             let new = Entry {
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -2,15 +2,20 @@
 //! model map. Seeds are printed with each failure.
 
 use cypresscleat_store::disk::Disk;
-use cypresscleat_store::sim::{Fault, SimDisk};
-use cypresscleat_store::{Error, Options, Store};
+use cypresscleat_store::simulation::{Fault, SimulatedDisk};
+use cypresscleat_store::{Error, Store, StoreOptions};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
-const SMALL: Options = Options { segment: 600, dead: 0.4, step: 300, salvage: false };
+const SMALL: StoreOptions = StoreOptions {
+    max_segment_bytes: 600,
+    min_dead_fraction: 0.4,
+    compaction_step_bytes: 300,
+    salvage: false,
+};
 
 /// A workload by seed, with the map after each write, and how many were acknowledged when.
 struct Written {
@@ -38,7 +43,7 @@
 
 /// Plays until the disk goes down, or to the end. Writes that were given up with an error count as never issued, if none
 /// after them was acknowledged: they are taken out of the model.
-fn workload(store: &mut Store<SimDisk>, seed: u64, steps: usize, written: &mut Written) -> bool {
+fn workload(store: &mut Store<SimulatedDisk>, seed: u64, steps: usize, written: &mut Written) -> bool {
     let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
     for step in 0..steps {
         let key = format!("key{}", chance.random_range(0..12)).into_bytes();
@@ -83,7 +88,7 @@
 }
 
 /// It opens, holds a first part of the writes with all that were acknowledged, nothing else, and takes writes again.
-fn check(disk: SimDisk, written: &Written, what: &str) {
+fn check(disk: SimulatedDisk, written: &Written, what: &str) {
     let mut store = Store::open(disk, SMALL).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = all(&mut store).unwrap_or_else(|error| panic!("{what}: {error}"));
     let fits = written.states[written.acknowledged..].contains(&found);
@@ -111,11 +116,11 @@
                 let mut seed = thread;
                 while states < states_wanted() / 4 {
                     seed += 4;
-                    let mut whole = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+                    let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
                     workload(&mut whole, seed, 120, &mut Written::new());
                     let operations = whole.into_disk().operations;
                     for at in 1..=operations {
-                        let disk = SimDisk::default().with_fault(at, Fault::Crash);
+                        let disk = SimulatedDisk::default().inject_fault(at, Fault::Crash);
                         let mut written = Written::new();
                         let disk = match Store::open(disk.clone(), SMALL) {
                             Ok(mut store) => {
@@ -147,19 +152,19 @@
 #[test]
 fn a_storm_of_restarts_loses_nothing() {
     for seed in 0..60u64 {
-        let mut store = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+        let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
         let mut written = Written::new();
         workload(&mut store, seed, 160, &mut written);
         let mut disk = store.into_disk().crash(seed);
         for round in 0..10 {
             let at = 1 + (seed + round) % 6;
-            let down = disk.clone().with_fault(at, Fault::Crash);
+            let down = disk.clone().inject_fault(at, Fault::Crash);
             disk = match Store::open(down, SMALL) {
                 Ok(store) => store.into_disk().crash(seed * 100 + round),
                 Err(_) => {
                     // It stopped in recovery: what it had done until then may be there or not.
-                    let mut stopped = disk.clone().with_fault(at, Fault::Crash);
-                    let _ = stopped.sync_folder();
+                    let mut stopped = disk.clone().inject_fault(at, Fault::Crash);
+                    let _ = stopped.sync_directory();
                     disk.crash(seed * 100 + round)
                 }
             };
@@ -172,8 +177,8 @@
 #[test]
 fn files_cut_at_any_byte_lose_nothing_acknowledged_before_it() {
     // One segment that is written, cut at each byte: what stands before the cut is there, nothing else.
-    let large = Options { segment: 1 << 20, ..SMALL };
-    let mut store = Store::open(SimDisk::default(), large).expect("an empty one");
+    let large = StoreOptions { max_segment_bytes: 1 << 20, ..SMALL };
+    let mut store = Store::open(SimulatedDisk::default(), large).expect("an empty one");
     let mut chance = Pcg64Mcg::new(5);
     let mut ends: Vec<(usize, Map)> = Vec::new();
     let mut map = Map::new();
@@ -188,10 +193,10 @@
             map.insert(key, value);
         }
         store.commit(true).expect("a commit");
-        let disk_length = store.stats().bytes as usize;
+        let disk_length = store.stats().segment_bytes as usize;
         ends.push((disk_length, map.clone()));
     }
-    let disk = store.into_disk().settled();
+    let disk = store.into_disk().after_process_exit();
     let name = disk
         .clone()
         .list()
@@ -214,12 +219,12 @@
             .unwrap_or_else(|error| panic!("{cut}: {error}"));
     }
     // Several segments: a cut in a sealed one is damage, told with its file; never a wrong answer.
-    let mut store = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     let mut written = Written::new();
     assert!(workload(&mut store, 11, 400, &mut written));
     store.commit(true).expect("a commit");
     written.acknowledged = written.issued();
-    let disk = store.into_disk().settled();
+    let disk = store.into_disk().after_process_exit();
     let names: Vec<String> =
         disk.clone().list().expect("names").into_iter().filter(|n| n.ends_with(".seg")).collect();
     assert!(names.len() >= 3, "{names:?}");
@@ -247,12 +252,12 @@
 /// A bit flipped anywhere is found, or does not matter; never is a value other than what was written.
 #[test]
 fn a_flipped_bit_is_never_a_wrong_answer() {
-    let mut store = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     let mut written = Written::new();
     assert!(workload(&mut store, 23, 300, &mut written));
     store.commit(true).expect("a commit");
     store.commit(true).expect("the mark behind it");
-    let disk = store.into_disk().settled();
+    let disk = store.into_disk().after_process_exit();
     let names = disk.clone().list().expect("names");
     let mut told = 0;
     for name in &names {
@@ -280,14 +285,14 @@
 /// Every write and every sync fails once: what was acknowledged before stays, what comes after works, nothing is invented.
 #[test]
 fn a_failing_write_or_sync_gives_up_only_what_was_not_acknowledged() {
-    for fault in [Fault::Full, Fault::Broken] {
+    for fault in [Fault::Full, Fault::IoError] {
         for seed in 0..6u64 {
-            let mut whole = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+            let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
             workload(&mut whole, seed, 100, &mut Written::new());
             let operations = whole.into_disk().operations;
             for at in 6..=operations {
                 let what = format!("{fault:?}, seed {seed}, operation {at}");
-                let disk = SimDisk::default().with_fault(at, fault);
+                let disk = SimulatedDisk::default().inject_fault(at, fault);
                 let Ok(mut store) = Store::open(disk, SMALL) else { continue };
                 let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
                 // What counts is what was acknowledged: after an error the rest is given up.
@@ -297,12 +302,12 @@
                 for step in 0..100 {
                     let key = format!("key{}", chance.random_range(0..12)).into_bytes();
                     let value = vec![step as u8; chance.random_range(0..90)];
-                    let acknowledged = store.stats().acknowledged;
+                    let acknowledged = store.stats().acknowledged_sequence;
                     match chance.random_range(0..10) {
                         0..=5 => match store.put(&key, &value) {
                             Ok(_) => {
                                 // Where its segment was full, all before it was acknowledged on the way.
-                                if store.stats().acknowledged > acknowledged {
+                                if store.stats().acknowledged_sequence > acknowledged {
                                     certain = pending.clone();
                                 }
                                 pending.insert(key, value);
@@ -345,7 +350,7 @@
 /// A reader's snapshot stays what it was while its segments are compacted away.
 #[test]
 fn a_snapshot_outlives_the_segments_it_reads() {
-    let mut store = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     let mut written = Written::new();
     assert!(workload(&mut store, 3, 300, &mut written));
     store.commit(true).expect("a commit");
@@ -359,7 +364,7 @@
         assert_eq!(store.get_at(&snapshot, key), Ok(Some(value.clone())));
         assert_eq!(store.get(key), Ok(Some(b"new".to_vec())));
     }
-    let files = |store: &mut Store<SimDisk>| store.stats().segments;
+    let files = |store: &mut Store<SimulatedDisk>| store.stats().segments;
     assert_eq!(files(&mut store), 2, "one compacted, one written");
     drop(snapshot);
     store.compact_step().expect("a step");
@@ -369,8 +374,8 @@
 
 #[test]
 fn a_key_written_over_and_over_takes_no_room() {
-    let options = Options { segment: 64 * 1024, ..Options::default() };
-    let mut store = Store::open(SimDisk::default(), options).expect("an empty one");
+    let options = StoreOptions { max_segment_bytes: 64 * 1024, ..StoreOptions::default() };
+    let mut store = Store::open(SimulatedDisk::default(), options).expect("an empty one");
     for round in 0..200_000u32 {
         store.put(b"one", &round.to_le_bytes()).expect("a write");
         if round % 500 == 0 {
@@ -380,13 +385,13 @@
     }
     store.commit(true).expect("a commit");
     let stats = store.stats();
-    assert!(stats.bytes < 300_000 && stats.keys == 1, "{stats:?}");
+    assert!(stats.segment_bytes < 300_000 && stats.keys == 1, "{stats:?}");
     assert_eq!(store.get(b"one"), Ok(Some(199_999u32.to_le_bytes().to_vec())));
 }
 
 #[test]
 fn bounds_versions_and_two_owners_are_told() {
-    let mut store = Store::open(SimDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     assert_eq!(store.put(b"", b"x"), Err(Error::TooLarge(1)));
     assert_eq!(store.put(&[0; 1025], b"x"), Err(Error::TooLarge(1025)));
     assert_eq!(store.put(b"k", &vec![0; (1 << 20) + 1]), Err(Error::TooLarge((1 << 20) + 1)));
@@ -403,9 +408,9 @@
     disk.bytes(&name).expect("its bytes")[7] = b'2';
     assert!(matches!(Store::open(disk, SMALL), Err(Error::Version(_))));
     let path = std::env::temp_dir().join(format!("cypresscleat-store-two-{}", std::process::id()));
-    let one = cypresscleat_store::disk::Folder::open(&path).expect("one owner");
-    assert_eq!(cypresscleat_store::disk::Folder::open(&path).map(|_| ()), Err(Error::Locked));
+    let one = cypresscleat_store::disk::DiskDirectory::open(&path).expect("one owner");
+    assert_eq!(cypresscleat_store::disk::DiskDirectory::open(&path).map(|_| ()), Err(Error::Locked));
     drop(one);
-    assert!(cypresscleat_store::disk::Folder::open(&path).is_ok(), "given back");
+    assert!(cypresscleat_store::disk::DiskDirectory::open(&path).is_ok(), "given back");
     let _ = std::fs::remove_dir_all(&path);
 }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -1,13 +1,18 @@
 //! The format of stored data stays: bytes recorded from commit 67fc394 are read, and written again equal. The files under
 //! `tests/golden/folder` were written by the program of that commit with `write_recorded_workload`.
 
-use cypresscleat_store::disk::{Disk, Folder};
-use cypresscleat_store::format::{self, Header, Hint, Kind};
-use cypresscleat_store::{Options, Store};
+use cypresscleat_store::disk::{Disk, DiskDirectory};
+use cypresscleat_store::format::{self, Hint, RecordKind, SegmentHeader};
+use cypresscleat_store::{Store, StoreOptions};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-const OPTIONS: Options = Options { segment: 600, dead: 0.4, step: 300, salvage: false };
+const OPTIONS: StoreOptions = StoreOptions {
+    max_segment_bytes: 600,
+    min_dead_fraction: 0.4,
+    compaction_step_bytes: 300,
+    salvage: false,
+};
 
 /// Segment header: magic, first and last segment, length of the one before, CRC-32.
 const HEADER: &str = "43434c4541545331020100000000000003020000000000000403000000000000d5c8397c";
@@ -22,14 +27,26 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn recorded_header() -> Header {
-    Header { from: 0x0102, to: 0x0203, before: 0x0304 }
+fn recorded_header() -> SegmentHeader {
+    SegmentHeader { from: 0x0102, to: 0x0203, before: 0x0304 }
 }
 
 fn recorded_hints() -> Vec<Hint> {
     vec![
-        Hint { seq: 0x0102_0304_0506_0708, kind: Kind::Put, offset: 36, size: 27, key: b"key".to_vec() },
-        Hint { seq: 0x0102_0304_0506_0709, kind: Kind::Remove, offset: 63, size: 22, key: b"gone".to_vec() },
+        Hint {
+            seq: 0x0102_0304_0506_0708,
+            kind: RecordKind::Put,
+            offset: 36,
+            size: 27,
+            key: b"key".to_vec(),
+        },
+        Hint {
+            seq: 0x0102_0304_0506_0709,
+            kind: RecordKind::Remove,
+            offset: 63,
+            size: 22,
+            key: b"gone".to_vec(),
+        },
     ]
 }
 
@@ -37,24 +54,24 @@
 fn segment_header_has_its_recorded_bytes() {
     let bytes = recorded_header().write();
     assert_eq!(hex(&bytes), HEADER);
-    assert_eq!(Header::read(&bytes), Ok(recorded_header()));
+    assert_eq!(SegmentHeader::read(&bytes), Ok(recorded_header()));
 }
 
 #[test]
 fn records_have_their_recorded_bytes() {
     let length = 300u64.to_le_bytes();
-    let records: [(Kind, u64, &[u8], &[u8], &str); 3] = [
-        (Kind::Put, 0x0102_0304_0506_0708, b"key", b"value", PUT),
-        (Kind::Remove, 0x0102_0304_0506_0709, b"key", b"", REMOVE),
-        (Kind::Mark, 0x0102_0304_0506_070a, b"", &length, MARK),
-    ];
-    for (kind, seq, key, value, recorded) in records {
-        let mut bytes = Vec::new();
-        let size = format::write(&mut bytes, seq, kind, key, value);
-        assert_eq!((hex(&bytes).as_str(), size), (recorded, bytes.len()), "{kind:?}");
-        let record = format::read(&bytes).expect("a whole record");
-        assert_eq!((record.kind, record.seq, record.key, record.value), (kind, seq, key, value));
-    }
+    check_record(RecordKind::Put, 0x0102_0304_0506_0708, b"key", b"value", PUT);
+    check_record(RecordKind::Remove, 0x0102_0304_0506_0709, b"key", b"", REMOVE);
+    check_record(RecordKind::Mark, 0x0102_0304_0506_070a, b"", &length, MARK);
+}
+
+fn check_record(kind: RecordKind, sequence: u64, key: &[u8], value: &[u8], recorded: &str) {
+    let mut bytes = Vec::new();
+    let size = format::write_record(&mut bytes, sequence, kind, key, value);
+    assert_eq!((hex(&bytes).as_str(), size), (recorded, bytes.len()), "{kind:?}");
+    let record = format::read_record(&bytes).expect("a whole record");
+    assert_eq!((record.kind, record.seq, record.size), (kind, sequence, size));
+    assert_eq!((record.key, record.value), (key, value));
 }
 
 #[test]
@@ -68,7 +85,7 @@
 #[test]
 fn segment_names_are_as_recorded() {
     assert_eq!(format::segment_name(0xabc, 0x1f), "0000000000000abc-0000001f.seg");
-    assert_eq!(format::parse_name("0000000000000abc-0000001f.seg", ".seg"), Some((0xabc, 0x1f)));
+    assert_eq!(format::parse_segment_name("0000000000000abc-0000001f.seg", ".seg"), Some((0xabc, 0x1f)));
 }
 
 /// The workload whose files are checked in: overwrites, removals, rotation and one compaction. Each commit is synced.
@@ -141,7 +158,8 @@
 #[test]
 fn the_recorded_workload_writes_the_recorded_files() {
     let path = empty_folder("written");
-    let mut store = Store::open(Folder::open(&path).expect("a folder"), OPTIONS).expect("an empty store");
+    let mut store =
+        Store::open(DiskDirectory::open(&path).expect("a folder"), OPTIONS).expect("an empty store");
     write_recorded_workload(&mut store);
     drop(store);
     let (written, recorded) = (files(&path), recorded_files());
@@ -162,11 +180,18 @@
                 std::fs::write(path.join(name), bytes).expect("to copy");
             }
         }
-        let open = || Store::open(Folder::open(&path).expect("a folder"), OPTIONS).expect("a store");
+        let open = || Store::open(DiskDirectory::open(&path).expect("a folder"), OPTIONS).expect("a store");
         let mut store = open();
         let stats = store.stats();
         assert_eq!(
-            (stats.keys, stats.segments, stats.bytes, stats.live, stats.last, stats.torn),
+            (
+                stats.keys,
+                stats.segments,
+                stats.segment_bytes,
+                stats.live_bytes,
+                stats.last_sequence,
+                stats.torn_bytes
+            ),
             (16, 5, 2238, 779, 95, 0)
         );
         assert_eq!(contents(&mut store), recorded_contents());
