--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -13,7 +13,7 @@
 use cypresscleat_rollout::policies::News;
 use cypresscleat_rollout::{desk as policy, said as policies};
 use cypresscleat_store::disk::DiskDirectory;
-use cypresscleat_store::{Error, Store};
+use cypresscleat_store::{DiskOperation, Error, Store};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
             };
         }
         self.store.commit(true).map(drop).map_err(|error| {
-            if matches!(&error, Error::Disk { doing: "sync", .. }) {
+            if matches!(&error, Error::Disk { operation: DiskOperation::Sync, .. }) {
                 let _ = std::fs::remove_file(self.folder.join("marks"));
             }
             other(error)
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,16 +1,18 @@
-//! What the store asks of a disk, and a real one.
+//! What the store needs of a disk, and a directory of the file system that provides it.
 
-use crate::{Error, Result};
+use crate::error::{DiskOperation, Error, Result};
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One folder. Names are those of files in it. What was written is on the disk for sure only once it was synced; that a
-/// file is there under its name, only once the folder was.
+/// One directory. Names are those of files in it. What was written is on the disk for sure only once the file was synced; that
+/// a file is there under its name, only once the directory was.
 pub trait Disk {
+    /// Names of all files.
     fn list(&mut self) -> Result<Vec<String>>;
+    /// Length of a file in bytes.
     fn length(&mut self, name: &str) -> Result<u64>;
     /// So many bytes from there, or fewer at the end of the file.
     fn read(&mut self, name: &str, offset: u64, length: usize) -> Result<Vec<u8>>;
@@ -18,76 +20,87 @@
     fn create(&mut self, name: &str) -> Result<()>;
     /// All of the bytes, or an error; then some of them may be there.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()>;
+    /// Cuts a file to this length.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
+    /// Returns once all that was written to the file is on the disk.
     fn sync(&mut self, name: &str) -> Result<()>;
+    /// Returns once all names that were created, renamed or removed are so on the disk.
     fn sync_directory(&mut self) -> Result<()>;
     /// Replaces what had the name `to`.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<()>;
 }
 
-pub(crate) fn said(doing: &'static str, file: &str, error: io::Error) -> Error {
-    let full = matches!(error.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
-    Error::Disk { doing, file: file.to_string(), what: error.to_string(), full }
-}
+/// Files kept open for reading and writing.
+const MAX_OPEN_FILES: usize = 16;
+/// Held locked by the process that has the directory open.
+const LOCK_FILE: &str = "LOCK";
 
-/// A folder of the system's. Holds its lock for as long as it lives, and few files open.
+/// A directory of the file system. Holds its lock for as long as it lives, and few files open.
 #[derive(Debug)]
 pub struct DiskDirectory {
     path: PathBuf,
-    open: HashMap<String, File>,
-    /// Syncs until one fails, in tests.
-    fails: Option<u64>,
+    open_files: HashMap<String, File>,
+    /// Syncs until each fails, in tests.
+    syncs_until_failure: Option<u64>,
     _lock: File,
 }
 
-/// Files kept open for reading and writing.
-const OPEN: usize = 16;
-
 impl DiskDirectory {
-    /// Made if it is not there.
+    /// Opens the directory and locks it; it is created if it is not there.
+    ///
+    /// # Errors
+    /// [`Error::Locked`] where another process has it open, or an operation that the system refused.
     pub fn open(path: &Path) -> Result<DiskDirectory> {
         let shown = path.display().to_string();
-        std::fs::create_dir_all(path).map_err(|error| said("make", &shown, error))?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("LOCK"));
-        let lock = lock.map_err(|error| said("open", "LOCK", error))?;
+        std::fs::create_dir_all(path)
+            .map_err(|error| Error::disk(DiskOperation::CreateDirectory, &shown, error))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE));
+        let lock = lock.map_err(|error| Error::disk(DiskOperation::Open, LOCK_FILE, error))?;
         // Given back by the system when this process ends, however it does.
         match lock.try_lock() {
-            Ok(()) => {
-                Ok(DiskDirectory { path: path.to_path_buf(), open: HashMap::new(), fails: None, _lock: lock })
-            }
+            Ok(()) => Ok(DiskDirectory {
+                path: path.to_path_buf(),
+                open_files: HashMap::new(),
+                syncs_until_failure: None,
+                _lock: lock,
+            }),
             Err(std::fs::TryLockError::WouldBlock) => Err(Error::Locked),
-            Err(std::fs::TryLockError::Error(error)) => Err(said("lock", "LOCK", error)),
+            Err(std::fs::TryLockError::Error(error)) => {
+                Err(Error::disk(DiskOperation::Lock, LOCK_FILE, error))
+            }
         }
     }
 
-    /// After so many syncs of files each fails, as on a disk that breaks: for tests.
+    /// After so many syncs of files each one fails, as on a disk that breaks: for tests.
     pub fn fail_syncs_after(&mut self, syncs: u64) {
-        self.fails = Some(syncs);
+        self.syncs_until_failure = Some(syncs);
     }
 
     fn file(&mut self, name: &str) -> Result<&File> {
-        if !self.open.contains_key(name) {
-            if self.open.len() >= OPEN {
-                self.open.clear();
+        if !self.open_files.contains_key(name) {
+            if self.open_files.len() >= MAX_OPEN_FILES {
+                self.open_files.clear();
             }
             let file = OpenOptions::new().read(true).write(true).open(self.path.join(name));
-            let file = file.map_err(|error| said("open", name, error))?;
-            self.open.insert(name.to_string(), file);
+            let file = file.map_err(|error| Error::disk(DiskOperation::Open, name, error))?;
+            self.open_files.insert(name.to_string(), file);
         }
-        self.open.get(name).ok_or(Error::ReadOnly)
+        self.open_files.get(name).ok_or(Error::ReadOnly)
     }
 }
 
 impl Disk for DiskDirectory {
     fn list(&mut self) -> Result<Vec<String>> {
-        let entries = std::fs::read_dir(&self.path).map_err(|error| said("list", ".", error))?;
+        let entries =
+            std::fs::read_dir(&self.path).map_err(|error| Error::disk(DiskOperation::List, ".", error))?;
         let names = entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-        Ok(names.filter(|name| name != "LOCK").collect())
+        Ok(names.filter(|name| name != LOCK_FILE).collect())
     }
     fn length(&mut self, name: &str) -> Result<u64> {
         let length = self.file(name)?.metadata().map(|data| data.len());
-        length.map_err(|error| said("measure", name, error))
+        length.map_err(|error| Error::disk(DiskOperation::ReadLength, name, error))
     }
     fn read(&mut self, name: &str, offset: u64, length: usize) -> Result<Vec<u8>> {
         let file = self.file(name)?;
@@ -95,9 +108,9 @@
         while filled < length {
             match file.read_at(&mut bytes[filled..], offset + filled as u64) {
                 Ok(0) => break,
-                Ok(many) => filled += many,
+                Ok(count) => filled += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => return Err(said("read", name, error)),
+                Err(error) => return Err(Error::disk(DiskOperation::Read, name, error)),
             }
         }
         bytes.truncate(filled);
@@ -106,36 +119,43 @@
     fn create(&mut self, name: &str) -> Result<()> {
         let file =
             OpenOptions::new().read(true).write(true).create(true).truncate(true).open(self.path.join(name));
-        let file = file.map_err(|error| said("create", name, error))?;
-        self.open.insert(name.to_string(), file);
+        let file = file.map_err(|error| Error::disk(DiskOperation::Create, name, error))?;
+        self.open_files.insert(name.to_string(), file);
         Ok(())
     }
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()> {
-        self.file(name)?.write_all_at(bytes, offset).map_err(|error| said("write", name, error))
+        self.file(name)?
+            .write_all_at(bytes, offset)
+            .map_err(|error| Error::disk(DiskOperation::Write, name, error))
     }
     fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
-        self.file(name)?.set_len(length).map_err(|error| said("truncate", name, error))
+        self.file(name)?.set_len(length).map_err(|error| Error::disk(DiskOperation::Truncate, name, error))
     }
     fn sync(&mut self, name: &str) -> Result<()> {
-        if let Some(left) = self.fails.as_mut() {
+        if let Some(left) = self.syncs_until_failure.as_mut() {
             let broken = || io::Error::other("Input/output error, as the test asks for");
-            *left = left.checked_sub(1).ok_or_else(broken).map_err(|error| said("sync", name, error))?;
+            *left = left
+                .checked_sub(1)
+                .ok_or_else(broken)
+                .map_err(|error| Error::disk(DiskOperation::Sync, name, error))?;
         }
-        self.file(name)?.sync_data().map_err(|error| said("sync", name, error))
+        self.file(name)?.sync_data().map_err(|error| Error::disk(DiskOperation::Sync, name, error))
     }
     fn sync_directory(&mut self) -> Result<()> {
         let synced = File::open(&self.path).and_then(|folder| folder.sync_all());
-        synced.map_err(|error| said("sync", ".", error))
+        synced.map_err(|error| Error::disk(DiskOperation::Sync, ".", error))
     }
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.open.remove(to);
-        if let Some(file) = self.open.remove(from) {
-            self.open.insert(to.to_string(), file);
+        self.open_files.remove(to);
+        if let Some(file) = self.open_files.remove(from) {
+            self.open_files.insert(to.to_string(), file);
         }
-        std::fs::rename(self.path.join(from), self.path.join(to)).map_err(|error| said("rename", from, error))
+        std::fs::rename(self.path.join(from), self.path.join(to))
+            .map_err(|error| Error::disk(DiskOperation::Rename, from, error))
     }
     fn remove(&mut self, name: &str) -> Result<()> {
-        self.open.remove(name);
-        std::fs::remove_file(self.path.join(name)).map_err(|error| said("remove", name, error))
+        self.open_files.remove(name);
+        std::fs::remove_file(self.path.join(name))
+            .map_err(|error| Error::disk(DiskOperation::Remove, name, error))
     }
 }
--- /dev/null
+++ b/crates/store/src/error.rs
@@ -0,0 +1,150 @@
+//! Errors of the store and of the disk below it.
+
+use crate::format::RecordError;
+use std::fmt;
+use std::io;
+
+/// Result of an operation of the store or of its disk.
+pub type Result<T> = std::result::Result<T, Error>;
+
+/// Why an operation of the store failed.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum Error {
+    /// An operation of the disk failed.
+    #[error("{operation} {file}: {source}")]
+    Disk {
+        /// What was attempted.
+        operation: DiskOperation,
+        /// Name of the file in the store's directory, or `.` for the directory.
+        file: String,
+        /// What the disk reported.
+        source: DiskError,
+    },
+    /// What had been synced is not what was written.
+    #[error("damage in {file} at byte {offset}: {source}")]
+    Damage {
+        /// Name of the damaged segment.
+        file: String,
+        /// Offset of the first byte that cannot be trusted.
+        offset: u64,
+        /// What does not hold there.
+        source: DamageReason,
+    },
+    /// The store was written in a format that this program does not know.
+    #[error("a store of another format: {file} has {version:?}")]
+    Version {
+        /// Name of the segment that says so.
+        file: String,
+        /// Its format version, the last byte of the magic.
+        version: char,
+    },
+    /// Another process has the store open.
+    #[error("another process has this store open")]
+    Locked,
+    /// A key or value is empty or longer than its bound; the length of the longer one.
+    #[error("a key or value of {0} bytes")]
+    TooLarge(usize),
+    /// A segment failed and no other could be created: the store can only be read.
+    #[error("read-only, as no segment can be written")]
+    ReadOnly,
+}
+
+impl Error {
+    /// An operation that the system refused.
+    pub fn disk(operation: DiskOperation, file: &str, source: io::Error) -> Error {
+        Error::Disk { operation, file: file.to_string(), source: source.into() }
+    }
+
+    pub(crate) fn damage(file: &str, offset: u64, source: impl Into<DamageReason>) -> Error {
+        Error::Damage { file: file.to_string(), offset, source: source.into() }
+    }
+}
+
+/// What a disk reported: kind and text of an [`io::Error`], which can be neither cloned nor compared itself.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{message}")]
+pub struct DiskError {
+    /// Kind of the error.
+    pub kind: io::ErrorKind,
+    /// Its text.
+    pub message: String,
+}
+
+impl From<io::Error> for DiskError {
+    fn from(error: io::Error) -> DiskError {
+        DiskError { kind: error.kind(), message: error.to_string() }
+    }
+}
+
+/// An operation on a file or on the store's directory.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[allow(missing_docs)] // each variant is the operation of that name
+pub enum DiskOperation {
+    CreateDirectory,
+    Open,
+    Lock,
+    List,
+    ReadLength,
+    Read,
+    Create,
+    Write,
+    Truncate,
+    Sync,
+    Rename,
+    Remove,
+}
+
+impl fmt::Display for DiskOperation {
+    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+        to.write_str(match self {
+            DiskOperation::CreateDirectory => "make",
+            DiskOperation::Open => "open",
+            DiskOperation::Lock => "lock",
+            DiskOperation::List => "list",
+            DiskOperation::ReadLength => "measure",
+            DiskOperation::Read => "read",
+            DiskOperation::Create => "create",
+            DiskOperation::Write => "write",
+            DiskOperation::Truncate => "truncate",
+            DiskOperation::Sync => "sync",
+            DiskOperation::Rename => "rename",
+            DiskOperation::Remove => "remove",
+        })
+    }
+}
+
+/// What does not hold in a damaged segment.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DamageReason {
+    /// The bytes are no record.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+    /// The bytes are no record, and a mark behind them says that they had been synced.
+    #[error("{source}, though {synced_bytes} bytes had been synced")]
+    SyncedRecord {
+        /// Why they are no record.
+        source: RecordError,
+        /// Length of the segment that had been synced.
+        synced_bytes: u64,
+    },
+    /// The header of a segment that may hold records cannot be read.
+    #[error("its header can't be read")]
+    Header,
+    /// Segments before this one are missing.
+    #[error("the segments {first} to {last} are missing")]
+    MissingSegments {
+        /// First missing one.
+        first: u64,
+        /// Last missing one.
+        last: u64,
+    },
+    /// The segment is shorter than what was synced of it.
+    #[error("it ends here, {synced_bytes} bytes were synced")]
+    TooShort {
+        /// Length that had been synced.
+        synced_bytes: u64,
+    },
+    /// The record that the index names is not the one found there.
+    #[error("another record stands here")]
+    OtherRecord,
+}
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -25,50 +25,25 @@
 //! All numbers little-endian. A mark's key is empty; its value is the length that was synced when it was written, by which
 //! recovery tells a torn end from damage to what had been synced.
 
+#![warn(missing_docs)]
+
+mod compaction;
 pub mod disk;
+mod error;
 pub mod format;
-pub mod measure;
-pub mod recovery;
+mod index;
+mod recovery;
+mod segments;
 pub mod simulation;
+mod snapshot;
 mod store;
+mod writer;
 
-pub use store::{Snapshot, Store, StoreOptions, StoreStats};
-
-use std::fmt;
+pub use error::{DamageReason, DiskError, DiskOperation, Error, Result};
+pub use snapshot::Snapshot;
+pub use store::{Store, StoreOptions, StoreStats};
 
-/// Longest key and value, in bytes.
+/// Longest key, in bytes.
 pub const MAX_KEY_BYTES: usize = 1024;
+/// Longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Error {
-    /// The disk said so: which operation, on which file, and what.
-    Disk { doing: &'static str, file: String, what: String, full: bool },
-    /// What had been synced is not what was written: file and offset.
-    Damage { file: String, offset: u64, what: String },
-    /// A store of a version that this program does not know.
-    Version(String),
-    /// Another process has it.
-    Locked,
-    /// A key or value out of bounds.
-    TooLarge(usize),
-    /// A segment failed and no other could be begun: what is there can be read.
-    ReadOnly,
-}
-
-impl fmt::Display for Error {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Error::Disk { doing, file, what, .. } => write!(to, "{doing} {file}: {what}"),
-            Error::Damage { file, offset, what } => write!(to, "damage in {file} at byte {offset}: {what}"),
-            Error::Version(found) => write!(to, "a store of another format: {found}"),
-            Error::Locked => write!(to, "another process has this store open"),
-            Error::TooLarge(bytes) => write!(to, "a key or value of {bytes} bytes"),
-            Error::ReadOnly => write!(to, "read-only, as no segment can be written"),
-        }
-    }
-}
-
-impl std::error::Error for Error {}
-
-pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,234 +1,348 @@
-//! From what lies in the folder to what the store knows: which segments count, how far each is valid, what is damage and
-//! what only a torn end. Reads, and repairs nothing that could still be wanted.
+//! From what lies in the directory to what the store knows: which segments count, how far each is valid, what is damage and what
+//! only a torn end. Reads, and repairs nothing that could still be wanted.
 
 use crate::disk::Disk;
-use crate::format::{self, Hint, RecordKind, SegmentHeader, FRAME_BYTES, HEADER_BYTES, MAX_RECORD_BYTES};
-use crate::{Error, Result};
+use crate::error::{DamageReason, Error, Result};
+use crate::format::{
+    decode_hints, decode_mark, decode_record, hint_file_name, parse_segment_name, Hint, RecordError,
+    RecordKind, SegmentHeader, FRAME_BYTES, HEADER_BYTES, MARK_BYTES, MAX_RECORD_BYTES, TEMPORARY_SUFFIX,
+};
+
+/// Segments are read in pieces of this size.
+const READ_BYTES: usize = 256 * 1024;
 
 /// One segment as it was found.
 #[derive(Clone, Debug)]
-pub struct RecoveredSegment {
-    pub name: String,
-    pub from: u64,
-    pub to: u64,
+pub(crate) struct RecoveredSegment {
+    pub file: String,
+    pub first_segment: u64,
+    pub number: u64,
     pub generation: u32,
     /// Valid bytes; what is behind was never acknowledged.
     pub length: u64,
     /// Every put and removal in it, in order.
     pub hints: Vec<Hint>,
-    /// The last number in it, marks included.
-    pub last: u64,
-    pub hinted: bool,
+    /// The last sequence number in it, marks included.
+    pub last_sequence: u64,
 }
 
+/// What was found in the directory.
 #[derive(Clone, Debug, Default)]
-pub struct Recovery {
+pub(crate) struct Recovery {
     /// In the order of the log.
     pub segments: Vec<RecoveredSegment>,
-    /// Names that stand for nothing any more.
-    pub rest: Vec<String>,
+    /// Files that stand for nothing any more.
+    pub obsolete_files: Vec<String>,
     /// Bytes dropped behind the last valid record.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// With `salvage`: what could not be read.
     pub damage: Vec<Error>,
 }
 
-/// Reading goes in pieces of this size.
-const PIECE: usize = 256 * 1024;
-
-/// With `salvage` damage is told in the result and what is behind it in its segment is left out; else it is an error.
-pub fn recover(disk: &mut impl Disk, salvage: bool) -> Result<Recovery> {
-    let mut all = Vec::new();
-    let mut out = Recovery::default();
-    let mut headless: Vec<(u64, u32, String)> = Vec::new();
-    for name in disk.list()? {
-        if let Some((to, generation)) = format::parse_segment_name(&name, ".seg") {
-            let head = disk.read(&name, 0, HEADER_BYTES)?;
-            if SegmentHeader::other_version(&head) {
-                return Err(Error::Version(format!("{name} has {:?}", char::from(head[7]))));
+/// Reads the directory. With `salvage` damage is reported in the result and what is behind it in its segment is left out; else
+/// it is an error.
+pub(crate) fn recover(disk: &mut impl Disk, salvage: bool) -> Result<Recovery> {
+    let mut reader = Reader { disk, salvage, recovery: Recovery::default() };
+    let listing = reader.list_segments()?;
+    reader.check_headerless(&listing)?;
+    let segments = reader.drop_replaced(listing.segments);
+    reader.check_gaps(&segments)?;
+    reader.read_segments(&segments)?;
+    Ok(reader.recovery)
+}
+
+/// A segment's file whose header could be read.
+struct SegmentFile {
+    name: String,
+    generation: u32,
+    header: SegmentHeader,
+}
+
+impl SegmentFile {
+    /// Whether this file is a compaction's output that stands for all that the other one covers.
+    fn replaces(&self, other: &SegmentFile) -> bool {
+        let (own, others) = (&self.header, &other.header);
+        let starts_before = own.first_segment < others.first_segment;
+        let ends_behind = own.last_segment > others.last_segment;
+        let covers = own.first_segment <= others.first_segment && others.last_segment <= own.last_segment;
+        let is_newer = self.generation > other.generation || starts_before || ends_behind;
+        covers && is_newer && self.generation > 0
+    }
+}
+
+/// A segment's file whose header could not be read.
+struct HeaderlessFile {
+    name: String,
+    number: u64,
+    generation: u32,
+}
+
+#[derive(Default)]
+struct Listing {
+    segments: Vec<SegmentFile>,
+    headerless: Vec<HeaderlessFile>,
+}
+
+/// Where the records of a segment end, and why, if before its valid length.
+struct ScanEnd {
+    offset: u64,
+    reason: Option<RecordError>,
+}
+
+struct Reader<'a, D: Disk> {
+    disk: &'a mut D,
+    salvage: bool,
+    recovery: Recovery,
+}
+
+impl<D: Disk> Reader<'_, D> {
+    fn report_damage(&mut self, error: Error) -> Result<()> {
+        if !self.salvage {
+            return Err(error);
+        }
+        self.recovery.damage.push(error);
+        Ok(())
+    }
+
+    fn list_segments(&mut self) -> Result<Listing> {
+        let mut listing = Listing::default();
+        for name in self.disk.list()? {
+            if let Some((number, generation)) = parse_segment_name(&name) {
+                let bytes = self.disk.read(&name, 0, HEADER_BYTES)?;
+                if let Some(version) = SegmentHeader::other_version(&bytes) {
+                    return Err(Error::Version { file: name, version });
+                }
+                let header = SegmentHeader::decode(&bytes).ok();
+                let is_own =
+                    |header: &SegmentHeader| header.last_segment == number && header.first_segment <= number;
+                match header.filter(is_own) {
+                    Some(header) => listing.segments.push(SegmentFile { name, generation, header }),
+                    None => listing.headerless.push(HeaderlessFile { name, number, generation }),
+                }
+            } else if name.ends_with(TEMPORARY_SUFFIX) {
+                self.recovery.obsolete_files.push(name);
             }
-            match SegmentHeader::read(&head) {
-                Ok(header) if header.to == to && header.from <= to => all.push((header, generation, name)),
-                _ => headless.push((to, generation, name)),
+        }
+        Ok(listing)
+    }
+
+    /// A newest segment without a header and records was just created: no record of it was acknowledged before its header was
+    /// synced, so nothing is lost with it. Any other one without a header is damaged.
+    fn check_headerless(&mut self, listing: &Listing) -> Result<()> {
+        let newest = listing.segments.iter().map(|segment| segment.header.last_segment).max();
+        for file in &listing.headerless {
+            let is_newest = newest.is_none_or(|newest| file.number > newest);
+            let is_just_created = file.generation == 0 && is_newest && !self.has_record(&file.name)?;
+            if !is_just_created {
+                self.report_damage(Error::damage(&file.name, 0, DamageReason::Header))?;
             }
-        } else if name.ends_with(".tmp") {
-            out.rest.push(name);
+            self.recovery.obsolete_files.push(file.name.clone());
         }
+        Ok(())
     }
-    let newest = all.iter().map(|(header, ..)| header.to).max();
-    for (to, generation, name) in headless {
-        // Created, and no record of it was acknowledged before its header was synced: nothing is lost with it. What holds
-        // a record has been.
-        let fresh = generation == 0 && newest.is_none_or(|newest| to > newest) && !has_record(disk, &name)?;
-        if !fresh {
-            let what = "its header can't be read".to_string();
-            damage(&mut out, salvage, Error::Damage { file: name.clone(), offset: 0, what })?;
+
+    fn has_record(&mut self, file: &str) -> Result<bool> {
+        let bytes = self.disk.read(file, HEADER_BYTES as u64, MAX_RECORD_BYTES)?;
+        Ok(decode_record(&bytes).is_ok())
+    }
+
+    /// The segments that count, in the order of the log; those that a compacted one stands for are obsolete.
+    fn drop_replaced(&mut self, segments: Vec<SegmentFile>) -> Vec<SegmentFile> {
+        let is_replaced =
+            |one: &SegmentFile| segments.iter().any(|other| other.name != one.name && other.replaces(one));
+        let replaced: Vec<bool> = segments.iter().map(is_replaced).collect();
+        let mut remaining = Vec::new();
+        for (segment, is_replaced) in segments.into_iter().zip(replaced) {
+            if is_replaced {
+                self.recovery.obsolete_files.push(segment.name);
+            } else {
+                remaining.push(segment);
+            }
+        }
+        remaining.sort_by_key(|segment| segment.header.first_segment);
+        remaining
+    }
+
+    fn check_gaps(&mut self, segments: &[SegmentFile]) -> Result<()> {
+        for pair in segments.windows(2) {
+            let (expected, found) = (pair[0].header.last_segment + 1, pair[1].header.first_segment);
+            if found != expected {
+                let reason = DamageReason::MissingSegments { first: expected, last: found - 1 };
+                self.report_damage(Error::damage(&pair[1].name, 0, reason))?;
+            }
         }
-        out.rest.push(name);
-    }
-    // A compacted one stands for all that it covers.
-    let covers = |a: &(SegmentHeader, u32, String), b: &(SegmentHeader, u32, String)| {
-        let inside = a.0.from <= b.0.from && b.0.to <= a.0.to;
-        inside && (a.1 > b.1 || a.0.from < b.0.from || a.0.to > b.0.to) && a.1 > 0
-    };
-    let (covered, mut kept): (Vec<_>, Vec<_>) = all
-        .clone()
-        .into_iter()
-        .partition(|one| all.iter().any(|other| other.2 != one.2 && covers(other, one)));
-    out.rest.extend(covered.into_iter().map(|(.., name)| name));
-    kept.sort_by_key(|(header, ..)| header.from);
-    for two in kept.windows(2) {
-        if two[0].0.to + 1 != two[1].0.from {
-            let what = format!("the segments {} to {} are missing", two[0].0.to + 1, two[1].0.from - 1);
-            damage(&mut out, salvage, Error::Damage { file: two[1].2.clone(), offset: 0, what })?;
+        Ok(())
+    }
+
+    fn read_segments(&mut self, segments: &[SegmentFile]) -> Result<()> {
+        let mut last_sequence = 0;
+        for (at, segment) in segments.iter().enumerate() {
+            let next = segments.get(at + 1).map(|next| &next.header);
+            let recovered = self.read_segment(segment, next, last_sequence)?;
+            last_sequence = last_sequence.max(recovered.last_sequence);
+            self.recovery.segments.push(recovered);
         }
+        Ok(())
     }
-    let mut last = 0;
-    for (at, (header, generation, name)) in kept.iter().enumerate() {
-        let stored = disk.length(name)?;
-        let next = kept.get(at + 1).map(|(next, ..)| next.before);
+
+    /// Reads one segment by its hints or, without them, record by record. `next` is the header of the segment behind it,
+    /// `last_sequence` the number that ends the one before.
+    fn read_segment(
+        &mut self,
+        segment: &SegmentFile,
+        next: Option<&SegmentHeader>,
+        last_sequence: u64,
+    ) -> Result<RecoveredSegment> {
+        let stored = self.disk.length(&segment.name)?;
         // Sealed: the next one says how far it was valid. Compacted: synced whole before it got its name.
-        let valid = match (generation, next) {
-            (0, next) => next,
-            (_, _) => Some(stored),
+        let valid = match segment.generation {
+            0 => next.map(|next| next.previous_length),
+            _ => Some(stored),
         };
-        if let Some(valid) = valid.filter(|valid| *valid > stored) {
-            let what = format!("it ends here, {valid} bytes were synced");
-            damage(&mut out, salvage, Error::Damage { file: name.clone(), offset: stored, what })?;
+        if let Some(synced_bytes) = valid.filter(|valid| *valid > stored) {
+            let reason = DamageReason::TooShort { synced_bytes };
+            self.report_damage(Error::damage(&segment.name, stored, reason))?;
         }
-        let hints_name = name.replace(".seg", ".hint");
-        let hints = match valid {
-            Some(valid) if valid <= stored => {
-                let length = disk.length(&hints_name).unwrap_or(0);
-                let bytes = disk.read(&hints_name, 0, length as usize).unwrap_or_default();
-                format::read_hints(&bytes, valid)
-            }
-            _ => None,
-        };
-        let mut found = RecoveredSegment {
-            name: name.clone(),
-            from: header.from,
-            to: header.to,
-            generation: *generation,
+        let hints = valid.filter(|valid| *valid <= stored).and_then(|valid| self.read_hints(segment, valid));
+        let mut recovered = RecoveredSegment {
+            file: segment.name.clone(),
+            first_segment: segment.header.first_segment,
+            number: segment.header.last_segment,
+            generation: segment.generation,
             length: valid.unwrap_or(stored).min(stored),
-            last,
-            hinted: hints.is_some(),
-            hints: hints.unwrap_or_default(),
+            hints: Vec::new(),
+            last_sequence,
         };
-        if found.hinted {
-            found.last = found.hints.last().map_or(last, |hint| hint.seq).max(last);
-        } else {
-            let (end, what) = scan(disk, &mut found, *generation == 0)?;
-            let file = name.clone();
-            match (what, valid) {
-                (None, _) => {}
-                (Some(what), Some(_)) => {
-                    damage(&mut out, salvage, Error::Damage { file, offset: end, what: what.into() })?
-                }
-                // The last one: torn, unless a mark behind says that this had been synced.
-                (Some(what), None) => match synced_past(disk, name, end, stored)? {
-                    Some(synced) => {
-                        let what = format!("{what}, though {synced} bytes had been synced");
-                        damage(&mut out, salvage, Error::Damage { file, offset: end, what })?;
-                    }
-                    None => out.torn += stored - end,
-                },
+        match hints {
+            Some(hints) => {
+                let last = hints.last().map_or(last_sequence, |hint| hint.sequence);
+                recovered.last_sequence = last.max(last_sequence);
+                recovered.hints = hints;
+            }
+            None => {
+                let end = self.scan(&mut recovered)?;
+                self.check_end(&recovered.file, &end, valid.is_some(), stored)?;
+                recovered.length = end.offset;
             }
-            found.length = end;
         }
-        last = last.max(found.last);
-        out.segments.push(found);
+        Ok(recovered)
     }
-    Ok(out)
-}
 
-fn damage(out: &mut Recovery, salvage: bool, error: Error) -> Result<()> {
-    if !salvage {
-        return Err(error);
+    fn read_hints(&mut self, segment: &SegmentFile, valid: u64) -> Option<Vec<Hint>> {
+        let file = hint_file_name(&segment.name);
+        let length = self.disk.length(&file).unwrap_or(0);
+        let bytes = self.disk.read(&file, 0, length as usize).unwrap_or_default();
+        decode_hints(&bytes, valid)
     }
-    out.damage.push(error);
-    Ok(())
-}
-
-fn has_record(disk: &mut impl Disk, name: &str) -> Result<bool> {
-    let bytes = disk.read(name, HEADER_BYTES as u64, MAX_RECORD_BYTES)?;
-    Ok(format::read_record(&bytes).is_ok())
-}
 
-/// Reads records into `found` up to its length; where they end, and why, if before it. In a segment as it was written each
-/// has the number after the one before; compacted, a higher one.
-fn scan(
-    disk: &mut impl Disk,
-    found: &mut RecoveredSegment,
-    dense: bool,
-) -> Result<(u64, Option<&'static str>)> {
-    let mut at = HEADER_BYTES as u64;
-    let (mut bytes, mut start) = (Vec::new(), at);
-    let mut first = true;
-    while at < found.length {
-        let left = (found.length - at) as usize;
-        let have = bytes.len() - (at - start) as usize;
-        if have < left.min(FRAME_BYTES) {
-            bytes = disk.read(&found.name, at, PIECE.min(left))?;
-            start = at;
+    /// Records that end early are damage where the valid length is known. At the end of the newest segment they are torn,
+    /// unless a mark behind says that this had been synced.
+    fn check_end(&mut self, file: &str, end: &ScanEnd, is_length_known: bool, stored: u64) -> Result<()> {
+        let Some(reason) = end.reason else { return Ok(()) };
+        if is_length_known {
+            return self.report_damage(Error::damage(file, end.offset, reason));
         }
-        let mut here = &bytes[(at - start) as usize..];
-        if let Some(frame) = here.get(..4) {
-            let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize + FRAME_BYTES;
-            if length > here.len() && length <= MAX_RECORD_BYTES && here.len() < left {
-                bytes = disk.read(&found.name, at, length.max(PIECE).min(left))?;
-                start = at;
-                here = &bytes;
+        match self.synced_past(file, end.offset, stored)? {
+            Some(synced_bytes) => {
+                let reason = DamageReason::SyncedRecord { source: reason, synced_bytes };
+                self.report_damage(Error::damage(file, end.offset, reason))
+            }
+            None => {
+                self.recovery.torn_bytes += stored - end.offset;
+                Ok(())
             }
         }
-        let record = match format::read_record(here) {
-            Ok(record) => record,
-            Err(what) => return Ok((at, Some(what))),
-        };
-        let follows = if dense && !first { record.seq == found.last + 1 } else { record.seq > found.last };
-        if !follows {
-            return Ok((at, Some("a record that does not follow the one before")));
+    }
+
+    /// Reads the records of a segment up to its length. In a segment as it was written each has the number after the one
+    /// before; in a compacted one, a higher one.
+    fn scan(&mut self, segment: &mut RecoveredSegment) -> Result<ScanEnd> {
+        let mut pieces = Pieces::new(&segment.file, segment.length);
+        let mut offset = HEADER_BYTES as u64;
+        let mut is_first = true;
+        while offset < segment.length {
+            let record = match decode_record(pieces.read_at(self.disk, offset)?) {
+                Ok(record) => record,
+                Err(reason) => return Ok(ScanEnd { offset, reason: Some(reason) }),
+            };
+            let is_dense = segment.generation == 0 && !is_first;
+            let follows = match is_dense {
+                true => record.sequence == segment.last_sequence + 1,
+                false => record.sequence > segment.last_sequence,
+            };
+            if !follows {
+                return Ok(ScanEnd { offset, reason: Some(RecordError::OutOfSequence) });
+            }
+            is_first = false;
+            segment.last_sequence = record.sequence;
+            if record.kind != RecordKind::Mark {
+                let (sequence, kind, size) = (record.sequence, record.kind, record.size as u32);
+                segment.hints.push(Hint { sequence, kind, offset, size, key: record.key.to_vec() });
+            }
+            offset += record.size as u64;
         }
-        first = false;
-        found.last = record.seq;
-        if record.kind != RecordKind::Mark {
-            found.hints.push(Hint {
-                seq: record.seq,
-                kind: record.kind,
-                offset: at,
-                size: record.size as u32,
-                key: record.key.to_vec(),
-            });
+        Ok(ScanEnd { offset, reason: None })
+    }
+
+    /// The most that a whole mark behind `end` says was synced, where that is more than `end`.
+    fn synced_past(&mut self, file: &str, end: u64, stored: u64) -> Result<Option<u64>> {
+        let mut most = None;
+        let mut start = end;
+        while start < stored {
+            let bytes = self.disk.read(file, start, READ_BYTES + MARK_BYTES)?;
+            if bytes.len() < MARK_BYTES {
+                break;
+            }
+            for at in 0..=(bytes.len() - MARK_BYTES).min(READ_BYTES - 1) {
+                let synced = decode_mark(&bytes[at..]);
+                let is_plausible = |synced: &u64| *synced > end && *synced <= start + at as u64;
+                most = most.max(synced.filter(is_plausible));
+            }
+            start += READ_BYTES as u64;
         }
-        at += record.size as u64;
+        Ok(most)
     }
-    Ok((at, None))
 }
 
-/// Whether a whole mark behind `end` says that more than `end` was synced.
-fn synced_past(disk: &mut impl Disk, name: &str, end: u64, stored: u64) -> Result<Option<u64>> {
-    const MARK: usize = FRAME_BYTES + 11 + 8;
-    let (mut at, mut most) = (end, None);
-    while at < stored {
-        let bytes = disk.read(name, at, PIECE + MARK)?;
-        if bytes.len() < MARK {
-            break;
+/// Reads a file in pieces that each hold at least one whole record where the file does.
+struct Pieces {
+    file: String,
+    length: u64,
+    bytes: Vec<u8>,
+    /// Offset of `bytes` in the file.
+    start: u64,
+}
+
+impl Pieces {
+    fn new(file: &str, length: u64) -> Pieces {
+        Pieces { file: file.to_string(), length, bytes: Vec::new(), start: HEADER_BYTES as u64 }
+    }
+
+    /// The bytes from `offset` on, which is in or right behind the piece that was read last.
+    fn read_at(&mut self, disk: &mut impl Disk, offset: u64) -> Result<&[u8]> {
+        let left = (self.length - offset) as usize;
+        let available = self.bytes.len() - (offset - self.start) as usize;
+        if available < left.min(FRAME_BYTES) {
+            self.read_piece(disk, offset, READ_BYTES.min(left))?;
         }
-        for offset in 0..=(bytes.len() - MARK).min(PIECE - 1) {
-            let here = &bytes[offset..offset + MARK];
-            // Cheap to rule out: length, kind and empty key of a mark.
-            if here[..4] == [19, 0, 0, 0] && here[16] == 3 && here[17..19] == [0, 0] {
-                if let Ok(record) = format::read_record(here) {
-                    let mut eight = [0; 8];
-                    eight.copy_from_slice(record.value);
-                    let synced = u64::from_le_bytes(eight);
-                    if synced > end && synced <= at + offset as u64 {
-                        most = most.max(Some(synced));
-                    }
-                }
+        if let Some(record_bytes) = self.framed_length(offset) {
+            let available = self.bytes.len() - (offset - self.start) as usize;
+            if record_bytes > available && record_bytes <= MAX_RECORD_BYTES && available < left {
+                self.read_piece(disk, offset, record_bytes.max(READ_BYTES).min(left))?;
             }
         }
-        at += PIECE as u64;
+        Ok(&self.bytes[(offset - self.start) as usize..])
+    }
+
+    /// Length of the record at `offset` by its frame, as far as that was read.
+    fn framed_length(&self, offset: u64) -> Option<usize> {
+        let frame = self.bytes.get((offset - self.start) as usize..)?.get(..4)?;
+        Some(u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize + FRAME_BYTES)
+    }
+
+    fn read_piece(&mut self, disk: &mut impl Disk, offset: u64, length: usize) -> Result<()> {
+        self.bytes = disk.read(&self.file, offset, length)?;
+        self.start = offset;
+        Ok(())
     }
-    Ok(most)
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -274,7 +274,7 @@
                     Err(Error::Damage { .. }) => told += 1,
                     Err(other) => panic!("{name} byte {at}: {other}"),
                 },
-                Err(Error::Damage { .. } | Error::Version(_)) => told += 1,
+                Err(Error::Damage { .. } | Error::Version { .. }) => told += 1,
                 Err(other) => panic!("{name} byte {at}: {other}"),
             }
         }
@@ -406,7 +406,7 @@
     let name =
         disk.list().expect("names").into_iter().find(|name| name.ends_with(".seg")).expect("a segment");
     disk.bytes(&name).expect("its bytes")[7] = b'2';
-    assert!(matches!(Store::open(disk, SMALL), Err(Error::Version(_))));
+    assert!(matches!(Store::open(disk, SMALL), Err(Error::Version { .. })));
     let path = std::env::temp_dir().join(format!("cypresscleat-store-two-{}", std::process::id()));
     let one = cypresscleat_store::disk::DiskDirectory::open(&path).expect("one owner");
     assert_eq!(cypresscleat_store::disk::DiskDirectory::open(&path).map(|_| ()), Err(Error::Locked));
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -28,20 +28,20 @@
 }
 
 fn recorded_header() -> SegmentHeader {
-    SegmentHeader { from: 0x0102, to: 0x0203, before: 0x0304 }
+    SegmentHeader { first_segment: 0x0102, last_segment: 0x0203, previous_length: 0x0304 }
 }
 
 fn recorded_hints() -> Vec<Hint> {
     vec![
         Hint {
-            seq: 0x0102_0304_0506_0708,
+            sequence: 0x0102_0304_0506_0708,
             kind: RecordKind::Put,
             offset: 36,
             size: 27,
             key: b"key".to_vec(),
         },
         Hint {
-            seq: 0x0102_0304_0506_0709,
+            sequence: 0x0102_0304_0506_0709,
             kind: RecordKind::Remove,
             offset: 63,
             size: 22,
@@ -52,9 +52,9 @@
 
 #[test]
 fn segment_header_has_its_recorded_bytes() {
-    let bytes = recorded_header().write();
+    let bytes = recorded_header().encode();
     assert_eq!(hex(&bytes), HEADER);
-    assert_eq!(SegmentHeader::read(&bytes), Ok(recorded_header()));
+    assert_eq!(SegmentHeader::decode(&bytes), Ok(recorded_header()));
 }
 
 #[test]
@@ -67,25 +67,25 @@
 
 fn check_record(kind: RecordKind, sequence: u64, key: &[u8], value: &[u8], recorded: &str) {
     let mut bytes = Vec::new();
-    let size = format::write_record(&mut bytes, sequence, kind, key, value);
+    let size = format::encode_record(&mut bytes, sequence, kind, key, value);
     assert_eq!((hex(&bytes).as_str(), size), (recorded, bytes.len()), "{kind:?}");
-    let record = format::read_record(&bytes).expect("a whole record");
-    assert_eq!((record.kind, record.seq, record.size), (kind, sequence, size));
+    let record = format::decode_record(&bytes).expect("a whole record");
+    assert_eq!((record.kind, record.sequence, record.size), (kind, sequence, size));
     assert_eq!((record.key, record.value), (key, value));
 }
 
 #[test]
 fn hints_have_their_recorded_bytes() {
-    let bytes = format::write_hints(300, &recorded_hints());
+    let bytes = format::encode_hints(300, &recorded_hints());
     assert_eq!(hex(&bytes), HINTS);
-    assert_eq!(format::read_hints(&bytes, 300), Some(recorded_hints()));
-    assert_eq!(format::read_hints(&bytes, 301), None, "of another length");
+    assert_eq!(format::decode_hints(&bytes, 300), Some(recorded_hints()));
+    assert_eq!(format::decode_hints(&bytes, 301), None, "of another length");
 }
 
 #[test]
 fn segment_names_are_as_recorded() {
-    assert_eq!(format::segment_name(0xabc, 0x1f), "0000000000000abc-0000001f.seg");
-    assert_eq!(format::parse_segment_name("0000000000000abc-0000001f.seg", ".seg"), Some((0xabc, 0x1f)));
+    assert_eq!(format::segment_file_name(0xabc, 0x1f), "0000000000000abc-0000001f.seg");
+    assert_eq!(format::parse_segment_name("0000000000000abc-0000001f.seg"), Some((0xabc, 0x1f)));
 }
 
 /// The workload whose files are checked in: overwrites, removals, rotation and one compaction. Each commit is synced.
