--- /dev/null
+++ b/crates/server/tests/golden.rs
@@ -0,0 +1,162 @@
+//! What the server's control roles send and store, as recorded from the program at commit 67fc394: datagrams, snapshots of all that is
+//! agreed, a policy's canonical text by its hash, the versions that members keep.
+
+use cypresscleat_consensus::letter::{self, Body, Letter};
+use cypresscleat_consensus::{Machine, Member};
+use cypresscleat_leases::duties::{self, Duties};
+use cypresscleat_leases::said::{Answer, Ask};
+use cypresscleat_leases::{Part, Want};
+use cypresscleat_rollout::policies::{self, Policies};
+use cypresscleat_rollout::said as policy;
+use cypresscleat_rollout::{Missing, Rules, Version, WatchRules};
+use cypresscleat_server::leases::agreed::Agreed;
+use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::rollout::{self, texts};
+use std::path::{Path, PathBuf};
+
+/// Compares lines `name hex` with the file `tests/golden/FILE`. `RECORD_GOLDEN=1` writes the file instead, which is right only with a
+/// program whose bytes are known to be those that are stored and sent.
+fn assert_recorded(file: &str, lines: &[(String, Vec<u8>)]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let found: Vec<String> = lines.iter().map(|(name, bytes)| format!("{name} {}", hex(bytes))).collect();
+    if std::env::var_os("RECORD_GOLDEN").is_some() {
+        std::fs::write(&path, found.join("\n") + "\n").expect("the golden file is written");
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the golden file is there");
+    for (found, recorded) in found.iter().zip(recorded.lines()) {
+        assert_eq!(found, recorded, "{file}: the bytes changed");
+    }
+    assert_eq!(found.len(), recorded.lines().count(), "{file}: values were added or removed");
+}
+
+fn golden_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
+}
+
+fn wires() -> Vec<(&'static str, Wire)> {
+    let key = (7, 8);
+    let letter =
+        Letter { from: Member { id: 1, disk: 2 }, to_disk: 3, term: 400, body: Body::Fresh { empty: true } };
+    let known = (5, Part { duty: 6, part: 7 });
+    let wants = vec![Want { duty: 6, parts: 8, rank: 1 }];
+    let address = |text: &str| text.parse().expect("an address");
+    let held = policy::Answer::Held {
+        key,
+        number: 1,
+        lease: Some(20_000),
+        period: 5_000,
+        version: 3,
+        check: 4,
+        pause: 0,
+    };
+    vec![
+        ("consensus", Wire::Letter(letter)),
+        (
+            "lease_request",
+            Wire::Ask(Ask::Renew { instance: 1, life: 2, session: 3, number: 4, known, wants }),
+        ),
+        ("lease_response", Wire::Answer { from: 300, answer: Answer::Gone { session: 9 } }),
+        ("rollout_request", Wire::PolicyAsk(policy::Ask::Leave { key, number: 2 })),
+        ("rollout_response", Wire::PolicyAnswer { from: 300, answer: held }),
+        ("address_v4", Wire::At { keeper: 300, address: address("127.0.0.1:8080") }),
+        ("address_v6", Wire::At { keeper: 300, address: address("[::1]:8080") }),
+    ]
+}
+
+#[test]
+fn datagrams_keep_their_bytes() {
+    let mut lines = Vec::new();
+    for (name, wire) in wires() {
+        let bytes = letter::write(&wire).expect("it is short");
+        assert_eq!(letter::read::<Wire>(&bytes), Ok(wire), "{name}: read back");
+        lines.push((name.to_string(), bytes));
+    }
+    assert_recorded("datagrams.hex", &lines);
+}
+
+/// Partitions and a policy on one log; and a snapshot of partitions alone, which earlier versions wrote.
+#[test]
+fn snapshots_of_all_that_is_agreed_keep_their_bytes() {
+    let wants = vec![Want { duty: 6, parts: 2, rank: 0 }];
+    let open =
+        postcard::to_stdvec(&duties::Command::Open { instance: 1, life: 2, wants }).expect("a command");
+    let propose = policies::bytes(&policies::Command::Propose(Version { parent: 0, ..version() }));
+    let (mut agreed, mut alone) = (Agreed::default(), Duties::default());
+    let mut lines = vec![("empty".to_string(), agreed.image())];
+    for (index, command) in [(5, &open), (6, &propose)] {
+        lines.push((format!("outcome_{index}"), agreed.apply(index, command)));
+        lines.push((format!("snapshot_{index}"), agreed.image()));
+    }
+    alone.apply(5, &open);
+    lines.push(("partitions_alone".to_string(), alone.image()));
+    for (name, bytes) in lines.iter().filter(|(name, _)| !name.starts_with("outcome")) {
+        let again = Agreed::from_image(bytes).expect("a snapshot is read");
+        let written = if name == "partitions_alone" { again.duties.image() } else { again.image() };
+        assert_eq!(&written, bytes, "{name}: written again");
+        assert_eq!(again.policies == Policies::default(), name != "snapshot_6", "{name}");
+    }
+    assert_recorded("agreed.hex", &lines);
+}
+
+const DOCUMENTS: [(&str, &str); 5] = [
+    ("defaults", "lease: 2s\n"),
+    ("spaced", "// a comment\nlease:   2000ms\nmissing: \"fence\"\n"),
+    ("waiting", "missing: \"wait\"\nwithin: 90s\ntogether: true\n"),
+    ("watched", "lease: 500ms\nwatch: {share: 0.125, within: 30s}\n"),
+    ("limits", "patience: 750ms\nretries: 0.25\n"),
+];
+
+/// Hash of the canonical text, and the rules that are sent with it.
+#[test]
+fn policies_keep_their_hash_and_rules() {
+    let mut lines = Vec::new();
+    for (name, document) in DOCUMENTS {
+        let policy = rollout::read("policy", document, None).expect("a policy");
+        let rules = postcard::to_stdvec(&policy.rules).expect("rules");
+        lines.push((format!("{name}_hash"), policy.hash.to_be_bytes().to_vec()));
+        lines.push((format!("{name}_rules"), rules));
+    }
+    assert_recorded("policies.hex", &lines);
+}
+
+fn version() -> Version {
+    let watch = Some(WatchRules { share: 50, within: 100_000 });
+    let rules = Rules { missing: Missing::Wait, lease: 15_000, patience: 300_000, together: true, watch };
+    Version {
+        number: 12,
+        parent: 11,
+        hash: 0xfeed_0123_4567_89ab,
+        by: "operator".into(),
+        at_ms: 1_700_000_000_000,
+        why: "a \"try\"".into(),
+        rules,
+        text: "missing: \"wait\"\n".into(),
+        undoes: true,
+    }
+}
+
+fn versions() -> Vec<Version> {
+    let plain = Version { number: 3, parent: 2, text: "lease: 1s\n".into(), ..Version::default() };
+    vec![plain, version()]
+}
+
+/// The folder is as a member at 67fc394 wrote it.
+#[test]
+fn a_member_reads_and_writes_the_folder_of_an_earlier_version() {
+    let golden = golden_folder().join("member");
+    if std::env::var_os("RECORD_GOLDEN").is_some() {
+        versions().iter().for_each(|version| texts::keep(&golden, version, None).expect("it is kept"));
+    }
+    assert_eq!(texts::kept(&golden), [3, 12]);
+    assert_eq!(texts::load(&golden).collect::<Vec<_>>(), versions());
+    let folder = std::env::temp_dir().join(format!("golden-member-{}", std::process::id()));
+    for version in versions() {
+        texts::keep(&folder, &version, None).expect("it is kept");
+    }
+    for entry in std::fs::read_dir(&golden).expect("the golden folder").flatten() {
+        let bytes = |folder: &Path| std::fs::read(folder.join(entry.file_name())).expect("a file");
+        assert_eq!(bytes(&folder), bytes(&golden), "{:?}", entry.file_name());
+    }
+    std::fs::remove_dir_all(folder).expect("removed");
+}
