--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -5,15 +5,15 @@
 use cypresscleat_forwarding::membership::{Membership, Options, Send};
 use cypresscleat_forwarding::messages::{Envelope, Role};
 use cypresscleat_forwarding::NodeId;
-use cypresscleat_leases::sim::{Play, Setup};
-use cypresscleat_leases::{Part, Time, MS, SECOND};
+use cypresscleat_leases::simulation::{Simulation, SimulationConfig};
+use cypresscleat_leases::{Partition, Time, MS, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const PART: Part = Part { duty: 1, part: 0 };
+const PARTITION: Partition = Partition { task: 1, index: 0 };
 
 /// What is done to the owner.
-type Done = fn(&mut Play, usize);
+type Done = fn(&mut Simulation, usize);
 
 /// Ms, as p50, p99 and the most.
 fn spread(mut all: Vec<Time>) -> String {
@@ -23,14 +23,14 @@
 }
 
 /// Time from `what`, done to the owner, until the keepers have given the part to another.
-fn without(seed: u64, setup: Setup, what: Done) -> Time {
-    let mut play = Play::new(setup, seed);
+fn without(seed: u64, setup: SimulationConfig, what: Done) -> Time {
+    let mut play = Simulation::new(setup, seed);
     // Anywhere in the period of its renewals.
     play.run(4 * SECOND + (seed as Time * 137) % (setup.lease / 4));
-    let Some(owner) = play.owner(PART) else { return 20 * SECOND };
+    let Some(owner) = play.owner(PARTITION) else { return 20 * SECOND };
     let began = play.world.now;
     what(&mut play, owner);
-    while play.owner(PART).is_none_or(|now| now == owner) && play.world.now < began + 20 * SECOND {
+    while play.owner(PARTITION).is_none_or(|now| now == owner) && play.world.now < began + 20 * SECOND {
         let now = play.world.now;
         play.run(now + MS / 2);
     }
@@ -99,10 +99,10 @@
          | what | lease, s | p50 | p99 | most |\n| --- | --- | --- | --- | --- |\n"
     );
     for lease in [1, 2, 5] {
-        let setup = Setup { lease: lease * SECOND, act: 0, ..Setup::default() };
+        let setup = SimulationConfig { lease: lease * SECOND, act: 0, ..SimulationConfig::default() };
         let rows: [(&str, Done); 3] = [
-            ("told handover", Play::drain),
-            ("the owner dies", Play::kill),
+            ("told handover", Simulation::drain),
+            ("the owner dies", Simulation::kill),
             ("the owner stands still for 30 s", |play, at| play.stop(at, 30 * SECOND)),
         ];
         for (name, what) in rows {
@@ -128,20 +128,31 @@
     for (keepers, instances, parts) in
         [(3, 10, 1), (5, 10, 1), (5, 1000, 1), (5, 1000, 100), (5, 1000, 10_000), (5, 1, 10_000)]
     {
-        let mut play = Play::new(Setup { keepers, instances, parts, act: 0, ..Setup::default() }, 3);
+        let mut play = Simulation::new(
+            SimulationConfig {
+                replicas: keepers,
+                instances,
+                partitions: parts,
+                act: 0,
+                ..SimulationConfig::default()
+            },
+            3,
+        );
         play.run(8 * SECOND);
-        let writes = |play: &Play| play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
-        let (asks, bytes, letters, wrote) = (play.asks, play.ask_bytes, play.world.letters, writes(&play));
+        let writes =
+            |play: &Simulation| play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
+        let (asks, bytes, letters, wrote) =
+            (play.messages_sent, play.message_bytes, play.world.letters, writes(&play));
         play.run(28 * SECOND);
         let a_second = |now: u64, then: u64| (now - then) as f64 / 20.0;
         let owned: usize =
-            play.instances.iter().filter_map(|one| one.holder.as_ref()).map(|one| one.owned().count()).sum();
+            play.instances.iter().filter_map(|one| one.client.as_ref()).map(|one| one.owned().count()).sum();
         let leader = play.world.leader().and_then(|at| play.world.seats[at].keeper.as_ref());
         let image = leader.map_or(0, |keeper| cypresscleat_consensus::Machine::image(keeper.machine()).len());
         out += &format!(
             "| {keepers} | {instances} | {owned} of {parts} | {:.0} | {:.0} | {:.0} | {:.1} | {image} |\n",
-            a_second(play.asks, asks),
-            a_second(play.ask_bytes, bytes),
+            a_second(play.messages_sent, asks),
+            a_second(play.message_bytes, bytes),
             a_second(play.world.letters, letters),
             a_second(writes(&play), wrote)
         );
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -3,8 +3,8 @@
 
 use super::{Count, Flow, HEADERS};
 use cypresscleat_consensus::letter;
-use cypresscleat_leases::holder::Holder;
-use cypresscleat_leases::{node_id, NodeId, Want};
+use cypresscleat_leases::client::LeaseClient;
+use cypresscleat_leases::{node_id, Claim, NodeId};
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Answer, Verdict};
 use cypresscleat_server::leases::wire::Wire;
@@ -267,24 +267,24 @@
     async fn owner(self) {
         let name = format!("o{}", self.at);
         let keepers = self.to.keys().copied().collect();
-        let wants = vec![Want { duty: node_id("scale"), parts: 1, rank: 0 }];
-        let mut holder = Holder::new(self.clock.now(), node_id(&name), drawn(&name), wants, keepers);
+        let claims = vec![Claim { task: node_id("scale"), partitions: 1, rank: 0 }];
+        let mut client = LeaseClient::new(self.clock.now(), node_id(&name), drawn(&name), claims, keepers);
         let mut known = false;
         loop {
             let now = self.clock.now();
-            if now >= holder.due() {
-                let asks = holder.tick(now);
+            if now >= client.next_deadline() {
+                let asks = client.tick(now);
                 asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::Ask(ask)));
             }
-            holder.events().for_each(drop);
-            let Some((by, wire)) = self.hears(holder.due()).await else { continue };
+            client.events().for_each(drop);
+            let Some((by, wire)) = self.hears(client.next_deadline()).await else { continue };
             if let Wire::Answer { from, answer } = wire {
-                if matches!(answer, cypresscleat_leases::said::Answer::Held { .. }) {
+                if matches!(answer, cypresscleat_leases::messages::Response::Renewed { .. }) {
                     *self.books.leader.lock().expect("the leader") = Some(by);
                 }
-                let asks = holder.hear(self.clock.now(), from, answer);
+                let asks = client.handle(self.clock.now(), from, answer);
                 asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::Ask(ask)));
-                if !known && holder.session() != 0 {
+                if !known && client.session() != 0 {
                     known = true;
                     self.books.sessions.fetch_add(1, Ordering::Relaxed);
                 }
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -2,7 +2,7 @@
 
 use super::row::{How, Row};
 use super::targets::TARGETS;
-use cypresscleat_leases::sim as owning;
+use cypresscleat_leases::simulation as owning;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::sim::{Play, Setup};
 use cypresscleat_rollout::{Rules, MS, SECOND, TEXT};
@@ -157,12 +157,12 @@
 
 /// Sessions at rest, each of an instance that waits for the one part: messages, bytes and writes at the keepers.
 pub fn sessions(instances: usize, seed: u64) -> [f64; 6] {
-    let setup = owning::Setup { instances, act: 0, ..owning::Setup::default() };
-    let mut play = owning::Play::new(setup, seed);
+    let setup = owning::SimulationConfig { instances, act: 0, ..owning::SimulationConfig::default() };
+    let mut play = owning::Simulation::new(setup, seed);
     play.run(8 * SECOND);
-    let counted = |play: &owning::Play| {
+    let counted = |play: &owning::Simulation| {
         let writes = play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
-        [play.asks, play.ask_bytes, play.world.letters, play.world.bytes, writes]
+        [play.messages_sent, play.message_bytes, play.world.letters, play.world.bytes, writes]
     };
     let (then, began) = (counted(&play), Instant::now());
     play.run((8 + REST) * SECOND);
--- a/crates/leases/tests/golden.rs
+++ b/crates/leases/tests/golden.rs
@@ -2,9 +2,9 @@
 //! writes fields and variants by position, so their order and types are the format; their names are free.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_leases::duties::{Command, Duties, Outcome};
-use cypresscleat_leases::said::{Answer, Ask, Datagram, Grant, Item, Line};
-use cypresscleat_leases::{node_id, Part, Want};
+use cypresscleat_leases::messages::{Datagram, Grant, Operation, PartitionStatus, Request, Response};
+use cypresscleat_leases::state::{Command, LeaseState, Outcome};
+use cypresscleat_leases::{node_id, Claim, Partition};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use std::path::Path;
@@ -39,65 +39,89 @@
     assert_recorded(file, &lines);
 }
 
-const PART: Part = Part { duty: 0x1122_3344_5566_7788, part: 300 };
+const PART: Partition = Partition { task: 0x1122_3344_5566_7788, index: 300 };
 
-fn wants() -> Vec<Want> {
-    vec![Want { duty: 7, parts: 3, rank: 0 }, Want { duty: 1 << 40, parts: 1, rank: 2 }]
+fn claims() -> Vec<Claim> {
+    vec![Claim { task: 7, partitions: 3, rank: 0 }, Claim { task: 1 << 40, partitions: 1, rank: 2 }]
 }
 
-fn items() -> Vec<Item> {
+fn items() -> Vec<Operation> {
     vec![
-        Item::Release { part: PART, token: 1000 },
-        Item::Cursor { part: PART, token: 1001, step: 5, cursor: vec![0, 127, 255] },
+        Operation::Release { partition: PART, token: 1000 },
+        Operation::SaveCursor { partition: PART, token: 1001, step: 5, cursor: vec![0, 127, 255] },
     ]
 }
 
 fn grants() -> Vec<Grant> {
     vec![
-        Grant { part: PART, token: 57, cursor: vec![], leave: false },
-        Grant { part: Part { duty: 1, part: 0 }, token: 1 << 33, cursor: vec![9, 8], leave: true },
+        Grant { partition: PART, token: 57, cursor: vec![], release_requested: false },
+        Grant {
+            partition: Partition { task: 1, index: 0 },
+            token: 1 << 33,
+            cursor: vec![9, 8],
+            release_requested: true,
+        },
     ]
 }
 
-fn requests() -> Vec<(&'static str, Ask)> {
-    let nothing = (0, Part { duty: 0, part: 0 });
-    let opening =
-        Ask::Renew { instance: 1, life: u64::MAX, session: 0, number: 1, known: nothing, wants: wants() };
-    let renewal =
-        Ask::Renew { instance: 1 << 63, life: 2, session: 3, number: 400, known: (5, PART), wants: vec![] };
+fn requests() -> Vec<(&'static str, Request)> {
+    let nothing = (0, Partition { task: 0, index: 0 });
+    let opening = Request::Renew {
+        instance: 1,
+        incarnation: u64::MAX,
+        session: 0,
+        number: 1,
+        last_seen_grant: nothing,
+        claims: claims(),
+    };
+    let renewal = Request::Renew {
+        instance: 1 << 63,
+        incarnation: 2,
+        session: 3,
+        number: 400,
+        last_seen_grant: (5, PART),
+        claims: vec![],
+    };
     let (all, one) = (None, Some(99));
     vec![
         ("renew_opening", opening),
         ("renew", renewal),
-        ("apply", Ask::Do { session: 3, number: 5, items: items() }),
-        ("leave", Ask::Leave { session: 3, number: 6 }),
-        ("exclude_all", Ask::Bar { number: 7, duty: 70, instance: all, barred: true }),
-        ("exclude_one", Ask::Bar { number: 7, duty: 70, instance: one, barred: false }),
-        ("list", Ask::List { number: 8, from: PART }),
+        ("apply", Request::Apply { session: 3, number: 5, operations: items() }),
+        ("leave", Request::Leave { session: 3, number: 6 }),
+        ("exclude_all", Request::Exclude { number: 7, task: 70, instance: all, excluded: true }),
+        ("exclude_one", Request::Exclude { number: 7, task: 70, instance: one, excluded: false }),
+        ("list", Request::List { number: 8, from: PART }),
     ]
 }
 
-fn responses() -> Vec<(&'static str, Answer)> {
+fn responses() -> Vec<(&'static str, Response)> {
     let (after, lease) = ((6, PART), 20_000);
-    let line = Line { part: PART, owner: 4, token: 5, left: 19_000, moved: -1, cursor: vec![1] };
+    let line = PartitionStatus {
+        partition: PART,
+        owner: 4,
+        token: 5,
+        lease_left: 19_000,
+        cursor_age: -1,
+        cursor: vec![1],
+    };
     vec![
-        ("held", Answer::Held { session: 3, number: 4, lease, after, grants: grants(), more: true }),
-        ("gone", Answer::Gone { session: 3 }),
-        ("granted", Answer::Granted { session: 3, after, grants: grants() }),
-        ("done", Answer::Done { number: 5, did: 0b101 }),
-        ("elsewhere", Answer::Elsewhere { leader: 1 << 50 }),
-        ("list", Answer::Lines { number: 8, lines: vec![line], more: false }),
-        ("full", Answer::Full { number: 9 }),
+        ("held", Response::Renewed { session: 3, number: 4, lease, after, grants: grants(), more: true }),
+        ("gone", Response::SessionExpired { session: 3 }),
+        ("granted", Response::Granted { session: 3, after, grants: grants() }),
+        ("done", Response::Done { number: 5, applied: 0b101 }),
+        ("elsewhere", Response::NotLeader { leader: 1 << 50 }),
+        ("list", Response::Partitions { number: 8, partitions: vec![line], more: false }),
+        ("full", Response::LimitReached { number: 9 }),
     ]
 }
 
 fn commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("open", Command::Open { instance: 1, life: 2, wants: wants() }),
-        ("end", Command::End { session: 300 }),
-        ("apply", Command::Do { session: 300, items: items() }),
-        ("exclude_all", Command::Bar { duty: 7, instance: None, barred: true }),
-        ("exclude_one", Command::Bar { duty: 7, instance: Some(1), barred: false }),
+        ("open", Command::OpenSession { instance: 1, incarnation: 2, claims: claims() }),
+        ("end", Command::EndSession { session: 300 }),
+        ("apply", Command::Apply { session: 300, operations: items() }),
+        ("exclude_all", Command::Exclude { task: 7, instance: None, excluded: true }),
+        ("exclude_one", Command::Exclude { task: 7, instance: Some(1), excluded: false }),
     ]
 }
 
@@ -113,9 +137,10 @@
 
 #[test]
 fn datagrams_keep_their_bytes() {
-    let requests = requests().into_iter().map(|(name, ask)| (name, Datagram::Ask(ask)));
-    let responses =
-        responses().into_iter().map(|(name, answer)| (name, Datagram::Answer { from: 2, answer }));
+    let requests = requests().into_iter().map(|(name, ask)| (name, Datagram::Request(ask)));
+    let responses = responses()
+        .into_iter()
+        .map(|(name, answer)| (name, Datagram::Response { from: 2, response: answer }));
     assert_golden("datagrams.hex", requests.chain(responses).collect());
 }
 
@@ -123,10 +148,10 @@
 fn commands_and_outcomes_keep_their_bytes() {
     assert_golden("commands.hex", commands());
     let outcomes = vec![
-        ("opened", Outcome::Opened(300)),
+        ("opened", Outcome::SessionOpened(300)),
         ("done", Outcome::Done),
-        ("applied", Outcome::Did(0b110)),
-        ("full", Outcome::Full),
+        ("applied", Outcome::Applied(0b110)),
+        ("full", Outcome::LimitReached),
     ];
     assert_golden("outcomes.hex", outcomes);
 }
@@ -134,26 +159,32 @@
 /// Two sessions, an excluded instance, a released partition, a cursor, an ended session: the snapshot after each command.
 #[test]
 fn snapshots_and_what_commands_came_to_keep_their_bytes() {
-    let part = |number| Part { duty: 7, part: number };
-    let want = |parts, rank| vec![Want { duty: 7, parts, rank }];
-    let cursor = Item::Cursor { part: part(0), token: 1, step: 2, cursor: vec![4, 2] };
+    let partition = |number| Partition { task: 7, index: number };
+    let claim = |partitions, rank| vec![Claim { task: 7, partitions, rank }];
+    let cursor = Operation::SaveCursor { partition: partition(0), token: 1, step: 2, cursor: vec![4, 2] };
     let steps = [
-        Command::Open { instance: 11, life: 1, wants: want(3, 0) },
-        Command::Open { instance: 12, life: 1, wants: want(3, 1) },
-        Command::Do { session: 1, items: vec![cursor, Item::Release { part: part(1), token: 1 }] },
-        Command::Bar { duty: 7, instance: Some(11), barred: true },
-        Command::Do { session: 1, items: vec![Item::Release { part: part(2), token: 1 }] },
-        Command::Open { instance: 11, life: 2, wants: wants() },
-        Command::End { session: 2 },
-        Command::Bar { duty: 7, instance: Some(11), barred: false },
-        Command::Bar { duty: 7, instance: None, barred: true },
+        Command::OpenSession { instance: 11, incarnation: 1, claims: claim(3, 0) },
+        Command::OpenSession { instance: 12, incarnation: 1, claims: claim(3, 1) },
+        Command::Apply {
+            session: 1,
+            operations: vec![cursor, Operation::Release { partition: partition(1), token: 1 }],
+        },
+        Command::Exclude { task: 7, instance: Some(11), excluded: true },
+        Command::Apply {
+            session: 1,
+            operations: vec![Operation::Release { partition: partition(2), token: 1 }],
+        },
+        Command::OpenSession { instance: 11, incarnation: 2, claims: claims() },
+        Command::EndSession { session: 2 },
+        Command::Exclude { task: 7, instance: Some(11), excluded: false },
+        Command::Exclude { task: 7, instance: None, excluded: true },
     ];
-    let (mut state, mut lines) = (Duties::default(), Vec::new());
+    let (mut state, mut lines) = (LeaseState::default(), Vec::new());
     for (at, command) in steps.iter().enumerate() {
         let outcome = state.apply(at as u64 + 1, &postcard::to_stdvec(command).expect("a command"));
         lines.push((format!("outcome_{at}"), outcome));
         lines.push((format!("snapshot_{at}"), state.image()));
-        let again = Duties::from_image(&state.image()).expect("a snapshot is read");
+        let again = LeaseState::from_image(&state.image()).expect("a snapshot is read");
         assert_eq!(again.image(), state.image(), "written again");
     }
     assert_recorded("snapshots.hex", &lines);
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -2,15 +2,15 @@
 //! acted upon (the real fence), renewals and acts that arrive late or never, instances that stand still, clocks that may lie.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_leases::duties::{Command, Duties};
 use cypresscleat_leases::fence::Fence;
-use cypresscleat_leases::{Part, Want};
+use cypresscleat_leases::state::{Command, LeaseState};
+use cypresscleat_leases::{Claim, Partition};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 const LEASE: u8 = 2;
 const END: u8 = 7;
-const PART: Part = Part { duty: 1, part: 0 };
+const PART: Partition = Partition { task: 1, index: 0 };
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Instance {
@@ -26,7 +26,7 @@
 struct State {
     now: u8,
     index: u64,
-    agreed: Duties,
+    agreed: LeaseState,
     renewed: BTreeMap<u64, u8>,
     instances: [Instance; 2],
     /// Answers on their way: to whom, when it was asked by its clock, session, token.
@@ -53,13 +53,13 @@
 struct Rules {
     /// Counts its lease from the answer, not from its asking.
     from_the_answer: bool,
-    no_token: bool,
+    ignore_tokens: bool,
     /// The second instance's clock may stand still while time goes on.
     slow_clock: bool,
 }
 
 impl Rules {
-    fn may(&self, one: &Instance) -> bool {
+    fn can_act(&self, one: &Instance) -> bool {
         one.token > 0 && one.clock < one.until
     }
 }
@@ -68,8 +68,8 @@
     state.index += 1;
     let bytes = postcard::to_stdvec(command).expect("a command");
     state.agreed.apply(state.index, &bytes);
-    state.agreed.take_touched();
-    state.agreed.take_changes();
+    state.agreed.take_sessions_with_new_grants();
+    state.agreed.take_owner_changes();
 }
 
 impl Model for Rules {
@@ -80,7 +80,7 @@
         vec![State {
             now: 0,
             index: 0,
-            agreed: Duties::default(),
+            agreed: LeaseState::default(),
             renewed: BTreeMap::new(),
             instances: Default::default(),
             answers: BTreeSet::new(),
@@ -102,7 +102,7 @@
             if state.answers.len() < 2 {
                 actions.push(Action::Renews(at));
             }
-            if self.may(one) && state.acts.len() < 2 {
+            if self.can_act(one) && state.acts.len() < 2 {
                 actions.push(Action::Acts(at));
             }
         }
@@ -123,19 +123,22 @@
             }
             Action::Renews(at) => {
                 let one = state.instances[at].clone();
-                let known = state.agreed.instance(one.session).is_some();
+                let is_open = state.agreed.instance(one.session).is_some();
                 let mut session = one.session;
-                if !known {
-                    let wants = vec![Want { duty: PART.duty, parts: 1, rank: 0 }];
-                    // A life for each session: what one session had is not another's.
-                    let life = state.index;
-                    decide(&mut state, &Command::Open { instance: at as u64 + 1, life, wants });
+                if !is_open {
+                    let claims = vec![Claim { task: PART.task, partitions: 1, rank: 0 }];
+                    // A incarnation for each session: what one session had is not another's.
+                    let incarnation = state.index;
+                    decide(
+                        &mut state,
+                        &Command::OpenSession { instance: at as u64 + 1, incarnation, claims },
+                    );
                     session = state.index;
                 }
                 state.renewed.insert(session, state.now);
                 let owner = state.agreed.owner(PART);
                 let own = owner
-                    .filter(|(owner, _)| *owner == at as u64 + 1 && state.agreed.session_is(PART, session));
+                    .filter(|(owner, _)| *owner == at as u64 + 1 && state.agreed.is_owned_by(PART, session));
                 state.answers.insert((at, one.clock, session, own.map_or(0, |own| own.1)));
             }
             Action::Hears(at, asked, session, token) => {
@@ -151,16 +154,16 @@
             }
             Action::Expires(session) => {
                 state.renewed.remove(&session);
-                decide(&mut state, &Command::End { session });
+                decide(&mut state, &Command::EndSession { session });
             }
             Action::Acts(at) => {
                 let one = &state.instances[at];
-                state.two |= state.instances.iter().filter(|one| self.may(one)).count() > 1;
+                state.two |= state.instances.iter().filter(|one| self.can_act(one)).count() > 1;
                 state.acts.insert(one.token);
             }
             Action::Arrives(token) => {
                 state.acts.remove(&token);
-                if self.no_token || state.fence.takes(PART, token) {
+                if self.ignore_tokens || state.fence.check(PART, token) {
                     state.taken.push(token);
                     // Only the order counts, and its last two.
                     let past = state.taken.len().saturating_sub(2);
@@ -206,8 +209,8 @@
 }
 
 #[test]
-fn no_token_at_what_is_acted_upon_is_found() {
-    assert!(check(Rules { no_token: true, ..Rules::default() }).1.contains(FALL));
+fn a_resource_that_ignores_tokens_is_found() {
+    assert!(check(Rules { ignore_tokens: true, ..Rules::default() }).1.contains(FALL));
 }
 
 #[test]
--- a/crates/server/src/leases/agreed.rs
+++ b/crates/server/src/leases/agreed.rs
@@ -2,12 +2,12 @@
 //! says whose it is.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_leases::duties::Duties;
+use cypresscleat_leases::state::LeaseState;
 use cypresscleat_rollout::policies::{Policies, TAG};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Agreed {
-    pub duties: Duties,
+    pub duties: LeaseState,
     pub policies: Policies,
 }
 
@@ -28,22 +28,22 @@
     }
     fn from_image(bytes: &[u8]) -> Option<Agreed> {
         let Some(rest) = bytes.strip_prefix(BOTH) else {
-            return Some(Agreed { duties: Duties::from_image(bytes)?, policies: Policies::default() });
+            return Some(Agreed { duties: LeaseState::from_image(bytes)?, policies: Policies::default() });
         };
         let (length, rest) = rest.split_at_checked(8)?;
         let length = u64::from_le_bytes(length.try_into().ok()?);
         let (duties, policies) = rest.split_at_checked(usize::try_from(length).ok()?)?;
-        Some(Agreed { duties: Duties::from_image(duties)?, policies: Policies::from_image(policies)? })
+        Some(Agreed { duties: LeaseState::from_image(duties)?, policies: Policies::from_image(policies)? })
     }
 }
 
-impl AsRef<Duties> for Agreed {
-    fn as_ref(&self) -> &Duties {
+impl AsRef<LeaseState> for Agreed {
+    fn as_ref(&self) -> &LeaseState {
         &self.duties
     }
 }
-impl AsMut<Duties> for Agreed {
-    fn as_mut(&mut self) -> &mut Duties {
+impl AsMut<LeaseState> for Agreed {
+    fn as_mut(&mut self) -> &mut LeaseState {
         &mut self.duties
     }
 }
--- a/crates/server/src/leases/hold.rs
+++ b/crates/server/src/leases/hold.rs
@@ -3,9 +3,9 @@
 use super::wire::{learns, Wire};
 use super::{drawn, Keepers, Steady};
 use cypresscleat_consensus::letter;
-use cypresscleat_leases::holder::{Event, Holder};
-use cypresscleat_leases::said::Ask;
-use cypresscleat_leases::{node_id, NodeId, Part, Time, Want};
+use cypresscleat_leases::client::{LeaseClient, LeaseEvent};
+use cypresscleat_leases::messages::Request;
+use cypresscleat_leases::{node_id, Claim, NodeId, Partition, Time};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -16,57 +16,57 @@
     socket: UdpSocket,
     to: HashMap<NodeId, SocketAddr>,
     pub clock: Steady,
-    holder: Holder,
-    events: VecDeque<Event>,
+    client: LeaseClient,
+    events: VecDeque<LeaseEvent>,
     bytes: Vec<u8>,
 }
 
 impl Hold {
-    pub async fn new(name: &str, set: &Keepers, wants: Vec<Want>) -> io::Result<Hold> {
+    pub async fn new(name: &str, set: &Keepers, claims: Vec<Claim>) -> io::Result<Hold> {
         let socket = UdpSocket::bind(set.from()).await?;
         let clock = Steady::start();
         let keepers = set.all.iter().map(|(name, _)| node_id(name)).collect();
-        let holder = Holder::new(clock.now(), node_id(name), drawn(name), wants, keepers);
+        let client = LeaseClient::new(clock.now(), node_id(name), drawn(name), claims, keepers);
         let bytes = vec![0; letter::LONGEST + 1];
-        Ok(Hold { socket, to: set.addresses(), clock, holder, events: VecDeque::new(), bytes })
+        Ok(Hold { socket, to: set.addresses(), clock, client, events: VecDeque::new(), bytes })
     }
 
-    fn post(&mut self, asks: Vec<(NodeId, Ask)>) {
-        for (to, ask) in asks {
+    fn post(&mut self, requests: Vec<(NodeId, Request)>) {
+        for (to, request) in requests {
             if let Some(to) = self.to.get(&to) {
-                super::send(&self.socket, *to, &Wire::Ask(ask));
+                super::send(&self.socket, *to, &Wire::Ask(request));
             }
         }
-        self.events.extend(self.holder.events());
+        self.events.extend(self.client.events());
     }
 
     /// To be asked before every act, right before it: the token under which it may be done now.
-    pub fn may(&self, part: Part) -> Option<u64> {
-        self.holder.may(self.clock.now(), part)
+    pub fn valid_token(&self, partition: Partition) -> Option<u64> {
+        self.client.valid_token(self.clock.now(), partition)
     }
     /// Until when what is owned is owned, unless it is renewed, by this clock.
-    pub fn until(&self) -> Time {
-        self.holder.until()
+    pub fn lease_ends_at(&self) -> Time {
+        self.client.lease_ends_at()
     }
-    pub fn cursor(&mut self, part: Part, cursor: Vec<u8>) -> Option<u64> {
-        let ticket = self.holder.cursor(part, cursor);
-        let asks = self.holder.sends(self.clock.now());
-        self.post(asks);
+    pub fn save_cursor(&mut self, partition: Partition, cursor: Vec<u8>) -> Option<u64> {
+        let ticket = self.client.save_cursor(partition, cursor);
+        let requests = self.client.send_operations(self.clock.now());
+        self.post(requests);
         ticket
     }
-    pub fn release(&mut self, part: Part) {
-        self.holder.release(part);
-        let asks = self.holder.sends(self.clock.now());
-        self.post(asks);
+    pub fn release(&mut self, partition: Partition) {
+        self.client.release(partition);
+        let requests = self.client.send_operations(self.clock.now());
+        self.post(requests);
     }
 
     /// What changed next, or `None` at `until`. May be dropped and called again at any time.
-    pub async fn next(&mut self, until: Time) -> Option<Event> {
+    pub async fn next(&mut self, until: Time) -> Option<LeaseEvent> {
         loop {
             let now = self.clock.now();
-            if now >= self.holder.due() {
-                let asks = self.holder.tick(now);
-                self.post(asks);
+            if now >= self.client.next_deadline() {
+                let requests = self.client.tick(now);
+                self.post(requests);
             }
             if let Some(event) = self.events.pop_front() {
                 return Some(event);
@@ -74,7 +74,7 @@
             if now >= until {
                 return None;
             }
-            let due = self.clock.instant(until.min(self.holder.due()));
+            let due = self.clock.instant(until.min(self.client.next_deadline()));
             let got = tokio::select! {
                 () = sleep_until(due) => continue,
                 got = self.socket.recv_from(&mut self.bytes) => got,
@@ -83,11 +83,11 @@
             match letter::read::<Wire>(&self.bytes[..size]) {
                 Ok(Wire::Answer { from, answer }) => {
                     let now = self.clock.now();
-                    let asks = self.holder.hear(now, from, answer);
-                    self.post(asks);
+                    let requests = self.client.handle(now, from, answer);
+                    self.post(requests);
                 }
                 Ok(Wire::At { keeper, address }) if learns(&mut self.to, by, keeper, address) => {
-                    self.holder.knows(keeper);
+                    self.client.add_replica(keeper);
                 }
                 _ => {}
             }
@@ -96,10 +96,10 @@
 
     /// Gives all back, so that the next is ready at once; not for longer than a lease, as it ends by itself then.
     pub async fn leaves(mut self) {
-        let asks = self.holder.leaves(self.clock.now());
-        self.post(asks);
+        let requests = self.client.leave(self.clock.now());
+        self.post(requests);
         let told = async {
-            while !self.holder.left() {
+            while !self.client.has_left() {
                 let soon = self.clock.now() + 100;
                 self.next(soon).await;
             }
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -7,8 +7,8 @@
 use crate::{log, operator};
 use cypresscleat_consensus::kept::Kept;
 use cypresscleat_consensus::{kept, letter, Begin, Keeper, Options, Out};
-use cypresscleat_leases::desk::Desk;
-use cypresscleat_leases::said::Answer;
+use cypresscleat_leases::manager::LeaseManager;
+use cypresscleat_leases::messages::Response;
 use cypresscleat_leases::{node_id, NodeId};
 use cypresscleat_rollout::policies::News;
 use cypresscleat_rollout::{desk as policy, said as policies};
@@ -111,7 +111,7 @@
 }
 
 /// What the two desks say, and to whom.
-type Said = (Vec<(SocketAddr, Answer)>, Vec<(SocketAddr, policies::Answer)>);
+type Said = (Vec<(SocketAddr, Response)>, Vec<(SocketAddr, policies::Answer)>);
 
 /// Decisions, in tests: each keeper tells of each, the first of them counts.
 fn journals(journal: &Journal, news: &News) {
@@ -129,7 +129,7 @@
     to: HashMap<NodeId, SocketAddr>,
     own: NodeId,
     keeper: Keeper<Agreed>,
-    desk: Desk<SocketAddr>,
+    manager: LeaseManager<SocketAddr>,
     /// Of changes of policy.
     policy: policy::Desk<SocketAddr>,
     journal: Option<Journal>,
@@ -149,7 +149,7 @@
             }
             let from = self.own;
             let elsewhere = said.0.iter().filter_map(|(to, answer)| match answer {
-                Answer::Elsewhere { leader } => Some((*to, *leader)),
+                Response::NotLeader { leader } => Some((*to, *leader)),
                 _ => None,
             });
             let also = said.1.iter().filter_map(|(to, answer)| match answer {
@@ -169,7 +169,7 @@
             }
             let answers = std::mem::take(&mut out.answers);
             let (policies, policy_said) = self.policy.look(now, &mut self.keeper, answers.clone());
-            let (duties, duty_said) = self.desk.look(now, &mut self.keeper, answers);
+            let (duties, duty_said) = self.manager.poll(now, &mut self.keeper, answers);
             (out, said) = (policies.and(duties), (duty_said, policy_said));
             self.policy.log().for_each(|line| log!("{line}"));
             let leads = self.keeper.leads();
@@ -187,21 +187,21 @@
                     News::Ended { name } => log!("policy: {name} counts no longer"),
                 }
             }
-            for (part, session, token) in self.keeper.machine_mut().duties.take_changes() {
+            for (partition, session, token) in self.keeper.machine_mut().duties.take_owner_changes() {
                 let owner = self.keeper.machine().duties.instance(session);
                 if self.keeper.leads() {
                     match owner {
                         Some(owner) => {
                             log!(
                                 "duty {:016x} part {}: {owner:016x} owns it, token {token}",
-                                part.duty,
-                                part.part
+                                partition.task,
+                                partition.index
                             )
                         }
                         None => log!(
                             "duty {:016x} part {}: nobody owns it, after token {token}",
-                            part.duty,
-                            part.part
+                            partition.task,
+                            partition.index
                         ),
                     }
                 }
@@ -294,7 +294,7 @@
         to: to.clone(),
         own: node_id(name),
         keeper,
-        desk: Desk::new(set.lease),
+        manager: LeaseManager::new(set.lease),
         policy: policy::Desk::default(),
         journal: Journal::open(),
         disk,
@@ -330,7 +330,7 @@
                     said.1.extend(answers);
                 }
                 Ok(Wire::Ask(ask)) => {
-                    let (more, answers) = all.desk.hear(now, &mut all.keeper, from, ask);
+                    let (more, answers) = all.manager.handle(now, &mut all.keeper, from, ask);
                     out = out.and(more);
                     said.0.extend(answers);
                 }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -2,7 +2,7 @@
 
 use super::Keepers;
 use cypresscleat_consensus::letter::{self, Letter};
-use cypresscleat_leases::{node_id, said, NodeId};
+use cypresscleat_leases::{messages, node_id, NodeId};
 use cypresscleat_rollout::said as policies;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -10,17 +10,17 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// The first three are as `owners::said::Datagram` has them; what is later comes behind.
+/// The first three are as `leases::messages::Datagram` has them; what is later comes behind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Wire {
     /// Between keepers.
     Letter(Letter),
     /// To a keeper.
-    Ask(said::Ask),
+    Ask(messages::Request),
     /// From a keeper, whose number goes with it.
     Answer {
         from: NodeId,
-        answer: said::Answer,
+        answer: messages::Response,
     },
     PolicyAsk(policies::Ask),
     PolicyAnswer {
--- a/crates/server/src/leases/work.rs
+++ b/crates/server/src/leases/work.rs
@@ -11,8 +11,8 @@
 use super::hold::Hold;
 use super::Keepers;
 use crate::log;
-use cypresscleat_leases::holder::Event;
-use cypresscleat_leases::{node_id, Part, Time, Want};
+use cypresscleat_leases::client::LeaseEvent;
+use cypresscleat_leases::{node_id, Claim, Partition, Time};
 use serde_json::{json, Map, Value};
 use std::collections::HashMap;
 use std::io;
@@ -109,43 +109,43 @@
 ) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let number = node_id(duty);
-    let mut hold = Hold::new(name, keepers, vec![Want { duty: number, parts, rank: 0 }]).await?;
+    let mut hold = Hold::new(name, keepers, vec![Claim { task: number, partitions: parts, rank: 0 }]).await?;
     log!("{name} is ready for {duty:?} in {parts} parts");
     let (to, acts) = channel(256);
     let (from, mut answers) = channel(256);
     spawn_local(connection(ledger, acts, from));
-    let mut work: HashMap<Part, Work> = HashMap::new();
+    let mut work: HashMap<Partition, Work> = HashMap::new();
     let mut done = 0u64;
     loop {
         let next = work.values().filter(|one| one.ticket.is_none()).map(|one| one.next).min();
         let until = next.unwrap_or(NEVER).min(hold.clock.now() + 10_000);
         tokio::select! {
             event = hold.next(until) => match event {
-                Some(Event::Owns { part, token, cursor }) => {
-                    log!("owns {duty} part {} under token {token}", part.part);
-                    source.begins(part.part, &cursor);
-                    work.insert(part, Work { token, item: None, next: hold.clock.now(), ticket: None });
+                Some(LeaseEvent::Acquired { partition, token, cursor }) => {
+                    log!("owns {duty} part {} under token {token}", partition.index);
+                    source.begins(partition.index, &cursor);
+                    work.insert(partition, Work { token, item: None, next: hold.clock.now(), ticket: None });
                 }
-                Some(Event::Lost { part, token }) => {
-                    log!("owns {duty} part {} no longer, token {token}", part.part);
-                    if work.remove(&part).is_some() {
-                        source.ends(part.part);
+                Some(LeaseEvent::Lost { partition, token }) => {
+                    log!("owns {duty} part {} no longer, token {token}", partition.index);
+                    if work.remove(&partition).is_some() {
+                        source.ends(partition.index);
                     }
                 }
-                Some(Event::Wanted { part }) => {
-                    if work.remove(&part).is_some() {
-                        source.ends(part.part);
+                Some(LeaseEvent::ReleaseRequested { partition }) => {
+                    if work.remove(&partition).is_some() {
+                        source.ends(partition.index);
                     }
-                    hold.release(part);
+                    hold.release(partition);
                 }
-                Some(Event::Kept { ticket, stands }) => {
-                    if let Some((part, one)) = work.iter_mut().find(|(_, one)| one.ticket == Some(ticket)) {
+                Some(LeaseEvent::CursorSaved { ticket, accepted }) => {
+                    if let Some((partition, one)) = work.iter_mut().find(|(_, one)| one.ticket == Some(ticket)) {
                         one.ticket = None;
                         let item = one.item.take();
-                        one.next = match item.filter(|_| stands) {
+                        one.next = match item.filter(|_| accepted) {
                             Some(item) => {
                                 done += 1;
-                                hold.clock.now() + source.done(part.part, item.number)
+                                hold.clock.now() + source.done(partition.index, item.number)
                             }
                             None => NEVER,
                         };
@@ -155,19 +155,19 @@
             },
             answer = answers.recv() => {
                 let Some(answer) = answer else { break };
-                let part = Part { duty: number, part: answer["part"].as_u64().unwrap_or(u64::MAX) as u32 };
-                let Some(one) = work.get_mut(&part) else { continue };
+                let partition = Partition { task: number, index: answer["part"].as_u64().unwrap_or(u64::MAX) as u32 };
+                let Some(one) = work.get_mut(&partition) else { continue };
                 let Some(item) = one.item.as_ref().filter(|item| answer["item"] == json!(item.number)) else { continue };
                 if one.ticket.is_some() {
                     continue;
                 }
                 if answer["taken"] == json!(true) {
                     match item.after.clone() {
-                        Some(after) => one.ticket = hold.cursor(part, after),
+                        Some(after) => one.ticket = hold.save_cursor(partition, after),
                         None => {
                             let number = item.number;
                             (one.item, done) = (None, done + 1);
-                            one.next = hold.clock.now() + source.done(part.part, number);
+                            one.next = hold.clock.now() + source.done(partition.index, number);
                         }
                     }
                 } else if answer["token"].as_u64().is_some_and(|token| token > one.token) {
@@ -177,22 +177,22 @@
             _ = term.recv() => break,
         }
         let now = hold.clock.now();
-        for (part, one) in work.iter_mut().filter(|(_, one)| one.ticket.is_none() && one.next <= now) {
+        for (partition, one) in work.iter_mut().filter(|(_, one)| one.ticket.is_none() && one.next <= now) {
             if one.item.is_none() {
-                match source.next(part.part) {
+                match source.next(partition.index) {
                     Ok(item) => one.item = Some(item),
                     Err(wait) => one.next = now + wait.max(10),
                 }
             }
             let Some(item) = &one.item else { continue };
             // The lease is looked at right before the act, and the act carries the token.
-            let Some(token) = hold.may(*part).filter(|token| *token == one.token) else {
+            let Some(token) = hold.valid_token(*partition).filter(|token| *token == one.token) else {
                 one.next = now + 100;
                 continue;
             };
             let mut act = item.more.clone();
             act.insert("duty".into(), json!(duty));
-            act.insert("part".into(), json!(part.part));
+            act.insert("part".into(), json!(partition.index));
             act.insert("item".into(), json!(item.number));
             act.insert("token".into(), json!(token));
             act.insert("by".into(), json!(name));
@@ -201,8 +201,8 @@
         }
     }
     // Told to leave: nothing of ours is begun any more, and the next may go on at once.
-    for (part, one) in work.drain() {
-        log!("released {duty} part {}, token {}", part.part, one.token);
+    for (partition, one) in work.drain() {
+        log!("released {duty} part {}, token {}", partition.index, one.token);
     }
     hold.leaves().await;
     log!("stopped: {done} items done");
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -14,8 +14,8 @@
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
 use cypresscleat_forwarding::plan::Plan;
 use cypresscleat_forwarding::{node_id, Time};
-use cypresscleat_leases::holder::Event;
-use cypresscleat_leases::{Part, Want};
+use cypresscleat_leases::client::LeaseEvent;
+use cypresscleat_leases::{Claim, Partition};
 use std::io;
 use std::net::SocketAddr;
 use tokio::signal::unix::{signal, SignalKind};
@@ -25,8 +25,8 @@
 const LOOK: Time = 2_000;
 
 /// The duty of leading the planners.
-fn part() -> Part {
-    Part { duty: cypresscleat_leases::node_id(PLANNERS), part: 0 }
+fn part() -> Partition {
+    Partition { task: cypresscleat_leases::node_id(PLANNERS), index: 0 }
 }
 
 /// Who leads: by the planner's own word, or by the keepers'.
@@ -42,7 +42,7 @@
             By::Itself(lead) => lead.gives(now).map(|(epoch, number)| (epoch, number, LASTS)),
             By::Keepers(hold, owned) => {
                 let now = hold.clock.now();
-                hold.may(part()).and_then(|token| owned.gives(now, token, hold.until() - now))
+                hold.valid_token(part()).and_then(|token| owned.gives(now, token, hold.lease_ends_at() - now))
             }
         }
     }
@@ -56,10 +56,10 @@
         tokio::select! {
             heard = talk.hear(until) => return heard,
             event = hold.next(far) => match event {
-                Some(Event::Owns { token, .. }) => log!("leads the planners under token {token}, and gives out at once"),
-                Some(Event::Lost { token, .. }) => log!("leads the planners no longer, token {token}"),
+                Some(LeaseEvent::Acquired { token, .. }) => log!("leads the planners under token {token}, and gives out at once"),
+                Some(LeaseEvent::Lost { token, .. }) => log!("leads the planners no longer, token {token}"),
                 // Nothing is under way here between two looks.
-                Some(Event::Wanted { part }) => hold.release(part),
+                Some(LeaseEvent::ReleaseRequested { partition }) => hold.release(partition),
                 _ => {}
             },
         }
@@ -88,8 +88,8 @@
                 leases::keeps_beside(name, keepers)?;
             }
             let rank = tier.planners.iter().position(|planner| planner.name == name).unwrap_or(255) as u8;
-            let wants = vec![Want { duty: part().duty, parts: 1, rank }];
-            By::Keepers(Box::new(Hold::new(name, keepers, wants).await?), Owned::default())
+            let claims = vec![Claim { task: part().task, partitions: 1, rank }];
+            By::Keepers(Box::new(Hold::new(name, keepers, claims).await?), Owned::default())
         }
     };
     let mut plan = Plan::default();
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -3,9 +3,9 @@
 
 use cypresscleat_consensus::letter::{self, Body, Letter};
 use cypresscleat_consensus::{Machine, Member};
-use cypresscleat_leases::duties::{self, Duties};
-use cypresscleat_leases::said::{Answer, Ask};
-use cypresscleat_leases::{Part, Want};
+use cypresscleat_leases::messages::{Request, Response};
+use cypresscleat_leases::state::{self, LeaseState};
+use cypresscleat_leases::{Claim, Partition};
 use cypresscleat_rollout::policies::{self, Policies};
 use cypresscleat_rollout::said as policy;
 use cypresscleat_rollout::{Missing, Rules, Version, WatchRules};
@@ -38,8 +38,8 @@
     let key = (7, 8);
     let letter =
         Letter { from: Member { id: 1, disk: 2 }, to_disk: 3, term: 400, body: Body::Fresh { empty: true } };
-    let known = (5, Part { duty: 6, part: 7 });
-    let wants = vec![Want { duty: 6, parts: 8, rank: 1 }];
+    let last_seen_grant = (5, Partition { task: 6, index: 7 });
+    let claims = vec![Claim { task: 6, partitions: 8, rank: 1 }];
     let address = |text: &str| text.parse().expect("an address");
     let held = policy::Answer::Held {
         key,
@@ -54,9 +54,16 @@
         ("consensus", Wire::Letter(letter)),
         (
             "lease_request",
-            Wire::Ask(Ask::Renew { instance: 1, life: 2, session: 3, number: 4, known, wants }),
+            Wire::Ask(Request::Renew {
+                instance: 1,
+                incarnation: 2,
+                session: 3,
+                number: 4,
+                last_seen_grant,
+                claims,
+            }),
         ),
-        ("lease_response", Wire::Answer { from: 300, answer: Answer::Gone { session: 9 } }),
+        ("lease_response", Wire::Answer { from: 300, answer: Response::SessionExpired { session: 9 } }),
         ("rollout_request", Wire::PolicyAsk(policy::Ask::Leave { key, number: 2 })),
         ("rollout_response", Wire::PolicyAnswer { from: 300, answer: held }),
         ("address_v4", Wire::At { keeper: 300, address: address("127.0.0.1:8080") }),
@@ -78,11 +85,11 @@
 /// Partitions and a policy on one log; and a snapshot of partitions alone, which earlier versions wrote.
 #[test]
 fn snapshots_of_all_that_is_agreed_keep_their_bytes() {
-    let wants = vec![Want { duty: 6, parts: 2, rank: 0 }];
-    let open =
-        postcard::to_stdvec(&duties::Command::Open { instance: 1, life: 2, wants }).expect("a command");
+    let claims = vec![Claim { task: 6, partitions: 2, rank: 0 }];
+    let open = postcard::to_stdvec(&state::Command::OpenSession { instance: 1, incarnation: 2, claims })
+        .expect("a command");
     let propose = policies::bytes(&policies::Command::Propose(Version { parent: 0, ..version() }));
-    let (mut agreed, mut alone) = (Agreed::default(), Duties::default());
+    let (mut agreed, mut alone) = (Agreed::default(), LeaseState::default());
     let mut lines = vec![("empty".to_string(), agreed.image())];
     for (index, command) in [(5, &open), (6, &propose)] {
         lines.push((format!("outcome_{index}"), agreed.apply(index, command)));
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -2,9 +2,9 @@
 
 use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_consensus::{Machine, Member};
-use cypresscleat_leases::duties::Duties;
-use cypresscleat_leases::said::{Answer, Ask, Datagram};
-use cypresscleat_leases::{Part, Want};
+use cypresscleat_leases::messages::{Datagram, Request, Response};
+use cypresscleat_leases::state::LeaseState;
+use cypresscleat_leases::{Claim, Partition};
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{self, Policies, Version};
 use cypresscleat_rollout::said as policy;
@@ -23,19 +23,19 @@
         term: 4,
         body: letter::Body::Fresh { empty: true },
     };
-    let ask = Ask::Renew {
+    let ask = Request::Renew {
         instance: 1,
-        life: 2,
+        incarnation: 2,
         session: 3,
         number: 4,
-        known: (5, Part { duty: 6, part: 7 }),
-        wants: vec![Want { duty: 6, parts: 8, rank: 0 }],
+        last_seen_grant: (5, Partition { task: 6, index: 7 }),
+        claims: vec![Claim { task: 6, partitions: 8, rank: 0 }],
     };
-    let answer = Answer::Gone { session: 9 };
+    let answer = Response::SessionExpired { session: 9 };
     let pairs = [
-        (Datagram::Letter(letter_of.clone()), Wire::Letter(letter_of)),
-        (Datagram::Ask(ask.clone()), Wire::Ask(ask)),
-        (Datagram::Answer { from: 1, answer: answer.clone() }, Wire::Answer { from: 1, answer }),
+        (Datagram::Consensus(letter_of.clone()), Wire::Letter(letter_of)),
+        (Datagram::Request(ask.clone()), Wire::Ask(ask)),
+        (Datagram::Response { from: 1, response: answer.clone() }, Wire::Answer { from: 1, answer }),
     ];
     for (before, now) in pairs {
         let bytes = letter::write(&before).expect("it is short");
@@ -58,16 +58,16 @@
 
 #[test]
 fn an_image_of_duties_alone_is_read_and_both_machines_keep_to_their_own_commands() {
-    let open = cypresscleat_leases::duties::Command::Open {
+    let open = cypresscleat_leases::state::Command::OpenSession {
         instance: 1,
-        life: 2,
-        wants: vec![Want { duty: 6, parts: 2, rank: 0 }],
+        incarnation: 2,
+        claims: vec![Claim { task: 6, partitions: 2, rank: 0 }],
     };
     let open = postcard::to_stdvec(&open).expect("a command");
-    let mut duties = Duties::default();
+    let mut duties = LeaseState::default();
     duties.apply(5, &open);
     let before = Agreed::from_image(&duties.image()).expect("an image of before");
-    assert_eq!(before.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
+    assert_eq!(before.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     assert_eq!(before.policies, Policies::default());
     let mut both = Agreed::default();
     both.apply(5, &open);
@@ -77,13 +77,13 @@
         ..Version::default()
     });
     both.apply(6, &policies::bytes(&propose));
-    assert_eq!(both.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
+    assert_eq!(both.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     assert!(both.policies.change().is_some());
     let mut again = Agreed::from_image(&both.image()).expect("an image");
     again.policies.take_news();
     both.policies.take_news();
     assert_eq!(again.policies, both.policies);
-    assert_eq!(again.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
+    assert_eq!(again.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     for cut in 0..both.image().len() {
         let _ = Agreed::from_image(&both.image()[..cut]); // nothing panics
     }
