--- /dev/null
+++ b/crates/leases/tests/golden.rs
@@ -0,0 +1,199 @@
+//! Bytes that are sent and stored, as recorded from the program at commit 67fc394: messages, commands, outcomes and snapshots. postcard
+//! writes fields and variants by position, so their order and types are the format; their names are free.
+
+use cypresscleat_consensus::Machine;
+use cypresscleat_leases::messages::{Datagram, Grant, Operation, PartitionStatus, Request, Response};
+use cypresscleat_leases::state::{Command, LeaseState, Outcome};
+use cypresscleat_leases::{node_id, Claim, Partition};
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+use std::path::Path;
+
+/// Compares lines `name hex` with the file `tests/golden/FILE`. `RECORD_GOLDEN=1` writes the file instead, which is right only with a
+/// program whose bytes are known to be those that are stored and sent.
+fn assert_recorded(file: &str, lines: &[(String, Vec<u8>)]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let found: Vec<String> = lines.iter().map(|(name, bytes)| format!("{name} {}", hex(bytes))).collect();
+    if std::env::var_os("RECORD_GOLDEN").is_some() {
+        std::fs::write(&path, found.join("\n") + "\n").expect("the golden file is written");
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the golden file is there");
+    for (found, recorded) in found.iter().zip(recorded.lines()) {
+        assert_eq!(found, recorded, "{file}: the bytes changed");
+    }
+    assert_eq!(found.len(), recorded.lines().count(), "{file}: values were added or removed");
+}
+
+/// Checks that each value is written as recorded, and read back as it was.
+fn assert_golden<T>(file: &str, values: Vec<(&str, T)>)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let mut lines = Vec::new();
+    for (name, value) in values {
+        let bytes = postcard::to_stdvec(&value).expect("the value is written");
+        assert_eq!(postcard::from_bytes::<T>(&bytes).as_ref(), Ok(&value), "{name}: read back");
+        lines.push((name.to_string(), bytes));
+    }
+    assert_recorded(file, &lines);
+}
+
+const PART: Partition = Partition { task: 0x1122_3344_5566_7788, index: 300 };
+
+fn claims() -> Vec<Claim> {
+    vec![Claim { task: 7, partitions: 3, rank: 0 }, Claim { task: 1 << 40, partitions: 1, rank: 2 }]
+}
+
+fn items() -> Vec<Operation> {
+    vec![
+        Operation::Release { partition: PART, token: 1000 },
+        Operation::SaveCursor { partition: PART, token: 1001, step: 5, cursor: vec![0, 127, 255] },
+    ]
+}
+
+fn grants() -> Vec<Grant> {
+    vec![
+        Grant { partition: PART, token: 57, cursor: vec![], release_requested: false },
+        Grant {
+            partition: Partition { task: 1, index: 0 },
+            token: 1 << 33,
+            cursor: vec![9, 8],
+            release_requested: true,
+        },
+    ]
+}
+
+fn requests() -> Vec<(&'static str, Request)> {
+    let nothing = (0, Partition { task: 0, index: 0 });
+    let opening = Request::Renew {
+        instance: 1,
+        incarnation: u64::MAX,
+        session: 0,
+        number: 1,
+        last_seen_grant: nothing,
+        claims: claims(),
+    };
+    let renewal = Request::Renew {
+        instance: 1 << 63,
+        incarnation: 2,
+        session: 3,
+        number: 400,
+        last_seen_grant: (5, PART),
+        claims: vec![],
+    };
+    let (all, one) = (None, Some(99));
+    vec![
+        ("renew_opening", opening),
+        ("renew", renewal),
+        ("apply", Request::Apply { session: 3, number: 5, operations: items() }),
+        ("leave", Request::Leave { session: 3, number: 6 }),
+        ("exclude_all", Request::Exclude { number: 7, task: 70, instance: all, excluded: true }),
+        ("exclude_one", Request::Exclude { number: 7, task: 70, instance: one, excluded: false }),
+        ("list", Request::List { number: 8, from: PART }),
+    ]
+}
+
+fn responses() -> Vec<(&'static str, Response)> {
+    let (after, lease) = ((6, PART), 20_000);
+    let line = PartitionStatus {
+        partition: PART,
+        owner: 4,
+        token: 5,
+        lease_left: 19_000,
+        cursor_age: -1,
+        cursor: vec![1],
+    };
+    vec![
+        ("held", Response::Renewed { session: 3, number: 4, lease, after, grants: grants(), more: true }),
+        ("gone", Response::SessionExpired { session: 3 }),
+        ("granted", Response::Granted { session: 3, after, grants: grants() }),
+        ("done", Response::Done { number: 5, applied: 0b101 }),
+        ("elsewhere", Response::NotLeader { leader: 1 << 50 }),
+        ("list", Response::Partitions { number: 8, partitions: vec![line], more: false }),
+        ("full", Response::LimitReached { number: 9 }),
+    ]
+}
+
+fn commands() -> Vec<(&'static str, Command)> {
+    vec![
+        ("open", Command::OpenSession { instance: 1, incarnation: 2, claims: claims() }),
+        ("end", Command::EndSession { session: 300 }),
+        ("apply", Command::Apply { session: 300, operations: items() }),
+        ("exclude_all", Command::Exclude { task: 7, instance: None, excluded: true }),
+        ("exclude_one", Command::Exclude { task: 7, instance: Some(1), excluded: false }),
+    ]
+}
+
+#[test]
+fn requests_keep_their_bytes() {
+    assert_golden("requests.hex", requests());
+}
+
+#[test]
+fn responses_keep_their_bytes() {
+    assert_golden("responses.hex", responses());
+}
+
+#[test]
+fn datagrams_keep_their_bytes() {
+    let requests = requests().into_iter().map(|(name, ask)| (name, Datagram::Request(ask)));
+    let responses = responses()
+        .into_iter()
+        .map(|(name, answer)| (name, Datagram::Response { from: 2, response: answer }));
+    assert_golden("datagrams.hex", requests.chain(responses).collect());
+}
+
+#[test]
+fn commands_and_outcomes_keep_their_bytes() {
+    assert_golden("commands.hex", commands());
+    let outcomes = vec![
+        ("opened", Outcome::SessionOpened(300)),
+        ("done", Outcome::Done),
+        ("applied", Outcome::Applied(0b110)),
+        ("full", Outcome::LimitReached),
+    ];
+    assert_golden("outcomes.hex", outcomes);
+}
+
+/// Two sessions, an excluded instance, a released partition, a cursor, an ended session: the snapshot after each command.
+#[test]
+fn snapshots_and_what_commands_came_to_keep_their_bytes() {
+    let partition = |number| Partition { task: 7, index: number };
+    let claim = |partitions, rank| vec![Claim { task: 7, partitions, rank }];
+    let cursor = Operation::SaveCursor { partition: partition(0), token: 1, step: 2, cursor: vec![4, 2] };
+    let steps = [
+        Command::OpenSession { instance: 11, incarnation: 1, claims: claim(3, 0) },
+        Command::OpenSession { instance: 12, incarnation: 1, claims: claim(3, 1) },
+        Command::Apply {
+            session: 1,
+            operations: vec![cursor, Operation::Release { partition: partition(1), token: 1 }],
+        },
+        Command::Exclude { task: 7, instance: Some(11), excluded: true },
+        Command::Apply {
+            session: 1,
+            operations: vec![Operation::Release { partition: partition(2), token: 1 }],
+        },
+        Command::OpenSession { instance: 11, incarnation: 2, claims: claims() },
+        Command::EndSession { session: 2 },
+        Command::Exclude { task: 7, instance: Some(11), excluded: false },
+        Command::Exclude { task: 7, instance: None, excluded: true },
+    ];
+    let (mut state, mut lines) = (LeaseState::default(), Vec::new());
+    for (at, command) in steps.iter().enumerate() {
+        let outcome = state.apply(at as u64 + 1, &postcard::to_stdvec(command).expect("a command"));
+        lines.push((format!("outcome_{at}"), outcome));
+        lines.push((format!("snapshot_{at}"), state.image()));
+        let again = LeaseState::from_image(&state.image()).expect("a snapshot is read");
+        assert_eq!(again.image(), state.image(), "written again");
+    }
+    assert_recorded("snapshots.hex", &lines);
+}
+
+/// Names are sent and stored as these numbers.
+#[test]
+fn names_keep_their_numbers() {
+    let names = ["", "settle", "sums", "tally", "planners", "n1", "keeper-1", "ü"];
+    let lines: Vec<_> = names.map(|name| (format!("{name:?}"), node_id(name).to_be_bytes().to_vec())).into();
+    assert_recorded("names.hex", &lines);
+}
