--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -43,6 +43,7 @@
     },
 }
 
+/// Roles have the names of the field; those of earlier versions stay as aliases.
 fn command() -> Command {
     let operator = Arg::new("operator")
         .long("operator")
@@ -81,8 +82,9 @@
                 .arg(operator.clone().required(true)),
         )
         .subcommand(
-            Command::new("keep")
-                .about("Keep who owns which duty, with the other keepers; keepers in the operator's file")
+            Command::new("control")
+                .visible_alias("keep")
+                .about("Hold who owns which task and which policy is in force, with the other control replicas; keepers in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
@@ -91,18 +93,21 @@
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
-            Command::new("tally")
-                .about("Own parts of the tally, and act on its ledger; keepers and tally in the operator's file")
+            Command::new("counter-demo")
+                .visible_alias("tally")
+                .about("Demo task: own partitions of a counter, and act on a ledger; keepers and tally in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
-            Command::new("settle")
-                .about("Tell a ledger what instances that are down left unanswered; keepers and settle in the operator's file")
+            Command::new("reconcile")
+                .visible_alias("settle")
+                .about("Report to a ledger what instances that are down left unanswered; keepers and settle in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
-            Command::new("sums")
-                .about("Tell a ledger what instances billed, by the hour; keepers and sums in the operator's file")
+            Command::new("usage-report")
+                .visible_alias("sums")
+                .about("Report to a ledger what instances billed, by the hour; keepers and sums in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
@@ -183,17 +188,17 @@
         },
         Some(("forward", own)) => Task::Forward { operator: operator(own).unwrap_or_default() },
         Some(("plan", own)) => Task::Plan { operator: operator(own).unwrap_or_default() },
-        Some((job @ ("keep" | "tally" | "settle" | "sums" | "owners"), own)) => {
+        Some((job @ ("control" | "counter-demo" | "reconcile" | "usage-report" | "owners"), own)) => {
             let text = |name: &str| own.get_one::<String>(name).cloned();
             let word = |duty: Option<String>, barred: bool| {
                 let instance = text("instance").unwrap_or_default();
                 duty.map(|duty| What::Bar { duty, instance, barred })
             };
             let job = match job {
-                "keep" => Job::Keep,
-                "tally" => Job::Tally,
-                "settle" => Job::Settle,
-                "sums" => Job::Sums,
+                "control" => Job::Keep,
+                "counter-demo" => Job::Tally,
+                "reconcile" => Job::Settle,
+                "usage-report" => Job::Sums,
                 _ => {
                     let release = text("release").map(|duty| What::Release { duty });
                     let word = release.or(word(text("bar"), true)).or(word(text("unbar"), false));
--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -96,7 +96,7 @@
 #[test]
 fn subcommands_take_the_recorded_flags() {
     let named: &[&str] = &[OPERATOR, NAME, HELP];
-    let rows: [(&str, &[&str]); 12] = [
+    let rows: [(&str, &[&str]); 16] = [
         ("", &[OPERATOR, HELP, "-V, --version"]),
         ("serve", &[OPERATOR, HELP]),
         ("forward", &[OPERATOR, HELP]),
@@ -106,6 +106,10 @@
         ("tally", named),
         ("settle", named),
         ("sums", named),
+        ("control", named),
+        ("counter-demo", named),
+        ("reconcile", named),
+        ("usage-report", named),
         (
             "owners",
             &[
@@ -146,6 +150,23 @@
     }
 }
 
+/// Subcommands, each with the name of earlier versions that still works.
+const RENAMED: [(&str, &str); 4] =
+    [("control", "keep"), ("counter-demo", "tally"), ("reconcile", "settle"), ("usage-report", "sums")];
+
+#[test]
+fn help_lists_every_subcommand_and_its_earlier_name() {
+    let help = stdout(&run(&["--help"]));
+    let names = ["serve", "forward", "plan", "relay", "owners", "policy", "check", "help"];
+    for name in names.into_iter().chain(RENAMED.map(|(name, _)| name)) {
+        assert!(help.lines().any(|line| line.starts_with(&format!("  {name} "))), "{name}\n{help}");
+    }
+    for (name, earlier) in RENAMED {
+        let line = help.lines().find(|line| line.starts_with(&format!("  {name} "))).unwrap_or_default();
+        assert!(line.ends_with(&format!("[alias: {earlier}]")), "{line}");
+    }
+}
+
 // ---- exit codes ----
 
 #[test]
@@ -182,6 +203,8 @@
             "cannot be used with",
         ),
         (&["keep", "--operator", good], BAD_INPUT, "", "no name: --name or EDGE_NAME"),
+        (&["control", "--operator", good], BAD_INPUT, "", "no name: --name or EDGE_NAME"),
+        (&["control", "--operator", empty, "--name", "k0"], BAD_INPUT, "", ": no keepers"),
         (&["keep", "--operator", empty, "--name", "k0"], BAD_INPUT, "", ": no keepers"),
         (&["relay", "--operator", empty, "--name", "r0"], BAD_INPUT, "", ": no relay"),
         (&["policy", "check", "--operator", empty, "--text", policy], SUCCESS, "good, 7a94c4ca36152597", ""),
@@ -219,7 +242,14 @@
 }
 
 /// Roles beside the app server that act on a duty, with the key of the operator's file that each needs.
-const DUTY_ROLES: [(&str, &str); 3] = [("tally", "tally"), ("settle", "settle"), ("sums", "sums")];
+const DUTY_ROLES: [(&str, &str); 6] = [
+    ("tally", "tally"),
+    ("settle", "settle"),
+    ("sums", "sums"),
+    ("counter-demo", "tally"),
+    ("reconcile", "settle"),
+    ("usage-report", "sums"),
+];
 
 #[test]
 fn duty_roles_refuse_to_start_without_their_key_or_a_name() {
@@ -235,6 +265,64 @@
     }
 }
 
+/// Waits until the control replicas say that an instance owns a part, or that none does; the duty and the owner.
+fn owner(stage: &owners::Stage, is_owned: bool) -> (String, String) {
+    let until = Instant::now() + PATIENCE;
+    loop {
+        let (lines, _) = stage.owners();
+        let line = lines.iter().find(|line| line["owner"].is_null() != is_owned).filter(|_| is_owned);
+        if let Some(line) = line {
+            return (line["duty"].to_string(), line["owner"].to_string());
+        }
+        if !is_owned && lines.iter().all(|line| line["owner"].is_null()) {
+            return Default::default();
+        }
+        assert!(Instant::now() < until, "{lines:?}\n{}", stage.logs());
+        thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// Under either name a role owns the same duty under the same identity, and ends with the same exit code.
+#[test]
+fn a_role_does_the_same_under_its_earlier_name() {
+    let (program, every) = (Path::new(PROGRAM), Duration::from_millis(20));
+    let setup =
+        owners::Setup { program, keepers: 3, instances: 0, parts: 1, lease: LEASE, every, seed: 1, drift: 0 };
+    let stage = owners::Stage::start(&setup);
+    let ledger = stage.ledger.address;
+    for ((name, earlier), key) in RENAMED[1..].iter().zip(["tally", "settle", "sums"]) {
+        let folders = if key == "tally" { "" } else { ", folders: [\"/nonexistent\"]" };
+        let section = format!("{key}: {{ledger: \"{ledger}\"{folders}}}");
+        let owned = [name, earlier].map(|role| {
+            let mut process = stage.also(role, "n0", &section);
+            process.start();
+            let owned = owner(&stage, true);
+            process.end();
+            assert!(process.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
+            owner(&stage, false);
+            owned
+        });
+        assert_eq!(owned[0], owned[1], "{name}");
+    }
+}
+
+#[test]
+fn a_control_replica_hears_under_its_earlier_name() {
+    let folder = TempFolder::new();
+    for role in [RENAMED[0].0, RENAMED[0].1] {
+        let disk = folder.0.join(format!("disk-{role}"));
+        let keepers = three_keepers().replace("lease: 1s", &format!("lease: 1s, folder: {disk:?}"));
+        let path = folder.file(&format!("{role}.cue"), &keepers);
+        let mut replica =
+            Process::new("k0", Path::new(PROGRAM), &[role, "--operator", &path, "--name", "k0"]);
+        replica.start();
+        assert!(replica.logged("keeper k0 hears at ", 0, PATIENCE).is_some(), "{role}: {:?}", replica.log());
+        replica.end();
+        assert!(replica.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
+        assert!(replica.logged("keeper k0 stopped", 0, PATIENCE).is_some(), "{role}");
+    }
+}
+
 // ---- the operator's file ----
 
 #[test]
