--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,29 +1,39 @@
-//! A small embedded store: a log in segments, an ordered index in memory with cheap snapshots, compaction that never stops
-//! writers for longer than one step, and recovery. All disk work goes through [`disk::Disk`]; what to sync when, what a
-//! file's bytes mean and which segments to compact is decided here, without I/O of its own, clock or chance.
+//! A log-structured key-value store for one process: a log in segments, an ordered index in memory with cheap snapshots,
+//! compaction in steps that writers hardly notice, and recovery. All disk work goes through [`disk::Disk`]; what to sync when,
+//! what a file's bytes mean and which segments to compact is decided here, without a clock or random numbers.
 //!
-//! # What acknowledged promises
+//! # What an acknowledgement guarantees
 //!
-//! [`Store::commit`] returns the number of the last write that is on the disk, synced, with the folder entry of its segment:
-//! it and all before it are there after any crash, and nothing is there that was never written. Writes not yet
-//! acknowledged may be there, as a first part of them in their order. A sync that failed is final for its segment: what was
-//! not acknowledged in it is given up, and a new segment is begun.
+//! [`Store::commit`] returns the number of the last write that is on the disk, synced, with the directory entry of its segment:
+//! it and all writes before it survive any crash, and nothing is read that was never written. Of the writes not yet acknowledged
+//! a prefix, in their order, may survive. A sync that failed is final for its segment: what was not acknowledged in it is rolled
+//! back, and a new segment is begun.
 //!
-//! # What lies in the folder
+//! # The path of a write
 //!
-//! `LOCK`, held by one process. Segments `IIIIIIIIIIIIIIII-GGGGGGGG.seg`, by number and generation, each with a header and
-//! records; hints beside them, `.hint`, which save reading them; `.tmp` is what a crash left behind.
+//! | step | where |
+//! | --- | --- |
+//! | [`Store::put`]: the record is encoded into the buffer, the index names it, an undo entry is kept | `writer`, `index` |
+//! | [`Store::commit`]: the buffer is written, the segment synced, the undo entries go, a mark is buffered | `writer` |
+//! | a full segment is sealed, its hints are written, the next one begins | `writer` |
+//! | [`Store::compact_step`]: live records of the oldest segments move to a new file that replaces them | `compaction`, `segments` |
+//! | [`Store::open`]: segments that count are found and read, damage is told from a torn end | `recovery` |
 //!
-//! | bytes | header of a segment | record |
+//! # Files in the directory
+//!
+//! `LOCK`, held by one process. Segments `NNNNNNNNNNNNNNNN-GGGGGGGG.seg`, by number and generation, each with a header and
+//! records; hints beside them, `.hint`, which save reading them; `.tmp` is a compaction that a crash cut off.
+//!
+//! | offset | header of a segment | record |
 //! | --- | --- | --- |
-//! | 0 | `CCLEATS1`: magic and format version | length of what follows behind the checksum: 4 |
-//! | 8 | first segment it covers: 8 | CRC-32 of what follows: 4 |
+//! | 0 | `CCLEATS1`: magic and format version | length of what follows the checksum: 4 bytes |
+//! | 8 | first segment that it covers: 8 bytes | CRC-32 of what follows: 4 |
 //! | 16 | last one, its own number: 8 | sequence number: 8 |
 //! | 24 | valid length of the segment before: 8 | kind: 1 (put, remove, mark) |
 //! | 32 | CRC-32 of the above: 4 | length of the key: 2; key; value |
 //!
-//! All numbers little-endian. A mark's key is empty; its value is the length that was synced when it was written, by which
-//! recovery tells a torn end from damage to what had been synced.
+//! All numbers are little-endian. A mark's key is empty; its value is the length that was synced when it was written, by which
+//! recovery tells a torn end from damage to what had been synced. The codec is [`format`].
 
 #![warn(missing_docs)]
 
@@ -34,6 +44,7 @@
 mod index;
 mod recovery;
 mod segments;
+#[cfg(feature = "simulation")]
 pub mod simulation;
 mod snapshot;
 mod store;
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -44,12 +44,12 @@
 /// Plays until the disk goes down, or to the end. Writes that were given up with an error count as never issued, if none
 /// after them was acknowledged: they are taken out of the model.
 fn workload(store: &mut Store<SimulatedDisk>, seed: u64, steps: usize, written: &mut Written) -> bool {
-    let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
+    let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
     for step in 0..steps {
-        let key = format!("key{}", chance.random_range(0..12)).into_bytes();
-        match chance.random_range(0..10) {
+        let key = format!("key{}", rng.random_range(0..12)).into_bytes();
+        match rng.random_range(0..10) {
             0..=4 => {
-                let value = vec![step as u8; chance.random_range(0..90)];
+                let value = vec![step as u8; rng.random_range(0..90)];
                 if store.put(&key, &value).is_err() {
                     return false;
                 }
@@ -87,7 +87,7 @@
     Ok(map)
 }
 
-/// It opens, holds a first part of the writes with all that were acknowledged, nothing else, and takes writes again.
+/// It opens, holds a prefix of the writes with all acknowledged ones and nothing else, and takes writes again.
 fn check(disk: SimulatedDisk, written: &Written, what: &str) {
     let mut store = Store::open(disk, SMALL).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = all(&mut store).unwrap_or_else(|error| panic!("{what}: {error}"));
@@ -108,7 +108,7 @@
 
 /// 110,000 states of crashes: every step of workloads with rotation and compaction, several states at each.
 #[test]
-fn any_crash_leaves_a_first_part_of_the_writes_with_all_that_were_acknowledged() {
+fn any_crash_leaves_a_prefix_of_the_writes_with_all_acknowledged_ones() {
     let threads: Vec<_> = (0..4u64)
         .map(|thread| {
             std::thread::spawn(move || {
@@ -150,7 +150,7 @@
 
 /// Recovery itself is stopped, ten times running: nothing is lost by that.
 #[test]
-fn a_storm_of_restarts_loses_nothing() {
+fn crashes_during_recovery_lose_nothing() {
     for seed in 0..60u64 {
         let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
         let mut written = Written::new();
@@ -179,16 +179,16 @@
     // One segment that is written, cut at each byte: what stands before the cut is there, nothing else.
     let large = StoreOptions { max_segment_bytes: 1 << 20, ..SMALL };
     let mut store = Store::open(SimulatedDisk::default(), large).expect("an empty one");
-    let mut chance = Pcg64Mcg::new(5);
+    let mut rng = Pcg64Mcg::new(5);
     let mut ends: Vec<(usize, Map)> = Vec::new();
     let mut map = Map::new();
     for step in 0..260u32 {
-        let key = format!("key{}", chance.random_range(0..40)).into_bytes();
-        if chance.random_bool(0.2) {
+        let key = format!("key{}", rng.random_range(0..40)).into_bytes();
+        if rng.random_bool(0.2) {
             store.remove(&key).expect("a write");
             map.remove(&key);
         } else {
-            let value = vec![step as u8; chance.random_range(0..50)];
+            let value = vec![step as u8; rng.random_range(0..50)];
             store.put(&key, &value).expect("a write");
             map.insert(key, value);
         }
@@ -251,7 +251,7 @@
 
 /// A bit flipped anywhere is found, or does not matter; never is a value other than what was written.
 #[test]
-fn a_flipped_bit_is_never_a_wrong_answer() {
+fn a_flipped_bit_is_never_read_as_a_wrong_value() {
     let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     let mut written = Written::new();
     assert!(workload(&mut store, 23, 300, &mut written));
@@ -294,16 +294,16 @@
                 let what = format!("{fault:?}, seed {seed}, operation {at}");
                 let disk = SimulatedDisk::default().inject_fault(at, fault);
                 let Ok(mut store) = Store::open(disk, SMALL) else { continue };
-                let mut chance = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
+                let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
                 // What counts is what was acknowledged: after an error the rest is given up.
                 let mut certain = Map::new();
                 let mut pending = Map::new();
                 let mut failed = 0;
                 for step in 0..100 {
-                    let key = format!("key{}", chance.random_range(0..12)).into_bytes();
-                    let value = vec![step as u8; chance.random_range(0..90)];
+                    let key = format!("key{}", rng.random_range(0..12)).into_bytes();
+                    let value = vec![step as u8; rng.random_range(0..90)];
                     let acknowledged = store.stats().acknowledged_sequence;
-                    match chance.random_range(0..10) {
+                    match rng.random_range(0..10) {
                         0..=5 => match store.put(&key, &value) {
                             Ok(_) => {
                                 // Where its segment was full, all before it was acknowledged on the way.
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_key_written_over_and_over_takes_no_room() {
+fn overwriting_one_key_keeps_the_store_small() {
     let options = StoreOptions { max_segment_bytes: 64 * 1024, ..StoreOptions::default() };
     let mut store = Store::open(SimulatedDisk::default(), options).expect("an empty one");
     for round in 0..200_000u32 {
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn bounds_versions_and_two_owners_are_told() {
+fn rejects_oversized_entries_other_versions_and_a_second_owner() {
     let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
     assert_eq!(store.put(b"", b"x"), Err(Error::TooLarge(1)));
     assert_eq!(store.put(&[0; 1025], b"x"), Err(Error::TooLarge(1025)));
--- a/crates/store/tests/tool.rs
+++ b/crates/store/tests/tool.rs
@@ -65,7 +65,7 @@
 #[test]
 fn a_writer_killed_at_any_moment_keeps_what_it_acknowledged() {
     let path = folder("killed");
-    let mut chance = Pcg64Mcg::new(99);
+    let mut rng = Pcg64Mcg::new(99);
     let mut known: BTreeSet<String> = BTreeSet::new();
     for round in 0..200u32 {
         let group = ["1", "7"][round as usize % 2];
@@ -76,7 +76,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("to start");
-        std::thread::sleep(Duration::from_millis(chance.random_range(1..25)));
+        std::thread::sleep(Duration::from_millis(rng.random_range(1..25)));
         child.kill().and_then(|()| child.wait()).expect("its end");
         let mut printed = String::new();
         let mut from = child.stdout.take().expect("its output");
