--- /dev/null
+++ b/crates/consensus/tests/golden.rs
@@ -0,0 +1,99 @@
+//! Bytes on the wire and on disk are as commit 67fc394 wrote them: postcard stores variants and fields by position, so a change
+//! of order, type or key shows here.
+
+#[path = "golden/samples.rs"]
+mod samples;
+
+use cypresscleat_consensus::kept;
+use cypresscleat_consensus::letter::{self, Letter};
+use cypresscleat_consensus::sim::Chain;
+use cypresscleat_consensus::{Begin, Keeper, Options};
+use cypresscleat_store::disk::Folder;
+use cypresscleat_store::Store;
+use std::path::{Path, PathBuf};
+
+const MESSAGES: &str = include_str!("golden/messages.txt");
+const WRITES: &str = include_str!("golden/writes.txt");
+/// What the program of 67fc394 said of the folder that it wrote: term, commit index, hash, numbers.
+const FOLDER: &str = include_str!("golden/folder.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hex digits");
+    (0..text.len()).step_by(2).map(digit).collect()
+}
+
+#[test]
+fn messages_are_the_recorded_bytes_both_ways() {
+    let lines: Vec<(&str, &str)> =
+        MESSAGES.lines().map(|line| line.split_once(' ').expect("two words")).collect();
+    let samples = samples::messages();
+    assert_eq!(lines.len(), samples.len());
+    for ((name, golden), (sample_name, message)) in lines.into_iter().zip(samples) {
+        assert_eq!(name, sample_name);
+        assert_eq!(hex(&letter::write(&message).expect("short")), golden, "{name}");
+        assert_eq!(letter::read::<Letter>(&unhex(golden)), Ok(message), "{name}");
+    }
+}
+
+#[test]
+fn disk_writes_are_the_recorded_bytes() {
+    let shown = |(name, (key, value)): (String, kept::Write)| {
+        format!("{name} {} {}", hex(&key), value.map_or("removed".into(), |value| hex(&value)))
+    };
+    let found: Vec<String> = samples::writes().into_iter().map(shown).collect();
+    assert_eq!(found, WRITES.lines().collect::<Vec<_>>());
+}
+
+fn copied_folder() -> PathBuf {
+    let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-67fc394");
+    let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join("replica-67fc394");
+    let _ = std::fs::remove_dir_all(&to);
+    std::fs::create_dir_all(&to).expect("a temporary folder");
+    for file in std::fs::read_dir(from).expect("the recorded folder") {
+        let file = file.expect("a file");
+        std::fs::copy(file.path(), to.join(file.file_name())).expect("a copy");
+    }
+    to
+}
+
+#[test]
+fn a_folder_of_67fc394_opens_and_its_replica_goes_on() {
+    let mut store =
+        Store::open(Folder::open(&copied_folder()).expect("a folder"), Default::default()).expect("a store");
+    let state = kept::read(&mut store).expect("a state");
+    assert_eq!(state.stale, Vec::new());
+    let base = state.base.clone().expect("it was formed");
+
+    // Written again, each value is what stands in the folder.
+    let mut writes = vec![kept::hard(&state.hard)];
+    kept::base(&mut writes, &base, &state.image, &base, 1..=0);
+    for (at, entry) in state.log.iter().enumerate() {
+        writes.push(kept::entry(base.mark.index + 1 + at as u64, entry));
+    }
+    let snapshot = store.snapshot();
+    assert_eq!(snapshot.len(), writes.len());
+    for (key, value) in writes {
+        assert_eq!(store.get(&key).expect("readable"), value, "key {}", hex(&key));
+    }
+
+    // Alone in its configuration it would not be a majority; what it shows is what it has of its snapshot.
+    let (hard, entries) = (state.hard, state.log.len());
+    let begin =
+        Begin { own: 1, named: [1, 2, 3].into(), disk: hard.disk, options: Options::default(), seed: 1 };
+    let (replica, _) = Keeper::start(0, begin, state, Chain::default());
+    let shown = format!(
+        "disk {} term {} voted {:?} snapshot {} members {} entries {entries} hash {:016x} numbers {:?}\n",
+        hard.disk,
+        replica.term(),
+        hard.voted,
+        replica.commit(),
+        replica.members().len(),
+        replica.machine().link,
+        replica.machine().numbers,
+    );
+    assert_eq!(shown, FOLDER);
+}
