--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -8,7 +8,7 @@
 use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_consensus::sim::Chain;
 use cypresscleat_consensus::{Begin, Keeper, Options};
-use cypresscleat_store::disk::Folder;
+use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::Store;
 use std::path::{Path, PathBuf};
 
@@ -62,8 +62,8 @@
 
 #[test]
 fn a_folder_of_67fc394_opens_and_its_replica_goes_on() {
-    let mut store =
-        Store::open(Folder::open(&copied_folder()).expect("a folder"), Default::default()).expect("a store");
+    let mut store = Store::open(DiskDirectory::open(&copied_folder()).expect("a folder"), Default::default())
+        .expect("a store");
     let state = kept::read(&mut store).expect("a state");
     assert_eq!(state.stale, Vec::new());
     let base = state.base.clone().expect("it was formed");
