--- a/crates/experiments/src/drive.rs
+++ b/crates/experiments/src/drive.rs
@@ -1,11 +1,10 @@
-//! Plays arrivals against a worker with a real `Brain` between them, in simulated time. Whole-run checks as it goes: each
+//! Plays arrivals against a worker with a real `Scheduler` between them, in simulated time. Whole-run checks as it goes: each
 //! arrival gets one final answer, by its time-out and a tick; nothing is answered twice.
 
 use crate::arrivals::{Coming, Day, Trouble, SECOND};
 use crate::worker::{Done, Machine, Worker};
 use cypresscleat_concurrency::{Setup, View};
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -57,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Speed(u64),
-    Called(Inv, u64),
+    Called(RequestSlot, u64),
     Arrives(usize),
     Tick,
 }
@@ -79,14 +78,14 @@
     now: Time,
     worker: Worker,
     comings: &'a [Coming],
-    jobs: HashMap<Inv, Job>,
-    free: Vec<Inv>,
+    jobs: HashMap<RequestSlot, Job>,
+    free: Vec<RequestSlot>,
     many: usize,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     number: u64,
     wake: Time,
     /// What the module has to be told once its present call is over.
-    told: Vec<(Inv, Outcome)>,
+    told: Vec<(RequestSlot, Outcome)>,
     ended: Vec<Ended>,
     asked: DefaultHasher,
 }
@@ -96,10 +95,10 @@
         self.number += 1;
         self.events.push(Reverse((at, self.number, event)));
     }
-    fn asks(&mut self, what: &str, inv: Inv, with: i64) {
+    fn asks(&mut self, what: &str, inv: RequestSlot, with: i64) {
         (what, self.now, inv, with).hash(&mut self.asked);
     }
-    fn answer(&mut self, inv: Inv, how: Answer) {
+    fn answer(&mut self, inv: RequestSlot, how: Answer) {
         let Some(job) = self.jobs.get_mut(&inv) else { return };
         assert!(!std::mem::replace(&mut job.answered, true), "answered twice");
         let coming = &self.comings[job.coming];
@@ -109,7 +108,7 @@
 }
 
 impl Host for Side<'_> {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.asks("run", inv, 0);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&inv) else { return };
@@ -117,25 +116,25 @@
         let left = job.left;
         self.worker.start(inv, left);
     }
-    fn throttle(&mut self, inv: Inv, back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
         self.asks("throttle", inv, back * 2 + i64::from(give_up));
         self.answer(inv, Answer::Throttled);
     }
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         self.asks("error", inv, 0);
         self.answer(inv, Answer::Errored);
         // One that waits for its call is ended by whoever runs it, as nobody waits any more.
         if self.jobs.get(&inv).is_some_and(|job| job.started.is_some() && !job.on_core) {
-            self.told.push((inv, Outcome::CalledOff));
+            self.told.push((inv, Outcome::Cancelled));
         }
     }
-    fn stop(&mut self, inv: Inv) {
+    fn stop(&mut self, inv: RequestSlot) {
         self.asks("stop", inv, 0);
         if self.worker.stop(inv).is_some() {
-            self.told.push((inv, Outcome::CalledOff));
+            self.told.push((inv, Outcome::Cancelled));
         }
     }
-    fn call(&mut self, inv: Inv, within: Time) {
+    fn call(&mut self, inv: RequestSlot, within: Time) {
         self.asks("call", inv, within);
         self.number += 1;
         let (number, now) = (self.number, self.now);
@@ -145,22 +144,22 @@
         let at = now + (took.min(within as f64) as Time).max(1);
         self.push(at, Event::Called(inv, number));
     }
-    fn skip_call(&mut self, _: Inv) {}
-    fn keep(&mut self, _: Inv, _: Time) {}
-    fn reuse(&mut self, _: Inv) {}
-    fn health(&mut self, _: bool, _: bool) {}
-    fn advertise(&mut self, value: f64) {
+    fn skip_call(&mut self, _: RequestSlot) {}
+    fn retain_for_retries(&mut self, _: RequestSlot, _: Time) {}
+    fn replay_result(&mut self, _: RequestSlot) {}
+    fn set_health(&mut self, _: bool, _: bool) {}
+    fn send_load_feedback(&mut self, value: f64) {
         self.asks("advertise", 0, value.to_bits() as i64);
     }
-    fn close_idle(&mut self, after: Time) {
+    fn close_idle_connections(&mut self, after: Time) {
         self.asks("close_idle", 0, after);
     }
-    fn wake(&mut self, after: Time) {
+    fn set_timer(&mut self, after: Time) {
         self.asks("wake", 0, after);
         self.wake = self.now + after;
     }
     fn log(&mut self, _: &str) {}
-    fn release(&mut self, inv: Inv) {
+    fn release(&mut self, inv: RequestSlot) {
         self.asks("release", inv, 0);
         if let Some(job) = self.jobs.remove(&inv) {
             assert!(job.answered, "released without an answer");
@@ -172,36 +171,36 @@
 
 /// What the module is told of the day: its classes as operations, two customers with their shares.
 pub fn settings(day: &Day, machine: &Machine, pools: &Setup) -> Settings {
-    let operations = day.classes.iter().map(|class| Operation {
-        objective: class.objective,
+    let operations = day.classes.iter().map(|class| RequestClass {
+        latency_objective: class.objective,
         timeout: class.timeout,
-        billed: class.billed,
-        calls: class.call.is_some(),
-        ..Operation::default()
+        priority_weight: class.billed,
+        calls_downstream: class.call.is_some(),
+        ..RequestClass::default()
     });
     // The usual customer may have half as much again as comes in the mean; the other one, floods come from, little.
     let customers = vec![day.rate * 1.5, day.rate * 0.05];
     Settings {
-        operations: operations.collect(),
-        customers,
-        over_share: OVER_SHARE,
-        servers: 1.0,
-        callers: 8.0,
+        classes: operations.collect(),
+        tenant_rates: customers,
+        over_quota_share: OVER_SHARE,
+        fleet_size: 1.0,
+        client_count: 8.0,
         cores: machine.cores,
-        cold: machine.cold_for > 0,
-        cold_from: machine.cold_from,
-        cold_for: machine.cold_for,
+        slow_start: machine.cold_for > 0,
+        slow_start_initial: machine.cold_from,
+        slow_start_duration: machine.cold_for,
         memory_kb: 60_000.0,
-        blowup: 8.0,
-        halt: Halt::Discard,
-        below: Below::Tier,
-        calls_out: 0.0,
-        calls_over: 50_000,
-        lingers: 2_000,
-        slack: 600,
+        running_memory_factor: 8.0,
+        stop_mode: StopMode::Discard,
+        downstream: DownstreamKind::Tier,
+        shared_call_quota: 0.0,
+        shared_call_window: 50_000,
+        abandoned_call_duration: 2_000,
+        answer_slack: 600,
         drain_grace: 10_000,
-        tip: machine.crowd,
-        max_backoff: 10_000,
+        overload_multiple: machine.crowd,
+        max_retry_after: 10_000,
         seed: day.seed,
         pools: pools.clone(),
         ..Settings::default()
@@ -224,7 +223,7 @@
         ended: Vec::with_capacity(comings.len()),
         asked: DefaultHasher::new(),
     };
-    let mut brain = Brain::start(0, settings(day, machine, pools), &mut side);
+    let mut scheduler = Scheduler::start(0, settings(day, machine, pools), &mut side);
     for trouble in &day.troubles {
         if let Trouble::Slow { speed, from, to } = *trouble {
             side.push(from, Event::Speed(speed.to_bits()));
@@ -251,10 +250,10 @@
         side.worker.advance(at, &mut done);
         for what in done.drain(..) {
             match what {
-                Done::Job(inv) => job_done(&mut brain, &mut side, inv),
-                Done::Read(coming) => read(&mut brain, &mut side, coming),
+                Done::Job(inv) => job_done(&mut scheduler, &mut side, inv),
+                Done::Read(coming) => read(&mut scheduler, &mut side, coming),
             }
-            settle(&mut brain, &mut side);
+            settle(&mut scheduler, &mut side);
         }
         while let Some(Reverse((_, _, event))) =
             side.events.peek().copied().filter(|Reverse((due, ..))| *due <= at)
@@ -268,28 +267,28 @@
                         side.push(next.at, Event::Arrives(coming + 1));
                     }
                 }
-                Event::Called(inv, number) => called(&mut brain, &mut side, inv, number),
+                Event::Called(inv, number) => called(&mut scheduler, &mut side, inv, number),
                 Event::Tick => {
                     let wanting = side.worker.wanting() as f64;
                     let gauges = Gauges {
-                        core_use: Some(side.worker.in_use()),
-                        on_cores: Some(wanting),
-                        memory: None,
-                        links: None,
+                        core_utilization: Some(side.worker.in_use()),
+                        runnable_tasks: Some(wanting),
+                        memory_share: None,
+                        connections: None,
                     };
-                    brain.tick(at, gauges, &mut side);
+                    scheduler.tick(at, gauges, &mut side);
                     let wake = side.wake;
                     side.push(wake, Event::Tick);
                     if look && at >= next_look {
                         let running = side.worker.wanting();
-                        played.moments.push(Moment { at, pools: brain.pools().view(), running });
+                        played.moments.push(Moment { at, pools: scheduler.pools().view(), running });
                         next_look = at + SECOND;
                     }
                 }
             }
-            settle(&mut brain, &mut side);
+            settle(&mut scheduler, &mut side);
         }
-        watch(&brain, at, &mut waits, &mut played.waited);
+        watch(&scheduler, at, &mut waits, &mut played.waited);
     }
     assert_eq!(side.ended.len(), comings.len(), "each arrival has one final answer");
     played.busy = side.worker.busy() / (day.length as f64 * machine.cores);
@@ -306,11 +305,11 @@
 }
 
 /// How long each pool with work and no place has waited for one.
-fn watch(brain: &Brain, now: Time, waits: &mut Vec<Option<Time>>, waited: &mut Vec<Time>) {
-    if brain.pools().is_off() {
+fn watch(scheduler: &Scheduler, now: Time, waits: &mut Vec<Option<Time>>, waited: &mut Vec<Time>) {
+    if scheduler.pools().is_off() {
         return;
     }
-    brain.pools().waits(|at, waiting| {
+    scheduler.pools().waits(|at, waiting| {
         if waits.len() <= at {
             waits.resize(at + 1, None);
             waited.resize(at + 1, 0);
@@ -324,16 +323,16 @@
 }
 
 /// What the module's own wishes brought about, told to it after its call.
-fn settle(brain: &mut Brain, side: &mut Side) {
+fn settle(scheduler: &mut Scheduler, side: &mut Side) {
     while let Some((inv, how)) = side.told.pop() {
         if side.jobs.contains_key(&inv) {
             let now = side.now;
-            brain.run_ended(now, inv, how, side);
+            scheduler.handle_run_completed(now, inv, how, side);
         }
     }
 }
 
-fn read(brain: &mut Brain, side: &mut Side, coming: usize) {
+fn read(scheduler: &mut Scheduler, side: &mut Side, coming: usize) {
     let what = &side.comings[coming];
     let inv = side.free.pop().unwrap_or(side.many);
     side.many = side.many.max(inv + 1);
@@ -344,34 +343,34 @@
     let (on_core, started, answered, call) = (false, None, false, 0);
     side.jobs.insert(inv, Job { coming, left, behind, on_core, started, answered, call });
     let arrival = Arrival {
-        inv,
-        op: what.class,
-        customer: Some(usize::from(!what.in_share)),
-        unread: side.now - what.at,
-        hint: Some(what.hint),
-        kb: what.kb,
+        slot: inv,
+        class: what.class,
+        tenant: Some(usize::from(!what.in_share)),
+        time_unread: side.now - what.at,
+        expected_work: Some(what.hint),
+        memory_kb: what.kb,
         ..Arrival::default()
     };
     let now = side.now;
-    brain.arrived(now, arrival, side);
+    scheduler.handle_arrival(now, arrival, side);
 }
 
-fn job_done(brain: &mut Brain, side: &mut Side, inv: Inv) {
+fn job_done(scheduler: &mut Scheduler, side: &mut Side, inv: RequestSlot) {
     let now = side.now;
     let Some(job) = side.jobs.get_mut(&inv) else { return };
     job.on_core = false;
     if let Some((_, behind)) = job.behind {
         job.left = behind;
-        brain.needs_call(now, inv, side);
+        scheduler.handle_call_needed(now, inv, side);
         return;
     }
     if !job.answered {
         side.answer(inv, Answer::Succeeded);
     }
-    brain.run_ended(now, inv, Outcome::Succeeded, side);
+    scheduler.handle_run_completed(now, inv, Outcome::Succeeded, side);
 }
 
-fn called(brain: &mut Brain, side: &mut Side, inv: Inv, number: u64) {
+fn called(scheduler: &mut Scheduler, side: &mut Side, inv: RequestSlot, number: u64) {
     let now = side.now;
     let Some(job) = side.jobs.get_mut(&inv).filter(|job| job.call == number && !job.on_core) else { return };
     let took = job.behind.take().map_or(0.0, |(took, _)| took) as Time;
@@ -381,5 +380,5 @@
     job.on_core = true;
     let left = job.left;
     side.worker.start(inv, left);
-    brain.call_ended(now, inv, Outcome::Succeeded, took, side);
+    scheduler.handle_call_completed(now, inv, Outcome::Succeeded, took, side);
 }
--- a/crates/experiments/src/scale/tenants.rs
+++ b/crates/experiments/src/scale/tenants.rs
@@ -3,8 +3,7 @@
 use super::row::{How, Row};
 use super::{heap, timed};
 use cypresscleat_scgi::request::{self, Reader};
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use cypresscleat_server::listeners::routes::{From, Route, Routes};
 use cypresscleat_server::pool::Pool;
 use std::time::Instant;
@@ -14,48 +13,53 @@
 /// Takes what the module asks for: what is to run, and when it wants to look up again.
 #[derive(Default)]
 struct Taken {
-    run: Option<Inv>,
+    run: Option<RequestSlot>,
     wake: Time,
 }
 
 impl Host for Taken {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.run = Some(inv);
     }
-    fn throttle(&mut self, _: Inv, _: Time, _: bool) {}
-    fn error(&mut self, _: Inv) {}
-    fn stop(&mut self, _: Inv) {}
-    fn call(&mut self, _: Inv, _: Time) {}
-    fn skip_call(&mut self, _: Inv) {}
-    fn keep(&mut self, _: Inv, _: Time) {}
-    fn reuse(&mut self, _: Inv) {}
-    fn health(&mut self, _: bool, _: bool) {}
-    fn advertise(&mut self, _: f64) {}
-    fn close_idle(&mut self, _: Time) {}
-    fn wake(&mut self, after: Time) {
+    fn reject(&mut self, _: RequestSlot, _: Time, _: bool) {}
+    fn fail(&mut self, _: RequestSlot) {}
+    fn stop(&mut self, _: RequestSlot) {}
+    fn call(&mut self, _: RequestSlot, _: Time) {}
+    fn skip_call(&mut self, _: RequestSlot) {}
+    fn retain_for_retries(&mut self, _: RequestSlot, _: Time) {}
+    fn replay_result(&mut self, _: RequestSlot) {}
+    fn set_health(&mut self, _: bool, _: bool) {}
+    fn send_load_feedback(&mut self, _: f64) {}
+    fn close_idle_connections(&mut self, _: Time) {}
+    fn set_timer(&mut self, after: Time) {
         self.wake = after;
     }
     fn log(&mut self, _: &str) {}
-    fn release(&mut self, _: Inv) {}
+    fn release(&mut self, _: RequestSlot) {}
 }
 
 fn settings(tenants: u64, seed: u64) -> Settings {
-    let operation =
-        Operation { objective: 2_000, timeout: 20_000, billed: 1.0, late: 0.5, ..Operation::default() };
+    let operation = RequestClass {
+        latency_objective: 2_000,
+        timeout: 20_000,
+        priority_weight: 1.0,
+        late_share: 0.5,
+        ..RequestClass::default()
+    };
     Settings {
-        operations: vec![operation; 8],
-        customers: (0..tenants).map(|at| 1.0 + (at % 100) as f64).collect(),
-        over_share: 0.1,
-        servers: 5_800.0,
-        callers: 8.0,
+        classes: vec![operation; 8],
+        tenant_rates: (0..tenants).map(|at| 1.0 + (at % 100) as f64).collect(),
+        over_quota_share: 0.1,
+        fleet_size: 5_800.0,
+        client_count: 8.0,
         cores: 4.0,
         memory_kb: 60_000.0,
-        blowup: 8.0,
-        halt: Halt::Discard,
-        slack: 600,
+        running_memory_factor: 8.0,
+        stop_mode: StopMode::Discard,
+        answer_slack: 600,
         drain_grace: 10_000,
-        tip: 3.0,
-        max_backoff: 10_000,
+        overload_multiple: 3.0,
+        max_retry_after: 10_000,
         seed,
         ..Settings::default()
     }
@@ -75,7 +79,7 @@
         let mut host = Taken::default();
         let set = settings(size, seed);
         let began = Instant::now();
-        let (mut brain, held) = heap::of(|| Brain::start(0, set, &mut host));
+        let (mut scheduler, held) = heap::of(|| Scheduler::start(0, set, &mut host));
         add("tenants, start of the decisions", began.elapsed().as_secs_f64() * 1e3, "ms");
         let (names, named) = heap::of(|| (0..size).map(name).collect::<Vec<String>>());
         if held > 0.0 {
@@ -86,18 +90,22 @@
             now += 10;
             turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
             let customer = Some((turn % size.max(1)) as usize);
-            brain.arrived(now, Arrival { inv: 0, op: 0, customer, ..Arrival::default() }, &mut host);
+            scheduler.handle_arrival(
+                now,
+                Arrival { slot: 0, class: 0, tenant: customer, ..Arrival::default() },
+                &mut host,
+            );
             if host.run.take().is_some() {
-                brain.run_ended(now, 0, Outcome::Succeeded, &mut host);
+                scheduler.handle_run_completed(now, 0, Outcome::Succeeded, &mut host);
             }
             if now % 200 == 0 {
-                brain.tick(now, Gauges::default(), &mut host);
+                scheduler.tick(now, Gauges::default(), &mut host);
             }
         });
         add("tenants, a decision with its part of the ticks", cycle, "us");
         let tick = timed(|| {
             now += host.wake.max(1);
-            brain.tick(now, Gauges::default(), &mut host);
+            scheduler.tick(now, Gauges::default(), &mut host);
         });
         add("tenants, the periodic look", tick, "us");
         let span = host.wake.max(1) as f64 * 100.0;
--- a/crates/experiments/tests/pools.rs
+++ b/crates/experiments/tests/pools.rs
@@ -8,7 +8,7 @@
     day, machine, setup, spread_out, troubles, worth, CHOSEN, LIMITERS, STATUS, TALLY,
 };
 use cypresscleat_experiments::worker::Machine;
-use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::*;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -195,57 +195,57 @@
 struct Seen(Vec<String>);
 
 impl Host for Seen {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.0.push(format!("run {inv}"));
     }
-    fn throttle(&mut self, inv: Inv, _: Time, _: bool) {
+    fn reject(&mut self, inv: RequestSlot, _: Time, _: bool) {
         self.0.push(format!("throttle {inv}"));
     }
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         self.0.push(format!("error {inv}"));
     }
-    fn stop(&mut self, _: Inv) {}
-    fn call(&mut self, _: Inv, _: Time) {}
-    fn skip_call(&mut self, _: Inv) {}
-    fn keep(&mut self, _: Inv, _: Time) {}
-    fn reuse(&mut self, _: Inv) {}
-    fn health(&mut self, _: bool, _: bool) {}
-    fn advertise(&mut self, _: f64) {}
-    fn close_idle(&mut self, _: Time) {}
-    fn wake(&mut self, _: Time) {}
+    fn stop(&mut self, _: RequestSlot) {}
+    fn call(&mut self, _: RequestSlot, _: Time) {}
+    fn skip_call(&mut self, _: RequestSlot) {}
+    fn retain_for_retries(&mut self, _: RequestSlot, _: Time) {}
+    fn replay_result(&mut self, _: RequestSlot) {}
+    fn set_health(&mut self, _: bool, _: bool) {}
+    fn send_load_feedback(&mut self, _: f64) {}
+    fn close_idle_connections(&mut self, _: Time) {}
+    fn set_timer(&mut self, _: Time) {}
     fn log(&mut self, line: &str) {
         self.0.push(line.into());
     }
-    fn release(&mut self, _: Inv) {}
+    fn release(&mut self, _: RequestSlot) {}
 }
 
-fn brain(setup: &Setup) -> (cypresscleat_scheduler::Brain, Seen) {
+fn scheduler(setup: &Setup) -> (cypresscleat_scheduler::Scheduler, Seen) {
     let day = day(1, 1, 1.0, Vec::new());
     let machine = Machine { cores: 4.0, ..Machine::default() };
     let mut seen = Seen::default();
-    (cypresscleat_scheduler::Brain::start(0, settings(&day, &machine, setup), &mut seen), seen)
+    (cypresscleat_scheduler::Scheduler::start(0, settings(&day, &machine, setup), &mut seen), seen)
 }
 
-fn arrival(inv: Inv, op: usize) -> Arrival {
-    Arrival { inv, op, hint: Some(30.0), kb: 8.0, ..Arrival::default() }
+fn arrival(inv: RequestSlot, op: usize) -> Arrival {
+    Arrival { slot: inv, class: op, expected_work: Some(30.0), memory_kb: 8.0, ..Arrival::default() }
 }
 
 /// The reserve is never lent: with all other places taken, the cheapest call starts at once.
 #[test]
 fn a_reserved_place_is_there_at_once() {
-    let (mut brain, mut seen) = brain(&chosen());
+    let (mut scheduler, mut seen) = scheduler(&chosen());
     for inv in 0..8 {
-        brain.arrived(1, arrival(inv, TALLY), &mut seen);
+        scheduler.handle_arrival(1, arrival(inv, TALLY), &mut seen);
     }
     let running = seen.0.iter().filter(|line| line.starts_with("run")).count();
     assert_eq!(running, 3, "one of four places is kept: {:?}", seen.0);
-    brain.arrived(2, arrival(20, STATUS), &mut seen);
+    scheduler.handle_arrival(2, arrival(20, STATUS), &mut seen);
     assert_eq!(seen.0.last().map(String::as_str), Some("run 20"));
-    let (mut brain, mut seen) = self::brain(&Setup::default());
+    let (mut scheduler, mut seen) = self::scheduler(&Setup::default());
     for inv in 0..8 {
-        brain.arrived(1, arrival(inv, TALLY), &mut seen);
+        scheduler.handle_arrival(1, arrival(inv, TALLY), &mut seen);
     }
-    brain.arrived(2, arrival(20, STATUS), &mut seen);
+    scheduler.handle_arrival(2, arrival(20, STATUS), &mut seen);
     assert_ne!(seen.0.last().map(String::as_str), Some("run 20"), "without pools none is kept");
 }
 
@@ -254,51 +254,52 @@
 fn lent_places_come_back_first() {
     let mut setup = chosen();
     setup.pools[STATUS].reserve = 0.0;
-    let (mut brain, mut seen) = brain(&setup);
+    let (mut scheduler, mut seen) = scheduler(&setup);
     for inv in 0..6 {
-        brain.arrived(1, arrival(inv, TALLY), &mut seen);
+        scheduler.handle_arrival(1, arrival(inv, TALLY), &mut seen);
     }
     assert_eq!(seen.0.iter().filter(|line| line.starts_with("run")).count(), 4, "all are lent");
-    brain.arrived(2, arrival(20, STATUS), &mut seen);
-    let ran: Inv = seen.0[0].strip_prefix("run ").and_then(|word| word.parse().ok()).expect("a run");
-    brain.run_ended(30, ran, Outcome::Succeeded, &mut seen);
+    scheduler.handle_arrival(2, arrival(20, STATUS), &mut seen);
+    let ran: RequestSlot = seen.0[0].strip_prefix("run ").and_then(|word| word.parse().ok()).expect("a run");
+    scheduler.handle_run_completed(30, ran, Outcome::Succeeded, &mut seen);
     assert_eq!(seen.0.last().map(String::as_str), Some("run 20"), "before the tallies that came first");
 }
 
 /// Pools added, removed and renamed while their work is held and runs: nothing is lost or counted twice.
 #[test]
 fn pools_change_while_their_work_goes_on() {
-    let (mut brain, mut seen) = brain(&chosen());
+    let (mut scheduler, mut seen) = scheduler(&chosen());
     for inv in 0..12 {
-        brain.arrived(1, arrival(inv, [TALLY, STATUS, 2][inv % 3]), &mut seen);
+        scheduler.handle_arrival(1, arrival(inv, [TALLY, STATUS, 2][inv % 3]), &mut seen);
     }
     let mut setups = vec![Setup::default(), chosen()];
     setups[1].pools.remove(2);
     setups[1].pools[0].name = "renamed".into();
     setups.push(chosen());
     for (at, setup) in setups.iter().enumerate() {
-        brain.pool(10 + at as Time, setup, &mut seen);
+        scheduler.set_pools(10 + at as Time, setup, &mut seen);
     }
-    let view = brain.pools().view();
+    let view = scheduler.pools().view();
     let (held, running): (usize, usize) =
         view.iter().fold((0, 0), |sum, pool| (sum.0 + pool.held, sum.1 + pool.running));
     let count = |word: &str, seen: &Seen| seen.0.iter().filter(|line| line.starts_with(word)).count();
-    let ran: Vec<Inv> = seen.0.iter().filter_map(|line| line.strip_prefix("run ")?.parse().ok()).collect();
+    let ran: Vec<RequestSlot> =
+        seen.0.iter().filter_map(|line| line.strip_prefix("run ")?.parse().ok()).collect();
     assert_eq!((held, running), (12 - ran.len() - count("throttle", &seen), ran.len()));
     for inv in ran {
-        brain.run_ended(50, inv, Outcome::Succeeded, &mut seen);
+        scheduler.handle_run_completed(50, inv, Outcome::Succeeded, &mut seen);
     }
     for now in 1..400 {
-        let runs: Vec<Inv> =
+        let runs: Vec<RequestSlot> =
             seen.0.drain(..).filter_map(|line| line.strip_prefix("run ")?.parse().ok()).collect();
         for inv in runs {
-            brain.run_ended(60 + now, inv, Outcome::Succeeded, &mut seen);
+            scheduler.handle_run_completed(60 + now, inv, Outcome::Succeeded, &mut seen);
         }
     }
     assert!(
-        brain.pools().view().iter().all(|pool| (pool.held, pool.running) == (0, 0)),
+        scheduler.pools().view().iter().all(|pool| (pool.held, pool.running) == (0, 0)),
         "{:?}",
-        brain.pools().view()
+        scheduler.pools().view()
     );
 }
 
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -3,90 +3,90 @@
 pub use cypresscleat_primitives::Time;
 
 /// One invocation: a small index the adapter hands out and may hand out again after `Host::release`.
-pub type Inv = usize;
+pub type RequestSlot = usize;
 
 /// Whether an invocation may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     #[default]
     Idempotent,
-    Tokened,
+    IdempotencyKey,
     NonIdempotent,
 }
 
 /// What stopping a running invocation does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Halt {
+pub enum StopMode {
     #[default]
-    Never,
+    Unsupported,
     Discard,
     Freeze,
 }
 
 /// What callers take the advertised value to mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Say {
+pub enum LoadFeedbackKind {
     #[default]
-    Nothing,
-    Floor,
-    Allowance,
+    None,
+    PriorityFloor,
+    ConcurrencyAllowance,
     Weight,
 }
 
 /// What invocations call while they run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Below {
+pub enum DownstreamKind {
     #[default]
-    Nothing,
+    None,
     Tier,
     Shared,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Operation {
-    pub objective: Time,
+pub struct RequestClass {
+    pub latency_objective: Time,
     /// The objective grows by this multiple of the invocation's own work.
-    pub stretch: f64,
+    pub objective_per_work: f64,
     pub timeout: Time,
-    pub effect: Effect,
-    pub billed: f64,
+    pub retry_safety: RetrySafety,
+    pub priority_weight: f64,
     /// Share of the billed value kept by an answer after the objective.
-    pub late: f64,
+    pub late_share: f64,
     /// Share kept by an answer made without the call below; 0 forbids skipping.
-    pub skipped: f64,
-    pub calls: bool,
+    pub degraded_share: f64,
+    pub calls_downstream: bool,
     /// How long a tokened invocation may come back.
-    pub window: Time,
+    pub retry_window: Time,
 }
 
 /// The settings of one app server, as told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    pub operations: Vec<Operation>,
+    pub classes: Vec<RequestClass>,
     /// Invocations per second within each customer's share, over the whole fleet.
-    pub customers: Vec<f64>,
-    pub over_share: f64,
-    pub by_work: bool,
-    pub servers: f64,
-    pub callers: f64,
+    pub tenant_rates: Vec<f64>,
+    pub over_quota_share: f64,
+    pub weight_per_work: bool,
+    pub fleet_size: f64,
+    pub client_count: f64,
     pub cores: f64,
-    pub cold: bool,
-    pub cold_from: f64,
-    pub cold_for: Time,
+    pub slow_start: bool,
+    pub slow_start_initial: f64,
+    pub slow_start_duration: Time,
     pub memory_kb: f64,
-    pub entry_kb: f64,
-    pub blowup: f64,
-    pub halt: Halt,
-    pub say: Say,
-    pub below: Below,
-    pub calls_out: f64,
-    pub calls_over: Time,
-    pub lingers: Time,
-    pub fresh: Time,
-    pub slack: Time,
+    pub retained_entry_kb: f64,
+    pub running_memory_factor: f64,
+    pub stop_mode: StopMode,
+    pub load_feedback: LoadFeedbackKind,
+    pub downstream: DownstreamKind,
+    pub shared_call_quota: f64,
+    pub shared_call_window: Time,
+    pub abandoned_call_duration: Time,
+    pub result_freshness: Time,
+    pub answer_slack: Time,
     pub drain_grace: Time,
-    pub tip: f64,
-    pub max_backoff: Time,
+    pub overload_multiple: f64,
+    pub max_retry_after: Time,
     pub seed: u64,
     /// None: every operation takes what it gets.
     pub pools: cypresscleat_concurrency::Setup,
@@ -95,67 +95,67 @@
 /// An invocation that was read and waits for a decision.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    pub inv: Inv,
-    pub op: usize,
-    pub customer: Option<usize>,
+    pub slot: RequestSlot,
+    pub class: usize,
+    pub tenant: Option<usize>,
     /// How long the caller still waits, where it says so.
-    pub budget: Option<Time>,
-    pub rank: f64,
+    pub remaining_timeout: Option<Time>,
+    pub client_priority: f64,
     /// `Some(None)` names an earlier one that has been released.
-    pub repeats: Option<Option<Inv>>,
-    pub keyed: bool,
-    pub unread: Time,
-    pub write: bool,
-    pub resent: bool,
+    pub earlier_attempt: Option<Option<RequestSlot>>,
+    pub has_idempotency_key: bool,
+    pub time_unread: Time,
+    pub is_write: bool,
+    pub is_retry: bool,
     /// Expected work, where told.
-    pub hint: Option<f64>,
-    pub kb: f64,
+    pub expected_work: Option<f64>,
+    pub memory_kb: f64,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Succeeded,
-    Errored,
-    Throttled,
-    NoAnswer,
-    NoConnection,
+    Failed,
+    Rejected,
+    TimedOut,
+    ConnectFailed,
     ConnectionLost,
-    CalledOff,
+    Cancelled,
     NotStarted,
 }
 
 /// The server's own measurements; `None` where not offered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    pub core_use: Option<f64>,
-    pub on_cores: Option<f64>,
-    pub memory: Option<f64>,
-    pub links: Option<f64>,
+    pub core_utilization: Option<f64>,
+    pub runnable_tasks: Option<f64>,
+    pub memory_share: Option<f64>,
+    pub connections: Option<f64>,
 }
 
 /// What the module asks of whoever hosts it.
 pub trait Host {
     /// Start a held invocation or resume a frozen one.
-    fn run(&mut self, inv: Inv);
-    /// Final answer: turned away, come back after `back`; `give_up` asks not to try elsewhere.
-    fn throttle(&mut self, inv: Inv, back: Time, give_up: bool);
+    fn run(&mut self, slot: RequestSlot);
+    /// Final answer: turned away, come back after `retry_after`; `no_retry_elsewhere` asks not to try elsewhere.
+    fn reject(&mut self, slot: RequestSlot, retry_after: Time, no_retry_elsewhere: bool);
     /// Final answer: errored.
-    fn error(&mut self, inv: Inv);
+    fn fail(&mut self, slot: RequestSlot);
     /// Stop the running work.
-    fn stop(&mut self, inv: Inv);
-    fn call(&mut self, inv: Inv, within: Time);
-    fn skip_call(&mut self, inv: Inv);
+    fn stop(&mut self, slot: RequestSlot);
+    fn call(&mut self, slot: RequestSlot, within: Time);
+    fn skip_call(&mut self, slot: RequestSlot);
     /// Keep an entry so that repeats are linked to this invocation.
-    fn keep(&mut self, inv: Inv, span: Time);
+    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time);
     /// Answer from the result of the invocation this one repeats.
-    fn reuse(&mut self, inv: Inv);
-    fn health(&mut self, good: bool, stored: bool);
-    fn advertise(&mut self, value: f64);
+    fn replay_result(&mut self, slot: RequestSlot);
+    fn set_health(&mut self, good: bool, stored: bool);
+    fn send_load_feedback(&mut self, value: f64);
     /// Close connections that have carried nothing for this long.
-    fn close_idle(&mut self, after: Time);
-    fn wake(&mut self, after: Time);
+    fn close_idle_connections(&mut self, after: Time);
+    fn set_timer(&mut self, after: Time);
     fn log(&mut self, line: &str);
     /// The module knows nothing more of this invocation; its index may be used again.
-    fn release(&mut self, inv: Inv);
+    fn release(&mut self, slot: RequestSlot);
 }
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -3,8 +3,7 @@
 
 use cypresscleat_concurrency::{limit::Limiter, Pool, Setup};
 use cypresscleat_primitives::SeededRng;
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const EVENTS: usize = 6_000;
@@ -63,44 +62,44 @@
 }
 
 impl Host for Recorder {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.record(("run", inv));
         self.places[inv] = Place::Running;
     }
-    fn throttle(&mut self, inv: Inv, back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
         self.record(("reject", inv, back, give_up));
     }
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         self.record(("fail", inv));
     }
-    fn stop(&mut self, inv: Inv) {
+    fn stop(&mut self, inv: RequestSlot) {
         self.record(("stop", inv));
         self.stopped.push(inv);
     }
-    fn call(&mut self, inv: Inv, within: Time) {
+    fn call(&mut self, inv: RequestSlot, within: Time) {
         self.record(("call", inv, within));
         self.places[inv] = Place::Calling;
     }
-    fn skip_call(&mut self, inv: Inv) {
+    fn skip_call(&mut self, inv: RequestSlot) {
         self.record(("skip", inv));
         self.places[inv] = Place::Running;
     }
-    fn keep(&mut self, inv: Inv, span: Time) {
+    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
         self.record(("retain", inv, span));
     }
-    fn reuse(&mut self, inv: Inv) {
+    fn replay_result(&mut self, inv: RequestSlot) {
         self.record(("replay", inv));
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.record(("health", good, stored));
     }
-    fn advertise(&mut self, value: f64) {
+    fn send_load_feedback(&mut self, value: f64) {
         self.record(("feedback", value.to_bits()));
     }
-    fn close_idle(&mut self, after: Time) {
+    fn close_idle_connections(&mut self, after: Time) {
         self.record(("close idle", after));
     }
-    fn wake(&mut self, after: Time) {
+    fn set_timer(&mut self, after: Time) {
         self.record(("timer", after));
         self.timer = after;
     }
@@ -108,24 +107,25 @@
         self.record(("log", line));
         self.logged.push(line.into());
     }
-    fn release(&mut self, inv: Inv) {
+    fn release(&mut self, inv: RequestSlot) {
         self.record(("release", inv));
         self.places[inv] = Place::Free;
         self.stopped.retain(|other| *other != inv);
     }
 }
 
-fn classes(rng: &mut SeededRng) -> Vec<Operation> {
-    let class = |at: usize, rng: &mut SeededRng| Operation {
-        objective: 500 + rng.below(8_000) as Time,
-        stretch: [0.0, 0.5][at % 2],
+fn classes(rng: &mut SeededRng) -> Vec<RequestClass> {
+    let class = |at: usize, rng: &mut SeededRng| RequestClass {
+        latency_objective: 500 + rng.below(8_000) as Time,
+        objective_per_work: [0.0, 0.5][at % 2],
         timeout: 4_000 + rng.below(20_000) as Time,
-        effect: [Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent][at % 3],
-        billed: 0.1 + rng.next_f64() * 5.0,
-        late: [0.0, 0.5][rng.index_below(2)],
-        skipped: [0.0, 0.4][rng.index_below(2)],
-        calls: rng.one_in(2),
-        window: 30_000,
+        retry_safety: [RetrySafety::Idempotent, RetrySafety::IdempotencyKey, RetrySafety::NonIdempotent]
+            [at % 3],
+        priority_weight: 0.1 + rng.next_f64() * 5.0,
+        late_share: [0.0, 0.5][rng.index_below(2)],
+        degraded_share: [0.0, 0.4][rng.index_below(2)],
+        calls_downstream: rng.one_in(2),
+        retry_window: 30_000,
     };
     (0..5).map(|at| class(at, rng)).collect()
 }
@@ -145,30 +145,35 @@
 
 fn settings(kind: usize, rng: &mut SeededRng) -> Settings {
     Settings {
-        operations: classes(rng),
-        customers: vec![40.0, 4.0],
-        over_share: 0.1,
-        by_work: kind.is_multiple_of(2),
-        servers: 2.0,
-        callers: [1.0, 8.0, 300.0][kind % 3],
+        classes: classes(rng),
+        tenant_rates: vec![40.0, 4.0],
+        over_quota_share: 0.1,
+        weight_per_work: kind.is_multiple_of(2),
+        fleet_size: 2.0,
+        client_count: [1.0, 8.0, 300.0][kind % 3],
         cores: [1.0, 2.0, 4.0][kind % 3],
-        cold: kind % 4 == 1,
-        cold_from: 0.2,
-        cold_for: 100_000,
+        slow_start: kind % 4 == 1,
+        slow_start_initial: 0.2,
+        slow_start_duration: 100_000,
         memory_kb: [3_000.0, 8_000.0, 60_000.0][(kind / 2) % 3],
-        entry_kb: 4.0,
-        blowup: 4.0,
-        halt: [Halt::Never, Halt::Discard, Halt::Freeze][kind % 3],
-        say: [Say::Allowance, Say::Floor, Say::Weight, Say::Nothing][kind % 4],
-        below: [Below::Tier, Below::Shared, Below::Nothing][(kind / 2) % 3],
-        calls_out: 3.0,
-        calls_over: [50_000, 4_000][kind % 2],
-        lingers: 2_000,
-        fresh: [0, 4_000][kind % 2],
-        slack: 600,
+        retained_entry_kb: 4.0,
+        running_memory_factor: 4.0,
+        stop_mode: [StopMode::Unsupported, StopMode::Discard, StopMode::Freeze][kind % 3],
+        load_feedback: [
+            LoadFeedbackKind::ConcurrencyAllowance,
+            LoadFeedbackKind::PriorityFloor,
+            LoadFeedbackKind::Weight,
+            LoadFeedbackKind::None,
+        ][kind % 4],
+        downstream: [DownstreamKind::Tier, DownstreamKind::Shared, DownstreamKind::None][(kind / 2) % 3],
+        shared_call_quota: 3.0,
+        shared_call_window: [50_000, 4_000][kind % 2],
+        abandoned_call_duration: 2_000,
+        result_freshness: [0, 4_000][kind % 2],
+        answer_slack: 600,
         drain_grace: 10_000,
-        tip: [3.0, 8.0][kind % 2],
-        max_backoff: 10_000,
+        overload_multiple: [3.0, 8.0][kind % 2],
+        max_retry_after: 10_000,
         seed: kind as u64 + 11,
         pools: if kind >= 4 { pools(rng) } else { Setup::default() },
     }
@@ -181,29 +186,29 @@
         _ => None,
     };
     Arrival {
-        inv: host.free_slot(),
-        op: rng.index_below(5),
-        customer: [None, Some(0), Some(1), Some(7)][rng.index_below(4)],
-        budget: rng.one_in(4).then(|| 500 + rng.below(9_000) as Time),
-        rank: rng.next_f64(),
-        repeats,
-        keyed: rng.one_in(2),
-        unread: if rng.one_in(10) { rng.below(4_000) as Time } else { rng.below(30) as Time },
-        write: rng.one_in(3),
-        resent: rng.one_in(4),
-        hint: (!rng.one_in(5)).then(|| 10.0 + rng.next_f64() * 3_000.0),
-        kb: 1.0 + rng.next_f64() * 120.0,
+        slot: host.free_slot(),
+        class: rng.index_below(5),
+        tenant: [None, Some(0), Some(1), Some(7)][rng.index_below(4)],
+        remaining_timeout: rng.one_in(4).then(|| 500 + rng.below(9_000) as Time),
+        client_priority: rng.next_f64(),
+        earlier_attempt: repeats,
+        has_idempotency_key: rng.one_in(2),
+        time_unread: if rng.one_in(10) { rng.below(4_000) as Time } else { rng.below(30) as Time },
+        is_write: rng.one_in(3),
+        is_retry: rng.one_in(4),
+        expected_work: (!rng.one_in(5)).then(|| 10.0 + rng.next_f64() * 3_000.0),
+        memory_kb: 1.0 + rng.next_f64() * 120.0,
     }
 }
 
 fn outcome(rng: &mut SeededRng) -> Outcome {
     let rare = [
-        Outcome::Errored,
-        Outcome::Throttled,
-        Outcome::NoAnswer,
-        Outcome::NoConnection,
+        Outcome::Failed,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
         Outcome::ConnectionLost,
-        Outcome::CalledOff,
+        Outcome::Cancelled,
         Outcome::NotStarted,
     ];
     if rng.one_in(4) {
@@ -216,51 +221,56 @@
 /// In a storm nearly all that wants the cores reads and connects.
 fn gauges(rng: &mut SeededRng, storm: bool) -> Gauges {
     if storm {
-        return Gauges { core_use: Some(1.0), on_cores: Some(60.0), memory: None, links: Some(900.0) };
+        return Gauges {
+            core_utilization: Some(1.0),
+            runnable_tasks: Some(60.0),
+            memory_share: None,
+            connections: Some(900.0),
+        };
     }
     let told = !rng.one_in(8);
     Gauges {
-        core_use: told.then(|| 0.4 + rng.next_f64() * 0.6),
-        on_cores: told.then(|| rng.next_f64() * 12.0),
-        memory: None,
-        links: rng.one_in(2).then(|| rng.next_f64() * 40.0),
+        core_utilization: told.then(|| 0.4 + rng.next_f64() * 0.6),
+        runnable_tasks: told.then(|| rng.next_f64() * 12.0),
+        memory_share: None,
+        connections: rng.one_in(2).then(|| rng.next_f64() * 40.0),
     }
 }
 
 /// One event that the state of the host allows.
-fn event(brain: &mut Brain, now: Time, step: usize, host: &mut Recorder, rng: &mut SeededRng) {
+fn event(scheduler: &mut Scheduler, now: Time, step: usize, host: &mut Recorder, rng: &mut SeededRng) {
     match rng.below(12) {
         0..=4 => {
             let arrival = arrival(host, rng);
-            brain.arrived(now, arrival, host);
+            scheduler.handle_arrival(now, arrival, host);
         }
         5 | 6 => {
             if let Some(inv) = host.any(rng, |place| place == Place::Running) {
                 let how = outcome(rng);
-                brain.run_ended(now, inv, how, host);
+                scheduler.handle_run_completed(now, inv, how, host);
             }
         }
         7 => {
             if let Some(inv) = host.any(rng, |place| place == Place::Running) {
                 host.places[inv] = Place::Parked;
-                brain.needs_call(now, inv, host);
+                scheduler.handle_call_needed(now, inv, host);
             }
         }
         8 | 9 => {
             if let Some(inv) = host.any(rng, |place| place == Place::Calling) {
                 let (how, took) = (outcome(rng), rng.below(2_500) as Time);
                 host.places[inv] = if how == Outcome::Succeeded { Place::Running } else { Place::Parked };
-                brain.call_ended(now, inv, how, took, host);
+                scheduler.handle_call_completed(now, inv, how, took, host);
             }
         }
         10 => {
             if let Some(inv) = host.any(rng, |place| place != Place::Free) {
-                brain.caller_left(now, inv, host);
+                scheduler.handle_client_disconnect(now, inv, host);
             }
         }
         _ if step.is_multiple_of(5) => {
             if let Some(inv) = host.any(rng, |place| matches!(place, Place::Parked | Place::Calling)) {
-                brain.run_ended(now, inv, Outcome::CalledOff, host);
+                scheduler.handle_run_completed(now, inv, Outcome::Cancelled, host);
             }
         }
         _ => {}
@@ -270,31 +280,31 @@
 fn play(kind: usize) -> Recorder {
     let mut rng = SeededRng::new(kind as u64);
     let (mut host, mut now) = (Recorder::default(), 0);
-    let mut brain = Brain::start(now, settings(kind, &mut rng), &mut host);
+    let mut scheduler = Scheduler::start(now, settings(kind, &mut rng), &mut host);
     let mut next_tick = host.timer;
     for step in 0..EVENTS {
         // Calm and crowded spells in turn.
         now += rng.below(if (step / 600) % 2 == 0 { 90 } else { 300 }) as Time;
         while next_tick <= now {
-            brain.tick(next_tick, gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
+            scheduler.tick(next_tick, gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
             next_tick += host.timer;
         }
         if let Some(inv) = host.stopped.pop() {
-            let how = if rng.one_in(5) { Outcome::Succeeded } else { Outcome::CalledOff };
-            brain.run_ended(now, inv, how, &mut host);
+            let how = if rng.one_in(5) { Outcome::Succeeded } else { Outcome::Cancelled };
+            scheduler.handle_run_completed(now, inv, how, &mut host);
         }
-        event(&mut brain, now, step, &mut host, &mut rng);
+        event(&mut scheduler, now, step, &mut host, &mut rng);
         match step {
-            3_000 if kind % 3 == 2 => brain.grant(now, 2.0, &mut host),
-            3_500 if kind % 3 == 2 => brain.grant(now, 9.0, &mut host),
+            3_000 if kind % 3 == 2 => scheduler.set_granted_places(now, 2.0, &mut host),
+            3_500 if kind % 3 == 2 => scheduler.set_granted_places(now, 9.0, &mut host),
             4_000 if kind >= 4 => {
                 let setup = pools(&mut rng);
-                brain.pool(now, &setup, &mut host);
+                scheduler.set_pools(now, &setup, &mut host);
             }
-            5_400 => brain.leaving(now, 40_000, &mut host),
+            5_400 => scheduler.start_draining(now, 40_000, &mut host),
             _ => {}
         }
-        let slow_start = brain.ramp(now).map(f64::to_bits);
+        let slow_start = scheduler.slow_start_limit(now).map(f64::to_bits);
         host.record(slow_start);
     }
     host
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -12,8 +12,7 @@
 //!   refuse ACTION ...                  not among them
 //!   never ACTION ...                   among all actions of the whole file
 
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use std::collections::HashMap;
 
 #[derive(Default)]
@@ -23,107 +22,107 @@
 }
 
 impl Host for Seen {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.actions.push(format!("run {inv}"));
     }
-    fn throttle(&mut self, inv: Inv, _back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, _back: Time, give_up: bool) {
         self.actions.push(format!("throttle {inv}{}", if give_up { " for good" } else { "" }));
     }
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         self.actions.push(format!("error {inv}"));
     }
-    fn stop(&mut self, inv: Inv) {
+    fn stop(&mut self, inv: RequestSlot) {
         self.actions.push(format!("stop {inv}"));
     }
-    fn call(&mut self, inv: Inv, within: Time) {
+    fn call(&mut self, inv: RequestSlot, within: Time) {
         self.actions.push(format!("call {inv} {}", within / 10));
     }
-    fn skip_call(&mut self, inv: Inv) {
+    fn skip_call(&mut self, inv: RequestSlot) {
         self.actions.push(format!("skip {inv}"));
     }
-    fn keep(&mut self, inv: Inv, span: Time) {
+    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
         self.actions.push(format!("keep {inv} {}", span / 10));
     }
-    fn reuse(&mut self, inv: Inv) {
+    fn replay_result(&mut self, inv: RequestSlot) {
         self.actions.push(format!("reuse {inv}"));
     }
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.actions.push(format!("health {good}"));
     }
-    fn advertise(&mut self, value: f64) {
+    fn send_load_feedback(&mut self, value: f64) {
         self.actions.push(format!("advertise {value}"));
     }
-    fn close_idle(&mut self, after: Time) {
+    fn close_idle_connections(&mut self, after: Time) {
         self.actions.push(format!("close_idle {}", after / 10));
     }
-    fn wake(&mut self, after: Time) {
+    fn set_timer(&mut self, after: Time) {
         self.wake = Some(after);
     }
     fn log(&mut self, line: &str) {
         self.actions.push(format!("log {line}"));
     }
-    fn release(&mut self, _inv: Inv) {}
+    fn release(&mut self, _inv: RequestSlot) {}
 }
 
 fn settings() -> Settings {
     Settings {
-        operations: Vec::new(),
-        customers: Vec::new(),
-        over_share: 0.1,
-        by_work: true,
-        servers: 1.0,
-        callers: 1.0,
+        classes: Vec::new(),
+        tenant_rates: Vec::new(),
+        over_quota_share: 0.1,
+        weight_per_work: true,
+        fleet_size: 1.0,
+        client_count: 1.0,
         cores: 1.0,
-        cold: false,
-        cold_from: 0.2,
-        cold_for: 100_000,
+        slow_start: false,
+        slow_start_initial: 0.2,
+        slow_start_duration: 100_000,
         memory_kb: 1e6,
-        entry_kb: 10.0,
-        blowup: 4.0,
-        halt: Halt::Never,
-        say: Say::Nothing,
-        below: Below::Nothing,
-        calls_out: 0.0,
-        calls_over: 50_000,
-        lingers: 2_000,
-        fresh: 0,
-        slack: 600,
+        retained_entry_kb: 10.0,
+        running_memory_factor: 4.0,
+        stop_mode: StopMode::Unsupported,
+        load_feedback: LoadFeedbackKind::None,
+        downstream: DownstreamKind::None,
+        shared_call_quota: 0.0,
+        shared_call_window: 50_000,
+        abandoned_call_duration: 2_000,
+        result_freshness: 0,
+        answer_slack: 600,
         drain_grace: 10_000,
-        tip: 8.0,
-        max_backoff: 10_000,
+        overload_multiple: 8.0,
+        max_retry_after: 10_000,
         seed: 7,
         pools: Default::default(),
     }
 }
 
-fn operation() -> Operation {
-    Operation {
-        objective: 1_000_000,
-        stretch: 0.0,
+fn operation() -> RequestClass {
+    RequestClass {
+        latency_objective: 1_000_000,
+        objective_per_work: 0.0,
         timeout: 2_000_000,
-        effect: Effect::Idempotent,
-        billed: 1.0,
-        late: 0.0,
-        skipped: 0.0,
-        calls: false,
-        window: 50_000,
+        retry_safety: RetrySafety::Idempotent,
+        priority_weight: 1.0,
+        late_share: 0.0,
+        degraded_share: 0.0,
+        calls_downstream: false,
+        retry_window: 50_000,
     }
 }
 
-fn arrival(inv: Inv, work: f64) -> Arrival {
+fn arrival(inv: RequestSlot, work: f64) -> Arrival {
     Arrival {
-        inv,
-        op: 0,
-        customer: None,
-        budget: None,
-        rank: 0.0,
-        repeats: None,
-        keyed: false,
-        unread: 0,
-        write: false,
-        resent: false,
-        hint: Some(work),
-        kb: 10.0,
+        slot: inv,
+        class: 0,
+        tenant: None,
+        remaining_timeout: None,
+        client_priority: 0.0,
+        earlier_attempt: None,
+        has_idempotency_key: false,
+        time_unread: 0,
+        is_write: false,
+        is_retry: false,
+        expected_work: Some(work),
+        memory_kb: 10.0,
     }
 }
 
@@ -141,56 +140,56 @@
     match name {
         "cores" => to.cores = number(),
         "memory_kb" => to.memory_kb = number(),
-        "entry_kb" => to.entry_kb = number(),
-        "tip" => to.tip = number(),
-        "callers" => to.callers = number(),
-        "servers" => to.servers = number(),
-        "calls_out" => to.calls_out = number(),
-        "cold" => to.cold = value == "yes",
-        "fresh" => to.fresh = ms(value),
-        "halt" if value == "discard" => to.halt = Halt::Discard,
-        "halt" if value == "freeze" => to.halt = Halt::Freeze,
-        "say" if value == "floor" => to.say = Say::Floor,
-        "say" if value == "allowance" => to.say = Say::Allowance,
-        "say" if value == "weight" => to.say = Say::Weight,
-        "below" if value == "tier" => to.below = Below::Tier,
-        "below" if value == "shared" => to.below = Below::Shared,
+        "entry_kb" => to.retained_entry_kb = number(),
+        "tip" => to.overload_multiple = number(),
+        "callers" => to.client_count = number(),
+        "servers" => to.fleet_size = number(),
+        "calls_out" => to.shared_call_quota = number(),
+        "cold" => to.slow_start = value == "yes",
+        "fresh" => to.result_freshness = ms(value),
+        "halt" if value == "discard" => to.stop_mode = StopMode::Discard,
+        "halt" if value == "freeze" => to.stop_mode = StopMode::Freeze,
+        "say" if value == "floor" => to.load_feedback = LoadFeedbackKind::PriorityFloor,
+        "say" if value == "allowance" => to.load_feedback = LoadFeedbackKind::ConcurrencyAllowance,
+        "say" if value == "weight" => to.load_feedback = LoadFeedbackKind::Weight,
+        "below" if value == "tier" => to.downstream = DownstreamKind::Tier,
+        "below" if value == "shared" => to.downstream = DownstreamKind::Shared,
         _ => panic!("no setting {name} {value}"),
     }
 }
 
-fn add_operation(words: &[&str]) -> Operation {
+fn add_operation(words: &[&str]) -> RequestClass {
     let mut op = operation();
     for (name, value) in pairs(words) {
         match name.as_str() {
-            "objective" => op.objective = ms(&value),
+            "objective" => op.latency_objective = ms(&value),
             "timeout" => op.timeout = ms(&value),
-            "window" => op.window = ms(&value),
-            "billed" => op.billed = value.parse().unwrap(),
-            "late" => op.late = value.parse().unwrap(),
-            "skipped" => op.skipped = value.parse().unwrap(),
-            "calls" => op.calls = value == "yes",
-            "effect" if value == "tokened" => op.effect = Effect::Tokened,
-            "effect" if value == "non-idempotent" => op.effect = Effect::NonIdempotent,
+            "window" => op.retry_window = ms(&value),
+            "billed" => op.priority_weight = value.parse().unwrap(),
+            "late" => op.late_share = value.parse().unwrap(),
+            "skipped" => op.degraded_share = value.parse().unwrap(),
+            "calls" => op.calls_downstream = value == "yes",
+            "effect" if value == "tokened" => op.retry_safety = RetrySafety::IdempotencyKey,
+            "effect" if value == "non-idempotent" => op.retry_safety = RetrySafety::NonIdempotent,
             _ => panic!("no {name}={value}"),
         }
     }
     op
 }
 
-fn add_arrival(inv: Inv, words: &[&str]) -> Arrival {
+fn add_arrival(inv: RequestSlot, words: &[&str]) -> Arrival {
     let mut a = arrival(inv, 1000.0);
     for (name, value) in pairs(words) {
         match name.as_str() {
-            "op" => a.op = value.parse().unwrap(),
-            "work" => a.hint = Some(ms(&value) as f64),
-            "resent" => a.resent = value == "yes",
-            "kb" => a.kb = value.parse().unwrap(),
-            "unread" => a.unread = ms(&value),
-            "budget" => a.budget = Some(ms(&value)),
-            "customer" => a.customer = Some(value.parse().unwrap()),
-            "repeats" if value == "unknown" => a.repeats = Some(None),
-            "repeats" => a.repeats = Some(Some(value.parse().unwrap())),
+            "op" => a.class = value.parse().unwrap(),
+            "work" => a.expected_work = Some(ms(&value) as f64),
+            "resent" => a.is_retry = value == "yes",
+            "kb" => a.memory_kb = value.parse().unwrap(),
+            "unread" => a.time_unread = ms(&value),
+            "budget" => a.remaining_timeout = Some(ms(&value)),
+            "customer" => a.tenant = Some(value.parse().unwrap()),
+            "repeats" if value == "unknown" => a.earlier_attempt = Some(None),
+            "repeats" => a.earlier_attempt = Some(Some(value.parse().unwrap())),
             _ => panic!("no {name}={value}"),
         }
     }
@@ -200,12 +199,12 @@
 fn outcome(word: &str) -> Outcome {
     match word {
         "succeeded" => Outcome::Succeeded,
-        "errored" => Outcome::Errored,
-        "throttled" => Outcome::Throttled,
-        "no-answer" => Outcome::NoAnswer,
-        "no-connection" => Outcome::NoConnection,
+        "errored" => Outcome::Failed,
+        "throttled" => Outcome::Rejected,
+        "no-answer" => Outcome::TimedOut,
+        "no-connection" => Outcome::ConnectFailed,
         "connection-lost" => Outcome::ConnectionLost,
-        "called-off" => Outcome::CalledOff,
+        "called-off" => Outcome::Cancelled,
         "not-started" => Outcome::NotStarted,
         _ => panic!("no outcome {word}"),
     }
@@ -213,7 +212,7 @@
 
 fn play(text: &str) -> Result<(), String> {
     let mut settings = settings();
-    let (mut brain, mut seen, mut now, mut tick_at, mut from) = (None, Seen::default(), 0, Time::MAX, 0);
+    let (mut scheduler, mut seen, mut now, mut tick_at, mut from) = (None, Seen::default(), 0, Time::MAX, 0);
     let mut gauges = Gauges::default();
     let has = |actions: &[String], wanted: &str| {
         actions.iter().any(|action| action == wanted || action.starts_with(&format!("{wanted} ")))
@@ -223,8 +222,8 @@
         let Some(first) = words.first() else { continue };
         match *first {
             "set" => set(&mut settings, words[1], words[2]),
-            "op" => settings.operations.push(add_operation(&words[1..])),
-            "customer" => settings.customers.push(words[1].parse().unwrap()),
+            "op" => settings.classes.push(add_operation(&words[1..])),
+            "customer" => settings.tenant_rates.push(words[1].parse().unwrap()),
             "expect" if !has(&seen.actions[from..], &words[1..].join(" ")) => {
                 return Err(format!("line {}: {line}; seen {:?}", at + 1, &seen.actions[from..]));
             }
@@ -233,7 +232,8 @@
             }
             "expect" | "refuse" | "never" => {}
             _ => {
-                let brain = brain.get_or_insert_with(|| Brain::start(0, settings.clone(), &mut seen));
+                let scheduler =
+                    scheduler.get_or_insert_with(|| Scheduler::start(0, settings.clone(), &mut seen));
                 let time = ms(first);
                 from = seen.actions.len();
                 while let Some(after) = seen.wake.take() {
@@ -244,21 +244,32 @@
                         break;
                     }
                     now = tick_at;
-                    brain.tick(now, gauges, &mut seen);
+                    scheduler.tick(now, gauges, &mut seen);
                 }
                 now = time;
-                let inv = || words[2].parse::<Inv>().unwrap();
+                let inv = || words[2].parse::<RequestSlot>().unwrap();
                 match words[1] {
-                    "arrive" => brain.arrived(now, add_arrival(inv(), &words[3..]), &mut seen),
-                    "needs" => brain.needs_call(now, inv(), &mut seen),
-                    "left" => brain.caller_left(now, inv(), &mut seen),
-                    "leave" => brain.leaving(now, ms(words[2]), &mut seen),
-                    "end" => brain.run_ended(now, inv(), outcome(words[3]), &mut seen),
-                    "called" => brain.call_ended(now, inv(), outcome(words[3]), ms(words[4]), &mut seen),
+                    "arrive" => scheduler.handle_arrival(now, add_arrival(inv(), &words[3..]), &mut seen),
+                    "needs" => scheduler.handle_call_needed(now, inv(), &mut seen),
+                    "left" => scheduler.handle_client_disconnect(now, inv(), &mut seen),
+                    "leave" => scheduler.start_draining(now, ms(words[2]), &mut seen),
+                    "end" => scheduler.handle_run_completed(now, inv(), outcome(words[3]), &mut seen),
+                    "called" => scheduler.handle_call_completed(
+                        now,
+                        inv(),
+                        outcome(words[3]),
+                        ms(words[4]),
+                        &mut seen,
+                    ),
                     "gauges" => {
                         let [use_, on] = [words[2], words[3]].map(|word| word.parse().ok());
                         let links = words.get(4).and_then(|word| word.parse().ok());
-                        gauges = Gauges { core_use: use_, on_cores: on, links, ..Gauges::default() };
+                        gauges = Gauges {
+                            core_utilization: use_,
+                            runnable_tasks: on,
+                            connections: links,
+                            ..Gauges::default()
+                        };
                     }
                     "pass" => {}
                     _ => panic!("no event {line}"),
@@ -293,12 +304,13 @@
     for seed in 0..rounds {
         let mut seen = Seen::default();
         let operations = vec![operation()];
-        let mut brain = Brain::start(0, Settings { operations, seed, ..settings() }, &mut seen);
-        brain.arrived(0, arrival(0, 100.0), &mut seen);
+        let mut scheduler =
+            Scheduler::start(0, Settings { classes: operations, seed, ..settings() }, &mut seen);
+        scheduler.handle_arrival(0, arrival(0, 100.0), &mut seen);
         for rank in [3, 1, 5, 2, 4] {
-            brain.arrived(0, arrival(rank, 1000.0 * rank as f64), &mut seen);
+            scheduler.handle_arrival(0, arrival(rank, 1000.0 * rank as f64), &mut seen);
         }
-        brain.run_ended(100, 0, Outcome::Succeeded, &mut seen);
+        scheduler.handle_run_completed(100, 0, Outcome::Succeeded, &mut seen);
         let drawn = seen.actions.iter().filter_map(|action| action.strip_prefix("run ")).nth(1).unwrap();
         counts[drawn.parse::<usize>().unwrap() - 1] += 1;
     }
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -1,6 +1,6 @@
 //! Time: the system's Unix clock at the door, whole tenths of a millisecond since the start inside.
 
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub const MS: Time = 10;
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,6 +1,6 @@
 //! The only reader of the environment and of EDGE_CONFIG: checks, defaults, messages that name the faulty key.
 
-use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::*;
 use cypresscleat_settings::{self as settings, Names};
 use serde_json::Value;
 use std::cell::Cell;
@@ -102,7 +102,7 @@
         settings::read(&all["settings"], seed).map_err(|what| format!("settings.{what}"))?;
     check(&settings)?;
     // What is kept of tokens stands in the memory of this process, not in that of the kernel, which the module books.
-    let settings = Settings { entry_kb: 0.0, ..settings };
+    let settings = Settings { retained_entry_kb: 0.0, ..settings };
     let name = text("name")?.or(name).ok_or("name is missing")?;
     if !name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte)) {
         return Err(format!("name: {name:?} has other characters than letters, digits, '-', '_' and '.'"));
@@ -124,8 +124,12 @@
 /// A tokened operation is told by its token: frames carry one, a route has to name its header. Workers keep tokens, and a
 /// forwarder does not know which of them has one.
 pub fn check_tokens(set: &Settings, forwards: bool, lacks: impl Fn(usize) -> bool) -> Result<(), String> {
-    let mut tokened =
-        set.operations.iter().enumerate().filter(|(_, op)| op.effect == Effect::Tokened).map(|(at, _)| at);
+    let mut tokened = set
+        .classes
+        .iter()
+        .enumerate()
+        .filter(|(_, op)| op.retry_safety == RetrySafety::IdempotencyKey)
+        .map(|(at, _)| at);
     if let (Some(at), true) = (tokened.clone().next(), forwards) {
         return Err(format!("settings.categories[{at}].effect: a forwarder takes no tokened operation"));
     }
@@ -234,16 +238,16 @@
 
 /// What this front can't offer.
 fn check(set: &Settings) -> Result<(), String> {
-    if set.operations.is_empty() {
+    if set.classes.is_empty() {
         return Err("settings.categories is empty".into());
     }
-    if let Some(at) = set.operations.iter().position(|op| op.skipped > 0.0) {
+    if let Some(at) = set.classes.iter().position(|op| op.degraded_share > 0.0) {
         return Err(format!("settings.specifics.degraded_worth[{at}]: the kernel can't skip a call"));
     }
-    if set.fresh > 0 {
+    if set.result_freshness > 0 {
         return Err("settings.specifics.fresh_ns: answers can't be used again here".into());
     }
-    if set.halt == Halt::Freeze {
+    if set.stop_mode == StopMode::Freeze {
         return Err("settings.specifics.halt: runs can't be frozen here".into());
     }
     Ok(())
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -1,5 +1,5 @@
 //! The one owner of the module: ids and indices, the open invocations, the table of calls. No I/O and no
-//! clock: each message that the queue brings becomes one call on the `Brain`, and what the `Brain` asks of
+//! clock: each message that the queue brings becomes one call on the `Scheduler`, and what the `Scheduler` asks of
 //! its `Host` goes straight to the outboxes of those concerned. Decides nothing.
 
 use crate::clock::MS;
@@ -12,8 +12,7 @@
 use crate::rollout::gate::Gate;
 use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::member::May;
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use cypresscleat_settings::{set_gauge, Names};
 use door::{Cause, Fault, How, Invocation, Peer, Places, Txn, Wanted};
 use keeping::{Keeping, Ran, Row, Token, Waits};
@@ -224,10 +223,10 @@
 
 /// Nothing lies unread for longer and is still worth an answer.
 fn unread(settings: &Settings) -> Time {
-    settings.operations.iter().map(|op| op.timeout).max().unwrap_or(0)
+    settings.classes.iter().map(|op| op.timeout).max().unwrap_or(0)
 }
 
-/// All but the `Brain`: what its `Host` needs.
+/// All but the `Scheduler`: what its `Host` needs.
 struct Side {
     names: Rc<Names>,
     pool: Rc<Pool>,
@@ -236,11 +235,11 @@
     ready: Rc<Ready>,
     calls_to: Rc<Commands>,
     kernel: Kernel,
-    index: HashMap<Txn, Inv>,
+    index: HashMap<Txn, RequestSlot>,
     open: Vec<Option<Open>>,
-    free: Vec<Inv>,
+    free: Vec<RequestSlot>,
     /// Calls that are out, by the time they are given up from here.
-    calls: BTreeSet<(Time, u64, Inv)>,
+    calls: BTreeSet<(Time, u64, RequestSlot)>,
     call_number: u64,
     answered: VecDeque<Answered>,
     owed: usize,
@@ -251,7 +250,7 @@
     keeping: Option<Keeping>,
     places: Option<Rc<dyn Places>>,
     /// Answered by a result that was kept: the module is told that nobody waits.
-    reused: Vec<Inv>,
+    reused: Vec<RequestSlot>,
     /// Whether something may be admitted, where a policy of the fleet says so.
     gate: Option<Rc<Gate>>,
     /// A drain is under way: what is owed is in the store.
@@ -264,7 +263,7 @@
 }
 
 pub struct Core {
-    brain: Option<Brain>,
+    scheduler: Option<Scheduler>,
     settings: Settings,
     /// When the notice to leave came, and how long after it the process is stopped.
     leaves: Option<(Time, Time)>,
@@ -335,17 +334,21 @@
             reused: Vec::new(),
             gate: None,
             leaving: false,
-            billed: settings.operations.iter().map(|op| (op.billed, op.objective, op.late)).collect(),
+            billed: settings
+                .classes
+                .iter()
+                .map(|op| (op.priority_weight, op.latency_objective, op.late_share))
+                .collect(),
             wake_at: Time::MAX,
             waits_until: None,
         };
         // Without a store to keep them in, tokens are known in this life.
-        if settings.operations.iter().any(|op| op.effect == Effect::Tokened) {
+        if settings.classes.iter().any(|op| op.retry_safety == RetrySafety::IdempotencyKey) {
             side.keeping.insert(Keeping::in_memory()).unread = unread(&settings);
         }
         let own = settings.pools.clone();
         Core {
-            brain: None,
+            scheduler: None,
             settings,
             leaves: None,
             closes_at: Time::MAX,
@@ -406,7 +409,7 @@
                 }
             }
             Note::Closed { peer } => {
-                let open: Vec<Inv> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
+                let open: Vec<RequestSlot> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
                 open.into_iter().for_each(|inv| self.left(inv));
             }
             Note::Kernel(notice) => self.notice(notice),
@@ -449,9 +452,9 @@
                 self.side.voice.on.set(false);
                 self.leaves = Some((now, within));
                 self.closes_at = now + self.settings.drain_grace;
-                self.side.voice.closing.set(self.brain.is_none()); // nothing to wait for
+                self.side.voice.closing.set(self.scheduler.is_none()); // nothing to wait for
                 self.side.owes();
-                self.module(|brain, now, side| brain.leaving(now, within, side));
+                self.module(|scheduler, now, side| scheduler.start_draining(now, within, side));
             }
         }
     }
@@ -466,7 +469,7 @@
     /// The pools that hold now; what is held is counted where it belongs then, and no run is ended by it.
     fn pool(&mut self) {
         let setup = self.policy.clone().unwrap_or_else(|| self.own.clone());
-        self.module(|brain, now, side| brain.pool(now, &setup, side));
+        self.module(|scheduler, now, side| scheduler.set_pools(now, &setup, side));
         self.settings.pools = setup; // where the module has not begun
     }
 
@@ -509,7 +512,7 @@
             if self.side.rec(inv).call.is_some_and(|call| call.0 == number) {
                 let txn = self.side.rec(inv).txn;
                 self.side.calls_to.push(Command::Abandon { txn });
-                self.called(inv, Outcome::NoAnswer, None);
+                self.called(inv, Outcome::TimedOut, None);
             }
         }
         self.side.answered.retain(|answered| answered.until > now);
@@ -521,23 +524,23 @@
             keeping.expire(unix);
         }
         if let Some(places) = self.side.places.as_ref().map(|places| places.granted()) {
-            self.module(|brain, now, side| brain.grant(now, places, side));
+            self.module(|scheduler, now, side| scheduler.set_granted_places(now, places, side));
         }
         self.ramp();
         let fresh = now - self.side.gauges_at <= GAUGES_AGE;
         let gauges = if fresh { self.side.gauges } else { Gauges::default() };
-        self.module(|brain, now, side| brain.tick(now, gauges, side));
+        self.module(|scheduler, now, side| scheduler.tick(now, gauges, side));
     }
 
     fn ramp(&self) {
-        if let Some(brain) = &self.brain {
-            self.side.voice.ramp.set(brain.ramp(self.side.now));
+        if let Some(scheduler) = &self.scheduler {
+            self.side.voice.ramp.set(scheduler.slow_start_limit(self.side.now));
         }
     }
 
-    fn module(&mut self, call: impl FnOnce(&mut Brain, Time, &mut Side)) {
-        if let Some(brain) = self.brain.as_mut() {
-            call(brain, self.side.now, &mut self.side);
+    fn module(&mut self, call: impl FnOnce(&mut Scheduler, Time, &mut Side)) {
+        if let Some(scheduler) = self.scheduler.as_mut() {
+            call(scheduler, self.side.now, &mut self.side);
         }
     }
 
@@ -596,7 +599,11 @@
         let counters = side.counters.clone();
         let txn = read.txn;
         let said = said(read.op, read.body());
-        let tokened = self.settings.operations.get(read.op).is_some_and(|op| op.effect == Effect::Tokened);
+        let tokened = self
+            .settings
+            .classes
+            .get(read.op)
+            .is_some_and(|op| op.retry_safety == RetrySafety::IdempotencyKey);
         if tokened && read.token.is_none() {
             return peer.strike(&counters, stream, "a tokened operation without its token");
         }
@@ -614,7 +621,7 @@
         if let Some(until) = full {
             add(&counters.tokens_refused);
             add(&counters.throttled);
-            let back = (until - unix).clamp(MS, self.settings.max_backoff.max(MS));
+            let back = (until - unix).clamp(MS, self.settings.max_retry_after.max(MS));
             let how = How::Throttled { back, give_up: false };
             return peer.wire.answer(&peer.out, stream, how, b"", side.voice.feedback.get());
         }
@@ -639,7 +646,7 @@
                 return self.withdraw(&peer);
             }
         }
-        let Some(brain) = self.brain.as_mut() else {
+        let Some(scheduler) = self.scheduler.as_mut() else {
             let what = "an invocation before the kernel is up";
             return peer.malformed(&counters, stream, Fault::NotReady, what);
         };
@@ -649,7 +656,7 @@
                 May::Hold if self.held.len() < HELD => {
                     add(&side.counters.policy_held);
                     peer.queued.set(peer.queued.get() + 1); // it counts as on its way, so its connection stays
-                    let budget = read.budget.or(self.settings.operations.get(read.op).map(|op| op.timeout));
+                    let budget = read.budget.or(self.settings.classes.get(read.op).map(|op| op.timeout));
                     let due = side.now + budget.unwrap_or(0) - (unix - read.door).max(0) - OUT_MARGIN;
                     return self.held.push_back((due, peer, stream, read));
                 }
@@ -663,18 +670,18 @@
         }
         add(&side.counters.invocations);
         let mut arrival = Arrival {
-            op: read.op,
-            customer: read.customer,
-            budget: read.budget,
-            rank: read.rank,
-            repeats,
-            keyed: read.keyed || tokened,
-            unread: (unix - read.door).max(0),
-            hint: read.hint,
-            kb: read.kb,
+            class: read.op,
+            tenant: read.customer,
+            remaining_timeout: read.budget,
+            client_priority: read.rank,
+            earlier_attempt: repeats,
+            has_idempotency_key: read.keyed || tokened,
+            time_unread: (unix - read.door).max(0),
+            expected_work: read.hint,
+            memory_kb: read.kb,
             ..Arrival::default()
         };
-        arrival.inv = side.open(Open {
+        arrival.slot = side.open(Open {
             txn,
             to: None,
             op: read.op,
@@ -696,22 +703,22 @@
             due: side.now
                 + read
                     .budget
-                    .unwrap_or_else(|| self.settings.operations[read.op].timeout - (unix - read.door).max(0)),
+                    .unwrap_or_else(|| self.settings.classes[read.op].timeout - (unix - read.door).max(0)),
             subject: read.subject,
             said_back: None,
             rank: read.rank,
             hint: read.hint,
             kb: read.kb,
         });
-        side.owe(arrival.inv, peer, stream);
-        brain.arrived(side.now, arrival, side);
+        side.owe(arrival.slot, peer, stream);
+        scheduler.handle_arrival(side.now, arrival, side);
         self.settle_reused();
     }
 
     /// What was answered by another's result is over for the module too.
     fn settle_reused(&mut self) {
         while let Some(inv) = self.side.reused.pop() {
-            self.module(|brain, now, side| brain.caller_left(now, inv, side));
+            self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
         }
     }
 
@@ -747,7 +754,7 @@
                         self.side.rec(inv).ran = false;
                         self.reaped(
                             inv,
-                            if failed.is_some() { Outcome::NotStarted } else { Outcome::CalledOff },
+                            if failed.is_some() { Outcome::NotStarted } else { Outcome::Cancelled },
                             empty,
                         );
                     } else {
@@ -759,26 +766,27 @@
         }
     }
 
-    fn left(&mut self, inv: Inv) {
+    fn left(&mut self, inv: RequestSlot) {
         add(&self.side.counters.caller_left);
         self.side.settle(inv);
         // Whoever waits for its answer takes its place: it goes on for them, and is not over with its first caller.
         if let Some(next) = self.side.keeping.as_mut().and_then(|keeping| keeping.follower(inv)) {
             if let Some((peer, stream)) = self.side.settle(next) {
                 self.side.owe(inv, peer, stream);
-                return self.module(|brain, now, side| brain.caller_left(now, next, side));
+                return self
+                    .module(|scheduler, now, side| scheduler.handle_client_disconnect(now, next, side));
             }
         }
-        self.module(|brain, now, side| brain.caller_left(now, inv, side));
+        self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
     }
 
     /// All that is open on a connection is errored. Guards the line and the run cap against a sender whose other
     /// invocations can't be carried out either.
     fn withdraw(&mut self, peer: &Rc<Peer>) {
-        let open: Vec<Inv> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
+        let open: Vec<RequestSlot> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
         for inv in open {
             self.side.answer(inv, How::Errored(Cause::Failed), b"");
-            self.module(|brain, now, side| brain.caller_left(now, inv, side));
+            self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
         }
     }
 
@@ -796,7 +804,7 @@
                 let Some(inv) = self.side.find(&call) else { return };
                 let rec = self.side.rec(inv);
                 (rec.asked, rec.blob) = (Asked::Waits, Some(blob));
-                self.module(|brain, now, side| brain.needs_call(now, inv, side));
+                self.module(|scheduler, now, side| scheduler.handle_call_needed(now, inv, side));
             }
             Notice::Info { cookie, stats } => {
                 let side = &mut self.side;
@@ -817,7 +825,7 @@
                 if let (true, Some(inv)) = (ends, self.side.find(&call)) {
                     let empty = self.side.pool.take();
                     let from = self.side.rec(inv).to.clone();
-                    self.reaped(inv, Outcome::Errored, empty);
+                    self.reaped(inv, Outcome::Failed, empty);
                     // The kernel knows every invocation that a router sent here: this sender is none.
                     if let (Some((peer, _)), "SCHED") = (from, command.as_str()) {
                         let what = "an invocation that the kernel doesn't know";
@@ -832,25 +840,25 @@
 
     /// The module starts when the kernel does, and believes it about being cold.
     fn booted(&mut self, cold: bool, age: Time) {
-        if self.brain.is_some() {
+        if self.scheduler.is_some() {
             return;
         }
-        let settings = Settings { cold, ..self.settings.clone() };
+        let settings = Settings { slow_start: cold, ..self.settings.clone() };
         let now = self.side.now;
         log!("kernel up for {} ms, {}", age / MS, if cold { "cold" } else { "warm" });
-        let mut brain = Brain::start(now - age, settings, &mut self.side);
+        let mut scheduler = Scheduler::start(now - age, settings, &mut self.side);
         self.side.wake_at = now;
         // The notice came before the kernel was up: it holds for what comes now.
         if let Some((at, within)) = self.leaves {
-            brain.leaving(at, within, &mut self.side);
+            scheduler.start_draining(at, within, &mut self.side);
         }
-        self.brain = Some(brain);
+        self.scheduler = Some(scheduler);
         self.side.ready.kernel();
         self.ramp();
     }
 
     /// The run is over: the first answer to its invocation, if none was given, is how it ended.
-    fn reaped(&mut self, inv: Inv, how: Outcome, blob: Buf) {
+    fn reaped(&mut self, inv: RequestSlot, how: Outcome, blob: Buf) {
         let counters = self.side.counters.clone();
         if self.side.rec(inv).to.is_none() {
             self.side.ran_for_nobody(inv, how, &blob);
@@ -863,7 +871,7 @@
                 }
                 self.side.answer(inv, How::Succeeded, &blob);
             }
-            Outcome::Errored => {
+            Outcome::Failed => {
                 add(&counters.runs_errored);
                 self.side.answer(inv, How::Errored(Cause::Failed), b"");
             }
@@ -872,7 +880,7 @@
         self.side.give_up_call(inv);
         let rec = self.side.rec(inv);
         (rec.asked, rec.stopped) = (Asked::Nothing, false);
-        self.module(|brain, now, side| brain.run_ended(now, inv, how, side));
+        self.module(|scheduler, now, side| scheduler.handle_run_completed(now, inv, how, side));
         self.settle_reused();
         // Its entry may live on for as long as a repeat can come, its bytes need not.
         if let Some(rec) = self.side.open[inv].as_mut().filter(|rec| rec.to.is_none()) {
@@ -883,19 +891,19 @@
 
     // ---- calls ----
 
-    fn called(&mut self, inv: Inv, how: Outcome, reply: Option<Buf>) {
+    fn called(&mut self, inv: RequestSlot, how: Outcome, reply: Option<Buf>) {
         let counters = &self.side.counters;
         add(match how {
             Outcome::Succeeded => &counters.calls_succeeded,
-            Outcome::Throttled => &counters.calls_throttled,
-            Outcome::NoAnswer => &counters.calls_expired,
-            Outcome::NoConnection | Outcome::ConnectionLost => &counters.calls_lost,
+            Outcome::Rejected => &counters.calls_throttled,
+            Outcome::TimedOut => &counters.calls_expired,
+            Outcome::ConnectFailed | Outcome::ConnectionLost => &counters.calls_lost,
             _ => &counters.calls_errored,
         });
         let now = self.side.now;
         let rec = self.side.rec(inv);
         let Some((number, began)) = rec.call.take() else { return };
-        rec.failed = !matches!(how, Outcome::Succeeded | Outcome::NoAnswer);
+        rec.failed = !matches!(how, Outcome::Succeeded | Outcome::TimedOut);
         let owed = rec.to.is_some();
         self.side.calls.retain(|call| call.1 != number);
         // One that is answered or whose caller left is ended by the kernel itself.
@@ -904,21 +912,21 @@
             (rec.asked, rec.blob) = (Asked::GoOn, Some(reply));
             self.side.command(inv);
         }
-        self.module(|brain, _, side| brain.call_ended(now, inv, how, now - began, side));
+        self.module(|scheduler, _, side| scheduler.handle_call_completed(now, inv, how, now - began, side));
     }
 }
 
 impl Side {
     /// Indices come from the module and from `index`: each names an open one.
-    fn rec(&mut self, inv: Inv) -> &mut Open {
+    fn rec(&mut self, inv: RequestSlot) -> &mut Open {
         self.open[inv].as_mut().expect("an index in use")
     }
 
-    fn find(&self, call: &str) -> Option<Inv> {
+    fn find(&self, call: &str) -> Option<RequestSlot> {
         self.index.get(&Txn::try_from(call.as_bytes()).ok()?).copied()
     }
 
-    fn open(&mut self, open: Open) -> Inv {
+    fn open(&mut self, open: Open) -> RequestSlot {
         let inv = self.free.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() - 1
@@ -928,7 +936,7 @@
         inv
     }
 
-    fn owe(&mut self, inv: Inv, peer: Rc<Peer>, stream: u32) {
+    fn owe(&mut self, inv: RequestSlot, peer: Rc<Peer>, stream: u32) {
         peer.open.borrow_mut().push((stream, inv));
         peer.active_at.set(self.now);
         self.rec(inv).to = Some((peer, stream));
@@ -937,7 +945,7 @@
     }
 
     /// Nothing is owed for it any more; returns to whom it was.
-    fn settle(&mut self, inv: Inv) -> Option<(Rc<Peer>, u32)> {
+    fn settle(&mut self, inv: RequestSlot) -> Option<(Rc<Peer>, u32)> {
         let (peer, stream) = self.rec(inv).to.take()?;
         peer.open.borrow_mut().retain(|(known, _)| *known != stream);
         peer.active_at.set(self.now);
@@ -947,7 +955,7 @@
 
     /// The final answer, if it is still owed: the one place where what is owed is settled. One that succeeded may wait for
     /// its row to be kept.
-    fn answer(&mut self, inv: Inv, how: How, body: &[u8]) {
+    fn answer(&mut self, inv: RequestSlot, how: How, body: &[u8]) {
         let Some((peer, stream)) = self.settle(inv) else { return };
         let counters = &self.counters;
         add(match how {
@@ -988,7 +996,7 @@
     }
 
     /// A run is over for which nobody waits: what a repeat of it may ask for is noted, and those that follow it are answered.
-    fn ran_for_nobody(&mut self, inv: Inv, how: Outcome, result: &[u8]) {
+    fn ran_for_nobody(&mut self, inv: RequestSlot, how: Outcome, result: &[u8]) {
         let Some(token) = self.rec(inv).token.clone() else { return };
         let Some(keeping) = self.keeping.as_mut() else { return };
         let how = match how {
@@ -1054,7 +1062,7 @@
     }
 
     /// The number under which word of its row comes.
-    fn bill(&mut self, inv: Inv, body: &[u8]) -> Option<u64> {
+    fn bill(&mut self, inv: RequestSlot, body: &[u8]) -> Option<u64> {
         let rec = self.open[inv].as_ref()?;
         let (billed, objective, late) = self.billed.get(rec.op).copied()?;
         let in_time = self.unix - rec.came <= objective;
@@ -1076,7 +1084,7 @@
     }
 
     /// Those that wait for this one's answer get the same.
-    fn answer_followers(&mut self, first: Inv, how: How, body: &[u8]) {
+    fn answer_followers(&mut self, first: RequestSlot, how: How, body: &[u8]) {
         let Some(keeping) = self.keeping.as_mut() else { return };
         let all = std::mem::take(&mut keeping.followers);
         let (own, others): (Vec<_>, Vec<_>) = all.into_iter().partition(|(known, _)| *known == first);
@@ -1087,7 +1095,7 @@
     }
 
     /// A repeat's answer: nothing of it runs, nothing is billed.
-    fn answer_as(&mut self, inv: Inv, how: How, body: &[u8]) {
+    fn answer_as(&mut self, inv: RequestSlot, how: How, body: &[u8]) {
         let Some((peer, stream)) = self.settle(inv) else { return };
         add(&self.counters.repeated);
         let Open { txn, said, .. } = *self.rec(inv);
@@ -1144,13 +1152,13 @@
     // ---- commands to the kernel ----
 
     /// Tells the kernel what is asked of an invocation now; without a link it is told once there is one.
-    fn command(&mut self, inv: Inv) {
+    fn command(&mut self, inv: RequestSlot) {
         self.kernel.told += 1;
         self.rec(inv).command = self.kernel.told;
         self.tell(inv);
     }
 
-    fn tell(&mut self, inv: Inv) {
+    fn tell(&mut self, inv: RequestSlot) {
         if let Some(places) = self.places.clone() {
             let Some(rec) = self.open[inv].as_ref() else { return };
             match (rec.stopped, rec.asked) {
@@ -1174,7 +1182,7 @@
     }
 
     /// What a worker is sent: the frame's payload as it came, or one of the same meaning.
-    fn wanted(&self, inv: Inv) -> Wanted {
+    fn wanted(&self, inv: RequestSlot) -> Wanted {
         let rec = self.open[inv].as_ref().expect("an index in use");
         let payload = if rec.raw {
             rec.payload.to_vec()
@@ -1231,7 +1239,7 @@
 
     // ---- calls ----
 
-    fn give_up_call(&mut self, inv: Inv) {
+    fn give_up_call(&mut self, inv: RequestSlot) {
         let rec = self.rec(inv);
         let txn = rec.txn;
         if let Some((number, _)) = rec.call.take() {
@@ -1243,7 +1251,7 @@
 }
 
 impl Host for Side {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         add(&self.counters.runs);
         let rec = self.rec(inv);
         (rec.ran, rec.stopped) = (true, false);
@@ -1259,24 +1267,24 @@
         self.rec(inv).asked = Asked::Run;
         self.command(inv);
     }
-    fn throttle(&mut self, inv: Inv, back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
         // A worker's word goes through as it was said.
         let (back, give_up) = self.rec(inv).said_back.unwrap_or((back, give_up));
         self.answer(inv, How::Throttled { back, give_up }, b"");
     }
     /// The module gives up what can't be answered in its time, unless a call told it to.
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         let cause = if self.rec(inv).failed { Cause::Failed } else { Cause::Late };
         self.answer(inv, How::Errored(cause), b"");
     }
-    fn stop(&mut self, inv: Inv) {
+    fn stop(&mut self, inv: RequestSlot) {
         add(&self.counters.stops);
         self.rec(inv).stopped = true;
         if !self.rec(inv).starting {
             self.command(inv);
         }
     }
-    fn call(&mut self, inv: Inv, within: Time) {
+    fn call(&mut self, inv: RequestSlot, within: Time) {
         add(&self.counters.calls);
         self.call_number += 1;
         let (number, now) = (self.call_number, self.now);
@@ -1289,10 +1297,10 @@
         self.calls_to.push(Command::Post { txn, number, op, within, body });
     }
     /// Settings that would let the module skip a call, keep an entry or use one again end the start.
-    fn skip_call(&mut self, _inv: Inv) {
+    fn skip_call(&mut self, _inv: RequestSlot) {
         log!("skipping a call is not offered here");
     }
-    fn keep(&mut self, inv: Inv, span: Time) {
+    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
         let rec = self.rec(inv);
         let (said, token) = (rec.said, rec.token.clone());
         if let (Some(token), Some(keeping)) = (token, self.keeping.as_mut()) {
@@ -1300,7 +1308,7 @@
             keeping.remember(token.into(), Token { said, until, ran: Ran::Open(inv) });
         }
     }
-    fn reuse(&mut self, inv: Inv) {
+    fn replay_result(&mut self, inv: RequestSlot) {
         let Some(token) = self.rec(inv).token.clone() else { return };
         let ran =
             self.keeping.as_ref().and_then(|keeping| keeping.token(&token)).map(|token| token.ran.clone());
@@ -1315,24 +1323,24 @@
             }
         }
     }
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.voice.good.set(good);
     }
-    fn advertise(&mut self, value: f64) {
+    fn send_load_feedback(&mut self, value: f64) {
         self.voice.feedback.set(Some(value));
     }
-    fn close_idle(&mut self, after: Time) {
+    fn close_idle_connections(&mut self, after: Time) {
         self.voice.idle.set(Some(after));
     }
-    fn wake(&mut self, after: Time) {
+    fn set_timer(&mut self, after: Time) {
         self.wake_at = self.now + after;
     }
     fn log(&mut self, line: &str) {
         log!("{line}");
     }
     /// The one place where an index and all that hangs on it is given back.
-    fn release(&mut self, inv: Inv) {
-        self.error(inv); // where no answer was given: none is left without
+    fn release(&mut self, inv: RequestSlot) {
+        self.fail(inv); // where no answer was given: none is left without
         self.give_up_call(inv);
         if let Some(open) = self.open[inv].take() {
             if let Some(keeping) = self.keeping.as_mut() {
--- a/crates/server/src/core/door.rs
+++ b/crates/server/src/core/door.rs
@@ -4,7 +4,7 @@
 use crate::counters::{add, Counters};
 use crate::log;
 use crate::pool::{Buf, Outbox, Pool};
-use cypresscleat_scheduler::api::{Gauges, Inv, Time};
+use cypresscleat_scheduler::{Gauges, RequestSlot, Time};
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
 use std::rc::Rc;
@@ -112,7 +112,7 @@
     pub out: Outbox,
     pub wire: Rc<dyn Wire>,
     /// Streams that are owed an answer.
-    pub open: RefCell<Vec<(u32, Inv)>>,
+    pub open: RefCell<Vec<(u32, RequestSlot)>>,
     /// The newest stream of it.
     pub last: Cell<u32>,
     /// Invocations of it that stand in the queue.
--- a/crates/server/src/core/keeping.rs
+++ b/crates/server/src/core/keeping.rs
@@ -4,7 +4,7 @@
 
 use super::door::{How, Peer, Txn};
 use crate::pool::Buf;
-use cypresscleat_scheduler::api::{Inv, Time};
+use cypresscleat_scheduler::{RequestSlot, Time};
 use cypresscleat_store::disk::Disk;
 use cypresscleat_store::{Result, Store};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ran {
     /// Known to the module under this index.
-    Open(Inv),
+    Open(RequestSlot),
     /// It was begun, and how it ended is not known: it may have had its effect.
     Begun,
     Done(Vec<u8>),
@@ -113,7 +113,7 @@
         body: Buf,
     },
     /// A tokened one that is to run.
-    Run(Inv, Txn),
+    Run(RequestSlot, Txn),
 }
 
 /// What of an invocation billing knows.
@@ -140,7 +140,7 @@
     tokens: HashMap<String, Token>,
     until: BTreeSet<(Time, String)>,
     /// What waits for the answer of another: the first, and those that follow.
-    pub followers: Vec<(Inv, Inv)>,
+    pub followers: Vec<(RequestSlot, RequestSlot)>,
     results: usize,
     /// All jobs up to this one are done with.
     kept: u64,
@@ -270,7 +270,7 @@
     }
 
     /// Whoever waits for this one's answer first stops waiting, and takes its place.
-    pub fn follower(&mut self, first: Inv) -> Option<Inv> {
+    pub fn follower(&mut self, first: RequestSlot) -> Option<RequestSlot> {
         let at = self.followers.iter().position(|(known, _)| *known == first)?;
         Some(self.followers.remove(at).1)
     }
@@ -300,7 +300,7 @@
     }
 
     /// The module knows the invocation no more. One that never ran leaves its token free.
-    pub fn released(&mut self, name: &str, inv: Inv, ran: bool) {
+    pub fn released(&mut self, name: &str, inv: RequestSlot, ran: bool) {
         let open = self.tokens.get(name).is_some_and(|token| token.ran == Ran::Open(inv));
         match (open, ran) {
             (true, true) => {
--- a/crates/server/src/downstream/ledger.rs
+++ b/crates/server/src/downstream/ledger.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::pool::{Buf, SIZE};
 use crate::sockets::look;
-use cypresscleat_scheduler::api::Outcome;
+use cypresscleat_scheduler::Outcome;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
                     let used = lines.iter().filter(idle).rfind(usable).cloned();
                     let (Some(address), true) = (at.ledger.get(), used.is_some() || lines.len() < most)
                     else {
-                        let how = Outcome::NoConnection;
+                        let how = Outcome::ConnectFailed;
                         let _ = queue.send(Note::Called { txn, number, how, reply: None }).await;
                         continue;
                     };
@@ -122,7 +122,7 @@
         log!("a connection to the ledger with a call: {error}");
     }
     // Of which nothing was written, that surely never ran; nothing is known of another.
-    let how = if written { Outcome::ConnectionLost } else { Outcome::NoConnection };
+    let how = if written { Outcome::ConnectionLost } else { Outcome::ConnectFailed };
     let _ = queue.send(Note::Called { txn, number, how, reply: None }).await;
 }
 
--- a/crates/server/src/downstream/scgi.rs
+++ b/crates/server/src/downstream/scgi.rs
@@ -8,7 +8,7 @@
 use crate::log;
 use crate::pool::{Buf, SIZE};
 use cypresscleat_scgi::{request, response, Bounds};
-use cypresscleat_scheduler::api::{Outcome, Time};
+use cypresscleat_scheduler::{Outcome, Time};
 use cypresscleat_settings::Names;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -45,9 +45,9 @@
     match status {
         200..=299 => Outcome::Succeeded,
         // The one that says that nothing was done.
-        503 => Outcome::Throttled,
-        504 => Outcome::NoAnswer,
-        _ => Outcome::Errored,
+        503 => Outcome::Rejected,
+        504 => Outcome::TimedOut,
+        _ => Outcome::Failed,
     }
 }
 
@@ -61,7 +61,7 @@
             match command {
                 Command::Post { txn, number, op, within, body } => {
                     if calls.borrow().len() >= most {
-                        let how = Outcome::NoConnection;
+                        let how = Outcome::ConnectFailed;
                         let _ = queue.send(Note::Called { txn, number, how, reply: None }).await;
                         continue;
                     }
@@ -135,7 +135,7 @@
         Err(error) => {
             log!("a call to the backend at {address}: {error}");
             // Of which nothing was written, that surely never ran; nothing is known of another.
-            Some((if written > 0 { Outcome::ConnectionLost } else { Outcome::NoConnection }, None))
+            Some((if written > 0 { Outcome::ConnectionLost } else { Outcome::ConnectFailed }, None))
         }
     }
 }
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -18,7 +18,7 @@
 use cypresscleat_forwarding::retry::{Budget, Known};
 use cypresscleat_forwarding::routes::{End, Routes};
 use cypresscleat_forwarding::{node_id, NodeId};
-use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
+use cypresscleat_scheduler::{Gauges, Outcome, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -109,7 +109,7 @@
         let number = self.number.replace(self.number.get() + 1);
         let one = Try { number, worker: 0, tries: 0, started: now, wanted, crossed: false, on: None };
         if let Err(one) = self.go(now, one, &[]) {
-            self.tell(one.wanted.txn, Outcome::Throttled, &[], None);
+            self.tell(one.wanted.txn, Outcome::Rejected, &[], None);
         }
     }
 
@@ -125,7 +125,7 @@
         }
         let now = self.clock.now();
         self.routes.borrow_mut().ended(now, one.worker, End::Nothing, 0, 0);
-        self.tell(txn, Outcome::CalledOff, &[], None);
+        self.tell(txn, Outcome::Cancelled, &[], None);
     }
 
     fn granted(&self) -> f64 {
@@ -135,7 +135,12 @@
     fn gauges(&self) -> Gauges {
         let routes = self.routes.borrow();
         let (out, places) = (routes.out() as f64, routes.places().max(1.0));
-        Gauges { core_use: Some((out / places).min(1.0)), on_cores: Some(out), memory: None, links: None }
+        Gauges {
+            core_utilization: Some((out / places).min(1.0)),
+            runnable_tasks: Some(out),
+            memory_share: None,
+            connections: None,
+        }
     }
 }
 
@@ -336,7 +341,7 @@
         }
         match end {
             End::Succeeded => return self.tell(txn, Outcome::Succeeded, body, None),
-            End::Errored => return self.tell(txn, Outcome::Errored, b"", None),
+            End::Errored => return self.tell(txn, Outcome::Failed, b"", None),
             _ => {}
         }
         let left = one.wanted.due - now;
@@ -354,11 +359,11 @@
         match known {
             Known::NeverRan => self.tell(
                 one.wanted.txn,
-                Outcome::Throttled,
+                Outcome::Rejected,
                 b"",
                 Some(said).filter(|said| said.0 > 0 || said.1),
             ),
-            Known::Perhaps => self.tell(one.wanted.txn, Outcome::Errored, b"", None),
+            Known::Perhaps => self.tell(one.wanted.txn, Outcome::Failed, b"", None),
         }
     }
 
--- a/crates/server/src/frames.rs
+++ b/crates/server/src/frames.rs
@@ -1,7 +1,7 @@
 //! The routers' binary frames: read from bytes, written to bytes. No I/O.
 
 use crate::core::door::Txn;
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 
 pub const INVOCATION: u8 = 2;
 pub const ANSWER: u8 = 4;
--- a/crates/server/src/lines.rs
+++ b/crates/server/src/lines.rs
@@ -2,7 +2,7 @@
 
 use crate::pool::{Buf, Pool};
 use base64::{engine::general_purpose::STANDARD, Engine};
-use cypresscleat_scheduler::api::Outcome;
+use cypresscleat_scheduler::Outcome;
 use serde_json::{json, Value};
 use std::rc::Rc;
 
@@ -50,8 +50,8 @@
         ("REAP", Ok(how)) => {
             let how = match how {
                 "OK" => Outcome::Succeeded,
-                "ERROR" => Outcome::Errored,
-                "STOPPED" => Outcome::CalledOff,
+                "ERROR" => Outcome::Failed,
+                "STOPPED" => Outcome::Cancelled,
                 "MOOT" => Outcome::NotStarted,
                 _ => return Err(format!("how {how:?}")),
             };
@@ -144,9 +144,9 @@
                 Some(_) => NextReply::Broken(format!("{text:?} is not followed by its reply")),
             };
         }
-        [call, "queue_full"] => (call, Outcome::Throttled),
-        [call, "error"] => (call, Outcome::Errored),
-        [call, "expired"] => (call, Outcome::NoAnswer),
+        [call, "queue_full"] => (call, Outcome::Rejected),
+        [call, "error"] => (call, Outcome::Failed),
+        [call, "expired"] => (call, Outcome::TimedOut),
         [call, "moot"] => (call, Outcome::NotStarted),
         _ => return broken(),
     };
--- a/crates/server/src/listeners/mod.rs
+++ b/crates/server/src/listeners/mod.rs
@@ -12,7 +12,7 @@
 use crate::log;
 use crate::pool::SIZE;
 use cypresscleat_forwarding::ramp::Ramp;
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use cypresscleat_settings::Names;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/server/src/listeners/routes.rs
+++ b/crates/server/src/listeners/routes.rs
@@ -5,7 +5,7 @@
 use crate::frames::{is_word, TOKEN};
 use crate::pool::Buf;
 use cypresscleat_scgi::request::Request;
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use std::rc::Rc;
 
 /// A header, as the gateway names it, and what holds without it.
--- a/crates/server/src/listeners/scgi.rs
+++ b/crates/server/src/listeners/scgi.rs
@@ -11,7 +11,7 @@
 use crate::sockets::linger;
 use cypresscleat_scgi::request::{self, Reader};
 use cypresscleat_scgi::{response, Bounds};
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{self, ErrorKind};
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -3,7 +3,7 @@
 use cypresscleat_concurrency::Setup;
 use cypresscleat_forwarding::messages::Role;
 use cypresscleat_forwarding::retry;
-use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
+use cypresscleat_scheduler::{DownstreamKind, RequestClass, Settings, StopMode, Time};
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::clock::{unix, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
@@ -161,14 +161,14 @@
 /// The module of a forwarder: its cores are the places of all workers, and what runs there is no memory of its own.
 fn forwards(settings: Settings, tier: &Tier) -> Settings {
     let places: f64 = tier.workers.iter().map(|worker| worker.places).sum();
-    let plain = |op: &Operation| Operation { calls: false, ..op.clone() };
+    let plain = |op: &RequestClass| RequestClass { calls_downstream: false, ..op.clone() };
     Settings {
-        operations: settings.operations.iter().map(plain).collect(),
+        classes: settings.classes.iter().map(plain).collect(),
         cores: places,
-        cold: false,
-        blowup: 1.0,
-        halt: Halt::Discard,
-        below: Below::Nothing,
+        slow_start: false,
+        running_memory_factor: 1.0,
+        stop_mode: StopMode::Discard,
+        downstream: DownstreamKind::None,
         ..settings
     }
 }
@@ -271,7 +271,7 @@
     let names = Rc::new(config.names.clone());
     let taken = operator.scgi.as_ref().map_or(0, |scgi| scgi.connections);
     let most = config.sockets - calls - KEPT_BACK - taken;
-    let callers = config.settings.callers as usize;
+    let callers = config.settings.client_count as usize;
     let mut fronts =
         vec![Front::new(&shared, queue.clone(), clock, Speaks::Frames(names.clone()), (most, callers))];
     let mut accepting = vec![spawn_local(fronts[0].clone().accept(listener))];
@@ -316,7 +316,7 @@
         None => None,
         Some(tier) => {
             settings = forwards(settings, tier);
-            let value = settings.operations.iter().map(|op| op.billed).collect();
+            let value = settings.classes.iter().map(|op| op.priority_weight).collect();
             let fleet = Fleet::new((&config.name, tier), &shared, queue.clone(), clock, value, settings.seed);
             let mut talk = Talk::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
             talk.gate = gate.clone();
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -17,7 +17,7 @@
 use cypresscleat_rollout::{Missing, Rules, WatchRules};
 use cypresscleat_scgi::request::variable;
 use cypresscleat_scgi::{is_token, is_value, Bounds};
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use cypresscleat_settings::Names;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -12,7 +12,7 @@
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_rollout::{node_id, NodeId, Version, TEXT};
 use cypresscleat_rollout_relay::{Out, Relay as Decider};
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -11,7 +11,7 @@
 use crate::operator::{self, Wrong};
 use cypresscleat_concurrency::Setup;
 use cypresscleat_rollout::{Rules, Version};
-use cypresscleat_scheduler::api::Time;
+use cypresscleat_scheduler::Time;
 use cypresscleat_settings::Names;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/server/tests/core.rs
+++ b/crates/server/tests/core.rs
@@ -16,7 +16,7 @@
 //! What is written: `kernel MSG TXN [BODY]`, `NAME STREAM succeeded|throttled|errored [BODY]`, `ledger post TXN MS BODY`,
 //! `ledger abandon TXN`. A txn stands without its leading zeros.
 
-use cypresscleat_scheduler::api::{Outcome, Time};
+use cypresscleat_scheduler::{Outcome, Time};
 use cypresscleat_server::config;
 use cypresscleat_server::core::door::{Peer, Txn};
 use cypresscleat_server::core::{Command, Core, Note, Shared};
@@ -109,7 +109,7 @@
             ["ledger", call, how] => {
                 let (txn, reply) = (txn(call), (how == "posted").then(|| self.buf(b"reply")));
                 let how = match how {
-                    "unreached" => Outcome::NoConnection,
+                    "unreached" => Outcome::ConnectFailed,
                     "broken" => Outcome::ConnectionLost,
                     "posted" => Outcome::Succeeded,
                     word => match lines::reply(format!("{call} {word}\r\n").as_bytes(), SIZE) {
--- a/crates/server/tests/crossings.rs
+++ b/crates/server/tests/crossings.rs
@@ -529,7 +529,7 @@
 /// that and the call.
 #[test]
 fn a_call_crosses_the_close_of_its_connection() {
-    use cypresscleat_scheduler::api::Outcome;
+    use cypresscleat_scheduler::Outcome;
     use cypresscleat_server::config::{parse, Addresses};
     use cypresscleat_server::core::{Command, Note, Shared};
     use cypresscleat_server::downstream::ledger;
@@ -561,7 +561,7 @@
         assert_eq!(how().await, Outcome::Succeeded);
         let _kept = spoils(stream, spoilt);
         post(TWO, 2);
-        assert_eq!(how().await, Outcome::NoConnection, "{spoilt:?}: it is known that it never ran");
+        assert_eq!(how().await, Outcome::ConnectFailed, "{spoilt:?}: it is known that it never ran");
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     for spoilt in [Spoilt::Closed, Spoilt::Noise] {
--- a/crates/server/tests/parsers.rs
+++ b/crates/server/tests/parsers.rs
@@ -1,6 +1,6 @@
 //! The parsers, fed byte by byte and with bad input; bytes are written out as the protocol gives them.
 
-use cypresscleat_scheduler::api::Outcome;
+use cypresscleat_scheduler::Outcome;
 use cypresscleat_server::config;
 use cypresscleat_server::frames::{self, Next};
 use cypresscleat_server::lines::{self, NextReply, Notice};
@@ -79,9 +79,9 @@
     let NextReply::Reply(reply, size) = lines::reply(bytes, SIZE) else { panic!("no reply") };
     assert_eq!((reply.call, reply.how, reply.body, size), ("a1", Outcome::Succeeded, &b"x\r\ny"[..], 19));
     let NextReply::Reply(reply, 12) = lines::reply(&bytes[19..], SIZE) else { panic!("no reply") };
-    assert_eq!((reply.call, reply.how), ("a2", Outcome::NoAnswer));
+    assert_eq!((reply.call, reply.how), ("a2", Outcome::TimedOut));
     for (word, how) in
-        [("queue_full", Outcome::Throttled), ("error", Outcome::Errored), ("moot", Outcome::NotStarted)]
+        [("queue_full", Outcome::Rejected), ("error", Outcome::Failed), ("moot", Outcome::NotStarted)]
     {
         let line = format!("a1 {word}\r\n");
         assert!(
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -2,7 +2,7 @@
 //! store that fails.
 
 use cypresscleat_demo::{scgi_request, Gateway, Kernel, Place};
-use cypresscleat_scheduler::api::Effect;
+use cypresscleat_scheduler::RetrySafety;
 use cypresscleat_server::config;
 use cypresscleat_server::core::door::{Invocation, Peer};
 use cypresscleat_server::core::keeping::{Keeping, Loaded};
@@ -334,7 +334,7 @@
         }
         assert_eq!(core.owed(), 0);
     }
-    assert_ne!(Effect::Tokened, Effect::Idempotent);
+    assert_ne!(RetrySafety::IdempotencyKey, RetrySafety::Idempotent);
 }
 
 mod hours {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings of one app server from their JSON form, for every adapter; unknown keys are skipped,
 //! absent ones read as zero.
 
-use cypresscleat_scheduler::api::*;
+use cypresscleat_scheduler::*;
 use serde_json::Value;
 
 /// Nanoseconds in a tenth of a millisecond.
@@ -19,10 +19,10 @@
 /// Sets the gauge of that name; others are of no use to the module.
 pub fn set_gauge(read: &mut Gauges, name: &str, value: f64) {
     match name {
-        "core_use" => read.core_use = Some(value),
-        "on_cores" => read.on_cores = Some(value),
-        "heap_share" => read.memory = Some(value),
-        "links" => read.links = Some(value),
+        "core_use" => read.core_utilization = Some(value),
+        "on_cores" => read.runnable_tasks = Some(value),
+        "heap_share" => read.memory_share = Some(value),
+        "links" => read.connections = Some(value),
         _ => {}
     }
 }
@@ -62,65 +62,61 @@
         gauges,
     };
     let operation = |(at, row): (usize, &Value)| {
-        Ok(Operation {
-            objective: span(&row["aim_ns"]),
-            stretch: number(&row["aim_stretch"]),
+        Ok(RequestClass {
+            latency_objective: span(&row["aim_ns"]),
+            objective_per_work: number(&row["aim_stretch"]),
             timeout: span(&row["deadline_ns"]),
-            effect: match row["effect"].as_str() {
-                Some("retryable") => Effect::Idempotent,
-                Some("dedup") => Effect::Tokened,
-                Some("fragile") => Effect::NonIdempotent,
+            retry_safety: match row["effect"].as_str() {
+                Some("retryable") => RetrySafety::Idempotent,
+                Some("dedup") => RetrySafety::IdempotencyKey,
+                Some("fragile") => RetrySafety::NonIdempotent,
                 _ => return Err(format!("categories[{at}].effect is {}", row["effect"])),
             },
-            billed: number(&row["worth"]),
-            late: number(&row["late_worth"]),
-            skipped: number(&own["degraded_worth"][at]),
-            calls: flag(&own["class_calls"][at]),
-            window: span(&row["memory_span_ns"]),
+            priority_weight: number(&row["worth"]),
+            late_share: number(&row["late_worth"]),
+            degraded_share: number(&own["degraded_worth"][at]),
+            calls_downstream: flag(&own["class_calls"][at]),
+            retry_window: span(&row["memory_span_ns"]),
         })
     };
     let settings = Settings {
-        operations: rows(&all["categories"])
-            .iter()
-            .enumerate()
-            .map(operation)
-            .collect::<Result<_, String>>()?,
-        customers: rows(&all["customers"]).iter().map(|row| number(&row["allowance_per_s"])).collect(),
-        over_share: number(&all["over_share_worth"]),
-        by_work: all["counted_by"] == "work",
-        servers: number(&all["group_size"]),
-        callers: number(&own["upstreams"]),
+        classes: rows(&all["categories"]).iter().enumerate().map(operation).collect::<Result<_, String>>()?,
+        tenant_rates: rows(&all["customers"]).iter().map(|row| number(&row["allowance_per_s"])).collect(),
+        over_quota_share: number(&all["over_share_worth"]),
+        weight_per_work: all["counted_by"] == "work",
+        fleet_size: number(&all["group_size"]),
+        client_count: number(&own["upstreams"]),
         cores: number(&own["cores"]),
-        cold: flag(&own["cold"]),
-        cold_from: number(&rules["cold_from"]),
-        cold_for: span(&rules["cold_ns"]),
+        slow_start: flag(&own["cold"]),
+        slow_start_initial: number(&rules["cold_from"]),
+        slow_start_duration: span(&rules["cold_ns"]),
         memory_kb: number(&own["memory_kb"]),
-        entry_kb: number(&own["key_kb"]),
-        blowup: number(&own["blowup"]),
-        halt: match own["halt"].as_str() {
-            Some("discard") => Halt::Discard,
-            Some("freeze") => Halt::Freeze,
-            _ => Halt::Never,
+        retained_entry_kb: number(&own["key_kb"]),
+        running_memory_factor: number(&own["blowup"]),
+        stop_mode: match own["halt"].as_str() {
+            Some("discard") => StopMode::Discard,
+            Some("freeze") => StopMode::Freeze,
+            _ => StopMode::Unsupported,
         },
-        say: match own["say"].as_str() {
-            Some("floor") => Say::Floor,
-            Some("allowance") => Say::Allowance,
-            Some("weight") => Say::Weight,
-            _ => Say::Nothing,
+        load_feedback: match own["say"].as_str() {
+            Some("floor") => LoadFeedbackKind::PriorityFloor,
+            Some("allowance") => LoadFeedbackKind::ConcurrencyAllowance,
+            Some("weight") => LoadFeedbackKind::Weight,
+            _ => LoadFeedbackKind::None,
         },
-        below: match own["depends_on"].as_str() {
-            Some("tier") => Below::Tier,
-            Some("one_for_all") => Below::Shared,
-            _ => Below::Nothing,
+        downstream: match own["depends_on"].as_str() {
+            Some("tier") => DownstreamKind::Tier,
+            Some("one_for_all") => DownstreamKind::Shared,
+            _ => DownstreamKind::None,
         },
-        calls_out: number(&own["calls_out"]),
-        calls_over: span(&own["calls_over_ns"]),
-        lingers: span(&own["stays_for_ns"]),
-        fresh: span(&own["fresh_ns"]),
-        slack: span(&rules["answer_slack_ns"]),
+        shared_call_quota: number(&own["calls_out"]),
+        shared_call_window: span(&own["calls_over_ns"]),
+        abandoned_call_duration: span(&own["stays_for_ns"]),
+        result_freshness: span(&own["fresh_ns"]),
+        answer_slack: span(&rules["answer_slack_ns"]),
         drain_grace: span(&rules["stop_sending_within_ns"]),
-        tip: number(&rules["tip_multiple"]),
-        max_backoff: if flag(&all["limits"]["retry_after"]) {
+        overload_multiple: number(&rules["tip_multiple"]),
+        max_retry_after: if flag(&all["limits"]["retry_after"]) {
             span(&all["limits"]["max_retry_after_ns"])
         } else {
             0
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,7 @@
-//! Reads event batches, hosts one `Brain` per instance, writes one reply per batch. Decides nothing.
+//! Reads event batches, hosts one `Scheduler` per instance, writes one reply per batch. Decides nothing.
 
 use cypresscleat_concurrency::Setup;
-use cypresscleat_scheduler::api::*;
-use cypresscleat_scheduler::Brain;
+use cypresscleat_scheduler::*;
 use cypresscleat_settings::{self as settings, Names, NS};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -11,13 +10,13 @@
 /// Ids of one instance: words to indices and back; a freed index is used again.
 #[derive(Default)]
 struct Ids {
-    index: HashMap<String, Inv>,
+    index: HashMap<String, RequestSlot>,
     words: Vec<String>,
-    free: Vec<Inv>,
+    free: Vec<RequestSlot>,
 }
 
 impl Ids {
-    fn open(&mut self, word: &str) -> Inv {
+    fn open(&mut self, word: &str) -> RequestSlot {
         let inv = self.free.pop().unwrap_or_else(|| {
             self.words.push(String::new());
             self.words.len() - 1
@@ -35,59 +34,59 @@
 }
 
 impl Wire<'_> {
-    fn line(&mut self, name: &str, inv: Inv, rest: std::fmt::Arguments) {
+    fn line(&mut self, name: &str, inv: RequestSlot, rest: std::fmt::Arguments) {
         let _ = writeln!(self.out, "{name} {} {}{rest}", self.who, self.ids.words[inv]);
     }
 }
 
 impl Host for Wire<'_> {
-    fn run(&mut self, inv: Inv) {
+    fn run(&mut self, inv: RequestSlot) {
         self.line("ADMIT", inv, format_args!(""));
     }
-    fn throttle(&mut self, inv: Inv, back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
         self.line("REJECT", inv, format_args!(" {} {}", back * NS, give_up as u8));
     }
-    fn error(&mut self, inv: Inv) {
+    fn fail(&mut self, inv: RequestSlot) {
         self.line("DROP_REQUEST", inv, format_args!(""));
     }
-    fn stop(&mut self, inv: Inv) {
+    fn stop(&mut self, inv: RequestSlot) {
         self.line("YANK", inv, format_args!(""));
     }
-    fn call(&mut self, inv: Inv, within: Time) {
+    fn call(&mut self, inv: RequestSlot, within: Time) {
         self.line("REACH_OUT", inv, format_args!(" {}", within * NS));
     }
-    fn skip_call(&mut self, inv: Inv) {
+    fn skip_call(&mut self, inv: RequestSlot) {
         self.line("SKIP", inv, format_args!(""));
     }
-    fn keep(&mut self, inv: Inv, span: Time) {
+    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
         self.line("RETAIN", inv, format_args!(" {}", span * NS));
     }
-    fn reuse(&mut self, inv: Inv) {
+    fn replay_result(&mut self, inv: RequestSlot) {
         self.line("ANSWER_FROM", inv, format_args!(""));
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         let _ = writeln!(self.out, "SET_HEALTH {} {} {}", self.who, good as u8, stored as u8);
     }
-    fn advertise(&mut self, value: f64) {
+    fn send_load_feedback(&mut self, value: f64) {
         let _ = writeln!(self.out, "HINT_OUT {} {value:.4}", self.who);
     }
-    fn close_idle(&mut self, after: Time) {
+    fn close_idle_connections(&mut self, after: Time) {
         let _ = writeln!(self.out, "CLOSE_IDLE {} {}", self.who, after * NS);
     }
-    fn wake(&mut self, after: Time) {
+    fn set_timer(&mut self, after: Time) {
         let _ = writeln!(self.out, "SET_TIMER {} {} 1", self.who, after * NS);
     }
     fn log(&mut self, line: &str) {
         let _ = writeln!(self.out, "EMIT {} {line}", self.who);
     }
-    fn release(&mut self, inv: Inv) {
+    fn release(&mut self, inv: RequestSlot) {
         self.ids.index.remove(&self.ids.words[inv]);
         self.ids.free.push(inv);
     }
 }
 
 struct Instance {
-    brain: Brain,
+    scheduler: Scheduler,
     ids: Ids,
     names: Names,
 }
@@ -135,12 +134,12 @@
 fn outcome(word: &str) -> Result<Outcome, String> {
     Ok(match word {
         "served" => Outcome::Succeeded,
-        "server_error" => Outcome::Errored,
-        "turned_away" => Outcome::Throttled,
-        "no_answer" => Outcome::NoAnswer,
-        "no_connection" => Outcome::NoConnection,
+        "server_error" => Outcome::Failed,
+        "turned_away" => Outcome::Rejected,
+        "no_answer" => Outcome::TimedOut,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::ConnectionLost,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotStarted,
         _ => return Err(format!("outcome is {word:?}")),
     })
@@ -172,7 +171,20 @@
         Some(name) => Some(place(&at.names.customers, name, "customer")?),
     };
     let inv = at.ids.open(word);
-    Ok(Arrival { inv, op, customer, budget, rank, repeats, keyed, unread, write, resent, hint, kb })
+    Ok(Arrival {
+        slot: inv,
+        class: op,
+        tenant: customer,
+        remaining_timeout: budget,
+        client_priority: rank,
+        earlier_attempt: repeats,
+        has_idempotency_key: keyed,
+        time_unread: unread,
+        is_write: write,
+        is_retry: resent,
+        expected_work: hint,
+        memory_kb: kb,
+    })
 }
 
 fn event(
@@ -191,14 +203,14 @@
         let (mut settings, names) =
             settings::read_text(&line[start..], seed).map_err(|what| format!("boot_info: {what}"))?;
         if pooled {
-            let operations = &settings.operations;
-            let objectives: Vec<Time> = operations.iter().map(|op| op.objective).collect();
-            let billed: Vec<f64> = operations.iter().map(|op| op.billed).collect();
+            let operations = &settings.classes;
+            let objectives: Vec<Time> = operations.iter().map(|op| op.latency_objective).collect();
+            let billed: Vec<f64> = operations.iter().map(|op| op.priority_weight).collect();
             settings.pools = Setup::ruled(&objectives, &billed);
         }
         let mut ids = Ids::default();
-        let brain = Brain::start(now, settings, &mut Wire { out, who, ids: &mut ids });
-        hosted.insert(who, Instance { brain, ids, names });
+        let scheduler = Scheduler::start(now, settings, &mut Wire { out, who, ids: &mut ids });
+        hosted.insert(who, Instance { scheduler, ids, names });
         return Ok(());
     }
     let at = hosted.get_mut(&who).ok_or_else(|| format!("no instance {who} is open"))?;
@@ -212,12 +224,12 @@
             let read = gauges(values.maybe());
             // The timer must go on whatever the gauges say.
             let known = read.as_ref().copied().unwrap_or_default();
-            at.brain.tick(now, known, &mut Wire { out, who, ids: &mut at.ids });
+            at.scheduler.tick(now, known, &mut Wire { out, who, ids: &mut at.ids });
             return read.map(|_| ());
         }
         "LEAVING" => {
             let within = values.span("budget_ns")?;
-            at.brain.leaving(now, within, &mut Wire { out, who, ids: &mut at.ids });
+            at.scheduler.start_draining(now, within, &mut Wire { out, who, ids: &mut at.ids });
             return Ok(());
         }
         _ => {}
@@ -230,21 +242,21 @@
             what
         };
         let arrival = arrival(at, word, &mut values).map_err(owed)?;
-        at.brain.arrived(now, arrival, &mut Wire { out, who, ids: &mut at.ids });
+        at.scheduler.handle_arrival(now, arrival, &mut Wire { out, who, ids: &mut at.ids });
         return Ok(());
     }
     // An id that is no longer known was released: its late events concern nobody.
     let inv = at.ids.index.get(word).copied();
     let mut host = Wire { out, who, ids: &mut at.ids };
     match name {
-        "NEEDS_DEP" => inv.map(|inv| at.brain.needs_call(now, inv, &mut host)),
-        "CLIENT_LEFT" => inv.map(|inv| at.brain.caller_left(now, inv, &mut host)),
+        "NEEDS_DEP" => inv.map(|inv| at.scheduler.handle_call_needed(now, inv, &mut host)),
+        "CLIENT_LEFT" => inv.map(|inv| at.scheduler.handle_client_disconnect(now, inv, &mut host)),
         "CALL_DONE" | "DONE" => {
             let how = outcome(values.word("code")?)?;
             let took = values.span("time_taken_ns")?;
             match name {
-                "DONE" => inv.map(|inv| at.brain.run_ended(now, inv, how, &mut host)),
-                _ => inv.map(|inv| at.brain.call_ended(now, inv, how, took, &mut host)),
+                "DONE" => inv.map(|inv| at.scheduler.handle_run_completed(now, inv, how, &mut host)),
+                _ => inv.map(|inv| at.scheduler.handle_call_completed(now, inv, how, took, &mut host)),
             }
         }
         _ => return Err(format!("unknown message {name:?}")),
