--- a/crates/experiments/src/drive.rs
+++ b/crates/experiments/src/drive.rs
@@ -116,11 +116,12 @@
         let left = job.left;
         self.worker.start(inv, left);
     }
-    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
-        self.asks("throttle", inv, back * 2 + i64::from(give_up));
+    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+        let told = rejection.retry_after * 2 + i64::from(rejection.no_retry_elsewhere);
+        self.asks("throttle", inv, told);
         self.answer(inv, Answer::Throttled);
     }
-    fn fail(&mut self, inv: RequestSlot) {
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
         self.asks("error", inv, 0);
         self.answer(inv, Answer::Errored);
         // One that waits for its call is ended by whoever runs it, as nobody waits any more.
@@ -158,7 +159,7 @@
         self.asks("wake", 0, after);
         self.wake = self.now + after;
     }
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &SchedulerEvent) {}
     fn release(&mut self, inv: RequestSlot) {
         self.asks("release", inv, 0);
         if let Some(job) = self.jobs.remove(&inv) {
--- a/crates/experiments/src/scale/tenants.rs
+++ b/crates/experiments/src/scale/tenants.rs
@@ -21,8 +21,8 @@
     fn run(&mut self, inv: RequestSlot) {
         self.run = Some(inv);
     }
-    fn reject(&mut self, _: RequestSlot, _: Time, _: bool) {}
-    fn fail(&mut self, _: RequestSlot) {}
+    fn reject(&mut self, _: RequestSlot, _: Rejection) {}
+    fn fail(&mut self, _: RequestSlot, _: FailReason) {}
     fn stop(&mut self, _: RequestSlot) {}
     fn call(&mut self, _: RequestSlot, _: Time) {}
     fn skip_call(&mut self, _: RequestSlot) {}
@@ -34,7 +34,7 @@
     fn set_timer(&mut self, after: Time) {
         self.wake = after;
     }
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &SchedulerEvent) {}
     fn release(&mut self, _: RequestSlot) {}
 }
 
--- a/crates/experiments/tests/pools.rs
+++ b/crates/experiments/tests/pools.rs
@@ -198,10 +198,10 @@
     fn run(&mut self, inv: RequestSlot) {
         self.0.push(format!("run {inv}"));
     }
-    fn reject(&mut self, inv: RequestSlot, _: Time, _: bool) {
+    fn reject(&mut self, inv: RequestSlot, _: Rejection) {
         self.0.push(format!("throttle {inv}"));
     }
-    fn fail(&mut self, inv: RequestSlot) {
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
         self.0.push(format!("error {inv}"));
     }
     fn stop(&mut self, _: RequestSlot) {}
@@ -213,8 +213,8 @@
     fn send_load_feedback(&mut self, _: f64) {}
     fn close_idle_connections(&mut self, _: Time) {}
     fn set_timer(&mut self, _: Time) {}
-    fn log(&mut self, line: &str) {
-        self.0.push(line.into());
+    fn log(&mut self, event: &SchedulerEvent) {
+        self.0.push(event.to_string());
     }
     fn release(&mut self, _: RequestSlot) {}
 }
--- /dev/null
+++ b/crates/scheduler/src/admission/deduplication.rs
@@ -0,0 +1,100 @@
+//! Deduplication: a retry of a request with an idempotency key never runs beside or after the first attempt; it gets the
+//! first one's result.
+
+use super::AdmissionStep;
+use crate::host::Host;
+use crate::reasons::{FailReason, RejectReason};
+use crate::request_table::{runs_once, Phase};
+use crate::scheduler::Scheduler;
+use crate::types::{Arrival, EarlierAttempt, RetrySafety, Time};
+
+/// Owns the setting of the rule; the retained entries stand in the request table.
+#[derive(Default)]
+pub(crate) struct Deduplication {
+    /// How long results of idempotent reads may be replayed; 0 where they may not.
+    result_freshness: Time,
+}
+
+/// What became of the earlier attempt.
+enum EarlierResult {
+    /// It ended without having run.
+    NeverRan,
+    /// It ran and ended without success.
+    Failed,
+    /// It succeeded, is still open, or was released after it had run.
+    Usable,
+}
+
+impl Deduplication {
+    pub(crate) fn new(result_freshness: Time) -> Deduplication {
+        Deduplication { result_freshness }
+    }
+}
+
+/// Links a retry to its earlier attempt, and retains an entry where retries of this request may follow.
+pub(crate) fn admit(
+    scheduler: &mut Scheduler,
+    now: Time,
+    arrival: &Arrival,
+    host: &mut dyn Host,
+) -> AdmissionStep {
+    let retry_safety = scheduler.estimates.class(arrival.class).retry_safety;
+    match scheduler.earlier_result(arrival.earlier_attempt) {
+        Some(EarlierResult::Failed) if runs_once(retry_safety) => {
+            scheduler.requests.edit(arrival.slot, |request| request.has_run = true); // an attempt of it has
+            scheduler.fail(now, arrival.slot, FailReason::EarlierAttemptFailed, host);
+            return AdmissionStep::Ended;
+        }
+        Some(EarlierResult::Usable) => {
+            scheduler.transition(now, arrival.slot, Phase::AwaitingResult);
+            host.replay_result(arrival.slot);
+            scheduler.arm_timer(now, arrival.slot);
+            return AdmissionStep::Queued;
+        }
+        Some(EarlierResult::Failed | EarlierResult::NeverRan) | None => {}
+    }
+    let duration = scheduler.retention(arrival);
+    if duration <= 0 {
+        return AdmissionStep::Continue;
+    }
+    if scheduler.requests.used_memory_kb() + scheduler.requests.retained_entry_kb()
+        > scheduler.memory.limit_kb()
+    {
+        if retry_safety != RetrySafety::IdempotencyKey {
+            return AdmissionStep::Continue;
+        }
+        // Guards against a second execution: without room for its entry, a retry would not be recognized.
+        scheduler.reject(now, arrival.slot, RejectReason::IdempotencyTableFull, host);
+        return AdmissionStep::Ended;
+    }
+    host.retain_for_retries(arrival.slot, duration);
+    scheduler.requests.retain(arrival.slot, now + duration);
+    AdmissionStep::Continue
+}
+
+impl Scheduler {
+    fn earlier_result(&self, attempt: EarlierAttempt) -> Option<EarlierResult> {
+        let earlier = match attempt {
+            EarlierAttempt::None => return None,
+            EarlierAttempt::Released => None,
+            EarlierAttempt::Known(slot) => self.requests.get(slot),
+        };
+        Some(match earlier.filter(|earlier| earlier.phase == Phase::Finished) {
+            Some(earlier) if !earlier.has_run => EarlierResult::NeverRan,
+            Some(earlier) if !earlier.has_succeeded => EarlierResult::Failed,
+            _ => EarlierResult::Usable,
+        })
+    }
+
+    /// How long an entry is retained for retries of this request.
+    fn retention(&self, arrival: &Arrival) -> Time {
+        let class = self.estimates.class(arrival.class);
+        let freshness = self.deduplication.result_freshness;
+        let may_replay = freshness > 0 && arrival.has_idempotency_key && !arrival.is_write;
+        match class.retry_safety {
+            RetrySafety::IdempotencyKey => class.retry_window,
+            RetrySafety::Idempotent if may_replay => freshness + class.latency_objective,
+            _ => 0,
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/admission/draining.rs
@@ -0,0 +1,80 @@
+//! Draining: after a termination notice the server finishes what it has, takes what clients still send within the grace,
+//! and rejects the rest.
+
+use super::AdmissionStep;
+use crate::events::SchedulerEvent;
+use crate::host::Host;
+use crate::reasons::RejectReason;
+use crate::scheduler::Scheduler;
+use crate::types::{Arrival, RequestSlot, Time};
+
+/// Answers at a deadline come up to one tick late; the stop is brought forward by this many.
+const STOP_MARGIN_TICKS: Time = 2;
+
+/// Owns the state of draining.
+#[derive(Default)]
+pub(crate) struct Draining {
+    grace: Time,
+    /// `None` until the termination notice.
+    window: Option<DrainWindow>,
+}
+
+#[derive(Clone, Copy)]
+struct DrainWindow {
+    /// What arrives from then on is rejected.
+    grace_until: Time,
+    /// Everything is answered by then.
+    stop_at: Time,
+}
+
+impl Draining {
+    pub(crate) fn new(grace: Time) -> Draining {
+        Draining { grace, window: None }
+    }
+
+    pub(crate) fn is_draining(&self) -> bool {
+        self.window.is_some()
+    }
+}
+
+/// While draining, rejects what arrived after the grace or comes when the stop has been reached, and brings the deadline
+/// of the rest forward to the stop.
+pub(crate) fn admit(
+    scheduler: &mut Scheduler,
+    now: Time,
+    arrival: &Arrival,
+    host: &mut dyn Host,
+) -> AdmissionStep {
+    let Some(window) = scheduler.draining.window else { return AdmissionStep::Continue };
+    let Some(request) = scheduler.requests.get_mut(arrival.slot) else { return AdmissionStep::Ended };
+    request.deadline = request.deadline.min(window.stop_at).max(now);
+    request.objective_at = request.objective_at.min(window.stop_at);
+    if request.arrived_at >= window.grace_until || now >= window.stop_at {
+        scheduler.reject(now, arrival.slot, RejectReason::Draining, host);
+        return AdmissionStep::Ended;
+    }
+    AdmissionStep::Continue
+}
+
+impl Scheduler {
+    /// The termination notice: the server will be stopped after `within`. Health checks fail from now on, and everything
+    /// is answered before the stop.
+    pub fn start_draining(&mut self, now: Time, within: Time, host: &mut impl Host) {
+        let stop_at = now + within - STOP_MARGIN_TICKS * self.timers.interval();
+        self.draining.window = Some(DrainWindow { grace_until: now + self.draining.grace, stop_at });
+        host.set_health(false, true);
+        let (queued, active) = (self.requests.queued().len(), self.requests.active().len());
+        host.log(&SchedulerEvent::DrainingStarted { queued, active, within });
+        let open: Vec<RequestSlot> =
+            self.requests.queued().iter().chain(self.requests.active()).copied().collect();
+        for slot in open {
+            self.requests.edit(slot, |request| {
+                request.deadline = request.deadline.min(stop_at);
+                request.objective_at = request.objective_at.min(stop_at);
+            });
+            self.arm_timer(now, slot);
+        }
+        self.send_load_feedback(now, host);
+        self.dispatch(now, host);
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/admission/queue.rs
@@ -0,0 +1,83 @@
+//! Queue: no longer than the latency objectives allow. What must be shed is the lowest priority first, then the newest.
+
+use super::AdmissionStep;
+use crate::host::Host;
+use crate::reasons::RejectReason;
+use crate::request_table::{Phase, RequestState};
+use crate::scheduler::Scheduler;
+use crate::types::{Arrival, RequestSlot, Time};
+
+/// The queue's wait may take this part of the shortest latency objective.
+pub(crate) const MAX_WAIT_PER_SHORTEST_OBJECTIVE: f64 = 0.3;
+/// The queue's wait, and that for downstream calls, may take this part of a request's own slack.
+const MAX_WAIT_PER_SLACK: f64 = 0.5;
+/// Requests over their tenant's quota join only this part of the queue, which they else would fill.
+const OVER_QUOTA_QUEUE_SHARE: f64 = 0.6;
+
+/// Sheds queued requests until the arriving one fits, or is shed itself; then it is queued.
+pub(crate) fn admit(
+    scheduler: &mut Scheduler,
+    now: Time,
+    arrival: &Arrival,
+    host: &mut dyn Host,
+) -> AdmissionStep {
+    loop {
+        let queued = scheduler.requests.get(arrival.slot).filter(|request| request.phase == Phase::Queued);
+        let Some(request) = queued else { return AdmissionStep::Ended };
+        let reason = if scheduler.calls_are_backed_up(now, arrival.slot, request) {
+            RejectReason::CallQueueFull
+        } else if scheduler.has_room(now, request) {
+            break;
+        } else {
+            RejectReason::QueueFull
+        };
+        let Some(victim) = scheduler.lowest_priority(arrival.class, reason) else { break };
+        let within_quota = scheduler.requests.get(victim).is_some_and(|victim| victim.within_quota);
+        scheduler.load_feedback.count_shed(within_quota);
+        scheduler.reject(now, victim, reason, host);
+    }
+    scheduler.arm_timer(now, arrival.slot);
+    AdmissionStep::Queued
+}
+
+impl Scheduler {
+    /// Whether the downstream call of this request could not be made in time.
+    fn calls_are_backed_up(&self, now: Time, slot: RequestSlot, request: &RequestState) -> bool {
+        let slack = (request.objective_at - now) as f64;
+        self.calls_downstream(slot) && self.call_queue_wait() > MAX_WAIT_PER_SLACK * slack
+    }
+
+    /// Whether places are free for all that is queued, or the wait before this request fits its slack and the shortest
+    /// objective.
+    fn has_room(&self, now: Time, request: &RequestState) -> bool {
+        let limit = self.concurrency_limit.limit();
+        let has_free_places = limit - self.requests.running() as f64 >= self.requests.queued().len() as f64;
+        let share = if request.within_quota { 1.0 } else { OVER_QUOTA_QUEUE_SHARE };
+        let slack = (request.objective_at - now) as f64 - self.estimates.service_time(request);
+        let max_wait = (MAX_WAIT_PER_SLACK * slack)
+            .min(self.shortest_objective * MAX_WAIT_PER_SHORTEST_OBJECTIVE)
+            * share;
+        let common = (self.requests.queued_work(), limit);
+        let (work, places) = self.pools.line_of(request.class, request.within_quota).unwrap_or(common);
+        let pace = self.estimates.pace();
+        let wait = work * pace / places - request.scaled_work * pace / places;
+        has_free_places || wait <= max_wait.max(0.0)
+    }
+
+    /// The queued request that is shed next, of those that stand in one queue with `class`.
+    fn lowest_priority(&self, class: usize, reason: RejectReason) -> Option<RequestSlot> {
+        let only_callers = reason == RejectReason::CallQueueFull;
+        let is_candidate = |slot: &RequestSlot| {
+            let request = self.requests.get(*slot);
+            (!only_callers || self.calls_downstream(*slot))
+                && request.is_some_and(|request| self.pools.together(request.class, class))
+        };
+        let candidates = self.requests.queued().iter().copied().filter(is_candidate);
+        candidates.min_by(|a, b| self.requests.compare_priority(*a, *b))
+    }
+
+    /// Time until a request that joined the queue now would start, at the present pace.
+    pub(crate) fn queue_wait(&self) -> f64 {
+        self.requests.queued_work() * self.estimates.pace() / self.concurrency_limit.limit()
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/completion.rs
@@ -0,0 +1,141 @@
+//! Completion: the end of a run, the final answers made here, and the release of a request.
+
+use crate::host::{Host, Rejection};
+use crate::reasons::{FailReason, RejectReason};
+use crate::request_table::{runs_once, Phase};
+use crate::scheduler::Scheduler;
+use crate::types::{Outcome, RequestSlot, StopMode, Time};
+use crate::COMPLETION_STAGES;
+
+/// A stage of completion.
+pub(crate) type CompletionStage = fn(&mut Scheduler, Time, RequestSlot, Outcome);
+
+/// Counts a call as abandoned where the run ended before it, and records the time spent at calls.
+pub(crate) fn record_calls(scheduler: &mut Scheduler, now: Time, slot: RequestSlot, outcome: Outcome) {
+    if scheduler.requests.get(slot).is_some_and(|request| request.phase == Phase::Calling) {
+        scheduler.count_abandoned_call(now);
+    }
+    if let Some(request) = scheduler.requests.get(slot).filter(|_| outcome == Outcome::Succeeded) {
+        scheduler.estimates.record_parked_time(request.class, request.parked_time as f64);
+    }
+}
+
+/// Records the running time of a request that succeeded.
+pub(crate) fn record_run(scheduler: &mut Scheduler, now: Time, slot: RequestSlot, outcome: Outcome) {
+    let Some(request) = scheduler.requests.get_mut(slot) else { return };
+    request.has_succeeded = outcome == Outcome::Succeeded;
+    if request.has_succeeded && request.phase == Phase::Running {
+        let (class, work) = (request.class, request.expected_work);
+        let running_time = request.running_time + now - request.running_since;
+        scheduler.estimates.record_run(class, running_time, work);
+        scheduler.pools.ended(class, running_time, work);
+    }
+}
+
+impl Scheduler {
+    /// The run of a request ended.
+    pub fn handle_run_completed(
+        &mut self,
+        now: Time,
+        slot: RequestSlot,
+        outcome: Outcome,
+        host: &mut impl Host,
+    ) {
+        let open = self.requests.get(slot).filter(|request| request.phase != Phase::Finished);
+        if open.is_none() {
+            return;
+        }
+        for stage in COMPLETION_STAGES {
+            stage(self, now, slot, outcome);
+        }
+        let has_ended = matches!(outcome, Outcome::Succeeded | Outcome::Failed | Outcome::NotStarted);
+        if has_ended || self.requests.get(slot).is_some_and(|request| request.is_answered) {
+            self.finish(now, slot, host);
+        } else {
+            // Stopped without an answer: it counts as queued again, and is ended there.
+            self.transition(now, slot, Phase::Queued);
+            self.reject(now, slot, RejectReason::StoppedWithoutAnswer, host);
+        }
+        self.dispatch_calls(now, host);
+        self.dispatch(now, host);
+    }
+
+    /// The client of a request disconnected. The request counts as answered; it is stopped where that does no harm.
+    pub fn handle_client_disconnect(&mut self, now: Time, slot: RequestSlot, host: &mut impl Host) {
+        let Some(request) = self.requests.get_mut(slot) else { return };
+        let (phase, class, was_answered) = (request.phase, request.class, request.is_answered);
+        request.is_answered = true;
+        let may_stop = !was_answered
+            && !runs_once(self.estimates.class(class).retry_safety)
+            && self.stop_mode != StopMode::Unsupported;
+        match phase {
+            Phase::Queued | Phase::AwaitingResult => self.finish(now, slot, host),
+            Phase::Running if may_stop => host.stop(slot),
+            _ => self.requests.withdraw_call(slot),
+        }
+        self.dispatch(now, host);
+    }
+
+    /// Rejects a request with a Retry-After; fails it where it has run and must not run again, or is past the queue.
+    ///
+    /// Unless this server drains, clients are asked not to try elsewhere. Guards a full fleet against clients that walk
+    /// through its list, where each attempt costs its reading and a connection.
+    pub(crate) fn reject(&mut self, now: Time, slot: RequestSlot, reason: RejectReason, host: &mut dyn Host) {
+        let retry_after = self.retry_after();
+        let no_retry_elsewhere = !self.draining.is_draining();
+        let open = self.requests.get_mut(slot).filter(|request| !request.is_answered);
+        let Some(request) = open else { return };
+        let class = request.class;
+        let must_not_run_again = request.has_run && runs_once(self.estimates.class(class).retry_safety);
+        if must_not_run_again || request.phase != Phase::Queued {
+            return self.fail(now, slot, FailReason::CannotBeRejected(reason), host);
+        }
+        request.is_answered = true;
+        if let (true, Some(tenant)) = (request.within_quota, request.tenant) {
+            self.quota.refund(tenant);
+        }
+        self.pools.spoilt(class);
+        host.reject(slot, Rejection { retry_after, no_retry_elsewhere, reason });
+        self.finish(now, slot, host);
+    }
+
+    /// The Retry-After of a rejection: the time that the queue needs; while draining, the longest that is honoured.
+    fn retry_after(&self) -> Time {
+        if self.draining.is_draining() {
+            return self.max_retry_after;
+        }
+        (self.queue_wait() as Time).clamp(0, self.max_retry_after)
+    }
+
+    /// Answers with an error; running work is stopped where that is possible.
+    pub(crate) fn fail(&mut self, now: Time, slot: RequestSlot, reason: FailReason, host: &mut dyn Host) {
+        let open = self.requests.get_mut(slot).filter(|request| !request.is_answered);
+        let Some(request) = open else { return };
+        request.is_answered = true;
+        let phase = request.phase;
+        self.pools.spoilt(request.class);
+        host.fail(slot, reason);
+        match phase {
+            Phase::Queued | Phase::AwaitingResult => self.finish(now, slot, host),
+            Phase::Running if self.stop_mode != StopMode::Unsupported => host.stop(slot),
+            _ => self.requests.withdraw_call(slot),
+        }
+    }
+
+    /// Nothing is left of a request but, for a while, its retained entry.
+    fn finish(&mut self, now: Time, slot: RequestSlot, host: &mut dyn Host) {
+        self.transition(now, slot, Phase::Finished);
+        match self.requests.get(slot) {
+            Some(request) if request.retained_until > now => self.arm_timer(now, slot),
+            _ => self.release(slot, host),
+        }
+    }
+
+    /// The one place where a request and its slot are given back.
+    pub(crate) fn release(&mut self, slot: RequestSlot, host: &mut dyn Host) {
+        if let Some(request) = self.requests.remove(slot) {
+            self.timers.cancel(request.timer_at, slot);
+            host.release(slot);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/estimates.rs
@@ -0,0 +1,137 @@
+//! Measured estimates: how long requests of each class run, and how fast this server works through expected work.
+
+use crate::request_table::{Phase, RequestState, RequestTable};
+use crate::types::{RequestClass, Time};
+use cypresscleat_primitives::SECOND;
+
+/// Decay of the measured sums, per second.
+const ESTIMATE_DECAY_PER_SECOND: f64 = 0.8;
+/// Weight of the newest sample in smoothed means.
+const SMOOTHING_FACTOR: f64 = 0.1;
+/// Weight of the start value (ratio 1) in measured ratios, in tenths of a millisecond of work.
+const PRIOR_WORK: f64 = 4000.0;
+/// A class's scale stays within this factor of 1 either way. Guards the ranking against one odd period.
+const MAX_WORK_SCALE: f64 = 4.0;
+/// Expected work of a request that tells none, in tenths of a millisecond. Only its ratio to the measured run time
+/// counts.
+const DEFAULT_EXPECTED_WORK: f64 = 2000.0;
+
+/// Moves a smoothed mean towards a sample.
+pub(crate) fn smooth(mean: &mut f64, sample: f64) {
+    *mean += (sample - *mean) * SMOOTHING_FACTOR;
+}
+
+/// The part of a measured sum that is left after `elapsed`.
+pub(crate) fn decay(elapsed: f64) -> f64 {
+    ESTIMATE_DECAY_PER_SECOND.powf(elapsed / SECOND as f64)
+}
+
+/// A request class and what was measured of it.
+struct ClassState {
+    config: RequestClass,
+    /// Decaying sum of the time that requests ran, in tenths of a millisecond.
+    run_time: f64,
+    /// Decaying sum of the work expected of the same requests.
+    expected_work: f64,
+    /// Run time for a unit of expected work, against the other classes.
+    work_scale: f64,
+    /// Mean time that a request spends at downstream calls.
+    mean_parked_time: f64,
+}
+
+/// Owns the request classes and the measurements of their runs.
+#[derive(Default)]
+pub(crate) struct Estimates {
+    classes: Vec<ClassState>,
+    pace: f64,
+}
+
+impl Estimates {
+    pub(crate) fn new(classes: &[RequestClass]) -> Estimates {
+        let state = |class: &RequestClass| ClassState {
+            config: class.clone(),
+            run_time: 0.0,
+            expected_work: 0.0,
+            work_scale: 1.0,
+            mean_parked_time: 0.0,
+        };
+        Estimates { classes: classes.iter().map(state).collect(), pace: 1.0 }
+    }
+
+    /// The configuration of a class.
+    pub(crate) fn class(&self, class: usize) -> &RequestClass {
+        &self.classes[class].config
+    }
+
+    pub(crate) fn classes(&self) -> impl Iterator<Item = &RequestClass> {
+        self.classes.iter().map(|class| &class.config)
+    }
+
+    pub(crate) fn class_count(&self) -> usize {
+        self.classes.len()
+    }
+
+    /// Running time for a unit of scaled work.
+    pub(crate) fn pace(&self) -> f64 {
+        self.pace
+    }
+
+    /// The work told by a client, or the default.
+    pub(crate) fn expected_work(told: Option<f64>) -> f64 {
+        told.unwrap_or(DEFAULT_EXPECTED_WORK).max(1.0)
+    }
+
+    /// Work scaled by the measurements of its class.
+    pub(crate) fn scaled_work(&self, class: usize, work: f64) -> f64 {
+        work * self.classes[class].work_scale
+    }
+
+    /// Time that a request needs from its start: its run and its downstream calls.
+    pub(crate) fn service_time(&self, request: &RequestState) -> f64 {
+        request.scaled_work * self.pace + self.classes[request.class].mean_parked_time
+    }
+
+    /// Records the run of a request that succeeded.
+    pub(crate) fn record_run(&mut self, class: usize, running_time: Time, expected_work: f64) {
+        self.classes[class].run_time += running_time as f64;
+        self.classes[class].expected_work += expected_work;
+    }
+
+    /// Records the time that a request which succeeded spent at downstream calls.
+    pub(crate) fn record_parked_time(&mut self, class: usize, parked_time: f64) {
+        smooth(&mut self.classes[class].mean_parked_time, parked_time);
+    }
+
+    /// Computes the scales of the classes and the pace over the same period.
+    pub(crate) fn update(&mut self, now: Time, elapsed: f64, requests: &RequestTable) {
+        let keep = decay(elapsed);
+        for class in &mut self.classes {
+            class.run_time *= keep;
+            class.expected_work *= keep;
+        }
+        let (run_time, expected) = self
+            .classes
+            .iter()
+            .fold((0.0, 0.0), |sum, class| (sum.0 + class.run_time, sum.1 + class.expected_work));
+        for class in &mut self.classes {
+            let own = (class.run_time + PRIOR_WORK) / (class.expected_work + PRIOR_WORK);
+            let others =
+                (run_time - class.run_time + PRIOR_WORK) / (expected - class.expected_work + PRIOR_WORK);
+            class.work_scale = (own / others).clamp(1.0 / MAX_WORK_SCALE, MAX_WORK_SCALE);
+        }
+        let scaled: f64 = self.classes.iter().map(|class| class.expected_work * class.work_scale).sum();
+        let completed_pace = (run_time + PRIOR_WORK) / (scaled + PRIOR_WORK);
+        self.pace = completed_pace.max(pace_of_active(now, requests));
+    }
+}
+
+/// The pace of what still runs. A server that has just turned slow completes little; what runs shows it already.
+fn pace_of_active(now: Time, requests: &RequestTable) -> f64 {
+    let (mut elapsed, mut work) = (0.0, 0.0);
+    for request in requests.active_states() {
+        let current = if request.phase == Phase::Running { now - request.running_since } else { 0 };
+        elapsed += (request.running_time + current) as f64;
+        work += request.scaled_work;
+    }
+    (elapsed + PRIOR_WORK) / (work + PRIOR_WORK)
+}
--- /dev/null
+++ b/crates/scheduler/src/load_feedback.rs
@@ -0,0 +1,143 @@
+//! Load feedback: tells clients how much to send, less while requests within quota are shed, then slowly more; and logs
+//! when shedding or slow calls begin and end.
+
+use crate::admission::queue::MAX_WAIT_PER_SHORTEST_OBJECTIVE;
+use crate::events::SchedulerEvent;
+use crate::host::Host;
+use crate::scheduler::Scheduler;
+use crate::settings::Settings;
+use crate::types::{LoadFeedbackKind, Time};
+
+/// Time between two feedbacks, in tenths of a millisecond.
+pub(crate) const FEEDBACK_INTERVAL: Time = 1000;
+/// Bounds of the requests that all clients together may have outstanding, a core.
+const MIN_OUTSTANDING_PER_CORE: f64 = 1.0;
+const MAX_OUTSTANDING_PER_CORE: f64 = 3.0;
+/// The upper bound for each client, where that is more: requests come unevenly, and one each would keep clients from
+/// servers that are free.
+const MAX_OUTSTANDING_PER_CLIENT: f64 = 2.0;
+/// While shedding the allowance goes to this multiple of what is outstanding; else it rises by the other factor.
+const DECREASE_FACTOR: f64 = 0.95;
+const INCREASE_FACTOR: f64 = 1.1;
+/// Change of the priority floor at each feedback, and its maximum.
+const PRIORITY_FLOOR_STEP: f64 = 0.02;
+const MAX_PRIORITY_FLOOR: f64 = 0.8;
+/// Calls are slow once their mean time passes this part of any latency objective.
+const SLOW_CALL_RATIO: f64 = 0.5;
+
+/// Owns what clients are told.
+#[derive(Default)]
+pub(crate) struct LoadFeedback {
+    kind: LoadFeedbackKind,
+    client_count: f64,
+    min_outstanding: f64,
+    max_outstanding: f64,
+    next_at: Time,
+    /// What all clients together may have outstanding.
+    allowance: f64,
+    priority_floor: f64,
+    /// Requests within quota shed since the last feedback.
+    shed_requests: usize,
+    is_shedding: bool,
+    calls_are_slow: bool,
+}
+
+impl LoadFeedback {
+    pub(crate) fn new(settings: &Settings) -> LoadFeedback {
+        let (cores, client_count) = (settings.cores.max(1.0), settings.client_count.max(1.0));
+        let max_outstanding =
+            (cores * MAX_OUTSTANDING_PER_CORE).max(client_count * MAX_OUTSTANDING_PER_CLIENT);
+        LoadFeedback {
+            kind: settings.load_feedback,
+            client_count,
+            min_outstanding: cores * MIN_OUTSTANDING_PER_CORE,
+            max_outstanding,
+            allowance: max_outstanding,
+            ..LoadFeedback::default()
+        }
+    }
+
+    /// Whether the next feedback is due.
+    pub(crate) fn is_due(&self, now: Time) -> bool {
+        now >= self.next_at
+    }
+
+    /// Counts a request that was shed; those over their tenant's quota don't count.
+    pub(crate) fn count_shed(&mut self, within_quota: bool) {
+        self.shed_requests += usize::from(within_quota);
+    }
+
+    /// Moves the allowance and the floor. Guards a server that warms up against the sum of its clients.
+    fn update(&mut self, is_shedding: bool, outstanding: f64, slow_start_limit: Option<f64>) {
+        let max = self.max_outstanding;
+        let max = max.min(slow_start_limit.unwrap_or(max)).max(self.min_outstanding);
+        let target = if is_shedding {
+            self.allowance.min(outstanding) * DECREASE_FACTOR
+        } else {
+            self.allowance * INCREASE_FACTOR
+        };
+        self.allowance = target.clamp(self.min_outstanding, max);
+        let step = if is_shedding { PRIORITY_FLOOR_STEP } else { -PRIORITY_FLOOR_STEP };
+        self.priority_floor = (self.priority_floor + step).clamp(0.0, MAX_PRIORITY_FLOOR);
+    }
+
+    /// The value for the clients; a draining server asks for nothing more.
+    fn value(&self, is_draining: bool) -> Option<f64> {
+        match self.kind {
+            LoadFeedbackKind::None => None,
+            LoadFeedbackKind::PriorityFloor => Some(if is_draining { 1.0 } else { self.priority_floor }),
+            LoadFeedbackKind::ConcurrencyAllowance => {
+                Some(if is_draining { 0.0 } else { self.allowance / self.client_count })
+            }
+            LoadFeedbackKind::Weight => Some(if is_draining { 0.0 } else { 1.0 }),
+        }
+    }
+}
+
+impl Scheduler {
+    /// Sends the next feedback.
+    pub(crate) fn send_load_feedback(&mut self, now: Time, host: &mut dyn Host) {
+        self.load_feedback.next_at = now + FEEDBACK_INTERVAL;
+        let shed_requests = std::mem::take(&mut self.load_feedback.shed_requests);
+        let is_shedding = shed_requests > 0
+            || self.queue_wait() > self.shortest_objective * MAX_WAIT_PER_SHORTEST_OBJECTIVE;
+        self.log_shedding(is_shedding, host);
+        self.log_call_latency(host);
+        let outstanding = self.requests.queued().len() + self.requests.active().len();
+        let slow_start_limit = self.slow_start.limit(now);
+        self.load_feedback.update(is_shedding, outstanding as f64, slow_start_limit);
+        if let Some(value) = self.load_feedback.value(self.draining.is_draining()) {
+            host.send_load_feedback(value);
+        }
+    }
+
+    fn log_shedding(&mut self, is_shedding: bool, host: &mut dyn Host) {
+        if is_shedding == self.load_feedback.is_shedding {
+            return;
+        }
+        self.load_feedback.is_shedding = is_shedding;
+        host.log(&SchedulerEvent::SheddingChanged {
+            shedding: is_shedding,
+            queued: self.requests.queued().len(),
+            running: self.requests.running(),
+            limit: self.concurrency_limit.limit(),
+            pace: self.estimates.pace(),
+            queue_wait: self.queue_wait(),
+        });
+        if !self.pools.is_off() {
+            host.log(&SchedulerEvent::Pools { state: self.pools.line() });
+        }
+    }
+
+    fn log_call_latency(&mut self, host: &mut dyn Host) {
+        let mean_call_time = self.downstream.mean_call_time();
+        let exceeds = |objective: Time| mean_call_time > objective as f64 * SLOW_CALL_RATIO;
+        let slow = self.estimates.classes().any(|class| exceeds(class.latency_objective));
+        if slow == self.load_feedback.calls_are_slow {
+            return;
+        }
+        self.load_feedback.calls_are_slow = slow;
+        let (in_flight, waiting) = (self.requests.calling(), self.requests.awaiting_call().len());
+        host.log(&SchedulerEvent::CallLatencyChanged { slow, mean_call_time, in_flight, waiting });
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/request_table.rs
@@ -0,0 +1,307 @@
+//! The open requests, the phase of each, and all that is counted by phase.
+
+use crate::types::{RequestSlot, RetrySafety, Time};
+use cypresscleat_concurrency::index::{Index, Key};
+use cypresscleat_concurrency::{Count, Pools};
+use std::cmp::Ordering;
+
+/// Where a request is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum Phase {
+    /// Waits for a place.
+    #[default]
+    Queued,
+    /// Runs.
+    Running,
+    /// Waits for its downstream call to be made.
+    AwaitingCall,
+    /// Waits for the answer of its downstream call.
+    Calling,
+    /// Waits for the result of the attempt that it repeats.
+    AwaitingResult,
+    /// Finished; known only because its entry is retained for retries.
+    Finished,
+}
+
+impl Phase {
+    /// Whether the request has been started and has not ended.
+    fn is_active(self) -> bool {
+        matches!(self, Phase::Running | Phase::AwaitingCall | Phase::Calling)
+    }
+}
+
+/// What is known of one request.
+#[derive(Default)]
+pub(crate) struct RequestState {
+    /// Order of arrival.
+    pub(crate) sequence: u64,
+    pub(crate) class: usize,
+    pub(crate) tenant: Option<usize>,
+    pub(crate) within_quota: bool,
+    /// Work told by the client, in tenths of a millisecond.
+    pub(crate) expected_work: f64,
+    /// The same, scaled by the measurements of its class: its size in the ranking.
+    pub(crate) scaled_work: f64,
+    pub(crate) memory_kb: f64,
+    /// Priority weight for a unit of work.
+    pub(crate) priority: f64,
+    pub(crate) arrived_at: Time,
+    /// When its answer loses weight.
+    pub(crate) objective_at: Time,
+    /// When its client gives up.
+    pub(crate) deadline: Time,
+    pub(crate) phase: Phase,
+    pub(crate) has_run: bool,
+    pub(crate) is_answered: bool,
+    pub(crate) has_succeeded: bool,
+    pub(crate) running_since: Time,
+    /// Time spent running before `running_since`.
+    pub(crate) running_time: Time,
+    pub(crate) parked_since: Time,
+    /// Time spent at downstream calls.
+    pub(crate) parked_time: Time,
+    pub(crate) call_attempts: u32,
+    /// When its timer fires.
+    pub(crate) timer_at: Time,
+    /// Until when its entry is retained for retries; `Time::MIN` where it isn't.
+    pub(crate) retained_until: Time,
+}
+
+/// Owns the open requests and keeps the queue, the counts and the memory account true to their phases.
+#[derive(Default)]
+pub(crate) struct RequestTable {
+    requests: Vec<Option<RequestState>>,
+    queued: Vec<RequestSlot>,
+    active: Vec<RequestSlot>,
+    awaiting_call: Vec<RequestSlot>,
+    running: usize,
+    calling: usize,
+    /// Scaled work of all queued requests.
+    queued_work: f64,
+    /// The queued requests by scaled work.
+    queue_index: Index,
+    /// The largest memory of any request queued since the queue was last empty.
+    largest_queued_kb: f64,
+    used_memory_kb: f64,
+    next_sequence: u64,
+    running_memory_factor: f64,
+    retained_entry_kb: f64,
+}
+
+impl RequestTable {
+    pub(crate) fn new(running_memory_factor: f64, retained_entry_kb: f64) -> RequestTable {
+        RequestTable { running_memory_factor, retained_entry_kb, ..RequestTable::default() }
+    }
+
+    pub(crate) fn get(&self, slot: RequestSlot) -> Option<&RequestState> {
+        self.requests.get(slot)?.as_ref()
+    }
+
+    pub(crate) fn get_mut(&mut self, slot: RequestSlot) -> Option<&mut RequestState> {
+        self.requests.get_mut(slot)?.as_mut()
+    }
+
+    /// Changes a request where it is still known.
+    pub(crate) fn edit(&mut self, slot: RequestSlot, change: impl FnOnce(&mut RequestState)) {
+        self.get_mut(slot).map(change);
+    }
+
+    /// The queued requests, in order of arrival.
+    pub(crate) fn queued(&self) -> &[RequestSlot] {
+        &self.queued
+    }
+
+    /// The requests that run or are at a downstream call.
+    pub(crate) fn active(&self) -> &[RequestSlot] {
+        &self.active
+    }
+
+    /// The states of the active requests.
+    pub(crate) fn active_states(&self) -> impl Iterator<Item = &RequestState> {
+        self.active.iter().filter_map(|slot| self.requests[*slot].as_ref())
+    }
+
+    /// The requests that wait for their downstream call to be made.
+    pub(crate) fn awaiting_call(&self) -> &[RequestSlot] {
+        &self.awaiting_call
+    }
+
+    pub(crate) fn running(&self) -> usize {
+        self.running
+    }
+
+    /// The number of downstream calls in flight.
+    pub(crate) fn calling(&self) -> usize {
+        self.calling
+    }
+
+    /// The number of active requests that don't run.
+    pub(crate) fn parked(&self) -> usize {
+        self.active.len() - self.running
+    }
+
+    pub(crate) fn queued_work(&self) -> f64 {
+        self.queued_work
+    }
+
+    pub(crate) fn used_memory_kb(&self) -> f64 {
+        self.used_memory_kb
+    }
+
+    pub(crate) fn largest_queued_kb(&self) -> f64 {
+        self.largest_queued_kb
+    }
+
+    pub(crate) fn running_memory_factor(&self) -> f64 {
+        self.running_memory_factor
+    }
+
+    pub(crate) fn retained_entry_kb(&self) -> f64 {
+        self.retained_entry_kb
+    }
+
+    /// The queued request with `rank` smaller ones before it.
+    pub(crate) fn select_queued(&self, rank: usize) -> Option<RequestSlot> {
+        self.queue_index.select(rank).map(|key| key.inv)
+    }
+
+    /// Orders by priority, the lower first; of equals the newer first.
+    pub(crate) fn compare_priority(&self, a: RequestSlot, b: RequestSlot) -> Ordering {
+        let key = |slot| self.get(slot).map_or((0.0, 0), |request| (request.priority, request.sequence));
+        let (a, b) = (key(a), key(b));
+        a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))
+    }
+
+    /// Returns the next number in the order of arrivals and abandoned calls.
+    pub(crate) fn take_sequence(&mut self) -> u64 {
+        self.next_sequence += 1;
+        self.next_sequence - 1
+    }
+
+    /// Adds a request to the end of the queue.
+    pub(crate) fn insert(&mut self, now: Time, slot: RequestSlot, request: RequestState, pools: &mut Pools) {
+        if self.requests.len() <= slot {
+            self.requests.resize_with(slot + 1, || None);
+        }
+        self.used_memory_kb += request.memory_kb;
+        self.requests[slot] = Some(request);
+        self.enter(now, slot, Phase::Queued, Phase::Queued, pools);
+    }
+
+    /// Forgets a request and the memory of its retained entry.
+    pub(crate) fn remove(&mut self, slot: RequestSlot) -> Option<RequestState> {
+        let request = self.requests[slot].take()?;
+        if request.retained_until > Time::MIN {
+            self.used_memory_kb -= self.retained_entry_kb;
+        }
+        Some(request)
+    }
+
+    /// Books the memory of an entry that is retained for retries.
+    pub(crate) fn retain(&mut self, slot: RequestSlot, until: Time) {
+        self.used_memory_kb += self.retained_entry_kb;
+        self.edit(slot, |request| request.retained_until = until);
+    }
+
+    /// Withdraws the wish for a downstream call; the request stays active until its run ends.
+    pub(crate) fn withdraw_call(&mut self, slot: RequestSlot) {
+        self.awaiting_call.retain(|other| *other != slot);
+    }
+
+    /// Moves a request to another phase, with all that is counted by phase.
+    pub(crate) fn transition(&mut self, now: Time, slot: RequestSlot, to: Phase, pools: &mut Pools) {
+        let factor = self.running_memory_factor;
+        let Some(request) = self.requests[slot].as_mut() else { return };
+        let from = std::mem::replace(&mut request.phase, to);
+        let memory = |phase: Phase| match phase {
+            Phase::Queued | Phase::AwaitingResult => request.memory_kb,
+            Phase::Finished => 0.0,
+            _ => request.memory_kb * factor,
+        };
+        self.used_memory_kb += memory(to) - memory(from);
+        self.leave(now, slot, from, pools);
+        self.enter(now, slot, from, to, pools);
+        if to.is_active() && !from.is_active() {
+            self.active.push(slot);
+        } else if from.is_active() && !to.is_active() {
+            self.active.retain(|other| *other != slot);
+        }
+    }
+
+    fn leave(&mut self, now: Time, slot: RequestSlot, from: Phase, pools: &mut Pools) {
+        let Some(request) = self.requests[slot].as_mut() else { return };
+        match from {
+            Phase::Queued => {
+                self.queued.retain(|other| *other != slot);
+                pools.unheld(request.class, request.scaled_work, request.memory_kb, request.within_quota);
+                self.queue_index.remove(&queue_key(slot, request));
+                let is_empty = self.queued.is_empty();
+                self.largest_queued_kb = if is_empty { 0.0 } else { self.largest_queued_kb };
+                self.queued_work = if is_empty { 0.0 } else { self.queued_work - request.scaled_work };
+            }
+            Phase::Running => {
+                request.running_time += now - request.running_since;
+                pools.leaves(request.class);
+                self.running -= 1;
+            }
+            Phase::AwaitingCall => self.awaiting_call.retain(|other| *other != slot),
+            Phase::Calling => self.calling -= 1,
+            Phase::AwaitingResult | Phase::Finished => {}
+        }
+    }
+
+    fn enter(&mut self, now: Time, slot: RequestSlot, from: Phase, to: Phase, pools: &mut Pools) {
+        let Some(request) = self.requests[slot].as_mut() else { return };
+        match to {
+            Phase::Queued => {
+                self.queued.push(slot);
+                self.queue_index.insert(queue_key(slot, request));
+                self.largest_queued_kb = self.largest_queued_kb.max(request.memory_kb);
+                pools.held(now, request.class, request.scaled_work, request.memory_kb);
+                if !request.within_quota {
+                    pools.past_share(request.class, request.scaled_work);
+                }
+                self.queued_work += request.scaled_work;
+            }
+            Phase::Running => {
+                if matches!(from, Phase::AwaitingCall | Phase::Calling) {
+                    request.parked_time += now - request.parked_since;
+                }
+                request.running_since = now;
+                pools.starts(now, request.class);
+                self.running += 1;
+            }
+            Phase::AwaitingCall => self.awaiting_call.push(slot),
+            Phase::Calling => self.calling += 1,
+            Phase::AwaitingResult | Phase::Finished => {}
+        }
+    }
+
+    /// Counts what is here by class, for pools that change while work goes on.
+    pub(crate) fn count_by_class(&self, classes: usize) -> Vec<Count> {
+        let mut counts: Vec<Count> = (0..classes).map(|op| Count { op, ..Count::default() }).collect();
+        let open = self.queued.iter().chain(&self.active);
+        for request in open.filter_map(|slot| self.requests[*slot].as_ref()) {
+            let count = &mut counts[request.class];
+            if request.phase == Phase::Queued {
+                let over_quota = if request.within_quota { 0.0 } else { 1.0 };
+                count.held += 1;
+                count.past_held += over_quota as usize;
+                count.line += request.scaled_work;
+                count.past += request.scaled_work * over_quota;
+                count.held_kb += request.memory_kb;
+            }
+            count.running += usize::from(request.phase == Phase::Running);
+        }
+        counts
+    }
+}
+
+fn queue_key(slot: RequestSlot, request: &RequestState) -> Key {
+    Key { size: request.scaled_work, seq: request.sequence, inv: slot }
+}
+
+/// Whether a second execution would do harm.
+pub(crate) fn runs_once(retry_safety: RetrySafety) -> bool {
+    retry_safety != RetrySafety::Idempotent
+}
--- /dev/null
+++ b/crates/scheduler/src/timers.rs
@@ -0,0 +1,107 @@
+//! Timers: every request has one, in one ordered set that the periodic tick looks at. When it fires, the request is
+//! rejected, failed or given its next timer.
+
+use crate::host::Host;
+use crate::reasons::{FailReason, RejectReason};
+use crate::request_table::Phase;
+use crate::scheduler::Scheduler;
+use crate::types::{RequestSlot, StopMode, Time};
+use std::collections::BTreeSet;
+
+/// The tick's interval as a part of the answer slack: answers at a deadline come up to a tick late.
+const INTERVAL_PER_ANSWER_SLACK: f64 = 0.3;
+/// Bounds of the tick's interval, in tenths of a millisecond.
+const MIN_INTERVAL: Time = 10;
+const MAX_INTERVAL: Time = 200;
+/// A queued request is rejected when not even this part of its expected service time is left.
+const MIN_SERVICE_TIME_RATIO: f64 = 0.5;
+
+/// Owns the timers of the requests and the interval of the tick.
+#[derive(Default)]
+pub(crate) struct Timers {
+    timers: BTreeSet<(Time, RequestSlot)>,
+    interval: Time,
+}
+
+impl Timers {
+    pub(crate) fn new(answer_slack: Time) -> Timers {
+        let interval = (answer_slack as f64 * INTERVAL_PER_ANSWER_SLACK) as Time;
+        Timers { timers: BTreeSet::new(), interval: interval.clamp(MIN_INTERVAL, MAX_INTERVAL) }
+    }
+
+    /// The time between two ticks.
+    pub(crate) fn interval(&self) -> Time {
+        self.interval
+    }
+
+    /// Takes the first timer that is due.
+    pub(crate) fn pop_due(&mut self, now: Time) -> Option<RequestSlot> {
+        self.timers.first().filter(|(at, _)| *at <= now)?;
+        self.timers.pop_first().map(|(_, slot)| slot)
+    }
+
+    pub(crate) fn cancel(&mut self, at: Time, slot: RequestSlot) {
+        self.timers.remove(&(at, slot));
+    }
+
+    fn replace(&mut self, before: Time, at: Time, slot: RequestSlot) {
+        self.timers.remove(&(before, slot));
+        self.timers.insert((at, slot));
+    }
+}
+
+impl Scheduler {
+    /// Handles the timer of a request.
+    pub(crate) fn expire(&mut self, now: Time, slot: RequestSlot, host: &mut dyn Host) {
+        let service_time = self.service_time(slot);
+        let others_wait = !self.requests.queued().is_empty();
+        let may_stop = self.stop_mode != StopMode::Unsupported && others_wait;
+        let late_share =
+            self.requests.get(slot).map_or(0.0, |request| self.estimates.class(request.class).late_share);
+        let Some(request) = self.requests.get_mut(slot) else { return };
+        request.timer_at = Time::MAX;
+        let is_worthless = now >= request.objective_at && late_share <= 0.0;
+        match request.phase {
+            Phase::Finished => return self.release(slot, host),
+            _ if request.is_answered => return,
+            _ if now >= request.deadline => return self.fail(now, slot, FailReason::DeadlinePassed, host),
+            Phase::Queued
+                if now as f64 + service_time * MIN_SERVICE_TIME_RATIO >= request.objective_at as f64 =>
+            {
+                if late_share <= 0.0 || request.objective_at >= request.deadline {
+                    return self.reject(now, slot, RejectReason::ObjectiveUnreachable, host);
+                }
+                // A late answer is worth something: it goes on with the deadline as its objective.
+                request.objective_at = request.deadline;
+                request.priority *= late_share;
+            }
+            // Its place serves those that wait.
+            Phase::Running if is_worthless && may_stop => {
+                return self.fail(now, slot, FailReason::ObjectivePassed, host)
+            }
+            Phase::AwaitingCall | Phase::Calling if is_worthless => {
+                return self.fail(now, slot, FailReason::ObjectivePassed, host)
+            }
+            _ => {}
+        }
+        self.arm_timer(now, slot);
+    }
+
+    /// Sets the timer of a request to the next moment at which its phase calls for a decision.
+    pub(crate) fn arm_timer(&mut self, now: Time, slot: RequestSlot) {
+        let min_service_time = (self.service_time(slot) * MIN_SERVICE_TIME_RATIO) as Time;
+        let interval = self.timers.interval();
+        let may_stop = self.stop_mode != StopMode::Unsupported;
+        let Some(request) = self.requests.get_mut(slot) else { return };
+        let next = match request.phase {
+            Phase::Finished => request.retained_until,
+            Phase::AwaitingResult => request.deadline,
+            Phase::Queued => (request.objective_at - min_service_time).max(now + 1).min(request.deadline),
+            _ if request.objective_at > now => request.objective_at.min(request.deadline),
+            Phase::Running if may_stop => request.deadline.min(now + interval),
+            _ => request.deadline,
+        };
+        let before = std::mem::replace(&mut request.timer_at, next);
+        self.timers.replace(before, next, slot);
+    }
+}
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -66,10 +66,10 @@
         self.record(("run", inv));
         self.places[inv] = Place::Running;
     }
-    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
-        self.record(("reject", inv, back, give_up));
+    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+        self.record(("reject", inv, rejection.retry_after, rejection.no_retry_elsewhere));
     }
-    fn fail(&mut self, inv: RequestSlot) {
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
         self.record(("fail", inv));
     }
     fn stop(&mut self, inv: RequestSlot) {
@@ -103,9 +103,10 @@
         self.record(("timer", after));
         self.timer = after;
     }
-    fn log(&mut self, line: &str) {
-        self.record(("log", line));
-        self.logged.push(line.into());
+    fn log(&mut self, event: &SchedulerEvent) {
+        let line = event.to_string();
+        self.record(("log", line.as_str()));
+        self.logged.push(line);
     }
     fn release(&mut self, inv: RequestSlot) {
         self.record(("release", inv));
@@ -180,10 +181,12 @@
 }
 
 fn arrival(host: &mut Recorder, rng: &mut SeededRng) -> Arrival {
-    let repeats = match rng.below(6) {
-        0 => Some(None),
-        1 => Some(host.any(rng, |place| place != Place::Free)),
-        _ => None,
+    let earlier_attempt = match rng.below(6) {
+        0 => EarlierAttempt::Released,
+        1 => host
+            .any(rng, |place| place != Place::Free)
+            .map_or(EarlierAttempt::Released, EarlierAttempt::Known),
+        _ => EarlierAttempt::None,
     };
     Arrival {
         slot: host.free_slot(),
@@ -191,7 +194,7 @@
         tenant: [None, Some(0), Some(1), Some(7)][rng.index_below(4)],
         remaining_timeout: rng.one_in(4).then(|| 500 + rng.below(9_000) as Time),
         client_priority: rng.next_f64(),
-        earlier_attempt: repeats,
+        earlier_attempt,
         has_idempotency_key: rng.one_in(2),
         time_unread: if rng.one_in(10) { rng.below(4_000) as Time } else { rng.below(30) as Time },
         is_write: rng.one_in(3),
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -25,10 +25,11 @@
     fn run(&mut self, inv: RequestSlot) {
         self.actions.push(format!("run {inv}"));
     }
-    fn reject(&mut self, inv: RequestSlot, _back: Time, give_up: bool) {
-        self.actions.push(format!("throttle {inv}{}", if give_up { " for good" } else { "" }));
+    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+        self.actions
+            .push(format!("throttle {inv}{}", if rejection.no_retry_elsewhere { " for good" } else { "" }));
     }
-    fn fail(&mut self, inv: RequestSlot) {
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
         self.actions.push(format!("error {inv}"));
     }
     fn stop(&mut self, inv: RequestSlot) {
@@ -58,8 +59,8 @@
     fn set_timer(&mut self, after: Time) {
         self.wake = Some(after);
     }
-    fn log(&mut self, line: &str) {
-        self.actions.push(format!("log {line}"));
+    fn log(&mut self, event: &SchedulerEvent) {
+        self.actions.push(format!("log {event}"));
     }
     fn release(&mut self, _inv: RequestSlot) {}
 }
@@ -116,7 +117,7 @@
         tenant: None,
         remaining_timeout: None,
         client_priority: 0.0,
-        earlier_attempt: None,
+        earlier_attempt: EarlierAttempt::None,
         has_idempotency_key: false,
         time_unread: 0,
         is_write: false,
@@ -188,8 +189,8 @@
             "unread" => a.time_unread = ms(&value),
             "budget" => a.remaining_timeout = Some(ms(&value)),
             "customer" => a.tenant = Some(value.parse().unwrap()),
-            "repeats" if value == "unknown" => a.earlier_attempt = Some(None),
-            "repeats" => a.earlier_attempt = Some(Some(value.parse().unwrap())),
+            "repeats" if value == "unknown" => a.earlier_attempt = EarlierAttempt::Released,
+            "repeats" => a.earlier_attempt = EarlierAttempt::Known(value.parse().unwrap()),
             _ => panic!("no {name}={value}"),
         }
     }
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -629,14 +629,14 @@
         let came = read.door.min(unix);
         let token = read.token.as_deref().filter(|_| tokened);
         let known = token.and_then(|token| side.keeping.as_ref()?.repeats(token, came));
-        let repeats = match known {
-            None => None,
+        let earlier_attempt = match known {
+            None => EarlierAttempt::None,
             Some(token) if token.said != said => {
                 let what = "the token of another invocation";
                 return peer.malformed(&counters, stream, Fault::Malformed, what);
             }
-            Some(Token { ran: Ran::Open(first), .. }) => Some(Some(*first)),
-            Some(_) => Some(None),
+            Some(Token { ran: Ran::Open(first), .. }) => EarlierAttempt::Known(*first),
+            Some(_) => EarlierAttempt::Released,
         };
         match side.came_again(txn, said, &peer, stream) {
             Again::No => {}
@@ -674,7 +674,7 @@
             tenant: read.customer,
             remaining_timeout: read.budget,
             client_priority: read.rank,
-            earlier_attempt: repeats,
+            earlier_attempt,
             has_idempotency_key: read.keyed || tokened,
             time_unread: (unix - read.door).max(0),
             expected_work: read.hint,
@@ -922,6 +922,12 @@
         self.open[inv].as_mut().expect("an index in use")
     }
 
+    /// Answers with an error. The scheduler fails what can't be answered in its time, unless a call told it to.
+    fn answer_failed(&mut self, inv: RequestSlot) {
+        let cause = if self.rec(inv).failed { Cause::Failed } else { Cause::Late };
+        self.answer(inv, How::Errored(cause), b"");
+    }
+
     fn find(&self, call: &str) -> Option<RequestSlot> {
         self.index.get(&Txn::try_from(call.as_bytes()).ok()?).copied()
     }
@@ -1267,15 +1273,14 @@
         self.rec(inv).asked = Asked::Run;
         self.command(inv);
     }
-    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
+    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
         // A worker's word goes through as it was said.
-        let (back, give_up) = self.rec(inv).said_back.unwrap_or((back, give_up));
+        let told = (rejection.retry_after, rejection.no_retry_elsewhere);
+        let (back, give_up) = self.rec(inv).said_back.unwrap_or(told);
         self.answer(inv, How::Throttled { back, give_up }, b"");
     }
-    /// The module gives up what can't be answered in its time, unless a call told it to.
-    fn fail(&mut self, inv: RequestSlot) {
-        let cause = if self.rec(inv).failed { Cause::Failed } else { Cause::Late };
-        self.answer(inv, How::Errored(cause), b"");
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
+        self.answer_failed(inv);
     }
     fn stop(&mut self, inv: RequestSlot) {
         add(&self.counters.stops);
@@ -1335,12 +1340,12 @@
     fn set_timer(&mut self, after: Time) {
         self.wake_at = self.now + after;
     }
-    fn log(&mut self, line: &str) {
-        log!("{line}");
+    fn log(&mut self, event: &SchedulerEvent) {
+        log!("{event}");
     }
     /// The one place where an index and all that hangs on it is given back.
     fn release(&mut self, inv: RequestSlot) {
-        self.fail(inv); // where no answer was given: none is left without
+        self.answer_failed(inv); // where no answer was given: none is left without
         self.give_up_call(inv);
         if let Some(open) = self.open[inv].take() {
             if let Some(keeping) = self.keeping.as_mut() {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -43,10 +43,11 @@
     fn run(&mut self, inv: RequestSlot) {
         self.line("ADMIT", inv, format_args!(""));
     }
-    fn reject(&mut self, inv: RequestSlot, back: Time, give_up: bool) {
-        self.line("REJECT", inv, format_args!(" {} {}", back * NS, give_up as u8));
+    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+        let Rejection { retry_after, no_retry_elsewhere, .. } = rejection;
+        self.line("REJECT", inv, format_args!(" {} {}", retry_after * NS, no_retry_elsewhere as u8));
     }
-    fn fail(&mut self, inv: RequestSlot) {
+    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
         self.line("DROP_REQUEST", inv, format_args!(""));
     }
     fn stop(&mut self, inv: RequestSlot) {
@@ -76,8 +77,8 @@
     fn set_timer(&mut self, after: Time) {
         let _ = writeln!(self.out, "SET_TIMER {} {} 1", self.who, after * NS);
     }
-    fn log(&mut self, line: &str) {
-        let _ = writeln!(self.out, "EMIT {} {line}", self.who);
+    fn log(&mut self, event: &SchedulerEvent) {
+        let _ = writeln!(self.out, "EMIT {} {event}", self.who);
     }
     fn release(&mut self, inv: RequestSlot) {
         self.ids.index.remove(&self.ids.words[inv]);
@@ -158,7 +159,12 @@
     let resent = values.flag("resent")?;
     let budget = values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NS);
     let rank = values.optional("prio")?.unwrap_or(0.0);
-    let repeats = values.maybe().filter(|word| *word != "0").map(|word| at.ids.index.get(word).copied());
+    let earlier_attempt = match values.maybe().filter(|word| *word != "0") {
+        None => EarlierAttempt::None,
+        Some(word) => {
+            at.ids.index.get(word).map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot))
+        }
+    };
     let op = place(&at.names.operations, values.word("profile")?, "operation")?;
     let keyed = values.maybe().is_some();
     let unread = values.span("unread_for_ns")?;
@@ -177,7 +183,7 @@
         tenant: customer,
         remaining_timeout: budget,
         client_priority: rank,
-        earlier_attempt: repeats,
+        earlier_attempt,
         has_idempotency_key: keyed,
         time_unread: unread,
         is_write: write,
