--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -1,12 +1,15 @@
 //! Plays every file of tests/scenarios. Notation, a line each, times in milliseconds:
 //!   set NAME VALUE                     a setting, before the first event
-//!   op NAME=VALUE ...                  an operation (objective, timeout, billed, late, skipped, calls, window, effect)
-//!   customer RATE                      a customer
-//!   TIME arrive INV [NAME=VALUE ...]   op, work, kb, unread, budget, repeats, resent, customer
-//!   TIME needs|left|leave N            a call is needed, a caller has left, notice to leave
-//!   TIME end INV OUTCOME               how a run ended
-//!   TIME called INV OUTCOME TOOK       how a call ended
-//!   TIME gauges CORE_USE ON_CORES [LINKS]  what ticks report from now on
+//!   class NAME=VALUE ...               a request class (latency_objective, timeout, priority_weight, late_share,
+//!                                      degraded_share, calls_downstream, retry_window, retry_safety)
+//!   tenant RATE                        a tenant
+//!   TIME arrive SLOT [NAME=VALUE ...]  class, expected_work, memory_kb, time_unread, remaining_timeout, retry_of, is_retry,
+//!                                      tenant
+//!   TIME needs-call|disconnect SLOT    a downstream call is needed, the client has disconnected
+//!   TIME drain WITHIN                  termination notice
+//!   TIME end SLOT OUTCOME              how a run ended
+//!   TIME called SLOT OUTCOME TOOK      how a downstream call ended
+//!   TIME gauges UTILIZATION RUNNABLE [CONNECTIONS]  what ticks report from now on
 //!   TIME pass                          only time passes; ticks come by themselves
 //!   expect ACTION ...                  among the actions since the event before (words must match as far as given)
 //!   refuse ACTION ...                  not among them
@@ -22,36 +25,36 @@
 }
 
 impl Host for Seen {
-    fn run(&mut self, inv: RequestSlot) {
-        self.actions.push(format!("run {inv}"));
+    fn run(&mut self, slot: RequestSlot) {
+        self.actions.push(format!("run {slot}"));
     }
-    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+    fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         self.actions
-            .push(format!("throttle {inv}{}", if rejection.no_retry_elsewhere { " for good" } else { "" }));
+            .push(format!("reject {slot}{}", if rejection.no_retry_elsewhere { " for good" } else { "" }));
     }
-    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
-        self.actions.push(format!("error {inv}"));
+    fn fail(&mut self, slot: RequestSlot, _: FailReason) {
+        self.actions.push(format!("fail {slot}"));
     }
-    fn stop(&mut self, inv: RequestSlot) {
-        self.actions.push(format!("stop {inv}"));
+    fn stop(&mut self, slot: RequestSlot) {
+        self.actions.push(format!("stop {slot}"));
     }
-    fn call(&mut self, inv: RequestSlot, within: Time) {
-        self.actions.push(format!("call {inv} {}", within / 10));
+    fn call(&mut self, slot: RequestSlot, within: Time) {
+        self.actions.push(format!("call {slot} {}", within / 10));
     }
-    fn skip_call(&mut self, inv: RequestSlot) {
-        self.actions.push(format!("skip {inv}"));
+    fn skip_call(&mut self, slot: RequestSlot) {
+        self.actions.push(format!("skip {slot}"));
     }
-    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
-        self.actions.push(format!("keep {inv} {}", span / 10));
+    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
+        self.actions.push(format!("retain {slot} {}", span / 10));
     }
-    fn replay_result(&mut self, inv: RequestSlot) {
-        self.actions.push(format!("reuse {inv}"));
+    fn replay_result(&mut self, slot: RequestSlot) {
+        self.actions.push(format!("replay {slot}"));
     }
     fn set_health(&mut self, good: bool, _stored: bool) {
         self.actions.push(format!("health {good}"));
     }
     fn send_load_feedback(&mut self, value: f64) {
-        self.actions.push(format!("advertise {value}"));
+        self.actions.push(format!("feedback {value}"));
     }
     fn close_idle_connections(&mut self, after: Time) {
         self.actions.push(format!("close_idle {}", after / 10));
@@ -96,7 +99,7 @@
     }
 }
 
-fn operation() -> RequestClass {
+fn class() -> RequestClass {
     RequestClass {
         latency_objective: 1_000_000,
         objective_per_work: 0.0,
@@ -110,9 +113,9 @@
     }
 }
 
-fn arrival(inv: RequestSlot, work: f64) -> Arrival {
+fn arrival(slot: RequestSlot, work: f64) -> Arrival {
     Arrival {
-        slot: inv,
+        slot,
         class: 0,
         tenant: None,
         remaining_timeout: None,
@@ -141,56 +144,58 @@
     match name {
         "cores" => to.cores = number(),
         "memory_kb" => to.memory_kb = number(),
-        "entry_kb" => to.retained_entry_kb = number(),
-        "tip" => to.overload_multiple = number(),
-        "callers" => to.client_count = number(),
-        "servers" => to.fleet_size = number(),
-        "calls_out" => to.shared_call_quota = number(),
-        "cold" => to.slow_start = value == "yes",
-        "fresh" => to.result_freshness = ms(value),
-        "halt" if value == "discard" => to.stop_mode = StopMode::Discard,
-        "halt" if value == "freeze" => to.stop_mode = StopMode::Freeze,
-        "say" if value == "floor" => to.load_feedback = LoadFeedbackKind::PriorityFloor,
-        "say" if value == "allowance" => to.load_feedback = LoadFeedbackKind::ConcurrencyAllowance,
-        "say" if value == "weight" => to.load_feedback = LoadFeedbackKind::Weight,
-        "below" if value == "tier" => to.downstream = DownstreamKind::Tier,
-        "below" if value == "shared" => to.downstream = DownstreamKind::Shared,
+        "retained_entry_kb" => to.retained_entry_kb = number(),
+        "overload_multiple" => to.overload_multiple = number(),
+        "client_count" => to.client_count = number(),
+        "fleet_size" => to.fleet_size = number(),
+        "shared_call_quota" => to.shared_call_quota = number(),
+        "slow_start" => to.slow_start = value == "yes",
+        "result_freshness" => to.result_freshness = ms(value),
+        "stop_mode" if value == "discard" => to.stop_mode = StopMode::Discard,
+        "stop_mode" if value == "freeze" => to.stop_mode = StopMode::Freeze,
+        "load_feedback" if value == "priority-floor" => to.load_feedback = LoadFeedbackKind::PriorityFloor,
+        "load_feedback" if value == "concurrency-allowance" => {
+            to.load_feedback = LoadFeedbackKind::ConcurrencyAllowance
+        }
+        "load_feedback" if value == "weight" => to.load_feedback = LoadFeedbackKind::Weight,
+        "downstream" if value == "tier" => to.downstream = DownstreamKind::Tier,
+        "downstream" if value == "shared" => to.downstream = DownstreamKind::Shared,
         _ => panic!("no setting {name} {value}"),
     }
 }
 
-fn add_operation(words: &[&str]) -> RequestClass {
-    let mut op = operation();
+fn read_class(words: &[&str]) -> RequestClass {
+    let mut class = class();
     for (name, value) in pairs(words) {
         match name.as_str() {
-            "objective" => op.latency_objective = ms(&value),
-            "timeout" => op.timeout = ms(&value),
-            "window" => op.retry_window = ms(&value),
-            "billed" => op.priority_weight = value.parse().unwrap(),
-            "late" => op.late_share = value.parse().unwrap(),
-            "skipped" => op.degraded_share = value.parse().unwrap(),
-            "calls" => op.calls_downstream = value == "yes",
-            "effect" if value == "tokened" => op.retry_safety = RetrySafety::IdempotencyKey,
-            "effect" if value == "non-idempotent" => op.retry_safety = RetrySafety::NonIdempotent,
+            "latency_objective" => class.latency_objective = ms(&value),
+            "timeout" => class.timeout = ms(&value),
+            "retry_window" => class.retry_window = ms(&value),
+            "priority_weight" => class.priority_weight = value.parse().unwrap(),
+            "late_share" => class.late_share = value.parse().unwrap(),
+            "degraded_share" => class.degraded_share = value.parse().unwrap(),
+            "calls_downstream" => class.calls_downstream = value == "yes",
+            "retry_safety" if value == "idempotency-key" => class.retry_safety = RetrySafety::IdempotencyKey,
+            "retry_safety" if value == "non-idempotent" => class.retry_safety = RetrySafety::NonIdempotent,
             _ => panic!("no {name}={value}"),
         }
     }
-    op
+    class
 }
 
-fn add_arrival(inv: RequestSlot, words: &[&str]) -> Arrival {
-    let mut a = arrival(inv, 1000.0);
+fn read_arrival(slot: RequestSlot, words: &[&str]) -> Arrival {
+    let mut a = arrival(slot, 1000.0);
     for (name, value) in pairs(words) {
         match name.as_str() {
-            "op" => a.class = value.parse().unwrap(),
-            "work" => a.expected_work = Some(ms(&value) as f64),
-            "resent" => a.is_retry = value == "yes",
-            "kb" => a.memory_kb = value.parse().unwrap(),
-            "unread" => a.time_unread = ms(&value),
-            "budget" => a.remaining_timeout = Some(ms(&value)),
-            "customer" => a.tenant = Some(value.parse().unwrap()),
-            "repeats" if value == "unknown" => a.earlier_attempt = EarlierAttempt::Released,
-            "repeats" => a.earlier_attempt = EarlierAttempt::Known(value.parse().unwrap()),
+            "class" => a.class = value.parse().unwrap(),
+            "expected_work" => a.expected_work = Some(ms(&value) as f64),
+            "is_retry" => a.is_retry = value == "yes",
+            "memory_kb" => a.memory_kb = value.parse().unwrap(),
+            "time_unread" => a.time_unread = ms(&value),
+            "remaining_timeout" => a.remaining_timeout = Some(ms(&value)),
+            "tenant" => a.tenant = Some(value.parse().unwrap()),
+            "retry_of" if value == "released" => a.earlier_attempt = EarlierAttempt::Released,
+            "retry_of" => a.earlier_attempt = EarlierAttempt::Known(value.parse().unwrap()),
             _ => panic!("no {name}={value}"),
         }
     }
@@ -200,12 +205,12 @@
 fn outcome(word: &str) -> Outcome {
     match word {
         "succeeded" => Outcome::Succeeded,
-        "errored" => Outcome::Failed,
-        "throttled" => Outcome::Rejected,
-        "no-answer" => Outcome::TimedOut,
-        "no-connection" => Outcome::ConnectFailed,
+        "failed" => Outcome::Failed,
+        "rejected" => Outcome::Rejected,
+        "timed-out" => Outcome::TimedOut,
+        "connect-failed" => Outcome::ConnectFailed,
         "connection-lost" => Outcome::ConnectionLost,
-        "called-off" => Outcome::Cancelled,
+        "cancelled" => Outcome::Cancelled,
         "not-started" => Outcome::NotStarted,
         _ => panic!("no outcome {word}"),
     }
@@ -223,8 +228,8 @@
         let Some(first) = words.first() else { continue };
         match *first {
             "set" => set(&mut settings, words[1], words[2]),
-            "op" => settings.classes.push(add_operation(&words[1..])),
-            "customer" => settings.tenant_rates.push(words[1].parse().unwrap()),
+            "class" => settings.classes.push(read_class(&words[1..])),
+            "tenant" => settings.tenant_rates.push(words[1].parse().unwrap()),
             "expect" if !has(&seen.actions[from..], &words[1..].join(" ")) => {
                 return Err(format!("line {}: {line}; seen {:?}", at + 1, &seen.actions[from..]));
             }
@@ -248,16 +253,16 @@
                     scheduler.tick(now, gauges, &mut seen);
                 }
                 now = time;
-                let inv = || words[2].parse::<RequestSlot>().unwrap();
+                let slot = || words[2].parse::<RequestSlot>().unwrap();
                 match words[1] {
-                    "arrive" => scheduler.handle_arrival(now, add_arrival(inv(), &words[3..]), &mut seen),
-                    "needs" => scheduler.handle_call_needed(now, inv(), &mut seen),
-                    "left" => scheduler.handle_client_disconnect(now, inv(), &mut seen),
-                    "leave" => scheduler.start_draining(now, ms(words[2]), &mut seen),
-                    "end" => scheduler.handle_run_completed(now, inv(), outcome(words[3]), &mut seen),
+                    "arrive" => scheduler.handle_arrival(now, read_arrival(slot(), &words[3..]), &mut seen),
+                    "needs-call" => scheduler.handle_call_needed(now, slot(), &mut seen),
+                    "disconnect" => scheduler.handle_client_disconnect(now, slot(), &mut seen),
+                    "drain" => scheduler.start_draining(now, ms(words[2]), &mut seen),
+                    "end" => scheduler.handle_run_completed(now, slot(), outcome(words[3]), &mut seen),
                     "called" => scheduler.handle_call_completed(
                         now,
-                        inv(),
+                        slot(),
                         outcome(words[3]),
                         ms(words[4]),
                         &mut seen,
@@ -304,7 +309,7 @@
     let mut counts = vec![0u32; held];
     for seed in 0..rounds {
         let mut seen = Seen::default();
-        let operations = vec![operation()];
+        let operations = vec![class()];
         let mut scheduler =
             Scheduler::start(0, Settings { classes: operations, seed, ..settings() }, &mut seen);
         scheduler.handle_arrival(0, arrival(0, 100.0), &mut seen);
