--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -4,6 +4,7 @@
 use cypresscleat_concurrency::{limit::Limiter, Pool, Setup};
 use cypresscleat_primitives::SeededRng;
 use cypresscleat_scheduler::*;
+use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const EVENTS: usize = 6_000;
@@ -37,6 +38,7 @@
     timer: Time,
     stopped: Vec<usize>,
     logged: Vec<String>,
+    reasons: BTreeSet<String>,
 }
 
 impl Recorder {
@@ -62,33 +64,35 @@
 }
 
 impl Host for Recorder {
-    fn run(&mut self, inv: RequestSlot) {
-        self.record(("run", inv));
-        self.places[inv] = Place::Running;
+    fn run(&mut self, slot: RequestSlot) {
+        self.record(("run", slot));
+        self.places[slot] = Place::Running;
     }
-    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
-        self.record(("reject", inv, rejection.retry_after, rejection.no_retry_elsewhere));
+    fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
+        self.record(("reject", slot, rejection.retry_after, rejection.no_retry_elsewhere));
+        self.reasons.insert(format!("{:?}", rejection.reason));
     }
-    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
-        self.record(("fail", inv));
+    fn fail(&mut self, slot: RequestSlot, reason: FailReason) {
+        self.record(("fail", slot));
+        self.reasons.insert(format!("{reason:?}"));
     }
-    fn stop(&mut self, inv: RequestSlot) {
-        self.record(("stop", inv));
-        self.stopped.push(inv);
+    fn stop(&mut self, slot: RequestSlot) {
+        self.record(("stop", slot));
+        self.stopped.push(slot);
     }
-    fn call(&mut self, inv: RequestSlot, within: Time) {
-        self.record(("call", inv, within));
-        self.places[inv] = Place::Calling;
+    fn call(&mut self, slot: RequestSlot, within: Time) {
+        self.record(("call", slot, within));
+        self.places[slot] = Place::Calling;
     }
-    fn skip_call(&mut self, inv: RequestSlot) {
-        self.record(("skip", inv));
-        self.places[inv] = Place::Running;
+    fn skip_call(&mut self, slot: RequestSlot) {
+        self.record(("skip", slot));
+        self.places[slot] = Place::Running;
     }
-    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
-        self.record(("retain", inv, span));
+    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
+        self.record(("retain", slot, span));
     }
-    fn replay_result(&mut self, inv: RequestSlot) {
-        self.record(("replay", inv));
+    fn replay_result(&mut self, slot: RequestSlot) {
+        self.record(("replay", slot));
     }
     fn set_health(&mut self, good: bool, stored: bool) {
         self.record(("health", good, stored));
@@ -108,10 +112,10 @@
         self.record(("log", line.as_str()));
         self.logged.push(line);
     }
-    fn release(&mut self, inv: RequestSlot) {
-        self.record(("release", inv));
-        self.places[inv] = Place::Free;
-        self.stopped.retain(|other| *other != inv);
+    fn release(&mut self, slot: RequestSlot) {
+        self.record(("release", slot));
+        self.places[slot] = Place::Free;
+        self.stopped.retain(|other| *other != slot);
     }
 }
 
@@ -248,32 +252,32 @@
             scheduler.handle_arrival(now, arrival, host);
         }
         5 | 6 => {
-            if let Some(inv) = host.any(rng, |place| place == Place::Running) {
+            if let Some(slot) = host.any(rng, |place| place == Place::Running) {
                 let how = outcome(rng);
-                scheduler.handle_run_completed(now, inv, how, host);
+                scheduler.handle_run_completed(now, slot, how, host);
             }
         }
         7 => {
-            if let Some(inv) = host.any(rng, |place| place == Place::Running) {
-                host.places[inv] = Place::Parked;
-                scheduler.handle_call_needed(now, inv, host);
+            if let Some(slot) = host.any(rng, |place| place == Place::Running) {
+                host.places[slot] = Place::Parked;
+                scheduler.handle_call_needed(now, slot, host);
             }
         }
         8 | 9 => {
-            if let Some(inv) = host.any(rng, |place| place == Place::Calling) {
+            if let Some(slot) = host.any(rng, |place| place == Place::Calling) {
                 let (how, took) = (outcome(rng), rng.below(2_500) as Time);
-                host.places[inv] = if how == Outcome::Succeeded { Place::Running } else { Place::Parked };
-                scheduler.handle_call_completed(now, inv, how, took, host);
+                host.places[slot] = if how == Outcome::Succeeded { Place::Running } else { Place::Parked };
+                scheduler.handle_call_completed(now, slot, how, took, host);
             }
         }
         10 => {
-            if let Some(inv) = host.any(rng, |place| place != Place::Free) {
-                scheduler.handle_client_disconnect(now, inv, host);
+            if let Some(slot) = host.any(rng, |place| place != Place::Free) {
+                scheduler.handle_client_disconnect(now, slot, host);
             }
         }
         _ if step.is_multiple_of(5) => {
-            if let Some(inv) = host.any(rng, |place| matches!(place, Place::Parked | Place::Calling)) {
-                scheduler.handle_run_completed(now, inv, Outcome::Cancelled, host);
+            if let Some(slot) = host.any(rng, |place| matches!(place, Place::Parked | Place::Calling)) {
+                scheduler.handle_run_completed(now, slot, Outcome::Cancelled, host);
             }
         }
         _ => {}
@@ -292,9 +296,9 @@
             scheduler.tick(next_tick, gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
             next_tick += host.timer;
         }
-        if let Some(inv) = host.stopped.pop() {
+        if let Some(slot) = host.stopped.pop() {
             let how = if rng.one_in(5) { Outcome::Succeeded } else { Outcome::Cancelled };
-            scheduler.handle_run_completed(now, inv, how, &mut host);
+            scheduler.handle_run_completed(now, slot, how, &mut host);
         }
         event(&mut scheduler, now, step, &mut host, &mut rng);
         match step {
@@ -333,3 +337,29 @@
         assert!(logged.iter().any(|line| line.starts_with(start)), "{start:?} is missing");
     }
 }
+
+#[test]
+fn recorded_days_cover_every_reason() {
+    let seen: BTreeSet<String> = (0..RECORDED.len()).flat_map(|kind| play(kind).reasons).collect();
+    let rejected = [
+        RejectReason::Draining,
+        RejectReason::IdempotencyTableFull,
+        RejectReason::ObjectiveUnreachable,
+        RejectReason::MemoryPressure,
+        RejectReason::QueueFull,
+        RejectReason::CallQueueFull,
+        RejectReason::StoppedWithoutAnswer,
+    ];
+    let failed = [
+        FailReason::DeadlinePassed,
+        FailReason::ObjectivePassed,
+        FailReason::CallFailed,
+        FailReason::NoTimeForCall,
+        FailReason::EarlierAttemptFailed,
+        FailReason::CannotBeRejected(RejectReason::StoppedWithoutAnswer),
+    ];
+    let reject_names = rejected.iter().map(|reason| format!("{reason:?}"));
+    for name in reject_names.chain(failed.iter().map(|reason| format!("{reason:?}"))) {
+        assert!(seen.contains(&name), "{name} is missing in {seen:?}");
+    }
+}
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -18,6 +18,22 @@
 use cypresscleat_scheduler::*;
 use std::collections::HashMap;
 
+/// The actions that the host records.
+const ACTIONS: [&str; 12] = [
+    "run",
+    "reject",
+    "fail",
+    "stop",
+    "call",
+    "skip",
+    "retain",
+    "replay",
+    "health",
+    "feedback",
+    "close_idle",
+    "log",
+];
+
 #[derive(Default)]
 struct Seen {
     actions: Vec<String>,
@@ -29,11 +45,11 @@
         self.actions.push(format!("run {slot}"));
     }
     fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
-        self.actions
-            .push(format!("reject {slot}{}", if rejection.no_retry_elsewhere { " for good" } else { "" }));
+        let elsewhere = if rejection.no_retry_elsewhere { " no-retry-elsewhere" } else { "" };
+        self.actions.push(format!("reject {slot} {:?}{elsewhere}", rejection.reason));
     }
-    fn fail(&mut self, slot: RequestSlot, _: FailReason) {
-        self.actions.push(format!("fail {slot}"));
+    fn fail(&mut self, slot: RequestSlot, reason: FailReason) {
+        self.actions.push(format!("fail {slot} {reason:?}"));
     }
     fn stop(&mut self, slot: RequestSlot) {
         self.actions.push(format!("stop {slot}"));
@@ -216,6 +232,12 @@
     }
 }
 
+/// Panics where an expectation names an action that the host doesn't record: it would hold without checking anything.
+fn check_action(line: &str) {
+    let action = line.split_whitespace().nth(1).unwrap_or("");
+    assert!(ACTIONS.contains(&action), "no action {action:?}: {line}");
+}
+
 fn play(text: &str) -> Result<(), String> {
     let mut settings = settings();
     let (mut scheduler, mut seen, mut now, mut tick_at, mut from) = (None, Seen::default(), 0, Time::MAX, 0);
@@ -226,6 +248,9 @@
     for (at, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
         let Some(first) = words.first() else { continue };
+        if matches!(*first, "expect" | "refuse" | "never") {
+            check_action(line);
+        }
         match *first {
             "set" => set(&mut settings, words[1], words[2]),
             "class" => settings.classes.push(read_class(&words[1..])),
