--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -1072,10 +1072,10 @@
         let rec = self.open[inv].as_ref()?;
         let (billed, objective, late) = self.billed.get(rec.op).copied()?;
         let in_time = self.unix - rec.came <= objective;
-        let customer = rec.customer.and_then(|at| self.names.customers.get(at)).map_or("", String::as_str);
+        let customer = rec.customer.and_then(|at| self.names.tenants.get(at)).map_or("", String::as_str);
         let row = Row {
             txn: &rec.txn,
-            operation: &self.names.operations[rec.op],
+            operation: &self.names.classes[rec.op],
             customer,
             billed: if in_time { billed } else { billed * late },
             came: rec.came,
@@ -1120,8 +1120,8 @@
         let open = self.open.iter().flatten().filter(|open| open.to.is_some());
         let names = &self.names;
         keeping.owes(open.map(|open| {
-            let customer = open.customer.and_then(|at| names.customers.get(at)).map_or("", String::as_str);
-            (open.txn, format!("{},{customer},{}", names.operations[open.op], open.came / 10))
+            let customer = open.customer.and_then(|at| names.tenants.get(at)).map_or("", String::as_str);
+            (open.txn, format!("{},{customer},{}", names.classes[open.op], open.came / 10))
         }));
     }
 
@@ -1179,7 +1179,7 @@
         match (rec.stopped, rec.asked, &rec.blob) {
             (true, ..) => out.push(lines::preempt(&txn).as_bytes()),
             (_, Asked::Run, _) => {
-                let (service, body) = (&self.names.operations[rec.op], &rec.payload[rec.body.clone()]);
+                let (service, body) = (&self.names.classes[rec.op], &rec.payload[rec.body.clone()]);
                 out.push(lines::sched(&txn, service, body).as_bytes());
             }
             (_, Asked::GoOn, Some(reply)) => out.push(lines::io_done(&txn, reply).as_bytes()),
@@ -1197,9 +1197,9 @@
             let (hint, kb) =
                 (rec.hint.map(|hint| format!("{:.1}", hint / MS as f64)), format!("{:.1}", rec.kb));
             let rank = format!("{:.4}", rec.rank.min(0.9999));
-            let team = rec.customer.and_then(|at| self.names.customers.get(at));
+            let team = rec.customer.and_then(|at| self.names.tenants.get(at));
             let mut fields =
-                vec![("verb", self.names.operations[rec.op].as_str()), ("txn", &txn), ("door", &door)];
+                vec![("verb", self.names.classes[rec.op].as_str()), ("txn", &txn), ("door", &door)];
             fields.extend([("lb", "0"), ("ram", &kb), ("standing", &rank)]);
             fields.extend(team.map(|team| ("team", team.as_str())));
             fields.extend(hint.as_ref().map(|hint| ("cpu", hint.as_str())));
--- a/crates/server/src/downstream/scgi.rs
+++ b/crates/server/src/downstream/scgi.rs
@@ -68,7 +68,7 @@
                     // A second call of one invocation gives up the first.
                     give_up(&calls, txn);
                     let backend = at.0.borrow().clone();
-                    let text = write(&backend.path, &names.operations[op], txn, within, &body);
+                    let text = write(&backend.path, &names.classes[op], txn, within, &body);
                     let call = Rc::new(Call { txn, closed: Cell::new(false), wake: Notify::new() });
                     calls.borrow_mut().push(call.clone());
                     let (shared, queue, calls) = (shared.clone(), queue.clone(), calls.clone());
--- a/crates/server/src/listeners/frames.rs
+++ b/crates/server/src/listeners/frames.rs
@@ -74,10 +74,10 @@
 pub fn read(bytes: Buf, names: &Names) -> Result<Invocation, String> {
     let read = frames::invocation(&bytes)?;
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
-    let op = place(&names.operations, read.operation).ok_or_else(|| format!("verb {:?}", read.operation))?;
+    let op = place(&names.classes, read.operation).ok_or_else(|| format!("verb {:?}", read.operation))?;
     let customer = match read.customer {
-        Some(name) if !names.customers.is_empty() => {
-            Some(place(&names.customers, name).ok_or_else(|| format!("team {name:?}"))?)
+        Some(name) if !names.tenants.is_empty() => {
+            Some(place(&names.tenants, name).ok_or_else(|| format!("team {name:?}"))?)
         }
         _ => None,
     };
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -297,6 +297,7 @@
     let addresses = Rc::new(Addresses::new(&config));
     let tier = operator.tier.clone().filter(|_| role == Role::Forwarder);
     let mut settings = Settings { pools: operator.pools.clone(), ..config.settings };
+    settings.validate().map_err(io::Error::other)?;
     // Set once the fleet is there: a policy says how many further tries may be.
     let retries: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
     let above = operator.rollout.as_ref().and_then(|set| set.above(operator.keepers.as_ref()));
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -194,7 +194,7 @@
             }
             routes.push(read);
         }
-        let customers = self.names.map_or(&[][..], |names| &names.customers);
+        let customers = self.names.map_or(&[][..], |names| &names.tenants);
         let header = node.get("header").size() as usize;
         Some(Scgi {
             listen: node.get("listen").address()?,
@@ -213,7 +213,7 @@
             "fixed" => Limiter::Fixed,
             _ => Limiter::Gradient { tolerance: 1.5 },
         };
-        let names = self.names.map(|names| &names.operations[..]);
+        let names = self.names.map(|names| &names.classes[..]);
         let mut pools = Vec::new();
         // Without the settings' names each name counts as an operation of its own.
         let mut known: Vec<String> = Vec::new();
@@ -394,8 +394,8 @@
             self.fault(node, &format!("{path}.methods"), "a route without a method".into());
         }
         let names = self.names;
-        let operations = names.map(|names| &names.operations[..]);
-        let customers = names.map(|names| &names.customers[..]);
+        let operations = names.map(|names| &names.classes[..]);
+        let customers = names.map(|names| &names.tenants[..]);
         let customer = node.get("customer");
         let inner = |name: &str| format!("{path}.{name}");
         let default = customer
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Reads event batches, hosts one `Scheduler` per instance, writes one reply per batch. Decides nothing.
+//! Hosts instances of the scheduler on the simulator's line protocol: reads batches of events, writes one reply to each.
+//! The platform's words end here. Decides nothing.
 
 use cypresscleat_concurrency::Setup;
 use cypresscleat_scheduler::*;
@@ -7,23 +8,23 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-/// Ids of one instance: words to indices and back; a freed index is used again.
+/// The requests of one instance: ids on the wire to slots and back; a freed slot is used again.
 #[derive(Default)]
 struct Ids {
-    index: HashMap<String, RequestSlot>,
+    slots: HashMap<String, RequestSlot>,
     words: Vec<String>,
     free: Vec<RequestSlot>,
 }
 
 impl Ids {
     fn open(&mut self, word: &str) -> RequestSlot {
-        let inv = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free.pop().unwrap_or_else(|| {
             self.words.push(String::new());
             self.words.len() - 1
         });
-        self.words[inv] = word.to_string();
-        self.index.insert(word.to_string(), inv);
-        inv
+        self.words[slot] = word.to_string();
+        self.slots.insert(word.to_string(), slot);
+        slot
     }
 }
 
@@ -34,36 +35,36 @@
 }
 
 impl Wire<'_> {
-    fn line(&mut self, name: &str, inv: RequestSlot, rest: std::fmt::Arguments) {
-        let _ = writeln!(self.out, "{name} {} {}{rest}", self.who, self.ids.words[inv]);
+    fn line(&mut self, name: &str, slot: RequestSlot, rest: std::fmt::Arguments) {
+        let _ = writeln!(self.out, "{name} {} {}{rest}", self.who, self.ids.words[slot]);
     }
 }
 
 impl Host for Wire<'_> {
-    fn run(&mut self, inv: RequestSlot) {
-        self.line("ADMIT", inv, format_args!(""));
+    fn run(&mut self, slot: RequestSlot) {
+        self.line("ADMIT", slot, format_args!(""));
     }
-    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+    fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         let Rejection { retry_after, no_retry_elsewhere, .. } = rejection;
-        self.line("REJECT", inv, format_args!(" {} {}", retry_after * NS, no_retry_elsewhere as u8));
+        self.line("REJECT", slot, format_args!(" {} {}", retry_after * NS, no_retry_elsewhere as u8));
     }
-    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
-        self.line("DROP_REQUEST", inv, format_args!(""));
+    fn fail(&mut self, slot: RequestSlot, _: FailReason) {
+        self.line("DROP_REQUEST", slot, format_args!(""));
     }
-    fn stop(&mut self, inv: RequestSlot) {
-        self.line("YANK", inv, format_args!(""));
+    fn stop(&mut self, slot: RequestSlot) {
+        self.line("YANK", slot, format_args!(""));
     }
-    fn call(&mut self, inv: RequestSlot, within: Time) {
-        self.line("REACH_OUT", inv, format_args!(" {}", within * NS));
+    fn call(&mut self, slot: RequestSlot, within: Time) {
+        self.line("REACH_OUT", slot, format_args!(" {}", within * NS));
     }
-    fn skip_call(&mut self, inv: RequestSlot) {
-        self.line("SKIP", inv, format_args!(""));
+    fn skip_call(&mut self, slot: RequestSlot) {
+        self.line("SKIP", slot, format_args!(""));
     }
-    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
-        self.line("RETAIN", inv, format_args!(" {}", span * NS));
+    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
+        self.line("RETAIN", slot, format_args!(" {}", span * NS));
     }
-    fn replay_result(&mut self, inv: RequestSlot) {
-        self.line("ANSWER_FROM", inv, format_args!(""));
+    fn replay_result(&mut self, slot: RequestSlot) {
+        self.line("ANSWER_FROM", slot, format_args!(""));
     }
     fn set_health(&mut self, good: bool, stored: bool) {
         let _ = writeln!(self.out, "SET_HEALTH {} {} {}", self.who, good as u8, stored as u8);
@@ -80,9 +81,9 @@
     fn log(&mut self, event: &SchedulerEvent) {
         let _ = writeln!(self.out, "EMIT {} {event}", self.who);
     }
-    fn release(&mut self, inv: RequestSlot) {
-        self.ids.index.remove(&self.ids.words[inv]);
-        self.ids.free.push(inv);
+    fn release(&mut self, slot: RequestSlot) {
+        self.ids.slots.remove(&self.ids.words[slot]);
+        self.ids.free.push(slot);
     }
 }
 
@@ -155,41 +156,41 @@
     Ok(read)
 }
 
-fn arrival(at: &mut Instance, word: &str, values: &mut Values) -> Result<Arrival, String> {
-    let resent = values.flag("resent")?;
-    let budget = values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NS);
-    let rank = values.optional("prio")?.unwrap_or(0.0);
+fn arrival(instance: &mut Instance, word: &str, values: &mut Values) -> Result<Arrival, String> {
+    let is_retry = values.flag("resent")?;
+    let remaining_timeout = values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NS);
+    let client_priority = values.optional("prio")?.unwrap_or(0.0);
     let earlier_attempt = match values.maybe().filter(|word| *word != "0") {
         None => EarlierAttempt::None,
         Some(word) => {
-            at.ids.index.get(word).map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot))
+            instance.ids.slots.get(word).map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot))
         }
     };
-    let op = place(&at.names.operations, values.word("profile")?, "operation")?;
-    let keyed = values.maybe().is_some();
-    let unread = values.span("unread_for_ns")?;
-    values.maybe(); // the caller's number
-    let write = values.flag("write")?;
-    let hint = values.optional::<f64>("cost_ns")?.filter(|ns| *ns > 0.0).map(|ns| ns / NS as f64);
-    let kb = values.optional("kb")?.unwrap_or(0.0);
-    let customer = match values.maybe() {
+    let class = place(&instance.names.classes, values.word("profile")?, "operation")?;
+    let has_idempotency_key = values.maybe().is_some();
+    let time_unread = values.span("unread_for_ns")?;
+    values.maybe(); // the client's number
+    let is_write = values.flag("write")?;
+    let expected_work = values.optional::<f64>("cost_ns")?.filter(|ns| *ns > 0.0).map(|ns| ns / NS as f64);
+    let memory_kb = values.optional("kb")?.unwrap_or(0.0);
+    let tenant = match values.maybe() {
         None | Some("0") => None,
-        Some(name) => Some(place(&at.names.customers, name, "customer")?),
+        Some(name) => Some(place(&instance.names.tenants, name, "customer")?),
     };
-    let inv = at.ids.open(word);
+    let slot = instance.ids.open(word);
     Ok(Arrival {
-        slot: inv,
-        class: op,
-        tenant: customer,
-        remaining_timeout: budget,
-        client_priority: rank,
+        slot,
+        class,
+        tenant,
+        remaining_timeout,
+        client_priority,
         earlier_attempt,
-        has_idempotency_key: keyed,
-        time_unread: unread,
-        is_write: write,
-        is_retry: resent,
-        expected_work: hint,
-        memory_kb: kb,
+        has_idempotency_key,
+        time_unread,
+        is_write,
+        is_retry,
+        expected_work,
+        memory_kb,
     })
 }
 
@@ -209,17 +210,18 @@
         let (mut settings, names) =
             settings::read_text(&line[start..], seed).map_err(|what| format!("boot_info: {what}"))?;
         if pooled {
-            let operations = &settings.classes;
-            let objectives: Vec<Time> = operations.iter().map(|op| op.latency_objective).collect();
-            let billed: Vec<f64> = operations.iter().map(|op| op.priority_weight).collect();
-            settings.pools = Setup::ruled(&objectives, &billed);
+            let classes = &settings.classes;
+            let objectives: Vec<Time> = classes.iter().map(|class| class.latency_objective).collect();
+            let weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
+            settings.pools = Setup::ruled(&objectives, &weights);
         }
+        settings.validate().map_err(|what| format!("boot_info: {what}"))?;
         let mut ids = Ids::default();
         let scheduler = Scheduler::start(now, settings, &mut Wire { out, who, ids: &mut ids });
         hosted.insert(who, Instance { scheduler, ids, names });
         return Ok(());
     }
-    let at = hosted.get_mut(&who).ok_or_else(|| format!("no instance {who} is open"))?;
+    let instance = hosted.get_mut(&who).ok_or_else(|| format!("no instance {who} is open"))?;
     match name {
         "STOP" => {
             hosted.remove(&who);
@@ -230,12 +232,12 @@
             let read = gauges(values.maybe());
             // The timer must go on whatever the gauges say.
             let known = read.as_ref().copied().unwrap_or_default();
-            at.scheduler.tick(now, known, &mut Wire { out, who, ids: &mut at.ids });
+            instance.scheduler.tick(now, known, &mut Wire { out, who, ids: &mut instance.ids });
             return read.map(|_| ());
         }
         "LEAVING" => {
             let within = values.span("budget_ns")?;
-            at.scheduler.start_draining(now, within, &mut Wire { out, who, ids: &mut at.ids });
+            instance.scheduler.start_draining(now, within, &mut Wire { out, who, ids: &mut instance.ids });
             return Ok(());
         }
         _ => {}
@@ -247,22 +249,24 @@
             let _ = writeln!(out, "DROP_REQUEST {who} {word}");
             what
         };
-        let arrival = arrival(at, word, &mut values).map_err(owed)?;
-        at.scheduler.handle_arrival(now, arrival, &mut Wire { out, who, ids: &mut at.ids });
+        let arrival = arrival(instance, word, &mut values).map_err(owed)?;
+        instance.scheduler.handle_arrival(now, arrival, &mut Wire { out, who, ids: &mut instance.ids });
         return Ok(());
     }
     // An id that is no longer known was released: its late events concern nobody.
-    let inv = at.ids.index.get(word).copied();
-    let mut host = Wire { out, who, ids: &mut at.ids };
+    let slot = instance.ids.slots.get(word).copied();
+    let mut host = Wire { out, who, ids: &mut instance.ids };
     match name {
-        "NEEDS_DEP" => inv.map(|inv| at.scheduler.handle_call_needed(now, inv, &mut host)),
-        "CLIENT_LEFT" => inv.map(|inv| at.scheduler.handle_client_disconnect(now, inv, &mut host)),
+        "NEEDS_DEP" => slot.map(|slot| instance.scheduler.handle_call_needed(now, slot, &mut host)),
+        "CLIENT_LEFT" => slot.map(|slot| instance.scheduler.handle_client_disconnect(now, slot, &mut host)),
         "CALL_DONE" | "DONE" => {
             let how = outcome(values.word("code")?)?;
             let took = values.span("time_taken_ns")?;
             match name {
-                "DONE" => inv.map(|inv| at.scheduler.handle_run_completed(now, inv, how, &mut host)),
-                _ => inv.map(|inv| at.scheduler.handle_call_completed(now, inv, how, took, &mut host)),
+                "DONE" => slot.map(|slot| instance.scheduler.handle_run_completed(now, slot, how, &mut host)),
+                _ => {
+                    slot.map(|slot| instance.scheduler.handle_call_completed(now, slot, how, took, &mut host))
+                }
             }
         }
         _ => return Err(format!("unknown message {name:?}")),
