--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -194,6 +194,30 @@
     })
 }
 
+/// Starts an instance with the settings on the line.
+fn open_instance(
+    now: Time,
+    line: &str,
+    (who, seed): (usize, u64),
+    pooled: bool,
+    out: &mut String,
+) -> Result<Instance, String> {
+    let wrong = |what: &dyn std::fmt::Display| format!("boot_info: {what}");
+    let start = line.find('{').ok_or("boot_info is missing")?;
+    let (mut settings, names) = settings::read_text(&line[start..], seed).map_err(|what| wrong(&what))?;
+    if pooled {
+        let classes = &settings.classes;
+        let objectives: Vec<Time> = classes.iter().map(|class| class.latency_objective).collect();
+        let weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
+        settings.pools = Setup::ruled(&objectives, &weights);
+    }
+    settings.validate().map_err(|what| wrong(&what))?;
+    let mut ids = Ids::default();
+    let scheduler = Scheduler::start(now, settings, &mut Wire { out, who, ids: &mut ids });
+    Ok(Instance { scheduler, ids, names })
+}
+
+/// Handles one message of a batch.
 fn event(
     hosted: &mut HashMap<usize, Instance>,
     pooled: bool,
@@ -206,26 +230,14 @@
     let who: usize = values.number("who")?;
     if name == "OPEN_INSTANCE" {
         let seed: u64 = values.number("salt")?;
-        let start = line.find('{').ok_or("boot_info is missing")?;
-        let (mut settings, names) =
-            settings::read_text(&line[start..], seed).map_err(|what| format!("boot_info: {what}"))?;
-        if pooled {
-            let classes = &settings.classes;
-            let objectives: Vec<Time> = classes.iter().map(|class| class.latency_objective).collect();
-            let weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
-            settings.pools = Setup::ruled(&objectives, &weights);
-        }
-        settings.validate().map_err(|what| format!("boot_info: {what}"))?;
-        let mut ids = Ids::default();
-        let scheduler = Scheduler::start(now, settings, &mut Wire { out, who, ids: &mut ids });
-        hosted.insert(who, Instance { scheduler, ids, names });
+        hosted.insert(who, open_instance(now, line, (who, seed), pooled, out)?);
         return Ok(());
     }
     let instance = hosted.get_mut(&who).ok_or_else(|| format!("no instance {who} is open"))?;
     match name {
         "STOP" => {
             hosted.remove(&who);
-            return Ok(());
+            Ok(())
         }
         "REMINDER" => {
             values.maybe(); // the timer's key: there is one timer
@@ -233,40 +245,50 @@
             // The timer must go on whatever the gauges say.
             let known = read.as_ref().copied().unwrap_or_default();
             instance.scheduler.tick(now, known, &mut Wire { out, who, ids: &mut instance.ids });
-            return read.map(|_| ());
+            read.map(|_| ())
         }
         "LEAVING" => {
             let within = values.span("budget_ns")?;
             instance.scheduler.start_draining(now, within, &mut Wire { out, who, ids: &mut instance.ids });
-            return Ok(());
+            Ok(())
         }
-        _ => {}
+        "ACCEPT" => {
+            let word = values.word("corr")?;
+            // Not to be understood, but an answer is owed.
+            let owed = |what| {
+                let _ = writeln!(out, "DROP_REQUEST {who} {word}");
+                what
+            };
+            let arrival = arrival(instance, word, &mut values).map_err(owed)?;
+            let mut host = Wire { out, who, ids: &mut instance.ids };
+            instance.scheduler.handle_arrival(now, arrival, &mut host);
+            Ok(())
+        }
+        _ => request_event(instance, now, name, &mut values, (who, out)),
     }
+}
+
+/// Handles a message about an open request. An id that is no longer known was released: its late events concern nobody.
+fn request_event(
+    instance: &mut Instance,
+    now: Time,
+    name: &str,
+    values: &mut Values,
+    (who, out): (usize, &mut String),
+) -> Result<(), String> {
     let word = values.word("corr")?;
-    if name == "ACCEPT" {
-        // Not to be understood, but an answer is owed.
-        let owed = |what| {
-            let _ = writeln!(out, "DROP_REQUEST {who} {word}");
-            what
-        };
-        let arrival = arrival(instance, word, &mut values).map_err(owed)?;
-        instance.scheduler.handle_arrival(now, arrival, &mut Wire { out, who, ids: &mut instance.ids });
-        return Ok(());
-    }
-    // An id that is no longer known was released: its late events concern nobody.
     let slot = instance.ids.slots.get(word).copied();
     let mut host = Wire { out, who, ids: &mut instance.ids };
+    let scheduler = &mut instance.scheduler;
     match name {
-        "NEEDS_DEP" => slot.map(|slot| instance.scheduler.handle_call_needed(now, slot, &mut host)),
-        "CLIENT_LEFT" => slot.map(|slot| instance.scheduler.handle_client_disconnect(now, slot, &mut host)),
+        "NEEDS_DEP" => slot.map(|slot| scheduler.handle_call_needed(now, slot, &mut host)),
+        "CLIENT_LEFT" => slot.map(|slot| scheduler.handle_client_disconnect(now, slot, &mut host)),
         "CALL_DONE" | "DONE" => {
             let how = outcome(values.word("code")?)?;
             let took = values.span("time_taken_ns")?;
             match name {
-                "DONE" => slot.map(|slot| instance.scheduler.handle_run_completed(now, slot, how, &mut host)),
-                _ => {
-                    slot.map(|slot| instance.scheduler.handle_call_completed(now, slot, how, took, &mut host))
-                }
+                "DONE" => slot.map(|slot| scheduler.handle_run_completed(now, slot, how, &mut host)),
+                _ => slot.map(|slot| scheduler.handle_call_completed(now, slot, how, took, &mut host)),
             }
         }
         _ => return Err(format!("unknown message {name:?}")),
@@ -314,7 +336,7 @@
     }
 }
 
-/// With `--pools` the operations are pooled by the rule of `Setup::ruled`.
+/// With `--pools` the request classes are pooled by the rule of `Setup::ruled`.
 fn main() {
     let pooled = std::env::args().any(|word| word == "--pools");
     if let Err(what) = serve(io::stdin().lock(), io::stdout().lock(), pooled) {
