--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -70,7 +70,7 @@
 
     // Written again, each value is what stands in the folder.
     let mut writes = vec![kept::hard(&state.hard)];
-    kept::base(&mut writes, &base, &state.image, &base, 1..=0);
+    kept::base(&mut writes, &base, &state.image, &base, std::ops::RangeInclusive::new(1, 0));
     for (at, entry) in state.log.iter().enumerate() {
         writes.push(kept::entry(base.mark.index + 1 + at as u64, entry));
     }
