--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -1,8 +1,8 @@
 //! One owner at a time, at size: how long a duty has no owner, and what keeping it costs. Keepers, instances and links are played
 //! (simulated time, real decisions); nothing here is measured on sockets.
 
-use cypresscleat_forwarding::grants::{Lead, LASTS, SKEW};
-use cypresscleat_forwarding::membership::{Membership, Options, Send};
+use cypresscleat_forwarding::grants::{PlannerElection, GRANT_DURATION, MAX_CLOCK_SKEW};
+use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{Envelope, Role};
 use cypresscleat_forwarding::NodeId;
 use cypresscleat_leases::sim::{Play, Setup};
@@ -42,13 +42,19 @@
     let address = |at: usize| SocketAddr::from(([127, 0, 0, 1], 1 + at as u16));
     let at_of = |to: SocketAddr| to.port() as usize - 1;
     let seeds: Vec<SocketAddr> = (0..many).map(address).collect();
-    let mut all: Vec<(Membership, Lead)> = (0..many)
+    let mut all: Vec<(Membership, PlannerElection)> = (0..many)
         .map(|at| {
             let own = at as NodeId + 1;
             let role = Role::Planner;
-            let members =
-                Membership::new(own, role, address(at), seeds.clone(), Options::default(), seed * 31 + own);
-            (members, Lead::new(own))
+            let members = Membership::new(
+                own,
+                role,
+                address(at),
+                seeds.clone(),
+                MembershipConfig::default(),
+                seed * 31 + own,
+            );
+            (members, PlannerElection::new(own))
         })
         .collect();
     let (mut mail, mut posted) = (BTreeMap::<(Time, u64), (usize, usize, Envelope)>::new(), 0);
@@ -59,7 +65,7 @@
             all.iter().enumerate().filter(|(at, _)| Some(*at) != dead).map(|(_, one)| one.0.due()).min();
         let next = mail.first_key_value().map(|(key, _)| key.0).into_iter().chain(due).min().unwrap_or(end);
         now = now.max(next);
-        let mut out: Vec<(usize, Vec<Send>)> = Vec::new();
+        let mut out: Vec<(usize, Vec<OutgoingMessage>)> = Vec::new();
         while let Some(entry) = mail.first_entry().filter(|entry| entry.key().0 <= now) {
             let (from, to, envelope) = entry.remove();
             if Some(to) != dead {
@@ -75,7 +81,7 @@
             one.1.planners(now, here.into_iter());
         }
         for (from, sends) in out {
-            for Send { to, envelope } in sends {
+            for OutgoingMessage { to, envelope } in sends {
                 posted += 1;
                 mail.insert((now + MS, posted), (from, at_of(to), envelope));
             }
@@ -87,7 +93,7 @@
             return now - died;
         }
         if dead.is_some() && all[1].1.leads() {
-            return now + LASTS + SKEW - died;
+            return now + GRANT_DURATION + MAX_CLOCK_SKEW - died;
         }
     }
     end
--- a/crates/experiments/src/scale/events.rs
+++ b/crates/experiments/src/scale/events.rs
@@ -3,8 +3,8 @@
 use super::gossip::settled;
 use super::row::{How, Row};
 use super::targets::TARGETS;
-use cypresscleat_forwarding::messages::State;
-use cypresscleat_forwarding::sim::World;
+use cypresscleat_forwarding::messages::MemberState;
+use cypresscleat_forwarding::simulation::Simulation;
 use cypresscleat_forwarding::SECOND;
 
 const ROLE: &str = "app-server";
@@ -25,11 +25,11 @@
 const SEEDS: usize = 3;
 
 impl Peak {
-    fn of(world: &World) -> Peak {
+    fn of(world: &Simulation) -> Peak {
         Peak { sent: world.sent.clone(), heard: world.heard.clone(), ..Peak::default() }
     }
     /// A second has passed.
-    fn second(&mut self, world: &World) {
+    fn second(&mut self, world: &Simulation) {
         let most = |now: &[u64], then: &[u64]| now.iter().zip(then).map(|(a, b)| a - b).max().unwrap_or(0);
         let ((sent, heard), (had_sent, had_heard)) = ((&world.sent, &world.heard), (&self.sent, &self.heard));
         self.seeds.0 = self.seeds.0.max(most(&sent[..SEEDS], &had_sent[..SEEDS]));
@@ -42,7 +42,7 @@
 }
 
 /// Until all know, with the busiest member's seconds on the way; NaN after two minutes.
-fn plays(world: &mut World, whom: &[usize], state: State) -> (f64, Peak) {
+fn plays(world: &mut Simulation, whom: &[usize], state: MemberState) -> (f64, Peak) {
     let began = world.now;
     let mut peak = Peak::of(world);
     let mut all = f64::NAN;
@@ -51,7 +51,7 @@
         for _ in 0..5 {
             let next = world.now + SECOND / 5;
             world.run(next);
-            let others = world.here() - usize::from(state == State::Alive);
+            let others = world.here() - usize::from(state == MemberState::Alive);
             if all.is_nan() && whom.iter().all(|at| world.agree(*at, state) >= others) {
                 all = (world.now - began) as f64 / (SECOND as f64 / 1e3);
             }
@@ -86,13 +86,13 @@
             // Seeds stay, or who comes back knows nobody to ask.
             let whom: Vec<usize> = (many - gone..many).collect();
             whom.iter().for_each(|at| world.kill(*at));
-            let (all, peak) = plays(&mut world, &whom, State::Dead);
+            let (all, peak) = plays(&mut world, &whom, MemberState::Dead);
             add("until all know", all, "ms");
             peaks(&peak, "", &mut add);
             if name == "a fifth" {
                 let now = world.now;
                 whom.iter().for_each(|at| world.start(*at, now, 2));
-                let (all, peak) = plays(&mut world, &whom, State::Alive);
+                let (all, peak) = plays(&mut world, &whom, MemberState::Alive);
                 add("until all know that it is back", all, "ms");
                 peaks(&peak, " as it comes back", &mut add);
             }
@@ -102,7 +102,7 @@
 }
 
 /// The busiest member's busiest of five seconds, with nothing going on.
-fn plays_at_rest(world: &mut World) -> Peak {
+fn plays_at_rest(world: &mut Simulation) -> Peak {
     let mut peak = Peak::of(world);
     for _ in 0..5 {
         let next = world.now + SECOND;
--- a/crates/experiments/src/scale/gossip.rs
+++ b/crates/experiments/src/scale/gossip.rs
@@ -3,9 +3,9 @@
 
 use super::heap;
 use super::row::{How, Row};
-use cypresscleat_forwarding::membership::{Member, Membership, Options};
-use cypresscleat_forwarding::messages::State;
-use cypresscleat_forwarding::sim::{Net, World};
+use cypresscleat_forwarding::membership::{Member, Membership, MembershipConfig};
+use cypresscleat_forwarding::messages::MemberState;
+use cypresscleat_forwarding::simulation::{NetworkConditions, Simulation};
 use cypresscleat_forwarding::{NodeId, MS, SECOND};
 use std::time::Instant;
 
@@ -21,19 +21,19 @@
 /// A death that nobody knows of after so long is told as not known.
 const LONGEST: i64 = 120;
 
-pub fn net(loss: f64) -> Net {
-    Net { loss, delay: (2, 20), cut: None }
+pub fn net(loss: f64) -> NetworkConditions {
+    NetworkConditions { loss, delay: (2, 20), cut: None }
 }
 
 /// Milliseconds from now until half, and until all of those that are here hold all of `whom` for `state`; NaN past the longest
 /// time.
-pub fn known(world: &mut World, whom: &[usize], state: State, every: i64) -> (f64, f64) {
+pub fn known(world: &mut Simulation, whom: &[usize], state: MemberState, every: i64) -> (f64, f64) {
     let (began, mut half, mut all) = (world.now, None, None);
     while all.is_none() && world.now < began + LONGEST * SECOND {
         let next = world.now + every * MS;
         world.run(next);
         // The last one known counts, so the first that is not known by so many ends the look.
-        let others = world.here() - usize::from(state == State::Alive);
+        let others = world.here() - usize::from(state == MemberState::Alive);
         let least = whom.iter().map(|at| world.agree(*at, state)).min().unwrap_or(others);
         let after = (world.now - began) as f64 / MS as f64;
         half = half.or((least * 2 >= others).then_some(after));
@@ -44,8 +44,8 @@
 
 /// A world in which all know each other and nothing is left to tell. What each has to tell after all have started at once takes it
 /// so many minutes that no play of this length would see its end; bytes a member and second while it lasts come with it.
-pub fn settled(many: usize, loss: f64, seed: u64) -> (World, f64) {
-    let mut world = World::new(many, Options::default(), net(loss), seed);
+pub fn settled(many: usize, loss: f64, seed: u64) -> (Simulation, f64) {
+    let mut world = Simulation::new(many, MembershipConfig::default(), net(loss), seed);
     world.run(WARM * SECOND);
     let bytes = world.bytes;
     world.run((WARM + START) * SECOND);
@@ -57,7 +57,7 @@
 
 /// Counts only: messages and bytes a member and second at rest, entries a member, and bytes a member and second after all have
 /// started at once.
-pub fn at_rest(many: usize, loss: f64, seed: u64) -> (World, [f64; 4]) {
+pub fn at_rest(many: usize, loss: f64, seed: u64) -> (Simulation, [f64; 4]) {
     let (mut world, start) = settled(many, loss, seed);
     let (messages, bytes) = (world.messages, world.bytes);
     let until = world.now + MEASURED * SECOND;
@@ -100,7 +100,7 @@
             }
             let victim = size as usize / 2;
             world.kill(victim);
-            let (half, all) = known(&mut world, &[victim], State::Dead, 100);
+            let (half, all) = known(&mut world, &[victim], MemberState::Dead, 100);
             add("until half know a death", half, "ms");
             add("until all know a death", all, "ms");
         }
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -9,10 +9,10 @@
 use crate::scale::row::{How, Row};
 use cypresscleat_demo::Place;
 use cypresscleat_fault_injection::free_port;
-use cypresscleat_forwarding::grants::{Held, RENEWED};
-use cypresscleat_forwarding::membership::{Membership, Options, Send};
+use cypresscleat_forwarding::grants::{GrantTable, GRANT_RENEWAL_INTERVAL};
+use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{
-    self, Demand, Envelope, Message, Next, Report, Role, Rumour, Sight, State,
+    self, Decoded, Demand, Envelope, GossipUpdate, LoadReport, MemberState, Message, Role, WorkerObservation,
 };
 use cypresscleat_forwarding::{node_id, NodeId, Time};
 use cypresscleat_server::clock::Clock;
@@ -50,7 +50,8 @@
         let done = guarded(|| plans(program, (size, WORKERS), REST, &mut rows, tell));
         told(done, &format!("a planner with {size} forwarders"), tell);
     }
-    for size in sizes.iter().copied().filter(|size| *size <= messages::GRANTS as u64 && *size != WORKERS) {
+    for size in sizes.iter().copied().filter(|size| *size <= messages::MAX_GRANTS as u64 && *size != WORKERS)
+    {
         let done = guarded(|| plans(program, (FORWARDERS, size), REST, &mut rows, tell));
         told(done, &format!("a planner with {size} workers"), tell);
     }
@@ -99,7 +100,7 @@
             return;
         }
         match message {
-            Message::Report(_) | Message::Grants { .. } | Message::Under { .. } => {
+            Message::Report(_) | Message::Grants { .. } | Message::WithPolicyVersion { .. } => {
                 self.plans.notes(size, goes_out)
             }
             _ => self.gossip.notes(size, goes_out),
@@ -130,16 +131,16 @@
         }
     }
 
-    fn rumour(&self, at: usize) -> Rumour {
+    fn rumour(&self, at: usize) -> GossipUpdate {
         let (id, role, address) = (node_id(&name(at)), self.role(at), self.addresses[at]);
-        Rumour { id, role, address, incarnation: 1, state: State::Alive }
+        GossipUpdate { id, role, address, incarnation: 1, state: MemberState::Alive }
     }
 
     /// One that knows all others, and has nothing left to tell of them.
     fn member(&self, at: usize, seeds: Vec<SocketAddr>, now: Time) -> Membership {
         let own = self.rumour(at);
         let mut member =
-            Membership::new(own.id, own.role, own.address, seeds, Options::default(), at as u64 + 1);
+            Membership::new(own.id, own.role, own.address, seeds, MembershipConfig::default(), at as u64 + 1);
         let others = (0..self.addresses.len()).filter(|other| *other != at);
         others.for_each(|other| member.learn(now, self.rumour(other)));
         drop(member.changes());
@@ -210,7 +211,7 @@
     ready: Arc<AtomicU64>,
 ) -> Result<(), String> {
     let clock = Clock::start();
-    let bytes = Rc::new(RefCell::new(vec![0; messages::LONGEST + 8]));
+    let bytes = Rc::new(RefCell::new(vec![0; messages::MAX_MESSAGE_BYTES + 8]));
     let mut all = Vec::new();
     for (at, socket) in share {
         let seeds = if setup.planner { vec![setup.addresses[0]] } else { vec![books.real] };
@@ -242,8 +243,8 @@
 }
 
 impl End {
-    fn posts(&self, all: Vec<Send>) {
-        for Send { to, envelope } in all {
+    fn posts(&self, all: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, envelope } in all {
             let mut bytes = Vec::new();
             if messages::write(&mut bytes, &envelope) && self.socket.try_send_to(&bytes, to).is_ok() {
                 self.books.notes(to, &envelope.message, bytes.len(), true);
@@ -258,23 +259,23 @@
         }
         let mut bytes = self.bytes.borrow_mut();
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
-        let Next::Message(envelope, _) = messages::read(&bytes[..size]) else { return None };
+        let Decoded::Message(envelope, _) = messages::read(&bytes[..size]) else { return None };
         self.books.notes(from, &envelope.message, size, false);
         Some((from, envelope))
     }
 
     async fn lives(mut self, workers: u64, many: usize) {
-        let mut held = Held::default();
-        let first = self.clock.now() + RENEWED * self.at as Time / many.max(1) as Time;
+        let mut held = GrantTable::default();
+        let first = self.clock.now() + GRANT_RENEWAL_INTERVAL * self.at as Time / many.max(1) as Time;
         let mut next = if workers > 0 { first } else { Time::MAX };
-        let sight = |at: u64| Sight {
+        let sight = |at: u64| WorkerObservation {
             worker: node_id(&format!("w{at}")),
             out: 2,
             ends: 50.0,
             throttled: 0.0,
             took: 80.0,
         };
-        let sights: Vec<Sight> = (0..workers).map(sight).collect();
+        let sights: Vec<WorkerObservation> = (0..workers).map(sight).collect();
         let demand = |class: u16| Demand { class, rate: 100.0, held: 0, value: 1.0 };
         loop {
             let now = self.clock.now();
@@ -284,10 +285,10 @@
                 drop(self.members.changes());
             }
             if now >= next {
-                next = now + RENEWED;
+                next = now + GRANT_RENEWAL_INTERVAL;
                 let (number, epoch) = (held.asks(now), held.epoch());
                 let demands = vec![demand(0), demand(1)];
-                let report = Report { number, demands, sights: sights.clone(), epoch };
+                let report = LoadReport { number, demands, sights: sights.clone(), epoch };
                 let own = self.members.own();
                 let envelope = Envelope {
                     from: own.id,
@@ -295,7 +296,7 @@
                     rumours: Vec::new(),
                     message: Message::Report(report),
                 };
-                self.posts(vec![Send { to: self.books.real, envelope }]);
+                self.posts(vec![OutgoingMessage { to: self.books.real, envelope }]);
                 self.books.reports.fetch_add(1, Ordering::Relaxed);
             }
             let Some((from, envelope)) = self.hears(next.min(self.members.due())).await else { continue };
@@ -311,8 +312,8 @@
     }
 }
 
-fn is_here(state: State) -> bool {
-    !matches!(state, State::Dead | State::Left)
+fn is_here(state: MemberState) -> bool {
+    !matches!(state, MemberState::Dead | MemberState::Left)
 }
 
 /// Waits until the real process knows so many members, then asks out of it what it still has to tell. What it could not do in time.
@@ -325,11 +326,11 @@
         messages::write(&mut bytes, &Envelope { from, incarnation: 1, rumours: Vec::new(), message });
         socket.send_to(&bytes, real).map(drop).map_err(wrong)
     };
-    let mut bytes = vec![0; messages::LONGEST + 8];
+    let mut bytes = vec![0; messages::MAX_MESSAGE_BYTES + 8];
     let mut hear = || {
         let size = socket.recv(&mut bytes).ok()?;
         match messages::read(&bytes[..size]) {
-            Next::Message(envelope, _) => Some(envelope),
+            Decoded::Message(envelope, _) => Some(envelope),
             _ => None,
         }
     };
@@ -340,7 +341,7 @@
         }
         send(Message::Join)?;
         while let Some(envelope) = hear() {
-            if let Message::Known { rumours } = envelope.message {
+            if let Message::MemberList { rumours } = envelope.message {
                 known.extend(rumours.iter().filter(|one| is_here(one.state)).map(|one| one.id));
             }
         }
@@ -436,7 +437,7 @@
     put("forwarder", "reports: payload bytes out", plans.bytes_out as f64 / each, "B/s");
     put("forwarder", "grants: payload bytes in", plans.bytes_in as f64 / each, "B/s");
     // Under one where this process could not keep up: then the planner's figures are of fewer reports than so many forwarders send.
-    let due = each / (RENEWED as f64 / 10_000.0);
+    let due = each / (GRANT_RENEWAL_INTERVAL as f64 / 10_000.0);
     put("forwarder", "reports that were sent of those due", reports / due, "share");
     let share = if reports > 0.0 { taken / reports } else { 0.0 };
     put("forwarder", "reports that were answered by grants", share, "share");
--- a/crates/experiments/src/scale/targets.rs
+++ b/crates/experiments/src/scale/targets.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Bytes of a UDP datagram over IPv4 at the most: less than the 64 KiB of [`cypresscleat_forwarding::messages::LONGEST`].
+/// Bytes of a UDP datagram over IPv4 at the most: less than the 64 KiB of [`cypresscleat_forwarding::messages::MAX_MESSAGE_BYTES`].
 pub const DATAGRAM: f64 = 65_507.0;
 /// Grants in one answer, sights in one report.
-pub const ENTRIES: f64 = cypresscleat_forwarding::messages::GRANTS as f64;
+pub const ENTRIES: f64 = cypresscleat_forwarding::messages::MAX_GRANTS as f64;
--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -3,9 +3,11 @@
 use super::row::{How, Row};
 use super::targets::DATAGRAM;
 use super::{heap, timed};
-use cypresscleat_forwarding::messages::{write, Demand, Envelope, Grant, Message, Report, Sight, GRANTS};
-use cypresscleat_forwarding::plan::Plan;
-use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::capacity_plan::CapacityPlan;
+use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::messages::{
+    write, Demand, Envelope, Grant, LoadReport, Message, WorkerObservation, MAX_GRANTS,
+};
 use cypresscleat_forwarding::{node_id, Time};
 use std::time::Instant;
 
@@ -20,10 +22,11 @@
     node_id(&format!("worker-{at}"))
 }
 
-fn report(workers: u64) -> Report {
+fn report(workers: u64) -> LoadReport {
     let demand = |class| Demand { class, rate: 123.4, held: 17, value: 1.5 };
-    let sight = |at| Sight { worker: worker(at), out: 40, ends: 345.6, throttled: 1.25, took: 312.5 };
-    Report {
+    let sight =
+        |at| WorkerObservation { worker: worker(at), out: 40, ends: 345.6, throttled: 1.25, took: 312.5 };
+    LoadReport {
         number: 100_000,
         demands: (0..OPERATIONS).map(demand).collect(),
         sights: (0..workers).map(sight).collect(),
@@ -90,9 +93,9 @@
     add("planner", grants, "grants, workers at which a datagram is full", grants as f64, "workers");
     add(
         "planner",
-        GRANTS as u64,
+        MAX_GRANTS as u64,
         "grants and sights, entries past which they are cut",
-        GRANTS as f64,
+        MAX_GRANTS as f64,
         "entries",
     );
     rows
@@ -107,7 +110,7 @@
         };
         let began = Instant::now();
         let (mut routes, held) = heap::of(|| {
-            let mut routes = Routes::new(seed);
+            let mut routes = LoadBalancer::new(seed);
             (0..size).for_each(|at| routes.worker(0, worker(at), 50.0, true, Time::MIN));
             routes
         });
@@ -121,7 +124,7 @@
                 turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
                 if let Some(id) = routes.choose(10, subject(turn), &[]) {
                     routes.goes(id);
-                    routes.ended(10, id, End::Succeeded, 100, 0);
+                    routes.ended(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
             })
         };
@@ -131,7 +134,7 @@
         let looks = timed(|| routes.tick(20));
         add("forwarder", "table, a look at all", looks, "us");
 
-        let mut plan = Plan::default();
+        let mut plan = CapacityPlan::default();
         (0..size).for_each(|at| plan.worker(worker(at), 50.0));
         (0..FORWARDERS).for_each(|from| plan.report(0, node_id(&format!("forwarder-{from}")), report(size)));
         let gives = timed(|| drop(std::hint::black_box(plan.grants())));
--- a/crates/experiments/src/tier.rs
+++ b/crates/experiments/src/tier.rs
@@ -1,13 +1,13 @@
 //! What the two levels cost: three ways to know who is here, and a forwarder's table beside a plain scan.
 
-use cypresscleat_forwarding::membership::Options;
-use cypresscleat_forwarding::routes::{scan, End, Routes};
-use cypresscleat_forwarding::sim::{gossip, heartbeats, Cost};
+use cypresscleat_forwarding::load_balancer::{scan, AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::membership::MembershipConfig;
+use cypresscleat_forwarding::simulation::{gossip, heartbeats, MembershipCost};
 use cypresscleat_forwarding::Time;
 use std::time::{Duration, Instant};
 
-fn row(out: &mut String, way: &str, loss: f64, cost: &Cost) {
-    let Cost { many, messages, bytes, half, all, false_deaths } = cost;
+fn row(out: &mut String, way: &str, loss: f64, cost: &MembershipCost) {
+    let MembershipCost { many, messages, bytes, half, all, false_deaths } = cost;
     *out += &format!(
         "| {way} | {many} | {:.0}% | {messages:.1} | {bytes:.0} | {half:.0} | {all:.0} | {false_deaths:.4} |\n",
         loss * 100.0
@@ -15,17 +15,17 @@
 }
 
 fn lookups(many: u64) -> (f64, f64) {
-    let mut routes = Routes::new(1);
+    let mut routes = LoadBalancer::new(1);
     for id in 0..many {
         routes.worker(0, id, 50.0, true, Time::MIN);
     }
-    let timed = |routes: &mut Routes, by: fn(&mut Routes, Time) -> Option<u64>| {
+    let timed = |routes: &mut LoadBalancer, by: fn(&mut LoadBalancer, Time) -> Option<u64>| {
         let (began, mut turns) = (Instant::now(), 0u32);
         while began.elapsed() < Duration::from_millis(200) {
             for _ in 0..20 {
                 if let Some(id) = by(routes, 10) {
                     routes.goes(id);
-                    routes.ended(10, id, End::Succeeded, 100, 0);
+                    routes.ended(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
             }
             turns += 20;
@@ -46,7 +46,7 @@
     for loss in [0.01, 0.1] {
         for many in [10, 100, 1000, 10_000] {
             if many <= most {
-                row(&mut out, "gossip", loss, &gossip(many, loss, 7, Options::default()));
+                row(&mut out, "gossip", loss, &gossip(many, loss, 7, MembershipConfig::default()));
             }
             row(&mut out, "all to all, 4 missed", loss, &heartbeats(many, loss, true, 4));
             row(&mut out, "a planner's list, 4 missed", loss, &heartbeats(many, loss, false, 4));
--- a/crates/forwarding/src/plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -2,22 +2,22 @@
 //! demand is worth, with a floor for each, so that one that has just woken is not without; and a worker that turns away
 //! or slows has fewer to give.
 
-use crate::messages::{Demand, Grant, Report, Sight};
+use crate::messages::{Demand, Grant, LoadReport, WorkerObservation};
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
 /// Part of all places that is shared out evenly, whatever the demand.
-const EVEN: f64 = 0.2;
+const EVEN_SHARE: f64 = 0.2;
 /// A report older than this says nothing any more.
-pub const FRESH: Time = 3 * SECOND;
+pub const MAX_REPORT_AGE: Time = 3 * SECOND;
 /// A worker's places fall by this factor when it turned away more than so much of what it was sent, and rise by a part of
 /// what it was told to have when it did not.
-const FALL: f64 = 0.9;
-const RISE: f64 = 0.05;
-const THROTTLED: f64 = 0.05;
+const DECREASE_FACTOR: f64 = 0.9;
+const INCREASE_FRACTION: f64 = 0.05;
+const MAX_REJECTED_FRACTION: f64 = 0.05;
 /// It keeps this part at the least: what it is told to have may be wrong by half, or by twice.
-const LEAST: f64 = 0.25;
-pub const MOST: f64 = 2.0;
+const MIN_PLACES_FACTOR: f64 = 0.25;
+pub const MAX_PLACES_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Debug)]
 struct Worker {
@@ -29,13 +29,13 @@
 
 /// What a planner knows.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct CapacityPlan {
     workers: BTreeMap<NodeId, Worker>,
-    reports: BTreeMap<NodeId, (Time, Report)>,
+    reports: BTreeMap<NodeId, (Time, LoadReport)>,
     adapted_at: Time,
 }
 
-impl Plan {
+impl CapacityPlan {
     /// A worker that takes work, with the places that it is told to have; one that is known keeps what was learnt of it.
     pub fn worker(&mut self, id: NodeId, told: f64) {
         let told = told.clamp(1.0, 1e6);
@@ -53,7 +53,7 @@
         self.reports.remove(&id);
     }
 
-    pub fn report(&mut self, now: Time, from: NodeId, report: Report) {
+    pub fn report(&mut self, now: Time, from: NodeId, report: LoadReport) {
         self.reports.insert(from, (now, report));
     }
 
@@ -67,13 +67,13 @@
 
     /// Once a second: what the forwarders saw of each worker, together, moves its places.
     pub fn adapt(&mut self, now: Time) {
-        self.reports.retain(|_, (at, _)| now - *at <= FRESH);
+        self.reports.retain(|_, (at, _)| now - *at <= MAX_REPORT_AGE);
         if now - self.adapted_at < SECOND {
             return;
         }
         self.adapted_at = now;
         let mut sums: BTreeMap<NodeId, (f64, f64)> = BTreeMap::new();
-        for Sight { worker, ends, throttled, .. } in
+        for WorkerObservation { worker, ends, throttled, .. } in
             self.reports.values().flat_map(|(_, report)| &report.sights)
         {
             let sum = sums.entry(*worker).or_default();
@@ -82,17 +82,19 @@
         for (id, (ends, throttled)) in sums {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
             worker.seen_at = now;
-            if throttled > ends * THROTTLED {
-                worker.places *= FALL;
+            if throttled > ends * MAX_REJECTED_FRACTION {
+                worker.places *= DECREASE_FACTOR;
             } else if ends > 0.0 {
-                worker.places += worker.told * RISE;
+                worker.places += worker.told * INCREASE_FRACTION;
             }
-            worker.places = worker.places.clamp((worker.told * LEAST).max(1.0), worker.told * MOST);
+            worker.places = worker
+                .places
+                .clamp((worker.told * MIN_PLACES_FACTOR).max(1.0), worker.told * MAX_PLACES_FACTOR);
         }
     }
 
     /// What a forwarder's demand is worth: value that comes in a second, and what waits.
-    fn worth(report: &Report) -> f64 {
+    fn worth(report: &LoadReport) -> f64 {
         let worth =
             |demand: &Demand| f64::from(demand.value) * (f64::from(demand.rate) + f64::from(demand.held));
         report.demands.iter().map(worth).sum::<f64>()
@@ -111,7 +113,7 @@
             let all = known.places.floor().max(1.0) as u32;
             let share = |worth: f64| {
                 let by_worth = if sum > 0.0 { worth / sum } else { 1.0 / many };
-                EVEN / many + (1.0 - EVEN) * by_worth
+                EVEN_SHARE / many + (1.0 - EVEN_SHARE) * by_worth
             };
             for (owes, (_, worth)) in owed.iter_mut().zip(&worths) {
                 *owes += share(*worth) * f64::from(all);
--- a/crates/forwarding/src/mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -2,47 +2,49 @@
 //! on: of each worker the part that falls to it if all forwarders that it knows take alike. When planners are back it goes over
 //! to their grants in steps, so that many that come back at once do not jump together.
 
-use crate::grants::Held;
+use crate::grants::GrantTable;
 use crate::{NodeId, Time, SECOND};
 
 /// Steps from its own part to its grants, and how long each lasts.
-pub const STEPS: u32 = 4;
-pub const STEP: Time = SECOND / 2;
+pub const RECOVERY_STEPS: u32 = 4;
+pub const RECOVERY_STEP_DURATION: Time = SECOND / 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum DispatchState {
     /// By itself.
     Local,
     /// On its way back, so many steps done.
-    Back(u32),
+    Recovering(u32),
     Planned,
 }
 
 #[derive(Clone, Debug)]
-pub struct Mode {
-    state: State,
+pub struct DispatchMode {
+    state: DispatchState,
     since: Time,
 }
 
-impl Mode {
+impl DispatchMode {
     /// A forwarder begins by itself.
-    pub fn new(now: Time) -> Mode {
-        Mode { state: State::Local, since: now }
+    pub fn new(now: Time) -> DispatchMode {
+        DispatchMode { state: DispatchState::Local, since: now }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> DispatchState {
         self.state
     }
 
     /// What changed, with its figures, as one line for the log.
-    pub fn tick(&mut self, now: Time, held: &Held) -> Option<String> {
+    pub fn tick(&mut self, now: Time, held: &GrantTable) -> Option<String> {
         let next = match (held.holds(now), self.state) {
-            (false, State::Local) | (true, State::Planned) => return None,
-            (false, _) => State::Local,
-            (true, State::Local) => State::Back(0),
-            (true, State::Back(done)) if now - self.since < STEP => State::Back(done),
-            (true, State::Back(done)) if done + 1 >= STEPS => State::Planned,
-            (true, State::Back(done)) => State::Back(done + 1),
+            (false, DispatchState::Local) | (true, DispatchState::Planned) => return None,
+            (false, _) => DispatchState::Local,
+            (true, DispatchState::Local) => DispatchState::Recovering(0),
+            (true, DispatchState::Recovering(done)) if now - self.since < RECOVERY_STEP_DURATION => {
+                DispatchState::Recovering(done)
+            }
+            (true, DispatchState::Recovering(done)) if done + 1 >= RECOVERY_STEPS => DispatchState::Planned,
+            (true, DispatchState::Recovering(done)) => DispatchState::Recovering(done + 1),
         };
         if next == self.state {
             return None;
@@ -50,34 +52,34 @@
         let before = std::mem::replace(&mut self.state, next);
         let after = (now - std::mem::replace(&mut self.since, now)) / 10;
         match next {
-            State::Local => {
+            DispatchState::Local => {
                 Some(format!("by itself: grants of epoch {} ended, after {after} ms", held.epoch()))
             }
-            State::Back(0) => Some(format!(
-                "planners are back: epoch {}, {} places, in {STEPS} steps; {after} ms by itself",
+            DispatchState::Recovering(0) => Some(format!(
+                "planners are back: epoch {}, {} places, in {RECOVERY_STEPS} steps; {after} ms by itself",
                 held.epoch(),
                 held.total(now)
             )),
-            State::Planned => {
+            DispatchState::Planned => {
                 Some(format!("by its grants: epoch {}, {} places", held.epoch(), held.total(now)))
             }
-            State::Back(_) => {
-                debug_assert!(matches!(before, State::Back(_)));
+            DispatchState::Recovering(_) => {
+                debug_assert!(matches!(before, DispatchState::Recovering(_)));
                 None
             }
         }
     }
 
     /// Places that it may use on a worker. `alone` is its part of the worker where it decides by itself.
-    pub fn places(&self, now: Time, held: &Held, worker: NodeId, alone: f64) -> f64 {
+    pub fn places(&self, now: Time, held: &GrantTable, worker: NodeId, alone: f64) -> f64 {
         let granted = held.places(now, worker).map(f64::from);
         match (self.state, granted) {
-            (State::Planned, Some(granted)) => granted,
-            (State::Back(done), Some(granted)) => {
-                alone + (granted - alone) * f64::from(done) / f64::from(STEPS)
+            (DispatchState::Planned, Some(granted)) => granted,
+            (DispatchState::Recovering(done), Some(granted)) => {
+                alone + (granted - alone) * f64::from(done) / f64::from(RECOVERY_STEPS)
             }
             // The grants have just ended, or it has not looked yet: by itself from the next invocation on.
-            (State::Local, _) | (_, None) => alone,
+            (DispatchState::Local, _) | (_, None) => alone,
         }
     }
 
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -6,7 +6,7 @@
 //!
 //! A grant holds for `lasts` from when its planner made it, and its forwarder takes it for no longer than `lasts` from when it
 //! came, less the time since it asked (the report that it answers). A planner that comes to lead waits for `lasts` and
-//! [`SKEW`]. So while clocks run equally fast to within SKEW in `lasts`, no two planners' grants hold at once: of each worker no
+//! [`MAX_CLOCK_SKEW`]. So while clocks run equally fast to within MAX_CLOCK_SKEW in `lasts`, no two planners' grants hold at once: of each worker no
 //! more than its places is given out. Two that both think they lead, each for longer than that wait (the net between them cut),
 //! give out the places twice at the most, one for each side of the cut, and a forwarder counts one epoch only.
 
@@ -15,19 +15,19 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long grants last, and how often they are renewed in that time.
-pub const LASTS: Time = 2 * SECOND;
-pub const RENEWED: Time = LASTS / 4;
+pub const GRANT_DURATION: Time = 2 * SECOND;
+pub const GRANT_RENEWAL_INTERVAL: Time = GRANT_DURATION / 4;
 /// Clocks may run apart by this much in that time.
-pub const SKEW: Time = 50 * MS;
+pub const MAX_CLOCK_SKEW: Time = 50 * MS;
 
 /// No grant is taken for more places than this, whatever is said.
-pub const MOST: u32 = 100_000;
+pub const MAX_GRANTED_PLACES: u32 = 100_000;
 /// Reports whose answers are still taken.
-const ASKED: usize = 8;
+const MAX_OPEN_REPORTS: usize = 8;
 
 /// A planner's side: whether it leads, since when, and under which epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Lead {
+pub struct PlannerElection {
     own: NodeId,
     epoch: u64,
     /// The newest epoch heard of.
@@ -40,23 +40,23 @@
 
 /// What changed about leading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum LeadershipChange {
     /// It leads, and may give out from then on.
-    Leads {
+    BecameLeader {
         epoch: u64,
         from: Time,
     },
-    Follows,
+    BecameFollower,
 }
 
-impl Lead {
-    pub fn new(own: NodeId) -> Lead {
-        Lead::with_wait(own, LASTS + SKEW)
+impl PlannerElection {
+    pub fn new(own: NodeId) -> PlannerElection {
+        PlannerElection::with_wait(own, GRANT_DURATION + MAX_CLOCK_SKEW)
     }
 
     /// Another wait than the rule's, to show what the rule is for.
-    pub fn with_wait(own: NodeId, wait: Time) -> Lead {
-        Lead { own, wait, ..Lead::default() }
+    pub fn with_wait(own: NodeId, wait: Time) -> PlannerElection {
+        PlannerElection { own, wait, ..PlannerElection::default() }
     }
 
     pub fn leads(&self) -> bool {
@@ -64,7 +64,7 @@
     }
 
     /// An epoch that somebody speaks of. One past its own shows another leader: it begins again behind it, if it leads.
-    pub fn heard(&mut self, now: Time, epoch: u64) -> Option<Turn> {
+    pub fn heard(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
         self.seen = self.seen.max(epoch);
         if self.leads() && self.seen > self.epoch {
             return Some(self.begin(now));
@@ -73,25 +73,25 @@
     }
 
     /// The planners that are here, itself among them or not.
-    pub fn planners(&mut self, now: Time, others: impl Iterator<Item = NodeId>) -> Option<Turn> {
+    pub fn planners(&mut self, now: Time, others: impl Iterator<Item = NodeId>) -> Option<LeadershipChange> {
         let least = others.fold(self.own, NodeId::min);
         match (least == self.own, self.leads()) {
             (true, false) => Some(self.begin(now)),
             (false, true) => {
                 self.leads_from = None;
-                Some(Turn::Follows)
+                Some(LeadershipChange::BecameFollower)
             }
             _ => None,
         }
     }
 
-    fn begin(&mut self, now: Time) -> Turn {
+    fn begin(&mut self, now: Time) -> LeadershipChange {
         // Epochs of two planners never meet: the last bits are the planner's own.
         self.epoch = (((self.seen >> 16) + 1) << 16) | (self.own & 0xffff);
         self.seen = self.epoch;
         let from = now + self.wait;
         self.leads_from = Some(from);
-        Turn::Leads { epoch: self.epoch, from }
+        LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
     /// Epoch and number of the next grants, if it may give out now.
@@ -110,7 +110,7 @@
 /// lease. Whoever owns it next may give out at once: all that was given out before has ended by then. So of each worker no more than its
 /// places is given out, once, also where the net between planners is cut, while clocks run equally fast to within the keepers' bound.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Owned {
+pub struct LeasedGrants {
     token: u64,
     number: u64,
     /// When the last of it ends.
@@ -118,14 +118,14 @@
 }
 
 /// Grants shorter than this are not given: they would end on their way.
-pub const LEAST: Time = LASTS / 8;
+pub const MIN_GRANT_DURATION: Time = GRANT_DURATION / 8;
 
-impl Owned {
+impl LeasedGrants {
     /// Epoch and number of the next grants, and how long they last, where it owns under `token`, for `left` at the least, and its
     /// clock shows `now`.
     pub fn gives(&mut self, now: Time, token: u64, left: Time) -> Option<(u64, u64, Time)> {
-        let lasts = left.min(LASTS);
-        if lasts < LEAST {
+        let lasts = left.min(GRANT_DURATION);
+        if lasts < MIN_GRANT_DURATION {
             return None;
         }
         if token != self.token {
@@ -145,7 +145,7 @@
 
 /// A forwarder's side.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct GrantTable {
     epoch: u64,
     number: u64,
     until: Time,
@@ -157,23 +157,23 @@
 
 /// Why grants were not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum GrantRejection {
     /// Of an epoch before one that is known.
-    Old,
+    StaleEpoch,
     /// Said before already, or overtaken by a later one.
-    Again,
+    Duplicate,
     /// No report of ours can have brought them; how old they are can't be known.
-    Unasked,
+    UnknownReport,
     /// They had ended when they came.
-    Late,
+    Expired,
 }
 
-impl Held {
+impl GrantTable {
     /// A report goes out: its number. Grants that answer it are no older than it.
     pub fn asks(&mut self, now: Time) -> u32 {
         self.reports = self.reports.wrapping_add(1);
         self.asked.push_back((self.reports, now));
-        if self.asked.len() > ASKED {
+        if self.asked.len() > MAX_OPEN_REPORTS {
             self.asked.pop_front();
         }
         self.reports
@@ -185,12 +185,12 @@
         (epoch, number, answers): (u64, u64, u32),
         lasts: Time,
         grants: &[Grant],
-    ) -> Result<(), Refused> {
+    ) -> Result<(), GrantRejection> {
         if epoch < self.epoch {
-            return Err(Refused::Old);
+            return Err(GrantRejection::StaleEpoch);
         }
         if epoch == self.epoch && number <= self.number {
-            return Err(Refused::Again);
+            return Err(GrantRejection::Duplicate);
         }
         // Known as the newest even where they are not taken: what came before holds no longer.
         if epoch > self.epoch {
@@ -198,13 +198,15 @@
             self.until = Time::MIN;
         }
         (self.epoch, self.number) = (epoch, number);
-        let asked = self.asked.iter().find(|(report, _)| *report == answers).ok_or(Refused::Unasked)?.1;
-        let until = asked + lasts.min(LASTS);
+        let asked =
+            self.asked.iter().find(|(report, _)| *report == answers).ok_or(GrantRejection::UnknownReport)?.1;
+        let until = asked + lasts.min(GRANT_DURATION);
         if until <= now {
-            return Err(Refused::Late);
+            return Err(GrantRejection::Expired);
         }
         self.until = until;
-        self.grants = grants.iter().map(|grant| (grant.worker, grant.places.min(MOST))).collect();
+        self.grants =
+            grants.iter().map(|grant| (grant.worker, grant.places.min(MAX_GRANTED_PLACES))).collect();
         Ok(())
     }
 
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -6,22 +6,22 @@
 //! | [`messages`] | which bytes say what; versioned, bounded |
 //! | [`membership`] | who is here: joins, leaves, suspicion, death |
 //! | [`grants`] | who may give out places on workers, and which grants hold |
-//! | [`plan`] | how much of which worker each forwarder gets |
-//! | [`routes`] | to which worker an invocation goes |
-//! | [`retry`] | whether it may go to another one |
-//! | [`mode`] | whether a forwarder goes by its grants or by itself, and how it goes back |
-//! | [`sim`] | a network in which all of these can be played |
+//! | [`capacity_plan`] | how much of which worker each forwarder gets |
+//! | [`load_balancer`] | to which worker an invocation goes |
+//! | [`retry_budget`] | whether it may go to another one |
+//! | [`dispatch_mode`] | whether a forwarder goes by its grants or by itself, and how it goes back |
+//! | [`simulation`] | a network in which all of these can be played |
 //!
 //! Times are whole tenths of a millisecond.
 
+pub mod capacity_plan;
+pub mod dispatch_mode;
 pub mod grants;
+pub mod load_balancer;
 pub mod membership;
 pub mod messages;
-pub mod mode;
-pub mod plan;
-pub mod ramp;
-pub mod retry;
-pub mod routes;
-pub mod sim;
+pub mod retry_budget;
+pub mod simulation;
+pub mod slow_start;
 
 pub use cypresscleat_primitives::{node_id, NodeId, SeededRng, Time, MS, SECOND};
--- a/crates/forwarding/src/routes.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -11,25 +11,25 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Points of a worker on the ring.
-const POINTS: u32 = 32;
+const RING_POINTS_PER_WORKER: u32 = 32;
 /// Load of a worker, against the mean, past which a subject goes to the next.
-const BOUND: f64 = 1.25;
+const BOUNDED_LOAD_FACTOR: f64 = 1.25;
 /// Workers drawn at random for each choice.
-const DRAWN: usize = 3;
+const SAMPLED_WORKERS: usize = 3;
 /// Past this quantile of what is out at those drawn lately a worker is hot.
-const HOT: f64 = 0.8;
+const HOT_QUANTILE: f64 = 0.8;
 /// Weight of the newest in means.
-const NEWEST: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// A worker is left out when this part of its ends failed, over this many at the least; or when it takes so many times the
 /// median.
-const FAILED: f64 = 0.5;
-const ENDS: f64 = 10.0;
-const SLOW: f64 = 5.0;
+const EJECTION_FAILURE_RATE: f64 = 0.5;
+const EJECTION_MIN_ATTEMPTS: f64 = 10.0;
+const EJECTION_LATENCY_FACTOR: f64 = 5.0;
 /// At first for so long, doubled each time up to the most.
-const OUT_FIRST: Time = 5 * SECOND;
-const OUT_MOST: Time = 60 * SECOND;
+const BASE_EJECTION_TIME: Time = 5 * SECOND;
+const MAX_EJECTION_TIME: Time = 60 * SECOND;
 /// Never more than this part of all.
-const OUT_PART: f64 = 0.3;
+const MAX_EJECTED_FRACTION: f64 = 0.3;
 
 #[derive(Clone, Debug)]
 struct Worker {
@@ -51,18 +51,18 @@
 
 /// How a try ended, for the measure of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     Succeeded,
-    Throttled,
-    Errored,
+    Rejected,
+    Failed,
     /// No connection, or it broke.
-    Lost,
+    ConnectionLost,
     /// The caller left, or the try was called off: it says nothing of the worker.
-    Nothing,
+    Cancelled,
 }
 
 #[derive(Clone, Debug)]
-pub struct Routes {
+pub struct LoadBalancer {
     workers: Vec<Worker>,
     by_id: HashMap<NodeId, usize>,
     /// Workers that may be chosen.
@@ -84,9 +84,9 @@
     hasher.finish()
 }
 
-impl Routes {
-    pub fn new(seed: u64) -> Routes {
-        Routes {
+impl LoadBalancer {
+    pub fn new(seed: u64) -> LoadBalancer {
+        LoadBalancer {
             workers: Vec::new(),
             by_id: HashMap::new(),
             usable: Vec::new(),
@@ -140,7 +140,7 @@
                     at: None,
                 });
                 self.by_id.insert(id, at);
-                for number in 0..POINTS {
+                for number in 0..RING_POINTS_PER_WORKER {
                     let new = (point(id, number), at);
                     let place = self.ring.partition_point(|known| *known < new);
                     self.ring.insert(place, new);
@@ -204,7 +204,7 @@
 
     fn by_subject(&self, subject: u64, not: &[NodeId]) -> Option<usize> {
         let mean = (self.out + 1) as f64 / self.usable.len().max(1) as f64;
-        let bound = (BOUND * mean).ceil();
+        let bound = (BOUNDED_LOAD_FACTOR * mean).ceil();
         let start = self.ring.partition_point(|(point, _)| *point < subject);
         let (mut tried, mut last) = (0, usize::MAX);
         for (_, at) in self.ring[start..].iter().chain(&self.ring[..start]) {
@@ -230,7 +230,7 @@
         }
         let line = self.line();
         let mut best: Option<usize> = None;
-        for _ in 0..DRAWN {
+        for _ in 0..SAMPLED_WORKERS {
             let at = self.usable[self.rng.index_below(self.usable.len())];
             let worker = &self.workers[at];
             self.seen[self.seen_at] = worker.out;
@@ -266,7 +266,7 @@
     /// What is out at most of those drawn lately.
     fn line(&self) -> u32 {
         let mut sorted = self.seen.clone();
-        let place = ((sorted.len() - 1) as f64 * HOT) as usize;
+        let place = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
         *sorted.select_nth_unstable(place).1
     }
 
@@ -279,26 +279,26 @@
     }
 
     /// A try has ended, after `took`; `later` is what its worker said of when to come back.
-    pub fn ended(&mut self, now: Time, id: NodeId, how: End, took: Time, later: Time) {
+    pub fn ended(&mut self, now: Time, id: NodeId, how: AttemptOutcome, took: Time, later: Time) {
         let Some(at) = self.by_id.get(&id).copied() else { return };
         let worker = &mut self.workers[at];
         if worker.out > 0 {
             worker.out -= 1;
             self.out -= 1;
         }
-        if how == End::Nothing {
+        if how == AttemptOutcome::Cancelled {
             return;
         }
-        let failed = matches!(how, End::Errored | End::Lost);
+        let failed = matches!(how, AttemptOutcome::Failed | AttemptOutcome::ConnectionLost);
         worker.ends += 1.0;
-        worker.failed += (f64::from(failed) - worker.failed) * NEWEST;
+        worker.failed += (f64::from(failed) - worker.failed) * EWMA_WEIGHT;
         // One that fails fast must not look like the best: what failed counts as slow as what succeeds there, doubled.
-        if how == End::Succeeded {
+        if how == AttemptOutcome::Succeeded {
             let first = worker.took == 0.0;
-            worker.took += (took as f64 - worker.took) * if first { 1.0 } else { NEWEST };
-            worker.left_out = if worker.ends > 10.0 * ENDS { 0 } else { worker.left_out };
+            worker.took += (took as f64 - worker.took) * if first { 1.0 } else { EWMA_WEIGHT };
+            worker.left_out = if worker.ends > 10.0 * EJECTION_MIN_ATTEMPTS { 0 } else { worker.left_out };
         } else if failed {
-            worker.took *= 1.0 + NEWEST;
+            worker.took *= 1.0 + EWMA_WEIGHT;
         }
         if later > 0 {
             worker.not_before = worker.not_before.max(now + later);
@@ -312,7 +312,10 @@
     /// Whether a worker is to be left out for a while.
     fn judge(&mut self, now: Time, at: usize) {
         let worker = &self.workers[at];
-        if worker.ends < ENDS || worker.failed < FAILED || worker.not_before > now {
+        if worker.ends < EJECTION_MIN_ATTEMPTS
+            || worker.failed < EJECTION_FAILURE_RATE
+            || worker.not_before > now
+        {
             return;
         }
         self.leave_out(now, at);
@@ -320,11 +323,11 @@
 
     fn leave_out(&mut self, now: Time, at: usize) {
         let away = self.workers.iter().filter(|worker| worker.takes_work && worker.not_before > now).count();
-        if (away + 1) as f64 > self.workers.len() as f64 * OUT_PART {
+        if (away + 1) as f64 > self.workers.len() as f64 * MAX_EJECTED_FRACTION {
             return; // most look bad: then the measure is
         }
         let worker = &mut self.workers[at];
-        let span = (OUT_FIRST << worker.left_out.min(8)).min(OUT_MOST);
+        let span = (BASE_EJECTION_TIME << worker.left_out.min(8)).min(MAX_EJECTION_TIME);
         worker.left_out += 1;
         (worker.failed, worker.ends) = (0.0, 0.0);
         worker.not_before = now + span;
@@ -338,8 +341,12 @@
                 self.settle(now, at);
             }
         }
-        let mut took: Vec<f64> =
-            self.workers.iter().filter(|w| w.ends >= ENDS && w.took > 0.0).map(|w| w.took).collect();
+        let mut took: Vec<f64> = self
+            .workers
+            .iter()
+            .filter(|w| w.ends >= EJECTION_MIN_ATTEMPTS && w.took > 0.0)
+            .map(|w| w.took)
+            .collect();
         if took.len() < 3 {
             return;
         }
@@ -347,7 +354,10 @@
         let median = *took.select_nth_unstable_by(middle, f64::total_cmp).1;
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
-            if worker.at.is_some() && worker.ends >= ENDS && worker.took > median * SLOW {
+            if worker.at.is_some()
+                && worker.ends >= EJECTION_MIN_ATTEMPTS
+                && worker.took > median * EJECTION_LATENCY_FACTOR
+            {
                 self.workers[at].took = median;
                 self.leave_out(now, at);
             }
@@ -361,7 +371,7 @@
 }
 
 /// A plain scan over the same table, to measure against: the fastest of the coldest of all.
-pub fn scan(routes: &Routes, _: Time) -> Option<NodeId> {
+pub fn scan(routes: &LoadBalancer, _: Time) -> Option<NodeId> {
     let free = (0..routes.workers.len()).filter(|at| routes.room(*at));
     let best = free.min_by(|a, b| {
         let (a, b) = (&routes.workers[*a], &routes.workers[*b]);
--- a/crates/forwarding/src/membership.rs
+++ b/crates/forwarding/src/membership.rs
@@ -4,14 +4,17 @@
 //! What is new travels on the messages that go anyway. Times to wait adapt to what was measured (V. Jacobson, "Congestion
 //! avoidance and control", 1988: mean and four deviations). A drain and a leave are told.
 
-use crate::messages::{Envelope, Message, Role, Rumour, State, KNOWN, PARTS, RUMOURS};
+use crate::messages::{
+    Envelope, GossipUpdate, MemberState, Message, Role, MAX_GOSSIP_UPDATES, MAX_LISTED_MEMBERS,
+    MEMBER_PARTITIONS,
+};
 use crate::{NodeId, SeededRng, Time, MS, SECOND};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Options {
+pub struct MembershipConfig {
     /// One member is asked in each.
     pub period: Time,
     /// Others that are asked to ask.
@@ -33,13 +36,13 @@
 
 /// Which part of the members one belongs to.
 fn part_of(id: NodeId) -> usize {
-    (id % PARTS as u64) as usize
+    (id % MEMBER_PARTITIONS as u64) as usize
 }
 
-impl Default for Options {
-    fn default() -> Options {
+impl Default for MembershipConfig {
+    fn default() -> MembershipConfig {
         let (period, remembered) = (SECOND / 4, 60 * SECOND);
-        Options {
+        MembershipConfig {
             period,
             helpers: 3,
             suspicion: 1.1,
@@ -69,7 +72,7 @@
     pub role: Role,
     pub address: SocketAddr,
     pub incarnation: u32,
-    pub state: State,
+    pub state: MemberState,
     /// Since when it has this state here.
     pub since: Time,
 }
@@ -77,24 +80,24 @@
 impl Member {
     /// Whether new work may go there.
     pub fn takes_work(&self) -> bool {
-        matches!(self.state, State::Alive | State::Suspect)
+        matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 /// To whom a message goes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct OutgoingMessage {
     pub to: SocketAddr,
     pub envelope: Envelope,
 }
 
 /// What changed, for the log and for whoever plans or routes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct MembershipChange {
     pub id: NodeId,
     pub role: Role,
-    pub from: Option<State>,
-    pub to: State,
+    pub from: Option<MemberState>,
+    pub to: MemberState,
 }
 
 #[derive(Clone, Debug)]
@@ -116,14 +119,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Membership {
-    options: Options,
-    own: Rumour,
+    options: MembershipConfig,
+    own: GossipUpdate,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<NodeId, Member>,
     /// Those still to be asked in this round.
     round: Vec<NodeId>,
     /// What is told on, and how often it was.
-    rumours: Vec<(Rumour, u32)>,
+    rumours: Vec<(GossipUpdate, u32)>,
     probe: Option<Probe>,
     errands: Vec<Errand>,
     number: u32,
@@ -134,7 +137,7 @@
     rng: SeededRng,
     /// Suspects that are to be asked from here, beside the round.
     verify: Vec<NodeId>,
-    changes: Vec<Change>,
+    changes: Vec<MembershipChange>,
     joined: bool,
     periods: u64,
 }
@@ -145,10 +148,10 @@
         role: Role,
         address: SocketAddr,
         seeds: Vec<SocketAddr>,
-        options: Options,
+        options: MembershipConfig,
         seed: u64,
     ) -> Membership {
-        let own = Rumour { id, role, address, incarnation: 1, state: State::Alive };
+        let own = GossipUpdate { id, role, address, incarnation: 1, state: MemberState::Alive };
         Membership {
             options,
             own,
@@ -179,13 +182,13 @@
     /// Those of a role that count: not dead, not gone.
     pub fn of_role(&self, role: Role) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members().filter(move |(_, member)| {
-            member.role == role && !matches!(member.state, State::Dead | State::Left)
+            member.role == role && !matches!(member.state, MemberState::Dead | MemberState::Left)
         })
     }
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
-    pub fn own(&self) -> &Rumour {
+    pub fn own(&self) -> &GossipUpdate {
         &self.own
     }
 
@@ -216,40 +219,40 @@
         self.rumours.retain(|(_, told)| *told < most);
         // The least told first: what is new travels fast.
         self.rumours.sort_by_key(|(_, told)| *told);
-        let mut rumours = Vec::with_capacity(RUMOURS);
-        for (rumour, told) in self.rumours.iter_mut().take(RUMOURS) {
+        let mut rumours = Vec::with_capacity(MAX_GOSSIP_UPDATES);
+        for (rumour, told) in self.rumours.iter_mut().take(MAX_GOSSIP_UPDATES) {
             *told += 1;
             rumours.push(rumour.clone());
         }
         Envelope { from: self.own.id, incarnation: self.own.incarnation, rumours, message }
     }
 
-    fn send(&mut self, to: SocketAddr, message: Message) -> Send {
+    fn send(&mut self, to: SocketAddr, message: Message) -> OutgoingMessage {
         let envelope = self.envelope(message);
-        Send { to, envelope }
+        OutgoingMessage { to, envelope }
     }
 
     /// Asks for all that another knows, and says at least that we are here.
-    fn join(&mut self, to: SocketAddr) -> Send {
+    fn join(&mut self, to: SocketAddr) -> OutgoingMessage {
         let mut send = self.send(to, Message::Join);
-        send.envelope.rumours.truncate(RUMOURS - 1);
+        send.envelope.rumours.truncate(MAX_GOSSIP_UPDATES - 1);
         send.envelope.rumours.push(self.own.clone());
         send
     }
 
-    fn spread(&mut self, rumour: Rumour) {
+    fn spread(&mut self, rumour: GossipUpdate) {
         self.rumours.retain(|(known, _)| known.id != rumour.id);
         self.rumours.push((rumour, 0));
     }
 
     /// Says of itself that it drains: no new work, and no suspicion.
     pub fn drains(&mut self) {
-        self.say(State::Draining);
+        self.say(MemberState::Draining);
     }
 
     /// Says that it goes; what comes back is to be sent at once.
-    pub fn leaves(&mut self) -> Vec<Send> {
-        self.say(State::Left);
+    pub fn leaves(&mut self) -> Vec<OutgoingMessage> {
+        self.say(MemberState::Left);
         let all: Vec<SocketAddr> =
             self.members.values().filter(|member| member.takes_work()).map(|m| m.address).collect();
         let some = all.len().min(self.options.helpers + 2);
@@ -263,7 +266,7 @@
             .collect()
     }
 
-    fn say(&mut self, state: State) {
+    fn say(&mut self, state: MemberState) {
         self.own.incarnation += 1;
         self.own.state = state;
         self.spread(self.own.clone());
@@ -279,13 +282,13 @@
         self.next_period.min(probe.unwrap_or(Time::MAX)).min(verify)
     }
 
-    pub fn tick(&mut self, now: Time) -> Vec<Send> {
+    pub fn tick(&mut self, now: Time) -> Vec<OutgoingMessage> {
         let mut out = self.turn(now);
         out.extend(self.verifies());
         out
     }
 
-    fn turn(&mut self, now: Time) -> Vec<Send> {
+    fn turn(&mut self, now: Time) -> Vec<OutgoingMessage> {
         let mut out = Vec::new();
         self.errands.retain(|errand| errand.until > now);
         if let Some(probe) =
@@ -296,13 +299,13 @@
                 let others: Vec<SocketAddr> = self
                     .members
                     .iter()
-                    .filter(|(id, member)| **id != probe.whom && member.state == State::Alive)
+                    .filter(|(id, member)| **id != probe.whom && member.state == MemberState::Alive)
                     .map(|(_, member)| member.address)
                     .collect();
                 for _ in 0..self.options.helpers.min(others.len()) {
                     let to = others[self.rng.index_below(others.len())];
                     let (number, whom) = (probe.number, probe.whom);
-                    out.push(self.send(to, Message::PingFor { number, whom, at }));
+                    out.push(self.send(to, Message::PingRequest { number, whom, at }));
                 }
             }
             if let Some(probe) = self.probe.as_mut() {
@@ -339,7 +342,8 @@
             });
         }
         if let Some((whom, to)) = self.next() {
-            let suspect = self.members.get(&whom).filter(|member| member.state == State::Suspect).cloned();
+            let suspect =
+                self.members.get(&whom).filter(|member| member.state == MemberState::Suspect).cloned();
             out.push(match suspect {
                 Some(member) => self.asks_suspect(whom, member),
                 None => {
@@ -354,24 +358,24 @@
     }
 
     /// Asks suspects that were drawn here. Nothing waits for the answer: it is the suspect's own word that counts.
-    fn verifies(&mut self) -> Vec<Send> {
+    fn verifies(&mut self) -> Vec<OutgoingMessage> {
         let drawn = std::mem::take(&mut self.verify);
         let suspects: Vec<(NodeId, Member)> = drawn
             .into_iter()
             .filter_map(|id| Some((id, self.members.get(&id)?.clone())))
-            .filter(|(_, member)| member.state == State::Suspect)
+            .filter(|(_, member)| member.state == MemberState::Suspect)
             .collect();
         suspects.into_iter().map(|(id, member)| self.asks_suspect(id, member)).collect()
     }
 
     /// A suspect hears of its suspicion from whoever asks it, and can say otherwise at once.
-    fn asks_suspect(&mut self, id: NodeId, member: Member) -> Send {
+    fn asks_suspect(&mut self, id: NodeId, member: Member) -> OutgoingMessage {
         self.number += 1;
         let mut send = self.send(member.address, Message::Ping { number: self.number });
         let Member { role, address, incarnation, state, .. } = member;
         send.envelope.rumours.retain(|rumour| rumour.id != id);
-        send.envelope.rumours.truncate(RUMOURS - 1);
-        send.envelope.rumours.insert(0, Rumour { id, role, address, incarnation, state });
+        send.envelope.rumours.truncate(MAX_GOSSIP_UPDATES - 1);
+        send.envelope.rumours.insert(0, GossipUpdate { id, role, address, incarnation, state });
         send
     }
 
@@ -379,7 +383,7 @@
     fn next(&mut self) -> Option<(NodeId, SocketAddr)> {
         loop {
             if self.round.is_empty() {
-                let asked = |member: &Member| !matches!(member.state, State::Dead | State::Left);
+                let asked = |member: &Member| !matches!(member.state, MemberState::Dead | MemberState::Left);
                 self.round = self.members.iter().filter(|(_, m)| asked(m)).map(|(id, _)| *id).collect();
                 for at in (1..self.round.len()).rev() {
                     let other = self.rng.index_below(at + 1);
@@ -388,7 +392,7 @@
             }
             let whom = self.round.pop()?;
             if let Some(member) =
-                self.members.get(&whom).filter(|m| !matches!(m.state, State::Dead | State::Left))
+                self.members.get(&whom).filter(|m| !matches!(m.state, MemberState::Dead | MemberState::Left))
             {
                 return Some((whom, member.address));
             }
@@ -396,41 +400,44 @@
     }
 
     fn suspect(&mut self, now: Time, whom: NodeId) {
-        let Some(member) =
-            self.members.get(&whom).filter(|member| matches!(member.state, State::Alive | State::Draining))
+        let Some(member) = self
+            .members
+            .get(&whom)
+            .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Draining))
         else {
             return;
         };
         let (role, address, incarnation) = (member.role, member.address, member.incarnation);
         // One that drains is not suspected: it is gone when it does not answer.
-        let state = if member.state == State::Draining { State::Dead } else { State::Suspect };
-        self.learn(now, Rumour { id: whom, role, address, incarnation, state });
+        let state =
+            if member.state == MemberState::Draining { MemberState::Dead } else { MemberState::Suspect };
+        self.learn(now, GossipUpdate { id: whom, role, address, incarnation, state });
     }
 
     /// Suspicion that was not answered becomes death; the dead are forgotten in time.
     fn bury(&mut self, now: Time) {
         let (patience, remembered) = (self.suspected_for(), self.options.remembered);
-        let over: Vec<Rumour> = self
+        let over: Vec<GossipUpdate> = self
             .members
             .iter()
-            .filter(|(_, member)| member.state == State::Suspect && now - member.since >= patience)
-            .map(|(id, m)| Rumour {
+            .filter(|(_, member)| member.state == MemberState::Suspect && now - member.since >= patience)
+            .map(|(id, m)| GossipUpdate {
                 id: *id,
                 role: m.role,
                 address: m.address,
                 incarnation: m.incarnation,
-                state: State::Dead,
+                state: MemberState::Dead,
             })
             .collect();
         over.into_iter().for_each(|rumour| self.learn(now, rumour));
-        let gone = |member: &Member| matches!(member.state, State::Dead | State::Left);
+        let gone = |member: &Member| matches!(member.state, MemberState::Dead | MemberState::Left);
         self.members.retain(|_, member| !(gone(member) && now - member.since >= remembered));
     }
 
     // ---- what is heard ----
 
     /// A message from `at`, by which its sender is surely there.
-    pub fn heard(&mut self, now: Time, at: SocketAddr, envelope: &Envelope) -> Vec<Send> {
+    pub fn heard(&mut self, now: Time, at: SocketAddr, envelope: &Envelope) -> Vec<OutgoingMessage> {
         for rumour in &envelope.rumours {
             self.learn(now, rumour.clone());
         }
@@ -460,7 +467,7 @@
                     out.push(answer);
                 }
             }
-            Message::PingFor { number, at: whose, .. } => {
+            Message::PingRequest { number, at: whose, .. } => {
                 self.number += 1;
                 let own = self.number;
                 if self.errands.len() < 64 {
@@ -476,42 +483,43 @@
                     self.tells(at, |id| own.get(part_of(id)) != parts.get(part_of(id)), &mut out);
                 }
             }
-            Message::Known { rumours } => {
+            Message::MemberList { rumours } => {
                 self.joined = true;
                 self.spread(self.own.clone());
                 for rumour in rumours {
                     self.learn(now, rumour.clone());
                 }
             }
-            Message::Report(_) | Message::Grants { .. } | Message::Under { .. } => {}
+            Message::Report(_) | Message::Grants { .. } | Message::WithPolicyVersion { .. } => {}
         }
         out
     }
 
     /// All that is known of those members, ourselves among them where we are.
-    fn tells(&mut self, at: SocketAddr, which: impl Fn(NodeId) -> bool, out: &mut Vec<Send>) {
-        let rumour = |(id, m): (&NodeId, &Member)| Rumour {
+    fn tells(&mut self, at: SocketAddr, which: impl Fn(NodeId) -> bool, out: &mut Vec<OutgoingMessage>) {
+        let rumour = |(id, m): (&NodeId, &Member)| GossipUpdate {
             id: *id,
             role: m.role,
             address: m.address,
             incarnation: m.incarnation,
             state: m.state,
         };
-        let mut all: Vec<Rumour> = self.members.iter().filter(|(id, _)| which(**id)).map(rumour).collect();
+        let mut all: Vec<GossipUpdate> =
+            self.members.iter().filter(|(id, _)| which(**id)).map(rumour).collect();
         all.extend(Some(self.own.clone()).filter(|own| which(own.id)));
-        for part in all.chunks(KNOWN) {
-            out.push(self.send(at, Message::Known { rumours: part.to_vec() }));
+        for part in all.chunks(MAX_LISTED_MEMBERS) {
+            out.push(self.send(at, Message::MemberList { rumours: part.to_vec() }));
         }
     }
 
     /// A hash of each part of those that are here. Who is gone is left out, as each forgets them in its own time; so is suspicion, which
     /// passes.
     fn parts(&self) -> Vec<u64> {
-        let mut parts = vec![0u64; PARTS];
-        let mut add = |id: NodeId, incarnation: u32, state: State| {
-            if !matches!(state, State::Dead | State::Left) {
+        let mut parts = vec![0u64; MEMBER_PARTITIONS];
+        let mut add = |id: NodeId, incarnation: u32, state: MemberState| {
+            if !matches!(state, MemberState::Dead | MemberState::Left) {
                 let mut hasher = DefaultHasher::new();
-                (id, incarnation, state == State::Draining).hash(&mut hasher);
+                (id, incarnation, state == MemberState::Draining).hash(&mut hasher);
                 parts[part_of(id)] ^= hasher.finish();
             }
         };
@@ -521,7 +529,7 @@
     }
 
     /// Takes over what is newer than what is known here.
-    pub fn learn(&mut self, now: Time, rumour: Rumour) {
+    pub fn learn(&mut self, now: Time, rumour: GossipUpdate) {
         if rumour.id == self.own.id {
             // Whoever says otherwise of us is told better, with a higher incarnation.
             if rumour.incarnation >= self.own.incarnation && rumour.state != self.own.state {
@@ -533,33 +541,34 @@
         let known = self.members.get(&rumour.id);
         let newer = match known {
             None => {
-                !matches!(rumour.state, State::Dead | State::Left) && self.members.len() < self.options.most
+                !matches!(rumour.state, MemberState::Dead | MemberState::Left)
+                    && self.members.len() < self.options.most
             }
             Some(member) => {
                 (rumour.incarnation, rumour.state) > (member.incarnation, member.state)
                     // The dead come back with a higher incarnation only.
-                    && !(matches!(member.state, State::Dead | State::Left) && rumour.incarnation == member.incarnation)
+                    && !(matches!(member.state, MemberState::Dead | MemberState::Left) && rumour.incarnation == member.incarnation)
             }
         };
         if !newer {
             return;
         }
         let from = known.map(|member| member.state);
-        let Rumour { id, role, address, incarnation, state } = rumour;
+        let GossipUpdate { id, role, address, incarnation, state } = rumour;
         let same = known.is_some_and(|member| member.state == state);
         let since = known.filter(|_| same).map_or(now, |member| member.since);
         self.members.insert(id, Member { role, address, incarnation, state, since });
-        self.spread(Rumour { id, role, address, incarnation, state });
-        if from != Some(state) && state == State::Suspect {
+        self.spread(GossipUpdate { id, role, address, incarnation, state });
+        if from != Some(state) && state == MemberState::Suspect {
             let share = self.options.verifiers / self.members.len().max(1) as f64;
             if share > 0.0 && self.verify.len() < VERIFY && self.rng.next_f64() < share {
                 self.verify.push(id);
             }
         }
         if from != Some(state) {
-            self.changes.push(Change { id, role, from, to: state });
+            self.changes.push(MembershipChange { id, role, from, to: state });
         }
-        if self.probe.as_ref().is_some_and(|probe| probe.whom == id && state == State::Alive) {
+        if self.probe.as_ref().is_some_and(|probe| probe.whom == id && state == MemberState::Alive) {
             self.probe = None;
         }
     }
--- a/crates/forwarding/src/messages.rs
+++ b/crates/forwarding/src/messages.rs
@@ -7,15 +7,15 @@
 
 pub const VERSION: u8 = 1;
 /// Longest message, version included, in bytes.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 /// Rumours in one message, grants in one, operations in a report.
-pub const RUMOURS: usize = 24;
+pub const MAX_GOSSIP_UPDATES: usize = 24;
 /// Those in an answer to one that joins.
-pub const KNOWN: usize = 512;
-pub const GRANTS: usize = 2048;
-pub const CLASSES: usize = 64;
+pub const MAX_LISTED_MEMBERS: usize = 512;
+pub const MAX_GRANTS: usize = 2048;
+pub const MAX_CLASSES: usize = 64;
 /// Parts of the members of which hashes are compared.
-pub const PARTS: usize = 64;
+pub const MEMBER_PARTITIONS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
@@ -26,7 +26,7 @@
 
 /// What is said of a member. Of two the one with the higher incarnation holds; of one incarnation, the later state here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     Alive,
     Suspect,
     /// It drains: told by itself, never detected.
@@ -37,12 +37,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct GossipUpdate {
     pub id: NodeId,
     pub role: Role,
     pub address: SocketAddr,
     pub incarnation: u32,
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// What a forwarder tells the planners of one class: arrivals a second, those held, and what each second of work bills.
@@ -56,7 +56,7 @@
 
 /// What it saw of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct WorkerObservation {
     pub worker: NodeId,
     pub out: u32,
     /// Ends a second, those turned away among them, and mean time to an answer in tenths of a millisecond.
@@ -66,11 +66,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// What grants that answer it name, so that their age is known.
     pub number: u32,
     pub demands: Vec<Demand>,
-    pub sights: Vec<Sight>,
+    pub sights: Vec<WorkerObservation>,
     /// The newest epoch that it knows.
     pub epoch: u64,
 }
@@ -92,17 +92,17 @@
         number: u32,
     },
     /// Ask that one for me.
-    PingFor {
+    PingRequest {
         number: u32,
         whom: NodeId,
         at: SocketAddr,
     },
     /// I am new here; the answer brings all that are known, in several messages.
     Join,
-    Known {
-        rumours: Vec<Rumour>,
+    MemberList {
+        rumours: Vec<GossipUpdate>,
     },
-    Report(Report),
+    Report(LoadReport),
     /// All grants of a forwarder, in place of those before; they end `lasts` after they were made, which was after the
     /// report that they answer.
     Grants {
@@ -118,7 +118,7 @@
         parts: Vec<u64>,
     },
     /// A report or grants under this version of the fleet's policy.
-    Under {
+    WithPolicyVersion {
         version: u64,
         message: Box<Message>,
     },
@@ -128,12 +128,12 @@
 pub struct Envelope {
     pub from: NodeId,
     pub incarnation: u32,
-    pub rumours: Vec<Rumour>,
+    pub rumours: Vec<GossipUpdate>,
     pub message: Message,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Next {
+pub enum Decoded {
     /// Not all of it is here.
     More,
     Message(Envelope, usize),
@@ -146,7 +146,7 @@
 /// Adds the bytes of a message; false, and nothing, where it is too long.
 pub fn write(out: &mut Vec<u8>, envelope: &Envelope) -> bool {
     let Ok(body) = postcard::to_stdvec(envelope) else { return false };
-    if body.len() + 1 > LONGEST {
+    if body.len() + 1 > MAX_MESSAGE_BYTES {
         return false;
     }
     out.extend((body.len() as u32 + 1).to_be_bytes());
@@ -156,34 +156,38 @@
 }
 
 /// The first message in `bytes`.
-pub fn read(bytes: &[u8]) -> Next {
-    let Some(head) = bytes.get(..4) else { return Next::More };
+pub fn read(bytes: &[u8]) -> Decoded {
+    let Some(head) = bytes.get(..4) else { return Decoded::More };
     let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if !(1..=LONGEST).contains(&length) {
-        return Next::Broken(format!("a message of {length} bytes"));
+    if !(1..=MAX_MESSAGE_BYTES).contains(&length) {
+        return Decoded::Broken(format!("a message of {length} bytes"));
     }
-    let Some(body) = bytes.get(4..4 + length) else { return Next::More };
+    let Some(body) = bytes.get(4..4 + length) else { return Decoded::More };
     if body[0] != VERSION {
-        return Next::Unknown(4 + length);
+        return Decoded::Unknown(4 + length);
     }
     match postcard::take_from_bytes::<Envelope>(&body[1..]) {
         Ok((envelope, [])) => match bounded(&envelope) {
-            true => Next::Message(envelope, 4 + length),
-            false => Next::Broken("a list past its bound".into()),
+            true => Decoded::Message(envelope, 4 + length),
+            false => Decoded::Broken("a list past its bound".into()),
         },
-        _ => Next::Unknown(4 + length),
+        _ => Decoded::Unknown(4 + length),
     }
 }
 
 fn bounded(envelope: &Envelope) -> bool {
     let message = match &envelope.message {
-        Message::Under { message, .. } if matches!(**message, Message::Under { .. }) => return false,
-        Message::Under { message, .. } => message,
+        Message::WithPolicyVersion { message, .. }
+            if matches!(**message, Message::WithPolicyVersion { .. }) =>
+        {
+            return false
+        }
+        Message::WithPolicyVersion { message, .. } => message,
         message => message,
     };
     let own = match message {
-        Message::Known { rumours } => rumours.len() <= KNOWN,
-        Message::Sync { parts } => parts.len() == PARTS,
+        Message::MemberList { rumours } => rumours.len() <= MAX_LISTED_MEMBERS,
+        Message::Sync { parts } => parts.len() == MEMBER_PARTITIONS,
         Message::Report(report) => {
             let finite = report.demands.iter().all(|demand| {
                 demand.rate.is_finite()
@@ -196,10 +200,10 @@
                     .iter()
                     .all(|figure| figure.is_finite() && *figure >= 0.0)
             });
-            report.demands.len() <= CLASSES && report.sights.len() <= GRANTS && finite && seen
+            report.demands.len() <= MAX_CLASSES && report.sights.len() <= MAX_GRANTS && finite && seen
         }
-        Message::Grants { grants, lasts, .. } => grants.len() <= GRANTS && (0..=600_000).contains(lasts),
+        Message::Grants { grants, lasts, .. } => grants.len() <= MAX_GRANTS && (0..=600_000).contains(lasts),
         _ => true,
     };
-    own && envelope.rumours.len() <= RUMOURS
+    own && envelope.rumours.len() <= MAX_GOSSIP_UPDATES
 }
--- a/crates/forwarding/src/retry.rs
+++ b/crates/forwarding/src/retry_budget.rs
@@ -5,24 +5,24 @@
 use crate::{Time, SECOND};
 
 /// Further tries for each first one, and so many a second at the least.
-pub const SHARE: f64 = 0.1;
-pub const FLOOR: f64 = 3.0;
+pub const RETRY_RATIO: f64 = 0.1;
+pub const MIN_RETRIES_PER_SECOND: f64 = 3.0;
 /// What may be saved up, in tries.
-const SAVED: f64 = 20.0;
+const MAX_SAVED_RETRIES: f64 = 20.0;
 /// Tries of one invocation.
-pub const TRIES: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// What is known of a try that did not succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum Execution {
     /// Turned away, or no byte of it was written: it never ran.
     NeverRan,
     /// It may have run.
-    Perhaps,
+    MayHaveRun,
 }
 
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     tries: f64,
     at: Time,
@@ -31,9 +31,16 @@
     denied: u64,
 }
 
-impl Budget {
-    pub fn new(now: Time) -> Budget {
-        Budget { share: SHARE, tries: FLOOR, at: now, first: 0, further: 0, denied: 0 }
+impl RetryBudget {
+    pub fn new(now: Time) -> RetryBudget {
+        RetryBudget {
+            share: RETRY_RATIO,
+            tries: MIN_RETRIES_PER_SECOND,
+            at: now,
+            first: 0,
+            further: 0,
+            denied: 0,
+        }
     }
 
     /// Further tries for each first one from now on.
@@ -44,14 +51,15 @@
     fn grow(&mut self, now: Time) {
         let span = (now - self.at).max(0);
         self.at = self.at.max(now);
-        self.tries = (self.tries + FLOOR * span as f64 / SECOND as f64).min(SAVED);
+        self.tries =
+            (self.tries + MIN_RETRIES_PER_SECOND * span as f64 / SECOND as f64).min(MAX_SAVED_RETRIES);
     }
 
     /// A first try goes out.
     pub fn first(&mut self, now: Time) {
         self.grow(now);
         self.first += 1;
-        self.tries = (self.tries + self.share).min(SAVED);
+        self.tries = (self.tries + self.share).min(MAX_SAVED_RETRIES);
     }
 
     /// Whether a further try may go out, the `tries`-th of its invocation, with `left` until it is due and `need` expected. One
@@ -59,14 +67,14 @@
     pub fn may(
         &mut self,
         now: Time,
-        known: Known,
+        known: Execution,
         give_up: bool,
         tries: u32,
         left: Time,
         need: Time,
     ) -> bool {
         self.grow(now);
-        if known != Known::NeverRan || give_up || tries >= TRIES || left <= need {
+        if known != Execution::NeverRan || give_up || tries >= MAX_ATTEMPTS || left <= need {
             return false;
         }
         if self.tries < 1.0 {
--- a/crates/forwarding/src/sim.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -1,15 +1,15 @@
 //! A network in which members talk: delays, loss, partitions, deaths, restarts; deterministic by seed. What is measured
 //! stands beside two plain ways to know who is here.
 
-use crate::membership::{Membership, Options, Send};
-use crate::messages::{self, Role, State};
+use crate::membership::{Membership, MembershipConfig, OutgoingMessage};
+use crate::messages::{self, MemberState, Role};
 use crate::{NodeId, SeededRng, Time, MS, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug)]
-pub struct Net {
+pub struct NetworkConditions {
     /// Part of all messages that is lost.
     pub loss: f64,
     /// Delay of one way, from and to.
@@ -25,10 +25,10 @@
     Message(usize, usize, usize),
 }
 
-pub struct World {
+pub struct Simulation {
     pub members: Vec<Option<Membership>>,
     pub now: Time,
-    net: Net,
+    net: NetworkConditions,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     mail: Vec<Option<messages::Envelope>>,
     free: Vec<usize>,
@@ -42,7 +42,7 @@
     pub sent: Vec<u64>,
     pub heard: Vec<u64>,
     seed: u64,
-    options: Options,
+    options: MembershipConfig,
 }
 
 pub fn address(at: usize) -> SocketAddr {
@@ -63,10 +63,10 @@
     crate::node_id(&format!("member-{at}"))
 }
 
-impl World {
+impl Simulation {
     /// The first three are seeds. They come up over the first second.
-    pub fn new(many: usize, options: Options, net: Net, seed: u64) -> World {
-        let mut world = World {
+    pub fn new(many: usize, options: MembershipConfig, net: NetworkConditions, seed: u64) -> Simulation {
+        let mut world = Simulation {
             members: Vec::new(),
             now: 0,
             net,
@@ -92,7 +92,7 @@
     }
 
     /// Another net from now on.
-    pub fn net(&mut self, net: Net) {
+    pub fn net(&mut self, net: NetworkConditions) {
         self.net = net;
     }
 
@@ -124,8 +124,8 @@
         self.events.push(Reverse((at, self.number, event)));
     }
 
-    pub fn post(&mut self, from: usize, all: Vec<Send>) {
-        for Send { to, envelope } in all {
+    pub fn post(&mut self, from: usize, all: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, envelope } in all {
             let to = index(&to);
             let mut bytes = Vec::new();
             messages::write(&mut bytes, &envelope);
@@ -185,11 +185,11 @@
     }
 
     /// How many of those that are here hold that one for so.
-    pub fn agree(&self, whom: usize, state: State) -> usize {
+    pub fn agree(&self, whom: usize, state: MemberState) -> usize {
         let id = id_of(whom);
         let holds = |member: &Membership| match member.member(id) {
             Some(known) => known.state == state,
-            None => state == State::Dead,
+            None => state == MemberState::Dead,
         };
         self.members
             .iter()
@@ -205,7 +205,7 @@
 
 /// What a way to know costs, for each member and second, and how it does.
 #[derive(Clone, Debug, Default)]
-pub struct Cost {
+pub struct MembershipCost {
     pub many: usize,
     pub messages: f64,
     pub bytes: f64,
@@ -217,9 +217,9 @@
 }
 
 /// Gossip, simulated: `many` members for a minute, then one dies.
-pub fn gossip(many: usize, loss: f64, seed: u64, options: Options) -> Cost {
-    let net = Net { loss, delay: (2, 20), cut: None };
-    let mut world = World::new(many, options, net, seed);
+pub fn gossip(many: usize, loss: f64, seed: u64, options: MembershipConfig) -> MembershipCost {
+    let net = NetworkConditions { loss, delay: (2, 20), cut: None };
+    let mut world = Simulation::new(many, options, net, seed);
     world.run(20 * SECOND);
     let (messages, bytes) = (world.messages, world.bytes);
     world.members.iter_mut().flatten().for_each(|member| drop(member.changes()));
@@ -231,7 +231,7 @@
         .members
         .iter_mut()
         .flatten()
-        .map(|member| member.changes().iter().filter(|change| change.to == State::Dead).count())
+        .map(|member| member.changes().iter().filter(|change| change.to == MemberState::Dead).count())
         .sum();
     // Each death is seen by all: counted once for each observer.
     let false_deaths = deaths as f64 / many as f64 / (many as f64 / 100.0);
@@ -241,17 +241,24 @@
     while all.is_none() && world.now < died + 120 * SECOND {
         let next = world.now + 100 * MS;
         world.run(next);
-        let know = world.agree(victim, State::Dead);
+        let know = world.agree(victim, MemberState::Dead);
         let after = (world.now - died) as f64 / MS as f64;
         half = half.or((know * 2 >= world.here()).then_some(after));
         all = all.or((know == world.here()).then_some(after));
     }
-    Cost { many, messages, bytes, half: half.unwrap_or(f64::NAN), all: all.unwrap_or(f64::NAN), false_deaths }
+    MembershipCost {
+        many,
+        messages,
+        bytes,
+        half: half.unwrap_or(f64::NAN),
+        all: all.unwrap_or(f64::NAN),
+        false_deaths,
+    }
 }
 
 /// A heartbeat of 60 bytes each half second, dead past `missed` in a row: from each to each other (`all_to_all`), or to a
 /// planner that tells all. Computed, not played: loss falls on each alike.
-pub fn heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> Cost {
+pub fn heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
     let (period, size) = (0.5, 60.0);
     let others = (many - 1) as f64;
     let messages = if all_to_all { others / period } else { 1.0 / period };
@@ -262,5 +269,12 @@
     let half = (f64::from(missed) - 0.5) * period * 1e3 + told;
     let per = many as f64 / 100.0;
     let seen = if all_to_all { wrong / others.max(1.0) } else { wrong };
-    Cost { many, messages, bytes: messages * size, half, all: half + period * 1e3, false_deaths: seen / per }
+    MembershipCost {
+        many,
+        messages,
+        bytes: messages * size,
+        half,
+        all: half + period * 1e3,
+        false_deaths: seen / per,
+    }
 }
--- a/crates/forwarding/src/ramp.rs
+++ b/crates/forwarding/src/slow_start.rs
@@ -1,10 +1,10 @@
 //! What a cold worker promises to each that asks. The worker alone knows its budget, and hears of all who send to it: so it divides
-//! the budget, and no sender counts the others. A promise is of whole places, holds for [`HOLDS`], and is charged in full, with what
+//! the budget, and no sender counts the others. A promise is of whole places, holds for [`RESERVATION_DURATION`], and is charged in full, with what
 //! its sender has out already, until it ends or its sender asks again. While a sender asks it uses no earlier promise.
 //!
 //! # The bound
 //!
-//! A sender holds a promise until `HOLDS` after it *asked*, the worker charges it until `HOLDS` after it *answered*, which is later.
+//! A sender holds a promise until `RESERVATION_DURATION` after it *asked*, the worker charges it until `RESERVATION_DURATION` after it *answered*, which is later.
 //! So while clocks run equally fast, and the budget does not fall, what all senders have out is never more than the budget, however
 //! many they are, and however they are cut off from each other: none of them needs to know of another.
 
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 
 /// How long a promise holds: two questions may be lost.
-pub const HOLDS: Time = SECOND * 3 / 2;
+pub const RESERVATION_DURATION: Time = SECOND * 3 / 2;
 /// Senders that may hold a promise; one more is promised nothing.
-pub const SENDERS: usize = 1024;
+pub const MAX_SENDERS: usize = 1024;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Promise {
+struct Reservation {
     charged: u32,
     until: Time,
     /// Its part of the budget that was not given out, as places are whole.
@@ -26,16 +26,16 @@
 
 /// A worker's side.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ramp {
-    promises: BTreeMap<NodeId, Promise>,
+pub struct SlowStart {
+    promises: BTreeMap<NodeId, Reservation>,
 }
 
-impl Ramp {
+impl SlowStart {
     /// The places that `who` may use, which has `out` here already. `budget` is what all together may have; `senders` are expected, and
     /// more may come.
     pub fn asks(&mut self, now: Time, who: NodeId, out: u32, budget: f64, senders: usize) -> u32 {
         self.promises.retain(|id, promise| *id == who || promise.until > now);
-        if self.promises.len() >= SENDERS && !self.promises.contains_key(&who) {
+        if self.promises.len() >= MAX_SENDERS && !self.promises.contains_key(&who) {
             return 0;
         }
         let before = self.promises.get(&who).copied().unwrap_or_default();
@@ -47,7 +47,10 @@
         let room = (budget.clamp(0.0, 1e6) as u64).saturating_sub(others);
         let places = (owed as u64).min(room) as u32;
         let charged = places.max(out);
-        self.promises.insert(who, Promise { charged, until: now + HOLDS, owed: owed - f64::from(places) });
+        self.promises.insert(
+            who,
+            Reservation { charged, until: now + RESERVATION_DURATION, owed: owed - f64::from(places) },
+        );
         places
     }
 
@@ -59,12 +62,12 @@
 
 /// A sender's side, for one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Promised {
+pub struct ReservedCapacity {
     places: u32,
     until: Time,
 }
 
-impl Promised {
+impl ReservedCapacity {
     /// A question goes out: nothing of before holds.
     pub fn asks(&mut self) {
         self.places = 0;
@@ -72,7 +75,7 @@
 
     /// The answer to what was asked at `asked`.
     pub fn takes(&mut self, asked: Time, places: u32) {
-        (self.places, self.until) = (places, asked + HOLDS);
+        (self.places, self.until) = (places, asked + RESERVATION_DURATION);
     }
 
     pub fn places(&self, now: Time) -> u32 {
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -1,15 +1,15 @@
 //! Bytes and decisions stay: messages beside those in `versions.rs`, and digests of long plays by seed, recorded from the code of
 //! commit 67fc394. A digest changes with any other draw of the generator, order of effects, bound or rounding.
 
-use cypresscleat_forwarding::grants::Held;
-use cypresscleat_forwarding::membership::Options;
+use cypresscleat_forwarding::capacity_plan::CapacityPlan;
+use cypresscleat_forwarding::dispatch_mode::{DispatchMode, RECOVERY_STEP_DURATION};
+use cypresscleat_forwarding::grants::GrantTable;
+use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::membership::MembershipConfig;
 use cypresscleat_forwarding::messages::*;
-use cypresscleat_forwarding::mode::{Mode, STEP};
-use cypresscleat_forwarding::plan::Plan;
-use cypresscleat_forwarding::ramp::Ramp;
-use cypresscleat_forwarding::retry::{Budget, Known};
-use cypresscleat_forwarding::routes::{End, Routes};
-use cypresscleat_forwarding::sim::{Net, World};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget};
+use cypresscleat_forwarding::simulation::{NetworkConditions, Simulation};
+use cypresscleat_forwarding::slow_start::SlowStart;
 use cypresscleat_forwarding::{NodeId, SeededRng, Time, MS, SECOND};
 
 /// Hashes of the members, compared before they are told.
@@ -35,24 +35,24 @@
     let envelope = Envelope { from: 1_234_567_890_123, incarnation: 2, rumours: Vec::new(), message };
     let mut bytes = Vec::new();
     assert!(write(&mut bytes, &envelope));
-    assert_eq!(read(&bytes), Next::Message(envelope, bytes.len()));
+    assert_eq!(read(&bytes), Decoded::Message(envelope, bytes.len()));
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[test]
 fn hashes_and_policy_versions_have_their_recorded_bytes() {
-    let parts = (0..PARTS as u64).map(|part| part * 0x0101_0101_0101).collect();
+    let parts = (0..MEMBER_PARTITIONS as u64).map(|part| part * 0x0101_0101_0101).collect();
     assert_eq!(hex(Message::Sync { parts }), HASHES);
     let grants = vec![Grant { worker: 5, places: 3 }];
     let message = Message::Grants { epoch: 4, number: 2, answers: 9, lasts: 20_000, grants };
-    assert_eq!(hex(Message::Under { version: 300, message: Box::new(message) }), POLICY);
+    assert_eq!(hex(Message::WithPolicyVersion { version: 300, message: Box::new(message) }), POLICY);
 }
 
 /// Joins, probes, suspicion, a drain, a leave, a death and a cut, under loss.
 #[test]
 fn gossip_sends_the_recorded_messages() {
-    let net = |cut| Net { loss: 0.05, delay: (2, 20), cut };
-    let mut world = World::new(40, Options::default(), net(None), 11);
+    let net = |cut| NetworkConditions { loss: 0.05, delay: (2, 20), cut };
+    let mut world = Simulation::new(40, MembershipConfig::default(), net(None), 11);
     world.run(10 * SECOND);
     world.members[7].as_mut().expect("it is here").drains();
     world.run(14 * SECOND);
@@ -72,7 +72,7 @@
 /// Choices with and without a subject, ends of all kinds, ejections, workers that come and go.
 #[test]
 fn routes_choose_the_recorded_workers() {
-    let mut routes = Routes::new(5);
+    let mut routes = LoadBalancer::new(5);
     let mut rng = SeededRng::new(6);
     let mut digest = Digest::new();
     let mut out: Vec<(NodeId, Time)> = Vec::new();
@@ -98,14 +98,20 @@
         if out.len() > 40 || rng.next_f64() < 0.5 && !out.is_empty() {
             let (worker, began) = out.swap_remove(rng.index_below(out.len()));
             let draw = rng.next_f64();
-            let ends = [End::Succeeded, End::Throttled, End::Errored, End::Lost, End::Nothing];
+            let ends = [
+                AttemptOutcome::Succeeded,
+                AttemptOutcome::Rejected,
+                AttemptOutcome::Failed,
+                AttemptOutcome::ConnectionLost,
+                AttemptOutcome::Cancelled,
+            ];
             let bad = worker % 9 == 1;
             let end = if bad && draw < 0.8 {
                 ends[2 + rng.index_below(2)]
             } else {
                 ends[(draw * draw * 5.0) as usize]
             };
-            let later = if end == End::Throttled { 30 * MS } else { 0 };
+            let later = if end == AttemptOutcome::Rejected { 30 * MS } else { 0 };
             let slow = if worker % 13 == 3 { 9 } else { 1 };
             routes.ended(now, worker, end, (now - began + 10) * slow, later);
         }
@@ -115,7 +121,7 @@
     assert_eq!((digest.0, routes.scans()), (2583824693382414236, 9992));
 }
 
-fn report(rng: &mut SeededRng, number: u32) -> Report {
+fn report(rng: &mut SeededRng, number: u32) -> LoadReport {
     let mut demand = |class| Demand {
         class,
         rate: rng.next_f64() as f32 * 100.0,
@@ -123,7 +129,7 @@
         value: rng.next_f64() as f32 * 3.0,
     };
     let demands = (0..3).map(&mut demand).collect();
-    let mut sight = |worker| Sight {
+    let mut sight = |worker| WorkerObservation {
         worker,
         out: rng.index_below(9) as u32,
         ends: rng.next_f64() as f32 * 50.0,
@@ -131,12 +137,12 @@
         took: 80.0,
     };
     let sights = (0..12).map(&mut sight).collect();
-    Report { number, demands, sights, epoch: 0 }
+    LoadReport { number, demands, sights, epoch: 0 }
 }
 
 #[test]
 fn plans_give_the_recorded_grants() {
-    let (mut plan, mut rng, mut digest) = (Plan::default(), SeededRng::new(9), Digest::new());
+    let (mut plan, mut rng, mut digest) = (CapacityPlan::default(), SeededRng::new(9), Digest::new());
     (0..12).for_each(|worker| plan.worker(worker, 10.0 + worker as f64 * 1.7));
     for step in 0..400u32 {
         let now = Time::from(step) * SECOND / 5;
@@ -162,12 +168,12 @@
 
 #[test]
 fn retries_and_reserved_places_are_the_recorded_ones() {
-    let (mut budget, mut ramp) = (Budget::new(0), Ramp::default());
+    let (mut budget, mut ramp) = (RetryBudget::new(0), SlowStart::default());
     let (mut rng, mut digest) = (SeededRng::new(3), Digest::new());
     for step in 0..20_000u64 {
         let now = step as Time * 30;
         budget.first(now);
-        let known = if rng.next_f64() < 0.7 { Known::NeverRan } else { Known::Perhaps };
+        let known = if rng.next_f64() < 0.7 { Execution::NeverRan } else { Execution::MayHaveRun };
         let (give_up, tries) = (rng.next_f64() < 0.1, rng.index_below(4) as u32);
         let (left, need) = (rng.index_below(1000) as Time, rng.index_below(400) as Time);
         digest.add(u64::from(budget.may(now, known, give_up, tries, left, need)));
@@ -182,13 +188,13 @@
 
 #[test]
 fn the_log_lines_of_the_mode_are_the_recorded_ones() {
-    let (mut mode, mut held, mut lines) = (Mode::new(0), Held::default(), Vec::new());
+    let (mut mode, mut held, mut lines) = (DispatchMode::new(0), GrantTable::default(), Vec::new());
     let report = held.asks(0);
     let grant = [Grant { worker: 9, places: 4 }];
     held.takes(10, (5, 1, report), 4 * SECOND, &grant).expect("to be taken");
     let mut places = Digest::new();
     for step in 0..12 {
-        let now = 10 + step * STEP;
+        let now = 10 + step * RECOVERY_STEP_DURATION;
         if step == 3 {
             let report = held.asks(now);
             held.takes(now, (5, 2, report), 4 * SECOND, &grant).expect("to be taken");
--- a/crates/forwarding/tests/ramp.rs
+++ b/crates/forwarding/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! A cold worker's promises: what all senders have out at once, counted by whoever receives it, never passes the budget.
 
-use cypresscleat_forwarding::ramp::{Promised, Ramp, HOLDS, SENDERS};
+use cypresscleat_forwarding::slow_start::{ReservedCapacity, SlowStart, MAX_SENDERS, RESERVATION_DURATION};
 use cypresscleat_forwarding::{NodeId, Time, SECOND};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 /// One sender: its promise, what it has out, and whether it waits for an answer.
 #[derive(Default)]
 struct Sender {
-    promised: Promised,
+    promised: ReservedCapacity,
     out: u32,
     asked: Option<(Time, u32)>,
 }
@@ -35,7 +35,7 @@
 }
 
 fn play(all: &[Event], senders: usize, budget: f64, expected: usize) -> Result<(), TestCaseError> {
-    let (mut ramp, mut now) = (Ramp::default(), 0);
+    let (mut ramp, mut now) = (SlowStart::default(), 0);
     let mut parties: BTreeMap<usize, Sender> = (0..senders).map(|who| (who, Sender::default())).collect();
     for event in all {
         match event {
@@ -81,8 +81,8 @@
 /// So many senders that ask twice a second, each sending all that it may and each run taking so long: the most that the worker had
 /// at once, and how much it ran a second.
 fn load(senders: usize, expected: usize, budget: f64, takes: Time) -> (usize, f64) {
-    let mut ramp = Ramp::default();
-    let mut parties: Vec<Promised> = vec![Promised::default(); senders];
+    let mut ramp = SlowStart::default();
+    let mut parties: Vec<ReservedCapacity> = vec![ReservedCapacity::default(); senders];
     let mut out: Vec<Vec<Time>> = vec![Vec::new(); senders];
     let (mut most, mut ran) = (0, 0usize);
     let seconds = 8;
@@ -129,12 +129,12 @@
 
 #[test]
 fn a_sender_that_is_gone_keeps_its_promise_for_a_while_only_and_the_table_is_bounded() {
-    let mut ramp = Ramp::default();
+    let mut ramp = SlowStart::default();
     assert_eq!(ramp.asks(0, 1, 0, 4.0, 1), 4);
     assert_eq!(ramp.asks(1, 2, 0, 4.0, 1), 0, "all is promised");
-    assert_eq!(ramp.asks(HOLDS, 2, 0, 4.0, 1), 4, "and free again");
-    for who in 0..2 * SENDERS as NodeId {
-        ramp.asks(HOLDS, who + 3, 0, 1e9, 1);
+    assert_eq!(ramp.asks(RESERVATION_DURATION, 2, 0, 4.0, 1), 4, "and free again");
+    for who in 0..2 * MAX_SENDERS as NodeId {
+        ramp.asks(RESERVATION_DURATION, who + 3, 0, 1e9, 1);
     }
-    assert_eq!(ramp.asks(HOLDS, 3 * SENDERS as NodeId, 0, 1e9, 1), 0);
+    assert_eq!(ramp.asks(RESERVATION_DURATION, 3 * MAX_SENDERS as NodeId, 0, 1e9, 1), 0);
 }
--- a/crates/forwarding/tests/tier.rs
+++ b/crates/forwarding/tests/tier.rs
@@ -1,15 +1,17 @@
 //! The deciders of the two levels: messages and membership under loss and cuts, grants model-checked, plans, routes, tries.
 //! Seeds are printed with each failure.
 
-use cypresscleat_forwarding::grants::{Held, Lead, Refused, Turn, LASTS, SKEW};
-use cypresscleat_forwarding::membership::{Membership, Options};
+use cypresscleat_forwarding::capacity_plan::CapacityPlan;
+use cypresscleat_forwarding::dispatch_mode::{DispatchMode, RECOVERY_STEPS, RECOVERY_STEP_DURATION};
+use cypresscleat_forwarding::grants::{
+    GrantRejection, GrantTable, LeadershipChange, PlannerElection, GRANT_DURATION, MAX_CLOCK_SKEW,
+};
+use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::membership::{Membership, MembershipConfig};
 use cypresscleat_forwarding::messages::{self, *};
-use cypresscleat_forwarding::mode::{Mode, STEP, STEPS};
-use cypresscleat_forwarding::plan::Plan;
-use cypresscleat_forwarding::retry::{Budget, Known, FLOOR, SHARE};
-use cypresscleat_forwarding::routes::{End, Routes};
-use cypresscleat_forwarding::sim::{id_of, Net, World};
-use cypresscleat_forwarding::{mode, NodeId, Time, MS, SECOND};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, MIN_RETRIES_PER_SECOND, RETRY_RATIO};
+use cypresscleat_forwarding::simulation::{id_of, NetworkConditions, Simulation};
+use cypresscleat_forwarding::{dispatch_mode, NodeId, Time, MS, SECOND};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -17,25 +19,25 @@
 
 // ---- messages ----
 
-fn rumour(number: u64) -> Rumour {
+fn rumour(number: u64) -> GossipUpdate {
     let address = SocketAddr::from(([127, 0, 0, 1], number as u16));
-    Rumour { id: number, role: Role::Worker, address, incarnation: 3, state: State::Suspect }
+    GossipUpdate { id: number, role: Role::Worker, address, incarnation: 3, state: MemberState::Suspect }
 }
 
 fn envelopes() -> Vec<Envelope> {
     let demand = Demand { class: 3, rate: 12.5, held: 4, value: 3.0 };
-    let sight = Sight { worker: 9, out: 2, ends: 10.0, throttled: 0.5, took: 120.0 };
+    let sight = WorkerObservation { worker: 9, out: 2, ends: 10.0, throttled: 0.5, took: 120.0 };
     let all = [
         Message::Ping { number: 7 },
-        Message::PingFor { number: 7, whom: 9, at: SocketAddr::from(([127, 0, 0, 1], 80)) },
+        Message::PingRequest { number: 7, whom: 9, at: SocketAddr::from(([127, 0, 0, 1], 80)) },
         Message::Join,
-        Message::Known { rumours: (0..20).map(rumour).collect() },
-        Message::Report(Report { number: 1, demands: vec![demand], sights: vec![sight], epoch: 5 }),
+        Message::MemberList { rumours: (0..20).map(rumour).collect() },
+        Message::Report(LoadReport { number: 1, demands: vec![demand], sights: vec![sight], epoch: 5 }),
         Message::Grants {
             epoch: 5,
             number: 6,
             answers: 1,
-            lasts: LASTS,
+            lasts: GRANT_DURATION,
             grants: vec![Grant { worker: 9, places: 3 }],
         },
     ];
@@ -50,32 +52,32 @@
         let mut bytes = Vec::new();
         assert!(messages::write(&mut bytes, &envelope));
         for cut in 0..bytes.len() {
-            assert_eq!(messages::read(&bytes[..cut]), Next::More);
+            assert_eq!(messages::read(&bytes[..cut]), Decoded::More);
         }
         all.extend(&bytes);
         let size = bytes.len();
         bytes.extend([1, 2, 3]);
-        assert_eq!(messages::read(&bytes), Next::Message(envelope, size));
+        assert_eq!(messages::read(&bytes), Decoded::Message(envelope, size));
         bytes[4] = VERSION + 1;
-        assert_eq!(messages::read(&bytes), Next::Unknown(size), "another version is skipped whole");
+        assert_eq!(messages::read(&bytes), Decoded::Unknown(size), "another version is skipped whole");
     }
     let mut rest = &all[..];
     let mut read = Vec::new();
-    while let Next::Message(envelope, size) = messages::read(rest) {
+    while let Decoded::Message(envelope, size) = messages::read(rest) {
         read.push(envelope);
         rest = &rest[size..];
     }
     assert_eq!(read, envelopes());
-    assert!(matches!(messages::read(&u32::MAX.to_be_bytes()), Next::Broken(_)));
-    assert!(matches!(messages::read(&[0; 4]), Next::Broken(_)));
-    let many = Message::Known { rumours: (0..600).map(rumour).collect() };
+    assert!(matches!(messages::read(&u32::MAX.to_be_bytes()), Decoded::Broken(_)));
+    assert!(matches!(messages::read(&[0; 4]), Decoded::Broken(_)));
+    let many = Message::MemberList { rumours: (0..600).map(rumour).collect() };
     let mut bytes = Vec::new();
     assert!(messages::write(
         &mut bytes,
         &Envelope { from: 1, incarnation: 1, rumours: vec![], message: many }
     ));
-    assert!(matches!(messages::read(&bytes), Next::Broken(_)));
-    let long = Message::Known { rumours: (0..20_000).map(rumour).collect() };
+    assert!(matches!(messages::read(&bytes), Decoded::Broken(_)));
+    let long = Message::MemberList { rumours: (0..20_000).map(rumour).collect() };
     let mut bytes = Vec::new();
     assert!(!messages::write(
         &mut bytes,
@@ -103,19 +105,19 @@
 
 // ---- membership ----
 
-fn net(loss: f64) -> Net {
-    Net { loss, delay: (2, 20), cut: None }
+fn net(loss: f64) -> NetworkConditions {
+    NetworkConditions { loss, delay: (2, 20), cut: None }
 }
 
 /// How many hold it for one that is here, suspected or not: under loss there is always some suspicion on its way.
-fn here(world: &World, at: usize) -> usize {
-    world.agree(at, State::Alive) + world.agree(at, State::Suspect)
+fn here(world: &Simulation, at: usize) -> usize {
+    world.agree(at, MemberState::Alive) + world.agree(at, MemberState::Suspect)
 }
 
 #[test]
 fn all_learn_of_all_and_of_a_death_in_time() {
     for (seed, loss) in [(1, 0.0), (2, 0.01), (3, 0.1)] {
-        let mut world = World::new(60, Options::default(), net(loss), seed);
+        let mut world = Simulation::new(60, MembershipConfig::default(), net(loss), seed);
         world.run(12 * SECOND);
         for at in 0..60 {
             assert_eq!(here(&world, at), 59, "seed {seed}: of {at}");
@@ -123,7 +125,7 @@
         world.kill(30);
         let died = world.now;
         world.run(died + 25 * SECOND);
-        assert_eq!(world.agree(30, State::Dead), 59, "seed {seed}");
+        assert_eq!(world.agree(30, MemberState::Dead), 59, "seed {seed}");
         // It comes back under its old address, knowing nothing of before: told that it is dead, it says otherwise.
         world.start(30, world.now, 1);
         world.run(world.now + 20 * SECOND);
@@ -133,36 +135,36 @@
 
 #[test]
 fn a_drain_and_a_leave_are_told_not_detected() {
-    let mut world = World::new(40, Options::default(), net(0.05), 5);
+    let mut world = Simulation::new(40, MembershipConfig::default(), net(0.05), 5);
     world.run(10 * SECOND);
     world.members[7].as_mut().expect("it is here").drains();
     world.run(world.now + 5 * SECOND);
-    assert_eq!(world.agree(7, State::Draining), 39);
+    assert_eq!(world.agree(7, MemberState::Draining), 39);
     let out = world.members[7].as_mut().expect("it is here").leaves();
     world.post(7, out);
     world.kill(7);
     world.run(world.now + 5 * SECOND);
-    assert_eq!(world.agree(7, State::Left), 39, "long before a failure would be found");
+    assert_eq!(world.agree(7, MemberState::Left), 39, "long before a failure would be found");
 }
 
 #[test]
 fn a_cut_heals_and_one_way_loss_kills_nobody() {
     for one_way in [false, true] {
-        let mut world = World::new(30, Options::default(), net(0.01), 9);
+        let mut world = Simulation::new(30, MembershipConfig::default(), net(0.01), 9);
         world.run(10 * SECOND);
         world.members.iter_mut().flatten().for_each(|member| drop(member.changes()));
         // Five are cut off for 4 s: longer than one probe, shorter than a suspicion lasts.
         let now = world.now;
-        world.net(Net { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
+        world.net(NetworkConditions { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
         world.run(now + 20 * SECOND);
         for at in 0..30 {
             assert_eq!(here(&world, at), 29, "one way {one_way}: of {at}");
         }
         // For long: each side holds the other for dead, and both come back together.
         let now = world.now;
-        world.net(Net { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
+        world.net(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
         world.run(now + 30 * SECOND);
-        assert!(world.agree(0, State::Dead) >= 20, "{}", world.agree(0, State::Dead));
+        assert!(world.agree(0, MemberState::Dead) >= 20, "{}", world.agree(0, MemberState::Dead));
         world.run(world.now + 60 * SECOND);
         for at in 0..30 {
             assert_eq!(here(&world, at), 29, "one way {one_way}: of {at} after the cut");
@@ -188,10 +190,10 @@
     steps: u8,
     /// Changes of who leads so far: epochs grow with each, so they are bounded.
     turns: u8,
-    leads: [Lead; 2],
+    leads: [PlannerElection; 2],
     alive: [bool; 2],
     sees: [bool; 2],
-    held: [Held; 2],
+    held: [GrantTable; 2],
     asked: [u32; 2],
     mail: Vec<(usize, u64, u64, u32)>,
 }
@@ -216,9 +218,9 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World2> {
-        let mut leads = [Lead::with_wait(1, self.wait), Lead::with_wait(2, self.wait)];
+        let mut leads = [PlannerElection::with_wait(1, self.wait), PlannerElection::with_wait(2, self.wait)];
         // The first has led for long.
-        leads[0].planners(-4 * LASTS, [2].into_iter());
+        leads[0].planners(-4 * GRANT_DURATION, [2].into_iter());
         let (alive, sees, held, asked, mail) =
             ([true, true], [true, true], Default::default(), [0, 0], Vec::new());
         vec![World2 { now: 0, steps: 0, turns: 0, leads, alive, sees, held, asked, mail }]
@@ -265,7 +267,7 @@
         let mut next = state.clone();
         let now = state.now;
         match action {
-            Act::Time => (next.now, next.steps) = (now + LASTS / 2, state.steps + 1),
+            Act::Time => (next.now, next.steps) = (now + GRANT_DURATION / 2, state.steps + 1),
             Act::Die(planner) => next.alive[planner] = false,
             Act::Sees(planner, sees) => {
                 next.sees[planner] = sees;
@@ -286,7 +288,7 @@
             Act::Arrives(at) => {
                 let (to, epoch, number, answers) = next.mail.remove(at);
                 let grant = [Grant { worker: 9, places: PLACES }];
-                let _ = next.held[to].takes(now, (epoch, number, answers), LASTS, &grant);
+                let _ = next.held[to].takes(now, (epoch, number, answers), GRANT_DURATION, &grant);
             }
             Act::Lost(at) => drop(next.mail.remove(at)),
             Act::Hears(planner, forwarder) => {
@@ -319,8 +321,11 @@
 #[test]
 fn grants_of_two_planners_never_hold_at_once_past_the_bound() {
     for true_deaths in [true, false] {
-        let checker =
-            Grants { true_deaths, wait: LASTS + SKEW, steps: 5 }.checker().threads(4).spawn_bfs().join();
+        let checker = Grants { true_deaths, wait: GRANT_DURATION + MAX_CLOCK_SKEW, steps: 5 }
+            .checker()
+            .threads(4)
+            .spawn_bfs()
+            .join();
         assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
         checker.assert_properties();
     }
@@ -336,41 +341,50 @@
 #[test]
 fn old_late_doubled_and_unasked_grants_are_not_taken() {
     let grant = [Grant { worker: 9, places: 4 }];
-    let mut held = Held::default();
+    let mut held = GrantTable::default();
     let first = held.asks(0);
-    assert_eq!(held.takes(10, (5, 1, first), LASTS, &grant), Ok(()));
+    assert_eq!(held.takes(10, (5, 1, first), GRANT_DURATION, &grant), Ok(()));
     assert_eq!((held.places(20, 9), held.places(20, 8), held.total(20)), (Some(4), Some(0), 4));
-    assert_eq!(held.takes(20, (5, 1, first), LASTS, &grant), Err(Refused::Again));
-    assert_eq!(held.takes(20, (4, 9, first), LASTS, &grant), Err(Refused::Old));
-    assert_eq!(held.places(LASTS, 9), None, "they end by themselves, counted from the report");
-    let second = held.asks(LASTS);
-    assert_eq!(held.takes(3 * LASTS, (5, 2, second), LASTS, &grant), Err(Refused::Late));
-    assert_eq!(held.takes(3 * LASTS, (5, 3, 99), LASTS, &grant), Err(Refused::Unasked));
-    let third = held.asks(3 * LASTS);
+    assert_eq!(held.takes(20, (5, 1, first), GRANT_DURATION, &grant), Err(GrantRejection::Duplicate));
+    assert_eq!(held.takes(20, (4, 9, first), GRANT_DURATION, &grant), Err(GrantRejection::StaleEpoch));
+    assert_eq!(held.places(GRANT_DURATION, 9), None, "they end by themselves, counted from the report");
+    let second = held.asks(GRANT_DURATION);
+    assert_eq!(
+        held.takes(3 * GRANT_DURATION, (5, 2, second), GRANT_DURATION, &grant),
+        Err(GrantRejection::Expired)
+    );
+    assert_eq!(
+        held.takes(3 * GRANT_DURATION, (5, 3, 99), GRANT_DURATION, &grant),
+        Err(GrantRejection::UnknownReport)
+    );
+    let third = held.asks(3 * GRANT_DURATION);
     let mad = [Grant { worker: 1, places: u32::MAX }, Grant { worker: 2, places: u32::MAX }];
     let mut fooled = held.clone();
-    assert_eq!(fooled.takes(3 * LASTS, (5, 4, third), LASTS, &mad), Ok(()));
+    assert_eq!(fooled.takes(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION, &mad), Ok(()));
     assert_eq!(
-        fooled.total(3 * LASTS),
-        2 * u64::from(cypresscleat_forwarding::grants::MOST),
+        fooled.total(3 * GRANT_DURATION),
+        2 * u64::from(cypresscleat_forwarding::grants::MAX_GRANTED_PLACES),
         "figures out of proportion"
     );
-    assert_eq!(held.takes(3 * LASTS, (5, 4, third), LASTS * 9, &grant), Ok(()));
-    assert_eq!(held.until(), 4 * LASTS, "no longer than the rule, whatever is said");
-    assert_eq!(held.takes(3 * LASTS, (6, 1, 98), LASTS, &grant), Err(Refused::Unasked));
-    assert!(!held.holds(3 * LASTS), "a newer epoch ends the older one's");
-    let mut lead = Lead::new(3);
-    assert!(matches!(lead.planners(0, [].into_iter()), Some(Turn::Leads { .. })));
-    assert_eq!(lead.gives(LASTS), None);
-    assert!(lead.gives(LASTS + SKEW).is_some());
-    assert_eq!(lead.planners(LASTS * 2, [1].into_iter()), Some(Turn::Follows));
-    assert_eq!(lead.gives(LASTS * 2), None);
+    assert_eq!(held.takes(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION * 9, &grant), Ok(()));
+    assert_eq!(held.until(), 4 * GRANT_DURATION, "no longer than the rule, whatever is said");
+    assert_eq!(
+        held.takes(3 * GRANT_DURATION, (6, 1, 98), GRANT_DURATION, &grant),
+        Err(GrantRejection::UnknownReport)
+    );
+    assert!(!held.holds(3 * GRANT_DURATION), "a newer epoch ends the older one's");
+    let mut lead = PlannerElection::new(3);
+    assert!(matches!(lead.planners(0, [].into_iter()), Some(LeadershipChange::BecameLeader { .. })));
+    assert_eq!(lead.gives(GRANT_DURATION), None);
+    assert!(lead.gives(GRANT_DURATION + MAX_CLOCK_SKEW).is_some());
+    assert_eq!(lead.planners(GRANT_DURATION * 2, [1].into_iter()), Some(LeadershipChange::BecameFollower));
+    assert_eq!(lead.gives(GRANT_DURATION * 2), None);
 }
 
 // ---- plans ----
 
-fn report(rate: f32, sights: Vec<Sight>) -> Report {
-    Report { number: 1, demands: vec![Demand { class: 0, rate, held: 0, value: 1.0 }], sights, epoch: 0 }
+fn report(rate: f32, sights: Vec<WorkerObservation>) -> LoadReport {
+    LoadReport { number: 1, demands: vec![Demand { class: 0, rate, held: 0, value: 1.0 }], sights, epoch: 0 }
 }
 
 proptest! {
@@ -381,7 +395,7 @@
         rates in proptest::collection::vec(0.0..500.0f32, 1..40),
         workers in proptest::collection::vec(1.0..40.0f64, 1..30),
     ) {
-        let mut plan = Plan::default();
+        let mut plan = CapacityPlan::default();
         for (at, places) in workers.iter().enumerate() {
             plan.worker(at as NodeId, *places);
         }
@@ -415,11 +429,11 @@
 #[test]
 fn wrong_figures_of_a_worker_are_mended_by_what_is_seen() {
     for (told, real) in [(16.0, 8.0), (4.0, 8.0)] {
-        let mut plan = Plan::default();
+        let mut plan = CapacityPlan::default();
         plan.worker(1, told);
         for second in 1..60 {
             let over = plan.places(1) > real;
-            let sight = Sight {
+            let sight = WorkerObservation {
                 worker: 1,
                 out: 0,
                 ends: 100.0,
@@ -431,7 +445,7 @@
         }
         assert!((plan.places(1) - real).abs() < real * 0.25, "{told}: {}", plan.places(1));
     }
-    let mut plan = Plan::default();
+    let mut plan = CapacityPlan::default();
     plan.worker(1, 4.0);
     plan.report(0, 5, report(1.0, vec![]));
     plan.adapt(10 * SECOND);
@@ -440,8 +454,8 @@
 
 // ---- routes ----
 
-fn table(many: u64, places: f64) -> Routes {
-    let mut routes = Routes::new(7);
+fn table(many: u64, places: f64) -> LoadBalancer {
+    let mut routes = LoadBalancer::new(7);
     for id in 0..many {
         routes.worker(0, id, places, true, Time::MIN);
     }
@@ -449,7 +463,7 @@
 }
 
 /// Plays arrivals against workers with their own speeds; answers how many each served.
-fn played(routes: &mut Routes, speeds: &[Time], fails: &[u64], arrivals: u64, gap: Time) -> Vec<u64> {
+fn played(routes: &mut LoadBalancer, speeds: &[Time], fails: &[u64], arrivals: u64, gap: Time) -> Vec<u64> {
     let mut ends: BTreeMap<(Time, u64), (NodeId, Time)> = BTreeMap::new();
     let (mut served, mut now) = (vec![0; speeds.len()], 0);
     for number in 0..arrivals {
@@ -458,7 +472,7 @@
             ends.first_key_value().map(|(k, v)| (*k, *v)).filter(|((at, _), _)| *at <= now)
         {
             ends.pop_first();
-            let how = if fails.contains(&id) { End::Errored } else { End::Succeeded };
+            let how = if fails.contains(&id) { AttemptOutcome::Failed } else { AttemptOutcome::Succeeded };
             routes.ended(at, id, how, took, 0);
         }
         if number % 50 == 0 {
@@ -519,7 +533,7 @@
 
 #[test]
 fn a_full_and_a_draining_worker_get_nothing() {
-    let mut routes = Routes::new(1);
+    let mut routes = LoadBalancer::new(1);
     routes.worker(0, 1, 4.0, true, 0);
     let mut out = 0;
     while let Some(id) = routes.choose(0, None, &[]) {
@@ -527,12 +541,12 @@
         out += 1;
     }
     assert_eq!(out, 4, "its places, and no more");
-    routes.ended(100, 1, End::Succeeded, 10, 0);
+    routes.ended(100, 1, AttemptOutcome::Succeeded, 10, 0);
     assert!(routes.choose(100, None, &[]).is_some());
     routes.worker(100, 1, 4.0, false, 0);
     assert_eq!(routes.choose(100, None, &[]), None);
     routes.worker(100, 1, 4.0, true, 0);
-    routes.ended(100, 1, End::Throttled, 10, 500);
+    routes.ended(100, 1, AttemptOutcome::Rejected, 10, 500);
     assert_eq!(routes.choose(200, None, &[]), None, "it said when to come back");
     routes.tick(600);
     assert_eq!(routes.choose(600, None, &[]), Some(1));
@@ -545,7 +559,7 @@
     /// Whatever happens to the table, no worker has more out than its places, and counts add up.
     #[test]
     fn no_worker_gets_more_than_its_places(steps in proptest::collection::vec((0..6u8, 0..8u64, any::<u64>()), 0..300)) {
-        let mut routes = Routes::new(3);
+        let mut routes = LoadBalancer::new(3);
         let mut out: BTreeMap<NodeId, u32> = BTreeMap::new();
         let mut places: BTreeMap<NodeId, f64> = BTreeMap::new();
         for (at, (what, id, more)) in steps.into_iter().enumerate() {
@@ -573,7 +587,7 @@
                 4 => {
                     if let Some(count) = out.get_mut(&id).filter(|count| **count > 0) {
                         *count -= 1;
-                        let how = [End::Succeeded, End::Throttled, End::Errored, End::Lost, End::Nothing][(more % 5) as usize];
+                        let how = [AttemptOutcome::Succeeded, AttemptOutcome::Rejected, AttemptOutcome::Failed, AttemptOutcome::ConnectionLost, AttemptOutcome::Cancelled][(more % 5) as usize];
                         routes.ended(now, id, how, 100, (more % 3) as Time * 100);
                     }
                 }
@@ -591,67 +605,67 @@
     /// Never more than the share of first tries and the floor, under any mix of ends.
     #[test]
     fn tries_are_never_amplified_past_the_budget(ends in proptest::collection::vec((any::<bool>(), 0..3u32, 0..100i64), 1..2000)) {
-        let mut budget = Budget::new(0);
+        let mut budget = RetryBudget::new(0);
         let mut now = 0;
         for (first, tries, gap) in ends {
             now += gap;
             if first {
                 budget.first(now);
             }
-            budget.may(now, Known::NeverRan, false, tries, SECOND, 10);
+            budget.may(now, Execution::NeverRan, false, tries, SECOND, 10);
         }
         let (first, further, _) = budget.counts();
-        let most = first as f64 * SHARE + FLOOR * (1.0 + now as f64 / SECOND as f64);
+        let most = first as f64 * RETRY_RATIO + MIN_RETRIES_PER_SECOND * (1.0 + now as f64 / SECOND as f64);
         prop_assert!(further as f64 <= most + 1.0, "{} of {}", further, most);
     }
 }
 
 #[test]
 fn only_what_never_ran_is_tried_again_and_in_time() {
-    let mut budget = Budget::new(0);
-    assert!(!budget.may(0, Known::Perhaps, false, 1, SECOND, 10));
-    assert!(!budget.may(0, Known::NeverRan, true, 1, SECOND, 10), "asked not to try elsewhere");
-    assert!(!budget.may(0, Known::NeverRan, false, 3, SECOND, 10));
-    assert!(!budget.may(0, Known::NeverRan, false, 1, 10, 10), "no time left");
-    assert!(budget.may(0, Known::NeverRan, false, 1, SECOND, 10));
+    let mut budget = RetryBudget::new(0);
+    assert!(!budget.may(0, Execution::MayHaveRun, false, 1, SECOND, 10));
+    assert!(!budget.may(0, Execution::NeverRan, true, 1, SECOND, 10), "asked not to try elsewhere");
+    assert!(!budget.may(0, Execution::NeverRan, false, 3, SECOND, 10));
+    assert!(!budget.may(0, Execution::NeverRan, false, 1, 10, 10), "no time left");
+    assert!(budget.may(0, Execution::NeverRan, false, 1, SECOND, 10));
 }
 
 // ---- modes ----
 
 #[test]
 fn a_forwarder_falls_back_at_once_and_returns_in_steps() {
-    let (mut mode, mut held) = (Mode::new(0), Held::default());
-    let alone = Mode::alone(12.0, 3);
+    let (mut mode, mut held) = (DispatchMode::new(0), GrantTable::default());
+    let alone = DispatchMode::alone(12.0, 3);
     assert_eq!(mode.places(0, &held, 9, alone), 4.0);
     let grant = [Grant { worker: 9, places: 8 }];
     let mut seen = Vec::new();
     let mut now = 0;
     let mut lines = Vec::new();
     for step in 0..24 {
-        now = step * STEP / 2;
+        now = step * RECOVERY_STEP_DURATION / 2;
         if step < 16 {
             let report = held.asks(now);
-            held.takes(now, (1, step as u64 + 1, report), LASTS, &grant).expect("taken");
+            held.takes(now, (1, step as u64 + 1, report), GRANT_DURATION, &grant).expect("taken");
         }
         lines.extend(mode.tick(now, &held));
         seen.push(mode.places(now, &held, 9, alone));
     }
     assert!(
-        seen.windows(2).all(|two| two[1] - two[0] <= 4.0 / f64::from(STEPS) + 1e-9),
+        seen.windows(2).all(|two| two[1] - two[0] <= 4.0 / f64::from(RECOVERY_STEPS) + 1e-9),
         "no jump up: {seen:?}"
     );
     assert_eq!(seen[12], 8.0);
-    assert_eq!(mode.state(), mode::State::Local);
+    assert_eq!(mode.state(), dispatch_mode::DispatchState::Local);
     assert_eq!(mode.places(now, &held, 9, alone), 4.0);
     assert_eq!(lines.len(), 3, "one line for each change: {lines:?}");
     assert!(lines[0].contains("planners are back: epoch 1, 8 places") && lines[2].starts_with("by itself"));
     // Between two looks too: what has ended is not used.
-    let mut held = Held::default();
+    let mut held = GrantTable::default();
     let report = held.asks(0);
-    held.takes(0, (1, 1, report), LASTS, &grant).expect("taken");
-    let mut mode = Mode::new(0);
-    (0..6).for_each(|step| drop(mode.tick(step * STEP, &held)));
-    assert_eq!(mode.places(LASTS, &held, 9, alone), 4.0);
+    held.takes(0, (1, 1, report), GRANT_DURATION, &grant).expect("taken");
+    let mut mode = DispatchMode::new(0);
+    (0..6).for_each(|step| drop(mode.tick(step * RECOVERY_STEP_DURATION, &held)));
+    assert_eq!(mode.places(GRANT_DURATION, &held, 9, alone), 4.0);
     assert_eq!(id_of(1), cypresscleat_forwarding::node_id("member-1"));
     assert_eq!(MS * 1000, SECOND);
 }
@@ -660,11 +674,16 @@
 #[test]
 fn while_one_is_silent_the_next_time_to_look_is_ahead() {
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let options = Options::default();
+    let options = MembershipConfig::default();
     let mut own = Membership::new(1, Role::Planner, address(1), vec![address(2)], options, 5);
-    let rumour =
-        Rumour { id: 2, role: Role::Planner, address: address(2), incarnation: 1, state: State::Alive };
-    let known = Message::Known { rumours: vec![rumour] };
+    let rumour = GossipUpdate {
+        id: 2,
+        role: Role::Planner,
+        address: address(2),
+        incarnation: 1,
+        state: MemberState::Alive,
+    };
+    let known = Message::MemberList { rumours: vec![rumour] };
     own.heard(0, address(2), &Envelope { from: 2, incarnation: 1, rumours: vec![], message: known });
     let (mut now, mut looks) = (0, 0);
     while now < 20 * cypresscleat_forwarding::SECOND {
@@ -679,10 +698,10 @@
 /// What differs is told, and nothing where nothing does; one of a version that does not compare is asked for all, now and then.
 #[test]
 fn what_is_known_is_compared_before_it_is_told() {
-    use cypresscleat_forwarding::membership::{Membership, Options};
+    use cypresscleat_forwarding::membership::{Membership, MembershipConfig};
     let at = |number: u16| SocketAddr::from(([127, 0, 0, 1], number));
     let member = |own: u64, seed: u64| {
-        Membership::new(own, Role::Worker, at(own as u16), vec![at(1)], Options::default(), seed)
+        Membership::new(own, Role::Worker, at(own as u16), vec![at(1)], MembershipConfig::default(), seed)
     };
     // Its first period is one in which it compares; that of the third one in which it asks for all.
     let (mut one, mut other, mut third) = (member(1, 0), member(2, 9), member(3, 119));
@@ -690,18 +709,24 @@
         from: 1,
         incarnation: 1,
         rumours: Vec::new(),
-        message: Message::Known { rumours: Vec::new() },
+        message: Message::MemberList { rumours: Vec::new() },
     };
     for member in [&mut other, &mut third] {
         member.heard(0, at(1), &known);
         member.learn(
             0,
-            Rumour { id: 1, role: Role::Worker, address: at(1), incarnation: 1, state: State::Alive },
+            GossipUpdate {
+                id: 1,
+                role: Role::Worker,
+                address: at(1),
+                incarnation: 1,
+                state: MemberState::Alive,
+            },
         );
     }
     let learns = |to: &mut Membership, id: u64| {
-        let state = State::Alive;
-        to.learn(0, Rumour { id, role: Role::Worker, address: at(id as u16), incarnation: 1, state });
+        let state = MemberState::Alive;
+        to.learn(0, GossipUpdate { id, role: Role::Worker, address: at(id as u16), incarnation: 1, state });
     };
     for id in 10..400 {
         learns(&mut one, id);
@@ -713,7 +738,7 @@
         let told = to.heard(0, at(9), asked);
         told.iter()
             .map(|send| match &send.envelope.message {
-                Message::Known { rumours } => rumours.len(),
+                Message::MemberList { rumours } => rumours.len(),
                 _ => 0,
             })
             .sum::<usize>()
--- a/crates/forwarding/tests/versions.rs
+++ b/crates/forwarding/tests/versions.rs
@@ -22,28 +22,29 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-fn rumour(id: u64, state: State) -> Rumour {
+fn rumour(id: u64, state: MemberState) -> GossipUpdate {
     let address: SocketAddr = "10.1.2.3:7000".parse().expect("an address");
-    Rumour { id, role: Role::Worker, address, incarnation: 3, state }
+    GossipUpdate { id, role: Role::Worker, address, incarnation: 3, state }
 }
 
 fn envelope(message: Message) -> Envelope {
-    let rumours = vec![rumour(8, State::Suspect), rumour(9, State::Dead)];
+    let rumours = vec![rumour(8, MemberState::Suspect), rumour(9, MemberState::Dead)];
     Envelope { from: 1_234_567_890_123, incarnation: 2, rumours, message }
 }
 
 fn meant() -> Vec<Message> {
-    let known = vec![rumour(5, State::Alive), rumour(6, State::Draining), rumour(7, State::Left)];
+    let known =
+        vec![rumour(5, MemberState::Alive), rumour(6, MemberState::Draining), rumour(7, MemberState::Left)];
     let demands = vec![Demand { class: 1, rate: 2.5, held: 3, value: 4.0 }];
-    let sights = vec![Sight { worker: 5, out: 1, ends: 2.0, throttled: 0.5, took: 30.0 }];
+    let sights = vec![WorkerObservation { worker: 5, out: 1, ends: 2.0, throttled: 0.5, took: 30.0 }];
     let grants = vec![Grant { worker: 5, places: 3 }];
     vec![
         Message::Ping { number: 7 },
         Message::Ack { number: 7 },
-        Message::PingFor { number: 8, whom: 77, at: "[::1]:9".parse().expect("an address") },
+        Message::PingRequest { number: 8, whom: 77, at: "[::1]:9".parse().expect("an address") },
         Message::Join,
-        Message::Known { rumours: known },
-        Message::Report(Report { number: 9, demands, sights, epoch: 4 }),
+        Message::MemberList { rumours: known },
+        Message::Report(LoadReport { number: 9, demands, sights, epoch: 4 }),
         Message::Grants { epoch: 4, number: 2, answers: 9, lasts: 20_000, grants },
     ]
 }
@@ -52,7 +53,7 @@
 fn what_the_version_before_sends_is_read_as_it_meant_it() {
     for (hex, message) in RECORDED.into_iter().zip(meant()) {
         let bytes = bytes(hex);
-        assert_eq!(read(&bytes), Next::Message(envelope(message), bytes.len()), "{hex}");
+        assert_eq!(read(&bytes), Decoded::Message(envelope(message), bytes.len()), "{hex}");
     }
 }
 
@@ -63,8 +64,8 @@
     Ack { number: u32 },
     PingFor { number: u32, whom: u64, at: SocketAddr },
     Join,
-    Known { rumours: Vec<Rumour> },
-    Report(Report),
+    Known { rumours: Vec<GossipUpdate> },
+    Report(LoadReport),
     Grants { epoch: u64, number: u64, answers: u32, lasts: i64, grants: Vec<Grant> },
 }
 
@@ -72,7 +73,7 @@
 struct EnvelopeBefore {
     from: u64,
     incarnation: u32,
-    rumours: Vec<Rumour>,
+    rumours: Vec<GossipUpdate>,
     message: Before,
 }
 
@@ -84,8 +85,8 @@
         assert_eq!(written, bytes(hex), "the same bytes as before");
     }
     let new = [
-        Message::Sync { parts: vec![1; PARTS] },
-        Message::Under { version: 3, message: Box::new(Message::Join) },
+        Message::Sync { parts: vec![1; MEMBER_PARTITIONS] },
+        Message::WithPolicyVersion { version: 3, message: Box::new(Message::Join) },
     ];
     for message in new {
         let mut written = Vec::new();
@@ -95,11 +96,11 @@
         assert!(before.is_err(), "it skips what it does not know: {message:?}");
     }
     // What is past a bound is refused, also inside another.
-    let nested = Message::Under { version: 3, message: Box::new(Message::Join) };
+    let nested = Message::WithPolicyVersion { version: 3, message: Box::new(Message::Join) };
     for message in [
-        Message::Sync { parts: vec![1; PARTS + 1] },
-        Message::Under { version: 3, message: Box::new(nested) },
-        Message::Under {
+        Message::Sync { parts: vec![1; MEMBER_PARTITIONS + 1] },
+        Message::WithPolicyVersion { version: 3, message: Box::new(nested) },
+        Message::WithPolicyVersion {
             version: 3,
             message: Box::new(Message::Grants {
                 epoch: 1,
@@ -112,6 +113,6 @@
     ] {
         let mut written = Vec::new();
         assert!(write(&mut written, &envelope(message)));
-        assert!(matches!(read(&written), Next::Broken(_)));
+        assert!(matches!(read(&written), Decoded::Broken(_)));
     }
 }
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -11,12 +11,12 @@
 use crate::log;
 use crate::pool::{Outbox, SIZE};
 use crate::sockets::write_all;
-use cypresscleat_forwarding::grants::Held;
-use cypresscleat_forwarding::messages::{Demand, Sight};
-use cypresscleat_forwarding::mode::Mode;
-use cypresscleat_forwarding::ramp::Promised;
-use cypresscleat_forwarding::retry::{Budget, Known};
-use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::dispatch_mode::DispatchMode;
+use cypresscleat_forwarding::grants::GrantTable;
+use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::messages::{Demand, WorkerObservation};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget};
+use cypresscleat_forwarding::slow_start::ReservedCapacity;
 use cypresscleat_forwarding::{node_id, NodeId};
 use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
     places: f64,
     good: bool,
     /// What it promised, while it is cold.
-    promised: Option<Promised>,
+    promised: Option<ReservedCapacity>,
     /// Its health is to be asked for at once.
     recheck: Rc<Notify>,
     wires: Vec<Rc<Wire>>,
@@ -86,10 +86,10 @@
     shared: Shared,
     queue: Sender<Note>,
     clock: Clock,
-    pub routes: RefCell<Routes>,
-    budget: RefCell<Budget>,
-    pub held: RefCell<Held>,
-    pub mode: RefCell<Mode>,
+    pub routes: RefCell<LoadBalancer>,
+    budget: RefCell<RetryBudget>,
+    pub held: RefCell<GrantTable>,
+    pub mode: RefCell<DispatchMode>,
     pub forwarders: Cell<usize>,
     tries: RefCell<HashMap<Txn, Try>>,
     workers: RefCell<HashMap<NodeId, WorkerState>>,
@@ -124,7 +124,7 @@
             }
         }
         let now = self.clock.now();
-        self.routes.borrow_mut().ended(now, one.worker, End::Nothing, 0, 0);
+        self.routes.borrow_mut().ended(now, one.worker, AttemptOutcome::Cancelled, 0, 0);
         self.tell(txn, Outcome::CalledOff, &[], None);
     }
 
@@ -174,10 +174,10 @@
             shared: shared.clone(),
             queue,
             clock,
-            routes: RefCell::new(Routes::new(seed)),
-            budget: RefCell::new(Budget::new(now)),
+            routes: RefCell::new(LoadBalancer::new(seed)),
+            budget: RefCell::new(RetryBudget::new(now)),
             held: RefCell::default(),
-            mode: RefCell::new(Mode::new(now)),
+            mode: RefCell::new(DispatchMode::new(now)),
             forwarders: Cell::new(1),
             tries: RefCell::default(),
             workers: RefCell::new(workers.collect()),
@@ -194,18 +194,24 @@
             let rate = std::mem::take(count) as f64 / span.max(0.01);
             Demand { class: class as u16, rate: rate as f32, held: 0, value: *value as f32 }
         });
-        all.take(cypresscleat_forwarding::messages::CLASSES).collect()
+        all.take(cypresscleat_forwarding::messages::MAX_CLASSES).collect()
     }
 
-    pub fn sights(&self, span: f64) -> Vec<Sight> {
+    pub fn sights(&self, span: f64) -> Vec<WorkerObservation> {
         let routes = self.routes.borrow();
         let mut workers = self.workers.borrow_mut();
         let sights = workers.iter_mut().map(|(worker, state)| {
             let per = |count: &mut f64| (std::mem::take(count) / span.max(0.01)) as f32;
             let (ends, throttled) = (per(&mut state.ends), per(&mut state.throttled));
-            Sight { worker: *worker, out: routes.out_at(*worker), ends, throttled, took: state.took as f32 }
+            WorkerObservation {
+                worker: *worker,
+                out: routes.out_at(*worker),
+                ends,
+                throttled,
+                took: state.took as f32,
+            }
         });
-        sights.take(cypresscleat_forwarding::messages::GRANTS).collect()
+        sights.take(cypresscleat_forwarding::messages::MAX_GRANTS).collect()
     }
 
     /// Takes over what grants, mode and health say of each worker now; a line where the mode changed.
@@ -218,11 +224,11 @@
         }
         let mut routes = self.routes.borrow_mut();
         for (worker, state) in self.workers.borrow().iter() {
-            let alone = Mode::alone(state.places, self.forwarders.get());
+            let alone = DispatchMode::alone(state.places, self.forwarders.get());
             // No planner's figure counts past what a planner may learn of a worker: twice what it is told to have.
             let places = mode
                 .places(now, &held, *worker, alone)
-                .min(state.places * cypresscleat_forwarding::plan::MOST);
+                .min(state.places * cypresscleat_forwarding::capacity_plan::MAX_PLACES_FACTOR);
             // A cold one's own word counts, whoever granted more.
             let places = state.promised.map_or(places, |promised| places.min(promised.places(now).into()));
             routes.worker(now, *worker, places, state.good, Time::MIN);
@@ -239,7 +245,7 @@
         self.routes.borrow_mut().goes(worker);
         (one.worker, one.tries, one.started) = (worker, one.tries + 1, now);
         let Some(wire) = self.wire(worker) else {
-            self.routes.borrow_mut().ended(now, worker, End::Nothing, 0, 0);
+            self.routes.borrow_mut().ended(now, worker, AttemptOutcome::Cancelled, 0, 0);
             return Err(one);
         };
         self.puts(one, wire);
@@ -319,8 +325,8 @@
         self: &Rc<Fleet>,
         txn: Txn,
         number: u64,
-        end: End,
-        known: Known,
+        end: AttemptOutcome,
+        known: Execution,
         said: (Time, bool),
         body: &[u8],
     ) {
@@ -331,12 +337,13 @@
         self.routes.borrow_mut().ended(now, one.worker, end, took, said.0);
         if let Some(state) = self.workers.borrow_mut().get_mut(&one.worker) {
             state.ends += 1.0;
-            state.throttled += f64::from(end == End::Throttled);
-            state.took += if end == End::Succeeded { (took as f64 - state.took) * 0.1 } else { 0.0 };
+            state.throttled += f64::from(end == AttemptOutcome::Rejected);
+            state.took +=
+                if end == AttemptOutcome::Succeeded { (took as f64 - state.took) * 0.1 } else { 0.0 };
         }
         match end {
-            End::Succeeded => return self.tell(txn, Outcome::Succeeded, body, None),
-            End::Errored => return self.tell(txn, Outcome::Errored, b"", None),
+            AttemptOutcome::Succeeded => return self.tell(txn, Outcome::Succeeded, body, None),
+            AttemptOutcome::Failed => return self.tell(txn, Outcome::Errored, b"", None),
             _ => {}
         }
         let left = one.wanted.due - now;
@@ -352,13 +359,13 @@
             one
         };
         match known {
-            Known::NeverRan => self.tell(
+            Execution::NeverRan => self.tell(
                 one.wanted.txn,
                 Outcome::Throttled,
                 b"",
                 Some(said).filter(|said| said.0 > 0 || said.1),
             ),
-            Known::Perhaps => self.tell(one.wanted.txn, Outcome::Errored, b"", None),
+            Execution::MayHaveRun => self.tell(one.wanted.txn, Outcome::Errored, b"", None),
         }
     }
 
@@ -388,8 +395,8 @@
                 continue;
             }
             let never = !connected || written <= from;
-            let known = if never { Known::NeverRan } else { Known::Perhaps };
-            self.ended(txn, number, End::Lost, known, (0, false), b"");
+            let known = if never { Execution::NeverRan } else { Execution::MayHaveRun };
+            self.ended(txn, number, AttemptOutcome::ConnectionLost, known, (0, false), b"");
         }
         wire.out.clear();
     }
@@ -454,11 +461,25 @@
                     get("later").and_then(|ms| ms.parse::<Time>().ok()).unwrap_or(0).clamp(0, 60_000) * MS;
                 let said = (later, get("giveup") == Some("1"));
                 match *code {
-                    frames::SUCCEEDED => {
-                        self.ended(txn, number, End::Succeeded, Known::Perhaps, (0, false), body)
+                    frames::SUCCEEDED => self.ended(
+                        txn,
+                        number,
+                        AttemptOutcome::Succeeded,
+                        Execution::MayHaveRun,
+                        (0, false),
+                        body,
+                    ),
+                    frames::THROTTLED => {
+                        self.ended(txn, number, AttemptOutcome::Rejected, Execution::NeverRan, said, b"")
                     }
-                    frames::THROTTLED => self.ended(txn, number, End::Throttled, Known::NeverRan, said, b""),
-                    _ => self.ended(txn, number, End::Errored, Known::Perhaps, (0, false), b""),
+                    _ => self.ended(
+                        txn,
+                        number,
+                        AttemptOutcome::Failed,
+                        Execution::MayHaveRun,
+                        (0, false),
+                        b"",
+                    ),
                 }
             }
             _ => {}
@@ -521,7 +542,7 @@
         let asked = self.clock.now();
         let out = self.routes.borrow().out_at(worker);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
-            state.promised.iter_mut().for_each(Promised::asks);
+            state.promised.iter_mut().for_each(ReservedCapacity::asks);
         }
         self.look();
         let payload = frames::put_ramp(self.own, out);
@@ -531,7 +552,7 @@
         *kept = Some(stream);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
             state.promised = ramp.map(|places| {
-                let mut promised = Promised::default();
+                let mut promised = ReservedCapacity::default();
                 promised.takes(asked, places);
                 promised
             });
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -5,9 +5,9 @@
 use crate::clock::Clock;
 use crate::log;
 use crate::rollout::gate::Gate;
-use cypresscleat_forwarding::membership::{Membership, Options, Send};
-use cypresscleat_forwarding::messages::{self, Envelope, Message, Next, Report, Role};
-use cypresscleat_forwarding::{grants::RENEWED, node_id, Time};
+use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
+use cypresscleat_forwarding::messages::{self, Decoded, Envelope, LoadReport, Message, Role};
+use cypresscleat_forwarding::{grants::GRANT_RENEWAL_INTERVAL, node_id, Time};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,14 +32,14 @@
         let own = socket.local_addr()?;
         log!("{} hears members at {own}", name);
         let seeds = tier.planners.iter().map(|planner| planner.address).collect();
-        let members = Membership::new(node_id(name), role, own, seeds, Options::default(), seed);
-        let bytes = vec![0; messages::LONGEST + 8];
+        let members = Membership::new(node_id(name), role, own, seeds, MembershipConfig::default(), seed);
+        let bytes = vec![0; messages::MAX_MESSAGE_BYTES + 8];
         Ok(Talk { socket, members, clock, bytes, gate: None, unlike: None })
     }
 
     /// Sends what fits; what is lost is lost, as any datagram.
-    pub fn send(&self, all: Vec<Send>) {
-        for Send { to, envelope } in all {
+    pub fn send(&self, all: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, envelope } in all {
             let mut bytes = Vec::new();
             if messages::write(&mut bytes, &envelope) {
                 let _ = self.socket.try_send_to(&bytes, to);
@@ -51,7 +51,10 @@
     pub fn envelope(&self, message: Message) -> Envelope {
         let own = self.members.own();
         let message = match &self.gate {
-            Some(gate) => Message::Under { version: gate.version().unwrap_or(0), message: Box::new(message) },
+            Some(gate) => Message::WithPolicyVersion {
+                version: gate.version().unwrap_or(0),
+                message: Box::new(message),
+            },
             None => message,
         };
         Envelope { from: own.id, incarnation: own.incarnation, rumours: Vec::new(), message }
@@ -61,7 +64,7 @@
     /// under other rules. Reports are: they tell what came and what was seen.
     fn under(&mut self, message: Message) -> Option<Message> {
         let (said, message) = match message {
-            Message::Under { version, message } => (Some(version), *message),
+            Message::WithPolicyVersion { version, message } => (Some(version), *message),
             message => (None, message),
         };
         if !matches!(message, Message::Report(_) | Message::Grants { .. }) {
@@ -104,7 +107,7 @@
                     Err(_) => continue, // word of an earlier datagram that found nobody
                 },
             };
-            let Next::Message(envelope, read) = messages::read(&self.bytes[..size]) else { continue };
+            let Decoded::Message(envelope, read) = messages::read(&self.bytes[..size]) else { continue };
             if read != size {
                 continue;
             }
@@ -138,15 +141,15 @@
         if now < next {
             continue;
         }
-        next = now + RENEWED;
+        next = now + GRANT_RENEWAL_INTERVAL;
         fleet.forwarders.set(talk.members.of_role(Role::Forwarder).count() + 1);
         let span = (now - std::mem::replace(&mut last, now)) as f64 / 10_000.0;
         let number = fleet.held.borrow_mut().asks(now);
         let epoch = fleet.held.borrow().epoch();
-        let report = Report { number, demands: fleet.demands(span), sights: fleet.sights(span), epoch };
+        let report = LoadReport { number, demands: fleet.demands(span), sights: fleet.sights(span), epoch };
         for planner in &tier.planners {
             let envelope = talk.envelope(Message::Report(report.clone()));
-            talk.send(vec![Send { to: planner.address, envelope }]);
+            talk.send(vec![OutgoingMessage { to: planner.address, envelope }]);
         }
     }
 }
--- a/crates/server/src/listeners/mod.rs
+++ b/crates/server/src/listeners/mod.rs
@@ -11,7 +11,7 @@
 use crate::counters::add;
 use crate::log;
 use crate::pool::SIZE;
-use cypresscleat_forwarding::ramp::Ramp;
+use cypresscleat_forwarding::slow_start::SlowStart;
 use cypresscleat_scheduler::api::Time;
 use cypresscleat_settings::Names;
 use std::cell::{Cell, RefCell};
@@ -93,7 +93,7 @@
     lingering_most: usize,
     left: Notify,
     /// What forwarders were promised, and how many callers the settings tell of.
-    ramp: RefCell<Ramp>,
+    ramp: RefCell<SlowStart>,
     callers: usize,
     /// The listener is to go, and is gone.
     closing: Notify,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -2,7 +2,7 @@
 
 use cypresscleat_concurrency::Setup;
 use cypresscleat_forwarding::messages::Role;
-use cypresscleat_forwarding::retry;
+use cypresscleat_forwarding::retry_budget;
 use cypresscleat_scheduler::api::{Below, Halt, Operation, Settings, Time};
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::clock::{unix, Clock};
@@ -235,7 +235,7 @@
             door.waits(patience);
         }
         if let Some(fleet) = fleet.borrow().as_ref() {
-            fleet.retries(policy.retries.unwrap_or(retry::SHARE));
+            fleet.retries(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
         }
     })
 }
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -9,10 +9,10 @@
 use crate::rollout::member::Task;
 use crate::rollout::Rollout;
 use crate::{log, rollout};
-use cypresscleat_forwarding::grants::{Lead, Owned, Turn, LASTS};
-use cypresscleat_forwarding::membership::Send;
+use cypresscleat_forwarding::capacity_plan::CapacityPlan;
+use cypresscleat_forwarding::grants::{LeadershipChange, LeasedGrants, PlannerElection, GRANT_DURATION};
+use cypresscleat_forwarding::membership::OutgoingMessage;
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
-use cypresscleat_forwarding::plan::Plan;
 use cypresscleat_forwarding::{node_id, Time};
 use cypresscleat_leases::holder::Event;
 use cypresscleat_leases::{Part, Want};
@@ -31,15 +31,15 @@
 
 /// Who leads: by the planner's own word, or by the keepers'.
 enum By {
-    Itself(Lead),
-    Keepers(Box<Hold>, Owned),
+    Itself(PlannerElection),
+    Keepers(Box<Hold>, LeasedGrants),
 }
 
 impl By {
     /// Epoch and number of the next grants and how long they may last, if it may give out now.
     fn gives(&mut self, now: Time) -> Option<(u64, u64, Time)> {
         match self {
-            By::Itself(lead) => lead.gives(now).map(|(epoch, number)| (epoch, number, LASTS)),
+            By::Itself(lead) => lead.gives(now).map(|(epoch, number)| (epoch, number, GRANT_DURATION)),
             By::Keepers(hold, owned) => {
                 let now = hold.clock.now();
                 hold.may(part()).and_then(|token| owned.gives(now, token, hold.until() - now))
@@ -82,17 +82,17 @@
         spawn_local(task.run());
     }
     let mut by = match keepers {
-        None => By::Itself(Lead::new(node_id(name))),
+        None => By::Itself(PlannerElection::new(node_id(name))),
         Some(keepers) => {
             if keepers.folder.is_some() {
                 leases::keeps_beside(name, keepers)?;
             }
             let rank = tier.planners.iter().position(|planner| planner.name == name).unwrap_or(255) as u8;
             let wants = vec![Want { duty: part().duty, parts: 1, rank }];
-            By::Keepers(Box::new(Hold::new(name, keepers, wants).await?), Owned::default())
+            By::Keepers(Box::new(Hold::new(name, keepers, wants).await?), LeasedGrants::default())
         }
     };
-    let mut plan = Plan::default();
+    let mut plan = CapacityPlan::default();
     for worker in &tier.workers {
         plan.worker(node_id(&worker.name), worker.places);
     }
@@ -121,16 +121,16 @@
                 let grants = plan.grants().remove(&forwarder).unwrap_or_default();
                 let message = Message::Grants { epoch, number, answers, lasts, grants };
                 let envelope = talk.envelope(message);
-                talk.send(vec![Send { to: from, envelope }]);
+                talk.send(vec![OutgoingMessage { to: from, envelope }]);
                 said += 1;
             }
         }
         for turn in turns.into_iter().flatten() {
             match turn {
-                Turn::Leads { epoch, from } => {
+                LeadershipChange::BecameLeader { epoch, from } => {
                     log!("leads under epoch {epoch}, gives out in {} ms", (from - now) / 10)
                 }
-                Turn::Follows => log!("follows"),
+                LeadershipChange::BecameFollower => log!("follows"),
             }
         }
     }
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -2,8 +2,8 @@
 //! workers. In every case each caller has its answer, in time, and nothing runs twice.
 
 use cypresscleat_demo::tier::{ran_twice, trickle, Levels};
-use cypresscleat_forwarding::grants::LASTS;
-use cypresscleat_forwarding::messages::{self, Envelope, Grant, Message, Next};
+use cypresscleat_forwarding::grants::GRANT_DURATION;
+use cypresscleat_forwarding::messages::{self, Decoded, Envelope, Grant, Message};
 use cypresscleat_forwarding::{node_id, NodeId};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -24,7 +24,7 @@
 }
 
 fn say(epoch: u64, number: u64, answers: u32, grants: Vec<Grant>) -> Vec<u8> {
-    let message = Message::Grants { epoch, number, answers, lasts: LASTS, grants };
+    let message = Message::Grants { epoch, number, answers, lasts: GRANT_DURATION, grants };
     let mut bytes = Vec::new();
     messages::write(
         &mut bytes,
@@ -40,7 +40,9 @@
         let (mut bytes, mut count) = (vec![0; 70_000], 0);
         while !over.load(Ordering::Relaxed) {
             let Ok((size, from)) = socket.recv_from(&mut bytes) else { continue };
-            let Next::Message(Envelope { message, .. }, _) = messages::read(&bytes[..size]) else { continue };
+            let Decoded::Message(Envelope { message, .. }, _) = messages::read(&bytes[..size]) else {
+                continue;
+            };
             match message {
                 Message::Report(report) => {
                     count += 1;
