--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -61,24 +61,29 @@
     let (mut now, mut dead, mut died): (Time, Option<usize>, Time) = (0, None, 0);
     let end = 60 * SECOND;
     while now < end {
-        let due =
-            all.iter().enumerate().filter(|(at, _)| Some(*at) != dead).map(|(_, one)| one.0.due()).min();
+        let due = all
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| Some(*at) != dead)
+            .map(|(_, one)| one.0.next_deadline())
+            .min();
         let next = mail.first_key_value().map(|(key, _)| key.0).into_iter().chain(due).min().unwrap_or(end);
         now = now.max(next);
         let mut out: Vec<(usize, Vec<OutgoingMessage>)> = Vec::new();
         while let Some(entry) = mail.first_entry().filter(|entry| entry.key().0 <= now) {
             let (from, to, envelope) = entry.remove();
             if Some(to) != dead {
-                out.push((to, all[to].0.heard(now, address(from), &envelope)));
+                out.push((to, all[to].0.handle(now, address(from), &envelope)));
             }
         }
         for (at, one) in all.iter_mut().enumerate().filter(|(at, _)| Some(*at) != dead) {
-            if now >= one.0.due() {
+            if now >= one.0.next_deadline() {
                 out.push((at, one.0.tick(now)));
             }
-            one.0.changes();
-            let here: Vec<NodeId> = one.0.of_role(Role::Planner).map(|(planner, _)| planner).collect();
-            one.1.planners(now, here.into_iter());
+            one.0.take_changes();
+            let here: Vec<NodeId> =
+                one.0.present_with_role(Role::Planner).map(|(planner, _)| planner).collect();
+            one.1.update_planners(now, here.into_iter());
         }
         for (from, sends) in out {
             for OutgoingMessage { to, envelope } in sends {
@@ -89,10 +94,10 @@
         if dead.is_none() && now > 10 * SECOND + (seed as Time * 137) % 5000 {
             (dead, died) = (Some(0), now);
         }
-        if dead.is_some() && all[1].1.gives(now).is_some() {
+        if dead.is_some() && all[1].1.next_grant(now).is_some() {
             return now - died;
         }
-        if dead.is_some() && all[1].1.leads() {
+        if dead.is_some() && all[1].1.is_leader() {
             return now + GRANT_DURATION + MAX_CLOCK_SKEW - died;
         }
     }
--- a/crates/experiments/src/scale/events.rs
+++ b/crates/experiments/src/scale/events.rs
@@ -26,18 +26,19 @@
 
 impl Peak {
     fn of(world: &Simulation) -> Peak {
-        Peak { sent: world.sent.clone(), heard: world.heard.clone(), ..Peak::default() }
+        Peak { sent: world.sent.clone(), heard: world.received.clone(), ..Peak::default() }
     }
     /// A second has passed.
     fn second(&mut self, world: &Simulation) {
         let most = |now: &[u64], then: &[u64]| now.iter().zip(then).map(|(a, b)| a - b).max().unwrap_or(0);
-        let ((sent, heard), (had_sent, had_heard)) = ((&world.sent, &world.heard), (&self.sent, &self.heard));
+        let ((sent, heard), (had_sent, had_heard)) =
+            ((&world.sent, &world.received), (&self.sent, &self.heard));
         self.seeds.0 = self.seeds.0.max(most(&sent[..SEEDS], &had_sent[..SEEDS]));
         self.seeds.1 = self.seeds.1.max(most(&heard[..SEEDS], &had_heard[..SEEDS]));
         self.most.0 = self.most.0.max(most(&sent[SEEDS..], &had_sent[SEEDS..]));
         self.most.1 = self.most.1.max(most(&heard[SEEDS..], &had_heard[SEEDS..]));
         self.sent.clone_from(&world.sent);
-        self.heard.clone_from(&world.heard);
+        self.heard.clone_from(&world.received);
     }
 }
 
@@ -51,8 +52,8 @@
         for _ in 0..5 {
             let next = world.now + SECOND / 5;
             world.run(next);
-            let others = world.here() - usize::from(state == MemberState::Alive);
-            if all.is_nan() && whom.iter().all(|at| world.agree(*at, state) >= others) {
+            let others = world.alive_count() - usize::from(state == MemberState::Alive);
+            if all.is_nan() && whom.iter().all(|at| world.count_agreeing(*at, state) >= others) {
                 all = (world.now - began) as f64 / (SECOND as f64 / 1e3);
             }
         }
--- a/crates/experiments/src/scale/gossip.rs
+++ b/crates/experiments/src/scale/gossip.rs
@@ -33,8 +33,8 @@
         let next = world.now + every * MS;
         world.run(next);
         // The last one known counts, so the first that is not known by so many ends the look.
-        let others = world.here() - usize::from(state == MemberState::Alive);
-        let least = whom.iter().map(|at| world.agree(*at, state)).min().unwrap_or(others);
+        let others = world.alive_count() - usize::from(state == MemberState::Alive);
+        let least = whom.iter().map(|at| world.count_agreeing(*at, state)).min().unwrap_or(others);
         let after = (world.now - began) as f64 / MS as f64;
         half = half.or((least * 2 >= others).then_some(after));
         all = all.or((least >= others).then_some(after));
@@ -50,7 +50,7 @@
     let bytes = world.bytes;
     world.run((WARM + START) * SECOND);
     let start = (world.bytes - bytes) as f64 / (START as f64 * many as f64);
-    world.members.iter_mut().flatten().for_each(Membership::told);
+    world.members.iter_mut().flatten().for_each(Membership::clear_dissemination_queue);
     world.run((WARM + START + SETTLE) * SECOND);
     (world, start)
 }
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -142,15 +142,15 @@
         let mut member =
             Membership::new(own.id, own.role, own.address, seeds, MembershipConfig::default(), at as u64 + 1);
         let others = (0..self.addresses.len()).filter(|other| *other != at);
-        others.for_each(|other| member.learn(now, self.rumour(other)));
-        drop(member.changes());
+        others.for_each(|other| member.apply_update(now, self.rumour(other)));
+        drop(member.take_changes());
         let ping = Envelope {
             from: self.rumour((at + 1) % self.addresses.len()).id,
             incarnation: 1,
-            rumours: Vec::new(),
+            updates: Vec::new(),
             message: Message::Ping { number: 0 },
         };
-        while member.heard(now, own.address, &ping).iter().any(|send| !send.envelope.rumours.is_empty()) {}
+        while member.handle(now, own.address, &ping).iter().any(|send| !send.envelope.updates.is_empty()) {}
         member
     }
 }
@@ -246,7 +246,7 @@
     fn posts(&self, all: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, envelope } in all {
             let mut bytes = Vec::new();
-            if messages::write(&mut bytes, &envelope) && self.socket.try_send_to(&bytes, to).is_ok() {
+            if messages::encode(&mut bytes, &envelope) && self.socket.try_send_to(&bytes, to).is_ok() {
                 self.books.notes(to, &envelope.message, bytes.len(), true);
             }
         }
@@ -259,7 +259,7 @@
         }
         let mut bytes = self.bytes.borrow_mut();
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
-        let Decoded::Message(envelope, _) = messages::read(&bytes[..size]) else { return None };
+        let Decoded::Message(envelope, _) = messages::decode(&bytes[..size]) else { return None };
         self.books.notes(from, &envelope.message, size, false);
         Some((from, envelope))
     }
@@ -270,41 +270,45 @@
         let mut next = if workers > 0 { first } else { Time::MAX };
         let sight = |at: u64| WorkerObservation {
             worker: node_id(&format!("w{at}")),
-            out: 2,
-            ends: 50.0,
-            throttled: 0.0,
-            took: 80.0,
+            in_flight: 2,
+            ended: 50.0,
+            rejected: 0.0,
+            latency: 80.0,
         };
         let sights: Vec<WorkerObservation> = (0..workers).map(sight).collect();
-        let demand = |class: u16| Demand { class, rate: 100.0, held: 0, value: 1.0 };
+        let demand = |class: u16| Demand { class, rate: 100.0, queued: 0, weight: 1.0 };
         loop {
             let now = self.clock.now();
-            if now >= self.members.due() {
+            if now >= self.members.next_deadline() {
                 let out = self.members.tick(now);
                 self.posts(out);
-                drop(self.members.changes());
+                drop(self.members.take_changes());
             }
             if now >= next {
                 next = now + GRANT_RENEWAL_INTERVAL;
-                let (number, epoch) = (held.asks(now), held.epoch());
+                let (number, epoch) = (held.start_report(now), held.epoch());
                 let demands = vec![demand(0), demand(1)];
-                let report = LoadReport { number, demands, sights: sights.clone(), epoch };
+                let report = LoadReport { number, demands, observations: sights.clone(), epoch };
                 let own = self.members.own();
                 let envelope = Envelope {
                     from: own.id,
                     incarnation: own.incarnation,
-                    rumours: Vec::new(),
+                    updates: Vec::new(),
                     message: Message::Report(report),
                 };
                 self.posts(vec![OutgoingMessage { to: self.books.real, envelope }]);
                 self.books.reports.fetch_add(1, Ordering::Relaxed);
             }
-            let Some((from, envelope)) = self.hears(next.min(self.members.due())).await else { continue };
+            let Some((from, envelope)) = self.hears(next.min(self.members.next_deadline())).await else {
+                continue;
+            };
             let now = self.clock.now();
-            let out = self.members.heard(now, from, &envelope);
+            let out = self.members.handle(now, from, &envelope);
             self.posts(out);
-            if let Message::Grants { epoch, number, answers, lasts, grants } = envelope.message {
-                if held.takes(now, (epoch, number, answers), lasts, &grants).is_ok() {
+            if let Message::Grants { epoch, number, report: answers, duration: lasts, grants } =
+                envelope.message
+            {
+                if held.accept(now, (epoch, number, answers), lasts, &grants).is_ok() {
                     self.books.taken.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -323,13 +327,13 @@
     socket.set_read_timeout(Some(Duration::from_millis(100))).map_err(wrong)?;
     let send = |message: Message| {
         let mut bytes = Vec::new();
-        messages::write(&mut bytes, &Envelope { from, incarnation: 1, rumours: Vec::new(), message });
+        messages::encode(&mut bytes, &Envelope { from, incarnation: 1, updates: Vec::new(), message });
         socket.send_to(&bytes, real).map(drop).map_err(wrong)
     };
     let mut bytes = vec![0; messages::MAX_MESSAGE_BYTES + 8];
     let mut hear = || {
         let size = socket.recv(&mut bytes).ok()?;
-        match messages::read(&bytes[..size]) {
+        match messages::decode(&bytes[..size]) {
             Decoded::Message(envelope, _) => Some(envelope),
             _ => None,
         }
@@ -341,7 +345,7 @@
         }
         send(Message::Join)?;
         while let Some(envelope) = hear() {
-            if let Message::MemberList { rumours } = envelope.message {
+            if let Message::MemberList { members: rumours } = envelope.message {
                 known.extend(rumours.iter().filter(|one| is_here(one.state)).map(|one| one.id));
             }
         }
@@ -353,7 +357,7 @@
         }
         send(Message::Ping { number: 1 })?;
         if let Some(envelope) = hear() {
-            empty = if envelope.rumours.is_empty() { empty + 1 } else { 0 };
+            empty = if envelope.updates.is_empty() { empty + 1 } else { 0 };
         }
     }
     Ok(())
--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -6,7 +6,7 @@
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::messages::{
-    write, Demand, Envelope, Grant, LoadReport, Message, WorkerObservation, MAX_GRANTS,
+    encode, Demand, Envelope, Grant, LoadReport, Message, WorkerObservation, MAX_GRANTS,
 };
 use cypresscleat_forwarding::{node_id, Time};
 use std::time::Instant;
@@ -23,13 +23,18 @@
 }
 
 fn report(workers: u64) -> LoadReport {
-    let demand = |class| Demand { class, rate: 123.4, held: 17, value: 1.5 };
-    let sight =
-        |at| WorkerObservation { worker: worker(at), out: 40, ends: 345.6, throttled: 1.25, took: 312.5 };
+    let demand = |class| Demand { class, rate: 123.4, queued: 17, weight: 1.5 };
+    let sight = |at| WorkerObservation {
+        worker: worker(at),
+        in_flight: 40,
+        ended: 345.6,
+        rejected: 1.25,
+        latency: 312.5,
+    };
     LoadReport {
         number: 100_000,
         demands: (0..OPERATIONS).map(demand).collect(),
-        sights: (0..workers).map(sight).collect(),
+        observations: (0..workers).map(sight).collect(),
         epoch: 1 << 20,
     }
 }
@@ -37,14 +42,14 @@
 fn grants(workers: u64) -> Message {
     let grant = |at| Grant { worker: worker(at), places: 40 };
     let grants = (0..workers).map(grant).collect();
-    Message::Grants { epoch: 1 << 20, number: 100_000, answers: 100_000, lasts: 20_000, grants }
+    Message::Grants { epoch: 1 << 20, number: 100_000, report: 100_000, duration: 20_000, grants }
 }
 
 /// Bytes of a message on its way; `None` where it is too long to be written.
 fn bytes(message: Message) -> Option<f64> {
-    let envelope = Envelope { from: worker(1_000_000), incarnation: 1, rumours: Vec::new(), message };
+    let envelope = Envelope { from: worker(1_000_000), incarnation: 1, updates: Vec::new(), message };
     let mut out = Vec::new();
-    write(&mut out, &envelope).then_some(out.len() as f64)
+    encode(&mut out, &envelope).then_some(out.len() as f64)
 }
 
 /// Bytes of a report with a sight of each of so many workers, and of grants on each.
@@ -111,7 +116,7 @@
         let began = Instant::now();
         let (mut routes, held) = heap::of(|| {
             let mut routes = LoadBalancer::new(seed);
-            (0..size).for_each(|at| routes.worker(0, worker(at), 50.0, true, Time::MIN));
+            (0..size).for_each(|at| routes.set_worker(0, worker(at), 50.0, true, Time::MIN));
             routes
         });
         add("forwarder", "table, made of none", began.elapsed().as_secs_f64() * 1e3, "ms");
@@ -123,8 +128,8 @@
             timed(|| {
                 turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
                 if let Some(id) = routes.choose(10, subject(turn), &[]) {
-                    routes.goes(id);
-                    routes.ended(10, id, AttemptOutcome::Succeeded, 100, 0);
+                    routes.record_start(id);
+                    routes.record_end(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
             })
         };
@@ -135,8 +140,9 @@
         add("forwarder", "table, a look at all", looks, "us");
 
         let mut plan = CapacityPlan::default();
-        (0..size).for_each(|at| plan.worker(worker(at), 50.0));
-        (0..FORWARDERS).for_each(|from| plan.report(0, node_id(&format!("forwarder-{from}")), report(size)));
+        (0..size).for_each(|at| plan.set_worker(worker(at), 50.0));
+        (0..FORWARDERS)
+            .for_each(|from| plan.record_report(0, node_id(&format!("forwarder-{from}")), report(size)));
         let gives = timed(|| drop(std::hint::black_box(plan.grants())));
         add("planner", "plan for 20 forwarders, processor time of grants", gives, "us");
         add("planner", "plan for 20 forwarders, processor time twice a second", gives * TIMES / 1e6, "cores");
--- a/crates/experiments/src/tier.rs
+++ b/crates/experiments/src/tier.rs
@@ -1,8 +1,8 @@
 //! What the two levels cost: three ways to know who is here, and a forwarder's table beside a plain scan.
 
-use cypresscleat_forwarding::load_balancer::{scan, AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::load_balancer::{least_loaded, AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::membership::MembershipConfig;
-use cypresscleat_forwarding::simulation::{gossip, heartbeats, MembershipCost};
+use cypresscleat_forwarding::simulation::{compute_heartbeats, measure_gossip, MembershipCost};
 use cypresscleat_forwarding::Time;
 use std::time::{Duration, Instant};
 
@@ -17,15 +17,15 @@
 fn lookups(many: u64) -> (f64, f64) {
     let mut routes = LoadBalancer::new(1);
     for id in 0..many {
-        routes.worker(0, id, 50.0, true, Time::MIN);
+        routes.set_worker(0, id, 50.0, true, Time::MIN);
     }
     let timed = |routes: &mut LoadBalancer, by: fn(&mut LoadBalancer, Time) -> Option<u64>| {
         let (began, mut turns) = (Instant::now(), 0u32);
         while began.elapsed() < Duration::from_millis(200) {
             for _ in 0..20 {
                 if let Some(id) = by(routes, 10) {
-                    routes.goes(id);
-                    routes.ended(10, id, AttemptOutcome::Succeeded, 100, 0);
+                    routes.record_start(id);
+                    routes.record_end(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
             }
             turns += 20;
@@ -33,7 +33,7 @@
         began.elapsed().as_nanos() as f64 / f64::from(turns)
     };
     let own = timed(&mut routes, |routes, now| routes.choose(now, None, &[]));
-    let plain = timed(&mut routes, |routes, now| scan(routes, now));
+    let plain = timed(&mut routes, |routes, now| least_loaded(routes, now));
     (own, plain)
 }
 
@@ -46,10 +46,10 @@
     for loss in [0.01, 0.1] {
         for many in [10, 100, 1000, 10_000] {
             if many <= most {
-                row(&mut out, "gossip", loss, &gossip(many, loss, 7, MembershipConfig::default()));
+                row(&mut out, "gossip", loss, &measure_gossip(many, loss, 7, MembershipConfig::default()));
             }
-            row(&mut out, "all to all, 4 missed", loss, &heartbeats(many, loss, true, 4));
-            row(&mut out, "a planner's list, 4 missed", loss, &heartbeats(many, loss, false, 4));
+            row(&mut out, "all to all, 4 missed", loss, &compute_heartbeats(many, loss, true, 4));
+            row(&mut out, "a planner's list, 4 missed", loss, &compute_heartbeats(many, loss, false, 4));
         }
     }
     out += "\n| workers | choice and end by the table, ns | by a scan, ns |\n| --- | --- | --- |\n";
--- a/crates/forwarding/src/capacity_plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -37,7 +37,7 @@
 
 impl CapacityPlan {
     /// A worker that takes work, with the places that it is told to have; one that is known keeps what was learnt of it.
-    pub fn worker(&mut self, id: NodeId, told: f64) {
+    pub fn set_worker(&mut self, id: NodeId, told: f64) {
         let told = told.clamp(1.0, 1e6);
         let worker = self.workers.entry(id).or_insert(Worker { told, places: told, seen_at: Time::MIN });
         if worker.told != told {
@@ -45,15 +45,15 @@
         }
     }
 
-    pub fn without_worker(&mut self, id: NodeId) {
+    pub fn remove_worker(&mut self, id: NodeId) {
         self.workers.remove(&id);
     }
 
-    pub fn without_forwarder(&mut self, id: NodeId) {
+    pub fn remove_forwarder(&mut self, id: NodeId) {
         self.reports.remove(&id);
     }
 
-    pub fn report(&mut self, now: Time, from: NodeId, report: LoadReport) {
+    pub fn record_report(&mut self, now: Time, from: NodeId, report: LoadReport) {
         self.reports.insert(from, (now, report));
     }
 
@@ -73,18 +73,18 @@
         }
         self.adapted_at = now;
         let mut sums: BTreeMap<NodeId, (f64, f64)> = BTreeMap::new();
-        for WorkerObservation { worker, ends, throttled, .. } in
-            self.reports.values().flat_map(|(_, report)| &report.sights)
+        for WorkerObservation { worker, ended, rejected, .. } in
+            self.reports.values().flat_map(|(_, report)| &report.observations)
         {
             let sum = sums.entry(*worker).or_default();
-            *sum = (sum.0 + f64::from(*ends), sum.1 + f64::from(*throttled));
+            *sum = (sum.0 + f64::from(*ended), sum.1 + f64::from(*rejected));
         }
-        for (id, (ends, throttled)) in sums {
+        for (id, (ended, rejected)) in sums {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
             worker.seen_at = now;
-            if throttled > ends * MAX_REJECTED_FRACTION {
+            if rejected > ended * MAX_REJECTED_FRACTION {
                 worker.places *= DECREASE_FACTOR;
-            } else if ends > 0.0 {
+            } else if ended > 0.0 {
                 worker.places += worker.told * INCREASE_FRACTION;
             }
             worker.places = worker
@@ -96,7 +96,7 @@
     /// What a forwarder's demand is worth: value that comes in a second, and what waits.
     fn worth(report: &LoadReport) -> f64 {
         let worth =
-            |demand: &Demand| f64::from(demand.value) * (f64::from(demand.rate) + f64::from(demand.held));
+            |demand: &Demand| f64::from(demand.weight) * (f64::from(demand.rate) + f64::from(demand.queued));
         report.demands.iter().map(worth).sum::<f64>()
     }
 
--- a/crates/forwarding/src/dispatch_mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -36,7 +36,7 @@
 
     /// What changed, with its figures, as one line for the log.
     pub fn tick(&mut self, now: Time, held: &GrantTable) -> Option<String> {
-        let next = match (held.holds(now), self.state) {
+        let next = match (held.is_valid(now), self.state) {
             (false, DispatchState::Local) | (true, DispatchState::Planned) => return None,
             (false, _) => DispatchState::Local,
             (true, DispatchState::Local) => DispatchState::Recovering(0),
@@ -58,10 +58,10 @@
             DispatchState::Recovering(0) => Some(format!(
                 "planners are back: epoch {}, {} places, in {RECOVERY_STEPS} steps; {after} ms by itself",
                 held.epoch(),
-                held.total(now)
+                held.total_places(now)
             )),
             DispatchState::Planned => {
-                Some(format!("by its grants: epoch {}, {} places", held.epoch(), held.total(now)))
+                Some(format!("by its grants: epoch {}, {} places", held.epoch(), held.total_places(now)))
             }
             DispatchState::Recovering(_) => {
                 debug_assert!(matches!(before, DispatchState::Recovering(_)));
@@ -85,7 +85,7 @@
 
     /// Its part of a worker with so many places, among so many forwarders, itself among them. One at the least: a worker
     /// protects itself.
-    pub fn alone(places: f64, forwarders: usize) -> f64 {
+    pub fn local_share(places: f64, forwarders: usize) -> f64 {
         (places / forwarders.max(1) as f64).max(1.0)
     }
 }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -32,7 +32,7 @@
     epoch: u64,
     /// The newest epoch heard of.
     seen: u64,
-    leads_from: Option<Time>,
+    grants_from: Option<Time>,
     number: u64,
     /// How long it waits before it gives out.
     wait: Time,
@@ -59,26 +59,30 @@
         PlannerElection { own, wait, ..PlannerElection::default() }
     }
 
-    pub fn leads(&self) -> bool {
-        self.leads_from.is_some()
+    pub fn is_leader(&self) -> bool {
+        self.grants_from.is_some()
     }
 
     /// An epoch that somebody speaks of. One past its own shows another leader: it begins again behind it, if it leads.
-    pub fn heard(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
+    pub fn observe_epoch(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
         self.seen = self.seen.max(epoch);
-        if self.leads() && self.seen > self.epoch {
+        if self.is_leader() && self.seen > self.epoch {
             return Some(self.begin(now));
         }
         None
     }
 
     /// The planners that are here, itself among them or not.
-    pub fn planners(&mut self, now: Time, others: impl Iterator<Item = NodeId>) -> Option<LeadershipChange> {
+    pub fn update_planners(
+        &mut self,
+        now: Time,
+        others: impl Iterator<Item = NodeId>,
+    ) -> Option<LeadershipChange> {
         let least = others.fold(self.own, NodeId::min);
-        match (least == self.own, self.leads()) {
+        match (least == self.own, self.is_leader()) {
             (true, false) => Some(self.begin(now)),
             (false, true) => {
-                self.leads_from = None;
+                self.grants_from = None;
                 Some(LeadershipChange::BecameFollower)
             }
             _ => None,
@@ -90,13 +94,13 @@
         self.epoch = (((self.seen >> 16) + 1) << 16) | (self.own & 0xffff);
         self.seen = self.epoch;
         let from = now + self.wait;
-        self.leads_from = Some(from);
+        self.grants_from = Some(from);
         LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
     /// Epoch and number of the next grants, if it may give out now.
-    pub fn gives(&mut self, now: Time) -> Option<(u64, u64)> {
-        self.leads_from.filter(|from| *from <= now)?;
+    pub fn next_grant(&mut self, now: Time) -> Option<(u64, u64)> {
+        self.grants_from.filter(|from| *from <= now)?;
         self.number += 1;
         Some((self.epoch, self.number))
     }
@@ -123,7 +127,7 @@
 impl LeasedGrants {
     /// Epoch and number of the next grants, and how long they last, where it owns under `token`, for `left` at the least, and its
     /// clock shows `now`.
-    pub fn gives(&mut self, now: Time, token: u64, left: Time) -> Option<(u64, u64, Time)> {
+    pub fn next_grant(&mut self, now: Time, token: u64, left: Time) -> Option<(u64, u64, Time)> {
         let lasts = left.min(GRANT_DURATION);
         if lasts < MIN_GRANT_DURATION {
             return None;
@@ -138,7 +142,7 @@
     }
 
     /// When all that it gave out has ended.
-    pub fn ends(&self) -> Time {
+    pub fn all_ended_at(&self) -> Time {
         self.ends
     }
 }
@@ -170,7 +174,7 @@
 
 impl GrantTable {
     /// A report goes out: its number. Grants that answer it are no older than it.
-    pub fn asks(&mut self, now: Time) -> u32 {
+    pub fn start_report(&mut self, now: Time) -> u32 {
         self.reports = self.reports.wrapping_add(1);
         self.asked.push_back((self.reports, now));
         if self.asked.len() > MAX_OPEN_REPORTS {
@@ -179,7 +183,7 @@
         self.reports
     }
 
-    pub fn takes(
+    pub fn accept(
         &mut self,
         now: Time,
         (epoch, number, answers): (u64, u64, u32),
@@ -212,14 +216,14 @@
 
     /// Places granted on a worker now; `None` where no grants hold.
     pub fn places(&self, now: Time, worker: NodeId) -> Option<u32> {
-        self.holds(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
+        self.is_valid(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
 
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn is_valid(&self, now: Time) -> bool {
         now < self.until
     }
 
-    pub fn until(&self) -> Time {
+    pub fn valid_until(&self) -> Time {
         self.until
     }
 
@@ -227,9 +231,9 @@
         self.epoch
     }
 
-    pub fn total(&self, now: Time) -> u64 {
+    pub fn total_places(&self, now: Time) -> u64 {
         let places = self.grants.values().map(|places| u64::from(*places));
-        if self.holds(now) {
+        if self.is_valid(now) {
             places.sum()
         } else {
             0
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -36,17 +36,17 @@
     id: NodeId,
     /// Places that may be used there.
     places: f64,
-    out: u32,
+    in_flight: u32,
     /// Mean time to an answer, and the parts of ends that failed and that were turned away.
-    took: f64,
+    latency: f64,
     failed: f64,
     ends: f64,
     /// Not before then: it said so, or it is left out.
-    not_before: Time,
-    left_out: u32,
-    takes_work: bool,
+    eligible_from: Time,
+    ejections: u32,
+    accepts_work: bool,
     /// Its place in the dense list.
-    at: Option<usize>,
+    eligible_index: Option<usize>,
 }
 
 /// How a try ended, for the measure of its worker.
@@ -66,16 +66,16 @@
     workers: Vec<Worker>,
     by_id: HashMap<NodeId, usize>,
     /// Workers that may be chosen.
-    usable: Vec<usize>,
+    eligible: Vec<usize>,
     /// Points of all, in order; each names its worker.
     ring: Vec<(u64, usize)>,
-    /// What was out at those drawn lately, for the line between hot and cold.
-    seen: Vec<u32>,
-    seen_at: usize,
-    out: u64,
+    /// What was out at those drawn lately, for the hot_threshold between hot and cold.
+    sampled_loads: Vec<u32>,
+    next_sample: usize,
+    in_flight: u64,
     places: f64,
     rng: SeededRng,
-    scans: u64,
+    full_scans: u64,
 }
 
 fn point(id: NodeId, number: u32) -> u64 {
@@ -89,14 +89,14 @@
         LoadBalancer {
             workers: Vec::new(),
             by_id: HashMap::new(),
-            usable: Vec::new(),
+            eligible: Vec::new(),
             ring: Vec::new(),
-            seen: vec![0; 16],
-            seen_at: 0,
-            out: 0,
+            sampled_loads: vec![0; 16],
+            next_sample: 0,
+            in_flight: 0,
             places: 0.0,
             rng: SeededRng::new(seed),
-            scans: 0,
+            full_scans: 0,
         }
     }
 
@@ -107,22 +107,22 @@
         self.workers.is_empty()
     }
     /// Tries that are out.
-    pub fn out(&self) -> u64 {
-        self.out
+    pub fn in_flight(&self) -> u64 {
+        self.in_flight
     }
     /// Places at all workers that may be chosen.
     pub fn places(&self) -> f64 {
         self.places
     }
-    pub fn out_at(&self, id: NodeId) -> u32 {
-        self.by_id.get(&id).map_or(0, |at| self.workers[*at].out)
+    pub fn in_flight_at(&self, id: NodeId) -> u32 {
+        self.by_id.get(&id).map_or(0, |at| self.workers[*at].in_flight)
     }
-    pub fn is_usable(&self, id: NodeId) -> bool {
-        self.by_id.get(&id).is_some_and(|at| self.workers[*at].at.is_some())
+    pub fn is_eligible(&self, id: NodeId) -> bool {
+        self.by_id.get(&id).is_some_and(|at| self.workers[*at].eligible_index.is_some())
     }
 
     /// A worker that is here, with what may be used of it.
-    pub fn worker(&mut self, now: Time, id: NodeId, places: f64, takes_work: bool, _: Time) {
+    pub fn set_worker(&mut self, now: Time, id: NodeId, places: f64, accepts_work: bool, _: Time) {
         let at = match self.by_id.get(&id) {
             Some(at) => *at,
             None => {
@@ -130,14 +130,14 @@
                 self.workers.push(Worker {
                     id,
                     places: 0.0,
-                    out: 0,
-                    took: 0.0,
+                    in_flight: 0,
+                    latency: 0.0,
                     failed: 0.0,
                     ends: 0.0,
-                    not_before: Time::MIN,
-                    left_out: 0,
-                    takes_work: false,
-                    at: None,
+                    eligible_from: Time::MIN,
+                    ejections: 0,
+                    accepts_work: false,
+                    eligible_index: None,
                 });
                 self.by_id.insert(id, at);
                 for number in 0..RING_POINTS_PER_WORKER {
@@ -149,61 +149,63 @@
             }
         };
         let worker = &mut self.workers[at];
-        (worker.places, worker.takes_work) = (places, takes_work);
-        self.settle(now, at);
+        (worker.places, worker.accepts_work) = (places, accepts_work);
+        self.update_eligibility(now, at);
     }
 
     /// All of a worker is forgotten; tries that are out there still end by `ended`, unknown.
-    pub fn without(&mut self, id: NodeId) {
+    pub fn remove_worker(&mut self, id: NodeId) {
         let Some(at) = self.by_id.remove(&id) else { return };
-        self.leave_list(at);
-        self.out -= u64::from(self.workers[at].out);
+        self.remove_from_eligible(at);
+        self.in_flight -= u64::from(self.workers[at].in_flight);
         self.ring.retain(|(_, worker)| *worker != at);
         let last = self.workers.len() - 1;
         self.workers.swap_remove(at);
         if at < last {
             self.by_id.insert(self.workers[at].id, at);
             self.ring.iter_mut().filter(|(_, worker)| *worker == last).for_each(|(_, worker)| *worker = at);
-            if let Some(place) = self.workers[at].at {
-                self.usable[place] = at;
+            if let Some(place) = self.workers[at].eligible_index {
+                self.eligible[place] = at;
             }
         }
     }
 
-    fn leave_list(&mut self, at: usize) {
-        if let Some(place) = self.workers[at].at.take() {
+    fn remove_from_eligible(&mut self, at: usize) {
+        if let Some(place) = self.workers[at].eligible_index.take() {
             self.places -= self.workers[at].places;
-            self.usable.swap_remove(place);
-            if let Some(moved) = self.usable.get(place).copied() {
-                self.workers[moved].at = Some(place);
+            self.eligible.swap_remove(place);
+            if let Some(moved) = self.eligible.get(place).copied() {
+                self.workers[moved].eligible_index = Some(place);
             }
         }
     }
 
     /// Into the dense list or out of it, as it stands now.
-    fn settle(&mut self, now: Time, at: usize) {
-        self.leave_list(at);
+    fn update_eligibility(&mut self, now: Time, at: usize) {
+        self.remove_from_eligible(at);
         let worker = &self.workers[at];
-        if worker.takes_work && worker.places >= 1.0 && worker.not_before <= now {
-            self.workers[at].at = Some(self.usable.len());
+        if worker.accepts_work && worker.places >= 1.0 && worker.eligible_from <= now {
+            self.workers[at].eligible_index = Some(self.eligible.len());
             self.places += self.workers[at].places;
-            self.usable.push(at);
+            self.eligible.push(at);
         }
     }
 
-    fn room(&self, at: usize) -> bool {
+    fn has_capacity(&self, at: usize) -> bool {
         let worker = &self.workers[at];
-        worker.at.is_some() && f64::from(worker.out) + 1.0 <= worker.places.max(1.0)
+        worker.eligible_index.is_some() && f64::from(worker.in_flight) + 1.0 <= worker.places.max(1.0)
     }
 
     /// The worker for an invocation, if any has room; not one of `not`.
-    pub fn choose(&mut self, _: Time, subject: Option<u64>, not: &[NodeId]) -> Option<NodeId> {
-        let at = subject.and_then(|subject| self.by_subject(subject, not)).or_else(|| self.by_draw(not))?;
+    pub fn choose(&mut self, _: Time, subject: Option<u64>, excluded: &[NodeId]) -> Option<NodeId> {
+        let at = subject
+            .and_then(|subject| self.choose_on_ring(subject, excluded))
+            .or_else(|| self.choose_sampled(excluded))?;
         Some(self.workers[at].id)
     }
 
-    fn by_subject(&self, subject: u64, not: &[NodeId]) -> Option<usize> {
-        let mean = (self.out + 1) as f64 / self.usable.len().max(1) as f64;
+    fn choose_on_ring(&self, subject: u64, excluded: &[NodeId]) -> Option<usize> {
+        let mean = (self.in_flight + 1) as f64 / self.eligible.len().max(1) as f64;
         let bound = (BOUNDED_LOAD_FACTOR * mean).ceil();
         let start = self.ring.partition_point(|(point, _)| *point < subject);
         let (mut tried, mut last) = (0, usize::MAX);
@@ -213,7 +215,8 @@
             }
             last = *at;
             let worker = &self.workers[*at];
-            if self.room(*at) && f64::from(worker.out) < bound && !not.contains(&worker.id) {
+            if self.has_capacity(*at) && f64::from(worker.in_flight) < bound && !excluded.contains(&worker.id)
+            {
                 return Some(*at);
             }
             tried += 1;
@@ -224,28 +227,28 @@
         None
     }
 
-    fn by_draw(&mut self, not: &[NodeId]) -> Option<usize> {
-        if self.usable.is_empty() {
+    fn choose_sampled(&mut self, excluded: &[NodeId]) -> Option<usize> {
+        if self.eligible.is_empty() {
             return None;
         }
-        let line = self.line();
+        let hot_threshold = self.hot_threshold();
         let mut best: Option<usize> = None;
         for _ in 0..SAMPLED_WORKERS {
-            let at = self.usable[self.rng.index_below(self.usable.len())];
+            let at = self.eligible[self.rng.index_below(self.eligible.len())];
             let worker = &self.workers[at];
-            self.seen[self.seen_at] = worker.out;
-            self.seen_at = (self.seen_at + 1) % self.seen.len();
-            if !self.room(at) || not.contains(&worker.id) {
+            self.sampled_loads[self.next_sample] = worker.in_flight;
+            self.next_sample = (self.next_sample + 1) % self.sampled_loads.len();
+            if !self.has_capacity(at) || excluded.contains(&worker.id) {
                 continue;
             }
             let better = best.is_none_or(|best| {
                 let best = &self.workers[best];
-                let (hot, best_hot) = (worker.out > line, best.out > line);
+                let (hot, best_hot) = (worker.in_flight > hot_threshold, best.in_flight > hot_threshold);
                 match (hot, best_hot) {
                     (false, true) => true,
                     (true, false) => false,
-                    (true, true) => worker.out < best.out,
-                    (false, false) => worker.took < best.took,
+                    (true, true) => worker.in_flight < best.in_flight,
+                    (false, false) => worker.latency < best.latency,
                 }
             });
             if better {
@@ -256,35 +259,35 @@
             return best;
         }
         // Seldom: none of those drawn has room. The emptiest of all, from a random place on.
-        self.scans += 1;
-        let start = self.rng.index_below(self.usable.len());
-        let all = self.usable[start..].iter().chain(&self.usable[..start]).copied();
-        let free = all.filter(|at| self.room(*at) && !not.contains(&self.workers[*at].id));
-        free.min_by_key(|at| self.workers[*at].out)
+        self.full_scans += 1;
+        let start = self.rng.index_below(self.eligible.len());
+        let all = self.eligible[start..].iter().chain(&self.eligible[..start]).copied();
+        let free = all.filter(|at| self.has_capacity(*at) && !excluded.contains(&self.workers[*at].id));
+        free.min_by_key(|at| self.workers[*at].in_flight)
     }
 
     /// What is out at most of those drawn lately.
-    fn line(&self) -> u32 {
-        let mut sorted = self.seen.clone();
+    fn hot_threshold(&self) -> u32 {
+        let mut sorted = self.sampled_loads.clone();
         let place = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
         *sorted.select_nth_unstable(place).1
     }
 
     /// A try goes out; false where its worker is not known.
-    pub fn goes(&mut self, id: NodeId) -> bool {
+    pub fn record_start(&mut self, id: NodeId) -> bool {
         let Some(at) = self.by_id.get(&id) else { return false };
-        self.workers[*at].out += 1;
-        self.out += 1;
+        self.workers[*at].in_flight += 1;
+        self.in_flight += 1;
         true
     }
 
-    /// A try has ended, after `took`; `later` is what its worker said of when to come back.
-    pub fn ended(&mut self, now: Time, id: NodeId, how: AttemptOutcome, took: Time, later: Time) {
+    /// A try has ended, after `latency`; `later` is what its worker said of when to come back.
+    pub fn record_end(&mut self, now: Time, id: NodeId, how: AttemptOutcome, latency: Time, later: Time) {
         let Some(at) = self.by_id.get(&id).copied() else { return };
         let worker = &mut self.workers[at];
-        if worker.out > 0 {
-            worker.out -= 1;
-            self.out -= 1;
+        if worker.in_flight > 0 {
+            worker.in_flight -= 1;
+            self.in_flight -= 1;
         }
         if how == AttemptOutcome::Cancelled {
             return;
@@ -294,88 +297,89 @@
         worker.failed += (f64::from(failed) - worker.failed) * EWMA_WEIGHT;
         // One that fails fast must not look like the best: what failed counts as slow as what succeeds there, doubled.
         if how == AttemptOutcome::Succeeded {
-            let first = worker.took == 0.0;
-            worker.took += (took as f64 - worker.took) * if first { 1.0 } else { EWMA_WEIGHT };
-            worker.left_out = if worker.ends > 10.0 * EJECTION_MIN_ATTEMPTS { 0 } else { worker.left_out };
+            let first = worker.latency == 0.0;
+            worker.latency += (latency as f64 - worker.latency) * if first { 1.0 } else { EWMA_WEIGHT };
+            worker.ejections = if worker.ends > 10.0 * EJECTION_MIN_ATTEMPTS { 0 } else { worker.ejections };
         } else if failed {
-            worker.took *= 1.0 + EWMA_WEIGHT;
+            worker.latency *= 1.0 + EWMA_WEIGHT;
         }
         if later > 0 {
-            worker.not_before = worker.not_before.max(now + later);
-            self.settle(now, at);
+            worker.eligible_from = worker.eligible_from.max(now + later);
+            self.update_eligibility(now, at);
         }
         if failed {
-            self.judge(now, at);
+            self.check_failures(now, at);
         }
     }
 
     /// Whether a worker is to be left out for a while.
-    fn judge(&mut self, now: Time, at: usize) {
+    fn check_failures(&mut self, now: Time, at: usize) {
         let worker = &self.workers[at];
         if worker.ends < EJECTION_MIN_ATTEMPTS
             || worker.failed < EJECTION_FAILURE_RATE
-            || worker.not_before > now
+            || worker.eligible_from > now
         {
             return;
         }
-        self.leave_out(now, at);
+        self.eject(now, at);
     }
 
-    fn leave_out(&mut self, now: Time, at: usize) {
-        let away = self.workers.iter().filter(|worker| worker.takes_work && worker.not_before > now).count();
+    fn eject(&mut self, now: Time, at: usize) {
+        let away =
+            self.workers.iter().filter(|worker| worker.accepts_work && worker.eligible_from > now).count();
         if (away + 1) as f64 > self.workers.len() as f64 * MAX_EJECTED_FRACTION {
             return; // most look bad: then the measure is
         }
         let worker = &mut self.workers[at];
-        let span = (BASE_EJECTION_TIME << worker.left_out.min(8)).min(MAX_EJECTION_TIME);
-        worker.left_out += 1;
+        let span = (BASE_EJECTION_TIME << worker.ejections.min(8)).min(MAX_EJECTION_TIME);
+        worker.ejections += 1;
         (worker.failed, worker.ends) = (0.0, 0.0);
-        worker.not_before = now + span;
-        self.settle(now, at);
+        worker.eligible_from = now + span;
+        self.update_eligibility(now, at);
     }
 
     /// From time to time: those whose time is over come back; one far slower than the others is left out.
     pub fn tick(&mut self, now: Time) {
         for at in 0..self.workers.len() {
-            if self.workers[at].at.is_none() {
-                self.settle(now, at);
+            if self.workers[at].eligible_index.is_none() {
+                self.update_eligibility(now, at);
             }
         }
-        let mut took: Vec<f64> = self
+        let mut latency: Vec<f64> = self
             .workers
             .iter()
-            .filter(|w| w.ends >= EJECTION_MIN_ATTEMPTS && w.took > 0.0)
-            .map(|w| w.took)
+            .filter(|w| w.ends >= EJECTION_MIN_ATTEMPTS && w.latency > 0.0)
+            .map(|w| w.latency)
             .collect();
-        if took.len() < 3 {
+        if latency.len() < 3 {
             return;
         }
-        let middle = took.len() / 2;
-        let median = *took.select_nth_unstable_by(middle, f64::total_cmp).1;
+        let middle = latency.len() / 2;
+        let median = *latency.select_nth_unstable_by(middle, f64::total_cmp).1;
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
-            if worker.at.is_some()
+            if worker.eligible_index.is_some()
                 && worker.ends >= EJECTION_MIN_ATTEMPTS
-                && worker.took > median * EJECTION_LATENCY_FACTOR
+                && worker.latency > median * EJECTION_LATENCY_FACTOR
             {
-                self.workers[at].took = median;
-                self.leave_out(now, at);
+                self.workers[at].latency = median;
+                self.eject(now, at);
             }
         }
     }
 
     /// Choices that had to look at all.
-    pub fn scans(&self) -> u64 {
-        self.scans
+    pub fn full_scans(&self) -> u64 {
+        self.full_scans
     }
 }
 
 /// A plain scan over the same table, to measure against: the fastest of the coldest of all.
-pub fn scan(routes: &LoadBalancer, _: Time) -> Option<NodeId> {
-    let free = (0..routes.workers.len()).filter(|at| routes.room(*at));
+pub fn least_loaded(routes: &LoadBalancer, _: Time) -> Option<NodeId> {
+    let free = (0..routes.workers.len()).filter(|at| routes.has_capacity(*at));
     let best = free.min_by(|a, b| {
         let (a, b) = (&routes.workers[*a], &routes.workers[*b]);
-        a.out.cmp(&b.out).then(a.took.total_cmp(&b.took))
+        a.in_flight.cmp(&b.in_flight).then(a.latency.total_cmp(&b.latency))
     });
     best.map(|at| routes.workers[at].id)
 }
--- a/crates/forwarding/src/retry_budget.rs
+++ b/crates/forwarding/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Whether an invocation may go to another worker. One rule for the whole path: only what provably never ran, within its
-//! time, never against the word of whoever turned it away, and under one budget for all callers of a forwarder: a share of
-//! first tries with a floor. So two levels never try more than `1 + share` times what came, past the floor.
+//! time, never against the word of whoever turned it away, and under one budget for all callers of a forwarder: a retry_ratio of
+//! first tries with a floor. So two levels never try more than `1 + retry_ratio` times what came, past the floor.
 
 use crate::{Time, SECOND};
 
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
+    retry_ratio: f64,
     tries: f64,
     at: Time,
     first: u64,
@@ -34,7 +34,7 @@
 impl RetryBudget {
     pub fn new(now: Time) -> RetryBudget {
         RetryBudget {
-            share: RETRY_RATIO,
+            retry_ratio: RETRY_RATIO,
             tries: MIN_RETRIES_PER_SECOND,
             at: now,
             first: 0,
@@ -44,8 +44,8 @@
     }
 
     /// Further tries for each first one from now on.
-    pub fn shares(&mut self, share: f64) {
-        self.share = share;
+    pub fn set_retry_ratio(&mut self, retry_ratio: f64) {
+        self.retry_ratio = retry_ratio;
     }
 
     fn grow(&mut self, now: Time) {
@@ -56,15 +56,15 @@
     }
 
     /// A first try goes out.
-    pub fn first(&mut self, now: Time) {
+    pub fn record_first_attempt(&mut self, now: Time) {
         self.grow(now);
         self.first += 1;
-        self.tries = (self.tries + self.share).min(MAX_SAVED_RETRIES);
+        self.tries = (self.tries + self.retry_ratio).min(MAX_SAVED_RETRIES);
     }
 
     /// Whether a further try may go out, the `tries`-th of its invocation, with `left` until it is due and `need` expected. One
     /// that may is counted.
-    pub fn may(
+    pub fn try_retry(
         &mut self,
         now: Time,
         known: Execution,
--- a/crates/forwarding/src/simulation.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -28,21 +28,21 @@
 pub struct Simulation {
     pub members: Vec<Option<Membership>>,
     pub now: Time,
-    net: NetworkConditions,
+    network: NetworkConditions,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    mail: Vec<Option<messages::Envelope>>,
+    in_flight: Vec<Option<messages::Envelope>>,
     free: Vec<usize>,
     /// When each looks up next: one time for each, or ticks would breed.
-    due: Vec<Time>,
+    next_tick: Vec<Time>,
     number: u64,
     rng: SeededRng,
     pub messages: u64,
     pub bytes: u64,
     /// Of those, bytes that each member sent, and that were on their way to each and not lost.
     pub sent: Vec<u64>,
-    pub heard: Vec<u64>,
+    pub received: Vec<u64>,
     seed: u64,
-    options: MembershipConfig,
+    config: MembershipConfig,
 }
 
 pub fn address(at: usize) -> SocketAddr {
@@ -59,57 +59,57 @@
     }
 }
 
-pub fn id_of(at: usize) -> NodeId {
+pub fn member_id(at: usize) -> NodeId {
     crate::node_id(&format!("member-{at}"))
 }
 
 impl Simulation {
     /// The first three are seeds. They come up over the first second.
-    pub fn new(many: usize, options: MembershipConfig, net: NetworkConditions, seed: u64) -> Simulation {
-        let mut world = Simulation {
+    pub fn new(many: usize, config: MembershipConfig, network: NetworkConditions, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             members: Vec::new(),
             now: 0,
-            net,
+            network,
             events: BinaryHeap::new(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             free: Vec::new(),
-            due: vec![Time::MAX; many],
+            next_tick: vec![Time::MAX; many],
             number: 0,
             rng: SeededRng::new(seed),
             messages: 0,
             bytes: 0,
             sent: vec![0; many],
-            heard: vec![0; many],
+            received: vec![0; many],
             seed,
-            options,
+            config,
         };
         for at in 0..many {
-            world.members.push(None);
-            let start = (world.rng.next_f64() * SECOND as f64) as Time;
-            world.start(at, start, 1);
+            simulation.members.push(None);
+            let start = (simulation.rng.next_f64() * SECOND as f64) as Time;
+            simulation.start(at, start, 1);
         }
-        world
+        simulation
     }
 
-    /// Another net from now on.
-    pub fn net(&mut self, net: NetworkConditions) {
-        self.net = net;
+    /// Other conditions from now on.
+    pub fn inject_faults(&mut self, network: NetworkConditions) {
+        self.network = network;
     }
 
     pub fn start(&mut self, at: usize, when: Time, incarnation: u32) {
         let role = [Role::Planner, Role::Forwarder, Role::Worker][at % 3];
         let seeds = (0..3.min(self.members.len().max(1))).map(address).collect();
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(at as u64);
-        let mut member = Membership::new(id_of(at), role, address(at), seeds, self.options, seed);
-        member.incarnation(incarnation);
+        let mut member = Membership::new(member_id(at), role, address(at), seeds, self.config, seed);
+        member.raise_incarnation(incarnation);
         self.members[at] = Some(member);
-        self.due[at] = Time::MAX;
-        self.look(at, when.max(self.now));
+        self.next_tick[at] = Time::MAX;
+        self.schedule_tick(at, when.max(self.now));
     }
 
-    fn look(&mut self, member: usize, when: Time) {
-        if when < self.due[member] {
-            self.due[member] = when;
+    fn schedule_tick(&mut self, member: usize, when: Time) {
+        if when < self.next_tick[member] {
+            self.next_tick[member] = when;
             self.push(when, Event::Tick(member));
         }
     }
@@ -124,29 +124,29 @@
         self.events.push(Reverse((at, self.number, event)));
     }
 
-    pub fn post(&mut self, from: usize, all: Vec<OutgoingMessage>) {
+    pub fn send(&mut self, from: usize, all: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, envelope } in all {
             let to = index(&to);
             let mut bytes = Vec::new();
-            messages::write(&mut bytes, &envelope);
+            messages::encode(&mut bytes, &envelope);
             self.messages += 1;
             self.bytes += bytes.len() as u64;
             self.sent[from] += bytes.len() as u64;
-            let cut = self.net.cut.is_some_and(|(line, start, end, one_way)| {
+            let cut = self.network.cut.is_some_and(|(line, start, end, one_way)| {
                 let (a, b) = (from < line, to < line);
                 (start..end).contains(&self.now) && if one_way { a && !b } else { a != b }
             });
-            if to >= self.members.len() || cut || self.rng.next_f64() < self.net.loss {
+            if to >= self.members.len() || cut || self.rng.next_f64() < self.network.loss {
                 continue;
             }
-            self.heard[to] += bytes.len() as u64;
-            let (least, most) = self.net.delay;
+            self.received[to] += bytes.len() as u64;
+            let (least, most) = self.network.delay;
             let delay = least + ((most - least) as f64 * self.rng.next_f64()) as Time;
             let place = self.free.pop().unwrap_or_else(|| {
-                self.mail.push(None);
-                self.mail.len() - 1
+                self.in_flight.push(None);
+                self.in_flight.len() - 1
             });
-            self.mail[place] = Some(envelope);
+            self.in_flight[place] = Some(envelope);
             self.push(self.now + delay.max(1), Event::Message(from, to, place));
         }
     }
@@ -160,24 +160,24 @@
             self.now = at;
             match event {
                 Event::Tick(member) => {
-                    if self.due[member] != at {
+                    if self.next_tick[member] != at {
                         continue; // another time was set since
                     }
-                    self.due[member] = Time::MAX;
+                    self.next_tick[member] = Time::MAX;
                     let Some(own) = self.members[member].as_mut() else { continue };
                     let out = own.tick(at);
-                    let due = own.due().max(at + 1);
-                    self.post(member, out);
-                    self.look(member, due);
+                    let due = own.next_deadline().max(at + 1);
+                    self.send(member, out);
+                    self.schedule_tick(member, due);
                 }
                 Event::Message(from, to, place) => {
-                    let Some(envelope) = self.mail[place].take() else { continue };
+                    let Some(envelope) = self.in_flight[place].take() else { continue };
                     self.free.push(place);
                     let Some(own) = self.members[to].as_mut() else { continue };
-                    let out = own.heard(at, address(from), &envelope);
-                    let due = own.due();
-                    self.post(to, out);
-                    self.look(to, due.max(at + 1));
+                    let out = own.handle(at, address(from), &envelope);
+                    let due = own.next_deadline();
+                    self.send(to, out);
+                    self.schedule_tick(to, due.max(at + 1));
                 }
             }
         }
@@ -185,8 +185,8 @@
     }
 
     /// How many of those that are here hold that one for so.
-    pub fn agree(&self, whom: usize, state: MemberState) -> usize {
-        let id = id_of(whom);
+    pub fn count_agreeing(&self, whom: usize, state: MemberState) -> usize {
+        let id = member_id(whom);
         let holds = |member: &Membership| match member.member(id) {
             Some(known) => known.state == state,
             None => state == MemberState::Dead,
@@ -198,7 +198,7 @@
             .count()
     }
 
-    pub fn here(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         self.members.iter().flatten().count()
     }
 }
@@ -217,34 +217,34 @@
 }
 
 /// Gossip, simulated: `many` members for a minute, then one dies.
-pub fn gossip(many: usize, loss: f64, seed: u64, options: MembershipConfig) -> MembershipCost {
-    let net = NetworkConditions { loss, delay: (2, 20), cut: None };
-    let mut world = Simulation::new(many, options, net, seed);
-    world.run(20 * SECOND);
-    let (messages, bytes) = (world.messages, world.bytes);
-    world.members.iter_mut().flatten().for_each(|member| drop(member.changes()));
-    world.run(80 * SECOND);
+pub fn measure_gossip(many: usize, loss: f64, seed: u64, config: MembershipConfig) -> MembershipCost {
+    let network = NetworkConditions { loss, delay: (2, 20), cut: None };
+    let mut simulation = Simulation::new(many, config, network, seed);
+    simulation.run(20 * SECOND);
+    let (messages, bytes) = (simulation.messages, simulation.bytes);
+    simulation.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
+    simulation.run(80 * SECOND);
     let seconds = 60.0 * many as f64;
     let (messages, bytes) =
-        ((world.messages - messages) as f64 / seconds, (world.bytes - bytes) as f64 / seconds);
-    let deaths: usize = world
+        ((simulation.messages - messages) as f64 / seconds, (simulation.bytes - bytes) as f64 / seconds);
+    let deaths: usize = simulation
         .members
         .iter_mut()
         .flatten()
-        .map(|member| member.changes().iter().filter(|change| change.to == MemberState::Dead).count())
+        .map(|member| member.take_changes().iter().filter(|change| change.to == MemberState::Dead).count())
         .sum();
     // Each death is seen by all: counted once for each observer.
     let false_deaths = deaths as f64 / many as f64 / (many as f64 / 100.0);
     let victim = many / 2;
-    world.kill(victim);
-    let (died, mut half, mut all) = (world.now, None, None);
-    while all.is_none() && world.now < died + 120 * SECOND {
-        let next = world.now + 100 * MS;
-        world.run(next);
-        let know = world.agree(victim, MemberState::Dead);
-        let after = (world.now - died) as f64 / MS as f64;
-        half = half.or((know * 2 >= world.here()).then_some(after));
-        all = all.or((know == world.here()).then_some(after));
+    simulation.kill(victim);
+    let (died, mut half, mut all) = (simulation.now, None, None);
+    while all.is_none() && simulation.now < died + 120 * SECOND {
+        let next = simulation.now + 100 * MS;
+        simulation.run(next);
+        let know = simulation.count_agreeing(victim, MemberState::Dead);
+        let after = (simulation.now - died) as f64 / MS as f64;
+        half = half.or((know * 2 >= simulation.alive_count()).then_some(after));
+        all = all.or((know == simulation.alive_count()).then_some(after));
     }
     MembershipCost {
         many,
@@ -258,7 +258,7 @@
 
 /// A heartbeat of 60 bytes each half second, dead past `missed` in a row: from each to each other (`all_to_all`), or to a
 /// planner that tells all. Computed, not played: loss falls on each alike.
-pub fn heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
+pub fn compute_heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
     let (period, size) = (0.5, 60.0);
     let others = (many - 1) as f64;
     let messages = if all_to_all { others / period } else { 1.0 / period };
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -32,19 +32,19 @@
 }
 
 fn hex(message: Message) -> String {
-    let envelope = Envelope { from: 1_234_567_890_123, incarnation: 2, rumours: Vec::new(), message };
+    let envelope = Envelope { from: 1_234_567_890_123, incarnation: 2, updates: Vec::new(), message };
     let mut bytes = Vec::new();
-    assert!(write(&mut bytes, &envelope));
-    assert_eq!(read(&bytes), Decoded::Message(envelope, bytes.len()));
+    assert!(encode(&mut bytes, &envelope));
+    assert_eq!(decode(&bytes), Decoded::Message(envelope, bytes.len()));
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[test]
 fn hashes_and_policy_versions_have_their_recorded_bytes() {
     let parts = (0..MEMBER_PARTITIONS as u64).map(|part| part * 0x0101_0101_0101).collect();
-    assert_eq!(hex(Message::Sync { parts }), HASHES);
+    assert_eq!(hex(Message::Sync { hashes: parts }), HASHES);
     let grants = vec![Grant { worker: 5, places: 3 }];
-    let message = Message::Grants { epoch: 4, number: 2, answers: 9, lasts: 20_000, grants };
+    let message = Message::Grants { epoch: 4, number: 2, report: 9, duration: 20_000, grants };
     assert_eq!(hex(Message::WithPolicyVersion { version: 300, message: Box::new(message) }), POLICY);
 }
 
@@ -54,18 +54,18 @@
     let net = |cut| NetworkConditions { loss: 0.05, delay: (2, 20), cut };
     let mut world = Simulation::new(40, MembershipConfig::default(), net(None), 11);
     world.run(10 * SECOND);
-    world.members[7].as_mut().expect("it is here").drains();
+    world.members[7].as_mut().expect("it is here").announce_draining();
     world.run(14 * SECOND);
-    let out = world.members[7].as_mut().expect("it is here").leaves();
-    world.post(7, out);
+    let out = world.members[7].as_mut().expect("it is here").announce_leaving();
+    world.send(7, out);
     world.kill(7);
     world.kill(8);
-    world.net(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
+    world.inject_faults(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
     world.run(60 * SECOND);
     world.start(8, 60 * SECOND, 1);
     world.run(90 * SECOND);
     let mut digest = Digest::new();
-    world.sent.iter().chain(&world.heard).for_each(|bytes| digest.add(*bytes));
+    world.sent.iter().chain(&world.received).for_each(|bytes| digest.add(*bytes));
     assert_eq!((world.messages, world.bytes, digest.0), (43924, 2911557, 4825590641727902959));
 }
 
@@ -80,11 +80,11 @@
         let now = step as Time * 20;
         if step % 500 == 0 {
             let gone = rng.index_below(30) as NodeId;
-            routes.without(gone);
+            routes.remove_worker(gone);
             out.retain(|(worker, _)| *worker != gone);
             for id in 0..30 {
                 let places = 2.0 + (id % 5) as f64;
-                routes.worker(now, id, places, (id + step / 500) % 11 != 0, Time::MIN);
+                routes.set_worker(now, id, places, (id + step / 500) % 11 != 0, Time::MIN);
             }
             routes.tick(now);
         }
@@ -92,7 +92,7 @@
         let subject = (subject < 0.4).then_some((subject * 1e19) as u64);
         let chosen = routes.choose(now, subject, &[step % 30]);
         digest.add(chosen.unwrap_or(NodeId::MAX));
-        if let Some(worker) = chosen.filter(|worker| routes.goes(*worker)) {
+        if let Some(worker) = chosen.filter(|worker| routes.record_start(*worker)) {
             out.push((worker, now));
         }
         if out.len() > 40 || rng.next_f64() < 0.5 && !out.is_empty() {
@@ -113,49 +113,49 @@
             };
             let later = if end == AttemptOutcome::Rejected { 30 * MS } else { 0 };
             let slow = if worker % 13 == 3 { 9 } else { 1 };
-            routes.ended(now, worker, end, (now - began + 10) * slow, later);
+            routes.record_end(now, worker, end, (now - began + 10) * slow, later);
         }
-        digest.add(routes.out());
+        digest.add(routes.in_flight());
         digest.add(routes.places().to_bits());
     }
-    assert_eq!((digest.0, routes.scans()), (2583824693382414236, 9992));
+    assert_eq!((digest.0, routes.full_scans()), (2583824693382414236, 9992));
 }
 
 fn report(rng: &mut SeededRng, number: u32) -> LoadReport {
     let mut demand = |class| Demand {
         class,
         rate: rng.next_f64() as f32 * 100.0,
-        held: rng.index_below(20) as u32,
-        value: rng.next_f64() as f32 * 3.0,
+        queued: rng.index_below(20) as u32,
+        weight: rng.next_f64() as f32 * 3.0,
     };
     let demands = (0..3).map(&mut demand).collect();
     let mut sight = |worker| WorkerObservation {
         worker,
-        out: rng.index_below(9) as u32,
-        ends: rng.next_f64() as f32 * 50.0,
-        throttled: rng.next_f64() as f32 * 4.0,
-        took: 80.0,
+        in_flight: rng.index_below(9) as u32,
+        ended: rng.next_f64() as f32 * 50.0,
+        rejected: rng.next_f64() as f32 * 4.0,
+        latency: 80.0,
     };
     let sights = (0..12).map(&mut sight).collect();
-    LoadReport { number, demands, sights, epoch: 0 }
+    LoadReport { number, demands, observations: sights, epoch: 0 }
 }
 
 #[test]
 fn plans_give_the_recorded_grants() {
     let (mut plan, mut rng, mut digest) = (CapacityPlan::default(), SeededRng::new(9), Digest::new());
-    (0..12).for_each(|worker| plan.worker(worker, 10.0 + worker as f64 * 1.7));
+    (0..12).for_each(|worker| plan.set_worker(worker, 10.0 + worker as f64 * 1.7));
     for step in 0..400u32 {
         let now = Time::from(step) * SECOND / 5;
         for forwarder in 0..7 {
             if rng.next_f64() < 0.4 {
                 let report = report(&mut rng, step);
-                plan.report(now, forwarder, report);
+                plan.record_report(now, forwarder, report);
             }
         }
         plan.adapt(now);
         if step % 97 == 0 {
-            plan.without_forwarder(u64::from(step % 7));
-            plan.without_worker(u64::from(step % 12));
+            plan.remove_forwarder(u64::from(step % 7));
+            plan.remove_worker(u64::from(step % 12));
         }
         for (forwarder, grants) in plan.grants() {
             digest.add(forwarder);
@@ -172,15 +172,15 @@
     let (mut rng, mut digest) = (SeededRng::new(3), Digest::new());
     for step in 0..20_000u64 {
         let now = step as Time * 30;
-        budget.first(now);
+        budget.record_first_attempt(now);
         let known = if rng.next_f64() < 0.7 { Execution::NeverRan } else { Execution::MayHaveRun };
         let (give_up, tries) = (rng.next_f64() < 0.1, rng.index_below(4) as u32);
         let (left, need) = (rng.index_below(1000) as Time, rng.index_below(400) as Time);
-        digest.add(u64::from(budget.may(now, known, give_up, tries, left, need)));
+        digest.add(u64::from(budget.try_retry(now, known, give_up, tries, left, need)));
         let who = rng.index_below(25) as NodeId;
         let budget = 10.0 + rng.next_f64() * 30.0;
-        digest.add(u64::from(ramp.asks(now, who, rng.index_below(4) as u32, budget, 8)));
-        digest.add(ramp.charged(now));
+        digest.add(u64::from(ramp.reserve(now, who, rng.index_below(4) as u32, budget, 8)));
+        digest.add(ramp.charged_places(now));
     }
     let (first, further, denied) = budget.counts();
     assert_eq!((digest.0, first, further, denied), (8349135355523100453, 20000, 2182, 5273));
@@ -189,15 +189,15 @@
 #[test]
 fn the_log_lines_of_the_mode_are_the_recorded_ones() {
     let (mut mode, mut held, mut lines) = (DispatchMode::new(0), GrantTable::default(), Vec::new());
-    let report = held.asks(0);
+    let report = held.start_report(0);
     let grant = [Grant { worker: 9, places: 4 }];
-    held.takes(10, (5, 1, report), 4 * SECOND, &grant).expect("to be taken");
+    held.accept(10, (5, 1, report), 4 * SECOND, &grant).expect("to be taken");
     let mut places = Digest::new();
     for step in 0..12 {
         let now = 10 + step * RECOVERY_STEP_DURATION;
         if step == 3 {
-            let report = held.asks(now);
-            held.takes(now, (5, 2, report), 4 * SECOND, &grant).expect("to be taken");
+            let report = held.start_report(now);
+            held.accept(now, (5, 2, report), 4 * SECOND, &grant).expect("to be taken");
         }
         lines.extend(mode.tick(now, &held));
         places.add(mode.places(now, &held, 9, 1.5).to_bits());
--- a/crates/forwarding/tests/slow_start.rs
+++ b/crates/forwarding/tests/slow_start.rs
@@ -42,15 +42,15 @@
             Event::Passes(span) => now += span,
             Event::Asks(who) => {
                 let one = parties.get_mut(who).expect("a sender");
-                one.promised.asks();
+                one.promised.invalidate();
                 one.asked = Some((now, one.out));
             }
             Event::Answered(who, comes) => {
                 let one = parties.get_mut(who).expect("a sender");
                 let Some((asked, out)) = one.asked.take() else { continue };
-                let places = ramp.asks(now, *who as NodeId + 1, out, budget, expected);
+                let places = ramp.reserve(now, *who as NodeId + 1, out, budget, expected);
                 if *comes {
-                    one.promised.takes(asked, places);
+                    one.promised.accept(asked, places);
                 }
             }
             Event::Sends(who) => {
@@ -66,7 +66,7 @@
         }
         let promised: u64 = parties.values().map(|one| u64::from(one.promised.places(now))).sum();
         prop_assert!(promised <= budget as u64, "promised {promised} of {budget}");
-        prop_assert!(ramp.charged(now) >= promised);
+        prop_assert!(ramp.charged_places(now) >= promised);
     }
     Ok(())
 }
@@ -91,9 +91,9 @@
         for (who, one) in parties.iter_mut().enumerate() {
             out[who].retain(|until| *until > now);
             if (step + who as Time * 17) % 500 == 0 {
-                one.asks();
-                let places = ramp.asks(now, who as NodeId + 1, out[who].len() as u32, budget, expected);
-                one.takes(now, places);
+                one.invalidate();
+                let places = ramp.reserve(now, who as NodeId + 1, out[who].len() as u32, budget, expected);
+                one.accept(now, places);
             }
             while out[who].len() < one.places(now) as usize {
                 out[who].push(now + takes);
@@ -130,11 +130,11 @@
 #[test]
 fn a_sender_that_is_gone_keeps_its_promise_for_a_while_only_and_the_table_is_bounded() {
     let mut ramp = SlowStart::default();
-    assert_eq!(ramp.asks(0, 1, 0, 4.0, 1), 4);
-    assert_eq!(ramp.asks(1, 2, 0, 4.0, 1), 0, "all is promised");
-    assert_eq!(ramp.asks(RESERVATION_DURATION, 2, 0, 4.0, 1), 4, "and free again");
+    assert_eq!(ramp.reserve(0, 1, 0, 4.0, 1), 4);
+    assert_eq!(ramp.reserve(1, 2, 0, 4.0, 1), 0, "all is promised");
+    assert_eq!(ramp.reserve(RESERVATION_DURATION, 2, 0, 4.0, 1), 4, "and free again");
     for who in 0..2 * MAX_SENDERS as NodeId {
-        ramp.asks(RESERVATION_DURATION, who + 3, 0, 1e9, 1);
+        ramp.reserve(RESERVATION_DURATION, who + 3, 0, 1e9, 1);
     }
-    assert_eq!(ramp.asks(RESERVATION_DURATION, 3 * MAX_SENDERS as NodeId, 0, 1e9, 1), 0);
+    assert_eq!(ramp.reserve(RESERVATION_DURATION, 3 * MAX_SENDERS as NodeId, 0, 1e9, 1), 0);
 }
--- a/crates/forwarding/tests/tier.rs
+++ b/crates/forwarding/tests/tier.rs
@@ -10,7 +10,7 @@
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig};
 use cypresscleat_forwarding::messages::{self, *};
 use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, MIN_RETRIES_PER_SECOND, RETRY_RATIO};
-use cypresscleat_forwarding::simulation::{id_of, NetworkConditions, Simulation};
+use cypresscleat_forwarding::simulation::{member_id, NetworkConditions, Simulation};
 use cypresscleat_forwarding::{dispatch_mode, NodeId, Time, MS, SECOND};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
@@ -25,23 +25,23 @@
 }
 
 fn envelopes() -> Vec<Envelope> {
-    let demand = Demand { class: 3, rate: 12.5, held: 4, value: 3.0 };
-    let sight = WorkerObservation { worker: 9, out: 2, ends: 10.0, throttled: 0.5, took: 120.0 };
+    let demand = Demand { class: 3, rate: 12.5, queued: 4, weight: 3.0 };
+    let sight = WorkerObservation { worker: 9, in_flight: 2, ended: 10.0, rejected: 0.5, latency: 120.0 };
     let all = [
         Message::Ping { number: 7 },
-        Message::PingRequest { number: 7, whom: 9, at: SocketAddr::from(([127, 0, 0, 1], 80)) },
+        Message::PingRequest { number: 7, target: 9, address: SocketAddr::from(([127, 0, 0, 1], 80)) },
         Message::Join,
-        Message::MemberList { rumours: (0..20).map(rumour).collect() },
-        Message::Report(LoadReport { number: 1, demands: vec![demand], sights: vec![sight], epoch: 5 }),
+        Message::MemberList { members: (0..20).map(rumour).collect() },
+        Message::Report(LoadReport { number: 1, demands: vec![demand], observations: vec![sight], epoch: 5 }),
         Message::Grants {
             epoch: 5,
             number: 6,
-            answers: 1,
-            lasts: GRANT_DURATION,
+            report: 1,
+            duration: GRANT_DURATION,
             grants: vec![Grant { worker: 9, places: 3 }],
         },
     ];
-    let with = |message| Envelope { from: 1, incarnation: 2, rumours: vec![rumour(5)], message };
+    let with = |message| Envelope { from: 1, incarnation: 2, updates: vec![rumour(5)], message };
     all.into_iter().map(with).collect()
 }
 
@@ -50,38 +50,38 @@
     let mut all = Vec::new();
     for envelope in envelopes() {
         let mut bytes = Vec::new();
-        assert!(messages::write(&mut bytes, &envelope));
+        assert!(messages::encode(&mut bytes, &envelope));
         for cut in 0..bytes.len() {
-            assert_eq!(messages::read(&bytes[..cut]), Decoded::More);
+            assert_eq!(messages::decode(&bytes[..cut]), Decoded::Incomplete);
         }
         all.extend(&bytes);
         let size = bytes.len();
         bytes.extend([1, 2, 3]);
-        assert_eq!(messages::read(&bytes), Decoded::Message(envelope, size));
+        assert_eq!(messages::decode(&bytes), Decoded::Message(envelope, size));
         bytes[4] = VERSION + 1;
-        assert_eq!(messages::read(&bytes), Decoded::Unknown(size), "another version is skipped whole");
+        assert_eq!(messages::decode(&bytes), Decoded::Unknown(size), "another version is skipped whole");
     }
     let mut rest = &all[..];
     let mut read = Vec::new();
-    while let Decoded::Message(envelope, size) = messages::read(rest) {
+    while let Decoded::Message(envelope, size) = messages::decode(rest) {
         read.push(envelope);
         rest = &rest[size..];
     }
     assert_eq!(read, envelopes());
-    assert!(matches!(messages::read(&u32::MAX.to_be_bytes()), Decoded::Broken(_)));
-    assert!(matches!(messages::read(&[0; 4]), Decoded::Broken(_)));
-    let many = Message::MemberList { rumours: (0..600).map(rumour).collect() };
+    assert!(matches!(messages::decode(&u32::MAX.to_be_bytes()), Decoded::Malformed(_)));
+    assert!(matches!(messages::decode(&[0; 4]), Decoded::Malformed(_)));
+    let many = Message::MemberList { members: (0..600).map(rumour).collect() };
     let mut bytes = Vec::new();
-    assert!(messages::write(
+    assert!(messages::encode(
         &mut bytes,
-        &Envelope { from: 1, incarnation: 1, rumours: vec![], message: many }
+        &Envelope { from: 1, incarnation: 1, updates: vec![], message: many }
     ));
-    assert!(matches!(messages::read(&bytes), Decoded::Broken(_)));
-    let long = Message::MemberList { rumours: (0..20_000).map(rumour).collect() };
+    assert!(matches!(messages::decode(&bytes), Decoded::Malformed(_)));
+    let long = Message::MemberList { members: (0..20_000).map(rumour).collect() };
     let mut bytes = Vec::new();
-    assert!(!messages::write(
+    assert!(!messages::encode(
         &mut bytes,
-        &Envelope { from: 1, incarnation: 1, rumours: vec![], message: long }
+        &Envelope { from: 1, incarnation: 1, updates: vec![], message: long }
     ));
     assert!(bytes.is_empty());
 }
@@ -92,14 +92,14 @@
     #[test]
     fn no_bytes_panic(which in 0..6usize, at in any::<usize>(), byte in any::<u8>(), cut in any::<bool>()) {
         let mut bytes = Vec::new();
-        messages::write(&mut bytes, &envelopes()[which]);
+        messages::encode(&mut bytes, &envelopes()[which]);
         let at = at % bytes.len();
         if cut {
             bytes.truncate(at);
         } else {
             bytes[at] = byte;
         }
-        let _ = messages::read(&bytes);
+        let _ = messages::decode(&bytes);
     }
 }
 
@@ -111,7 +111,7 @@
 
 /// How many hold it for one that is here, suspected or not: under loss there is always some suspicion on its way.
 fn here(world: &Simulation, at: usize) -> usize {
-    world.agree(at, MemberState::Alive) + world.agree(at, MemberState::Suspect)
+    world.count_agreeing(at, MemberState::Alive) + world.count_agreeing(at, MemberState::Suspect)
 }
 
 #[test]
@@ -125,7 +125,7 @@
         world.kill(30);
         let died = world.now;
         world.run(died + 25 * SECOND);
-        assert_eq!(world.agree(30, MemberState::Dead), 59, "seed {seed}");
+        assert_eq!(world.count_agreeing(30, MemberState::Dead), 59, "seed {seed}");
         // It comes back under its old address, knowing nothing of before: told that it is dead, it says otherwise.
         world.start(30, world.now, 1);
         world.run(world.now + 20 * SECOND);
@@ -137,14 +137,14 @@
 fn a_drain_and_a_leave_are_told_not_detected() {
     let mut world = Simulation::new(40, MembershipConfig::default(), net(0.05), 5);
     world.run(10 * SECOND);
-    world.members[7].as_mut().expect("it is here").drains();
+    world.members[7].as_mut().expect("it is here").announce_draining();
     world.run(world.now + 5 * SECOND);
-    assert_eq!(world.agree(7, MemberState::Draining), 39);
-    let out = world.members[7].as_mut().expect("it is here").leaves();
-    world.post(7, out);
+    assert_eq!(world.count_agreeing(7, MemberState::Draining), 39);
+    let out = world.members[7].as_mut().expect("it is here").announce_leaving();
+    world.send(7, out);
     world.kill(7);
     world.run(world.now + 5 * SECOND);
-    assert_eq!(world.agree(7, MemberState::Left), 39, "long before a failure would be found");
+    assert_eq!(world.count_agreeing(7, MemberState::Left), 39, "long before a failure would be found");
 }
 
 #[test]
@@ -152,19 +152,24 @@
     for one_way in [false, true] {
         let mut world = Simulation::new(30, MembershipConfig::default(), net(0.01), 9);
         world.run(10 * SECOND);
-        world.members.iter_mut().flatten().for_each(|member| drop(member.changes()));
+        world.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
         // Five are cut off for 4 s: longer than one probe, shorter than a suspicion lasts.
         let now = world.now;
-        world.net(NetworkConditions { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
+        world
+            .inject_faults(NetworkConditions { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
         world.run(now + 20 * SECOND);
         for at in 0..30 {
             assert_eq!(here(&world, at), 29, "one way {one_way}: of {at}");
         }
         // For long: each side holds the other for dead, and both come back together.
         let now = world.now;
-        world.net(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
+        world.inject_faults(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
         world.run(now + 30 * SECOND);
-        assert!(world.agree(0, MemberState::Dead) >= 20, "{}", world.agree(0, MemberState::Dead));
+        assert!(
+            world.count_agreeing(0, MemberState::Dead) >= 20,
+            "{}",
+            world.count_agreeing(0, MemberState::Dead)
+        );
         world.run(world.now + 60 * SECOND);
         for at in 0..30 {
             assert_eq!(here(&world, at), 29, "one way {one_way}: of {at} after the cut");
@@ -220,7 +225,7 @@
     fn init_states(&self) -> Vec<World2> {
         let mut leads = [PlannerElection::with_wait(1, self.wait), PlannerElection::with_wait(2, self.wait)];
         // The first has led for long.
-        leads[0].planners(-4 * GRANT_DURATION, [2].into_iter());
+        leads[0].update_planners(-4 * GRANT_DURATION, [2].into_iter());
         let (alive, sees, held, asked, mail) =
             ([true, true], [true, true], Default::default(), [0, 0], Vec::new());
         vec![World2 { now: 0, steps: 0, turns: 0, leads, alive, sees, held, asked, mail }]
@@ -235,7 +240,7 @@
                 if planner == 0 {
                     actions.push(Act::Die(0));
                 }
-                if state.leads[planner].leads() && state.mail.len() < 2 && state.steps < self.steps {
+                if state.leads[planner].is_leader() && state.mail.len() < 2 && state.steps < self.steps {
                     actions.push(Act::Gives(planner));
                 }
                 for forwarder in 0..2 {
@@ -273,11 +278,11 @@
                 next.sees[planner] = sees;
                 next.turns += 1;
                 let others = if sees { vec![1] } else { Vec::new() };
-                next.leads[planner].planners(now, others.into_iter());
+                next.leads[planner].update_planners(now, others.into_iter());
             }
-            Act::Asks(forwarder) => next.asked[forwarder] = next.held[forwarder].asks(now),
+            Act::Asks(forwarder) => next.asked[forwarder] = next.held[forwarder].start_report(now),
             Act::Gives(planner) => {
-                let (epoch, number) = next.leads[planner].gives(now)?;
+                let (epoch, number) = next.leads[planner].next_grant(now)?;
                 let answers = state.asked[planner];
                 if number > 2 || answers == 0 {
                     return None;
@@ -288,12 +293,12 @@
             Act::Arrives(at) => {
                 let (to, epoch, number, answers) = next.mail.remove(at);
                 let grant = [Grant { worker: 9, places: PLACES }];
-                let _ = next.held[to].takes(now, (epoch, number, answers), GRANT_DURATION, &grant);
+                let _ = next.held[to].accept(now, (epoch, number, answers), GRANT_DURATION, &grant);
             }
             Act::Lost(at) => drop(next.mail.remove(at)),
             Act::Hears(planner, forwarder) => {
                 let epoch = state.held[forwarder].epoch();
-                next.leads[planner].heard(now, epoch)?;
+                next.leads[planner].observe_epoch(now, epoch)?;
                 next.turns += 1;
             }
         }
@@ -342,49 +347,57 @@
 fn old_late_doubled_and_unasked_grants_are_not_taken() {
     let grant = [Grant { worker: 9, places: 4 }];
     let mut held = GrantTable::default();
-    let first = held.asks(0);
-    assert_eq!(held.takes(10, (5, 1, first), GRANT_DURATION, &grant), Ok(()));
-    assert_eq!((held.places(20, 9), held.places(20, 8), held.total(20)), (Some(4), Some(0), 4));
-    assert_eq!(held.takes(20, (5, 1, first), GRANT_DURATION, &grant), Err(GrantRejection::Duplicate));
-    assert_eq!(held.takes(20, (4, 9, first), GRANT_DURATION, &grant), Err(GrantRejection::StaleEpoch));
+    let first = held.start_report(0);
+    assert_eq!(held.accept(10, (5, 1, first), GRANT_DURATION, &grant), Ok(()));
+    assert_eq!((held.places(20, 9), held.places(20, 8), held.total_places(20)), (Some(4), Some(0), 4));
+    assert_eq!(held.accept(20, (5, 1, first), GRANT_DURATION, &grant), Err(GrantRejection::Duplicate));
+    assert_eq!(held.accept(20, (4, 9, first), GRANT_DURATION, &grant), Err(GrantRejection::StaleEpoch));
     assert_eq!(held.places(GRANT_DURATION, 9), None, "they end by themselves, counted from the report");
-    let second = held.asks(GRANT_DURATION);
+    let second = held.start_report(GRANT_DURATION);
     assert_eq!(
-        held.takes(3 * GRANT_DURATION, (5, 2, second), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, (5, 2, second), GRANT_DURATION, &grant),
         Err(GrantRejection::Expired)
     );
     assert_eq!(
-        held.takes(3 * GRANT_DURATION, (5, 3, 99), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, (5, 3, 99), GRANT_DURATION, &grant),
         Err(GrantRejection::UnknownReport)
     );
-    let third = held.asks(3 * GRANT_DURATION);
+    let third = held.start_report(3 * GRANT_DURATION);
     let mad = [Grant { worker: 1, places: u32::MAX }, Grant { worker: 2, places: u32::MAX }];
     let mut fooled = held.clone();
-    assert_eq!(fooled.takes(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION, &mad), Ok(()));
+    assert_eq!(fooled.accept(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION, &mad), Ok(()));
     assert_eq!(
-        fooled.total(3 * GRANT_DURATION),
+        fooled.total_places(3 * GRANT_DURATION),
         2 * u64::from(cypresscleat_forwarding::grants::MAX_GRANTED_PLACES),
         "figures out of proportion"
     );
-    assert_eq!(held.takes(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION * 9, &grant), Ok(()));
-    assert_eq!(held.until(), 4 * GRANT_DURATION, "no longer than the rule, whatever is said");
+    assert_eq!(held.accept(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION * 9, &grant), Ok(()));
+    assert_eq!(held.valid_until(), 4 * GRANT_DURATION, "no longer than the rule, whatever is said");
     assert_eq!(
-        held.takes(3 * GRANT_DURATION, (6, 1, 98), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, (6, 1, 98), GRANT_DURATION, &grant),
         Err(GrantRejection::UnknownReport)
     );
-    assert!(!held.holds(3 * GRANT_DURATION), "a newer epoch ends the older one's");
+    assert!(!held.is_valid(3 * GRANT_DURATION), "a newer epoch ends the older one's");
     let mut lead = PlannerElection::new(3);
-    assert!(matches!(lead.planners(0, [].into_iter()), Some(LeadershipChange::BecameLeader { .. })));
-    assert_eq!(lead.gives(GRANT_DURATION), None);
-    assert!(lead.gives(GRANT_DURATION + MAX_CLOCK_SKEW).is_some());
-    assert_eq!(lead.planners(GRANT_DURATION * 2, [1].into_iter()), Some(LeadershipChange::BecameFollower));
-    assert_eq!(lead.gives(GRANT_DURATION * 2), None);
+    assert!(matches!(lead.update_planners(0, [].into_iter()), Some(LeadershipChange::BecameLeader { .. })));
+    assert_eq!(lead.next_grant(GRANT_DURATION), None);
+    assert!(lead.next_grant(GRANT_DURATION + MAX_CLOCK_SKEW).is_some());
+    assert_eq!(
+        lead.update_planners(GRANT_DURATION * 2, [1].into_iter()),
+        Some(LeadershipChange::BecameFollower)
+    );
+    assert_eq!(lead.next_grant(GRANT_DURATION * 2), None);
 }
 
 // ---- plans ----
 
 fn report(rate: f32, sights: Vec<WorkerObservation>) -> LoadReport {
-    LoadReport { number: 1, demands: vec![Demand { class: 0, rate, held: 0, value: 1.0 }], sights, epoch: 0 }
+    LoadReport {
+        number: 1,
+        demands: vec![Demand { class: 0, rate, queued: 0, weight: 1.0 }],
+        observations: sights,
+        epoch: 0,
+    }
 }
 
 proptest! {
@@ -397,10 +410,10 @@
     ) {
         let mut plan = CapacityPlan::default();
         for (at, places) in workers.iter().enumerate() {
-            plan.worker(at as NodeId, *places);
+            plan.set_worker(at as NodeId, *places);
         }
         for (at, rate) in rates.iter().enumerate() {
-            plan.report(0, at as NodeId, report(*rate, vec![]));
+            plan.record_report(0, at as NodeId, report(*rate, vec![]));
         }
         let mut sums: BTreeMap<NodeId, u32> = BTreeMap::new();
         let mut each: BTreeMap<NodeId, u32> = BTreeMap::new();
@@ -430,24 +443,24 @@
 fn wrong_figures_of_a_worker_are_mended_by_what_is_seen() {
     for (told, real) in [(16.0, 8.0), (4.0, 8.0)] {
         let mut plan = CapacityPlan::default();
-        plan.worker(1, told);
+        plan.set_worker(1, told);
         for second in 1..60 {
             let over = plan.places(1) > real;
             let sight = WorkerObservation {
                 worker: 1,
-                out: 0,
-                ends: 100.0,
-                throttled: if over { 20.0 } else { 0.0 },
-                took: 10.0,
+                in_flight: 0,
+                ended: 100.0,
+                rejected: if over { 20.0 } else { 0.0 },
+                latency: 10.0,
             };
-            plan.report(second * SECOND, 5, report(10.0, vec![sight]));
+            plan.record_report(second * SECOND, 5, report(10.0, vec![sight]));
             plan.adapt(second * SECOND);
         }
         assert!((plan.places(1) - real).abs() < real * 0.25, "{told}: {}", plan.places(1));
     }
     let mut plan = CapacityPlan::default();
-    plan.worker(1, 4.0);
-    plan.report(0, 5, report(1.0, vec![]));
+    plan.set_worker(1, 4.0);
+    plan.record_report(0, 5, report(1.0, vec![]));
     plan.adapt(10 * SECOND);
     assert_eq!(plan.grants().len(), 0, "a forwarder that says nothing any more gets nothing");
 }
@@ -457,7 +470,7 @@
 fn table(many: u64, places: f64) -> LoadBalancer {
     let mut routes = LoadBalancer::new(7);
     for id in 0..many {
-        routes.worker(0, id, places, true, Time::MIN);
+        routes.set_worker(0, id, places, true, Time::MIN);
     }
     routes
 }
@@ -473,13 +486,13 @@
         {
             ends.pop_first();
             let how = if fails.contains(&id) { AttemptOutcome::Failed } else { AttemptOutcome::Succeeded };
-            routes.ended(at, id, how, took, 0);
+            routes.record_end(at, id, how, took, 0);
         }
         if number % 50 == 0 {
             routes.tick(now);
         }
         if let Some(id) = routes.choose(now, None, &[]) {
-            routes.goes(id);
+            routes.record_start(id);
             served[id as usize] += 1;
             let took = if fails.contains(&id) { 10 } else { speeds[id as usize] };
             ends.insert((now + took, number), (id, took));
@@ -503,7 +516,7 @@
     // Most fail: then the measure is bad, and the list is never emptied.
     let mut routes = table(10, 20.0);
     played(&mut routes, &[200; 10], &[0, 1, 2, 3, 4, 5, 6], 4000, 10);
-    let usable = (0..10).filter(|id| routes.is_usable(*id)).count();
+    let usable = (0..10).filter(|id| routes.is_eligible(*id)).count();
     assert!(usable >= 7, "{usable} usable");
 }
 
@@ -516,7 +529,7 @@
         (0..200u64).map(|subject| routes.choose(0, Some(subject << 50), &[])).collect();
     assert_eq!(home, again);
     // One worker goes: only its subjects move.
-    routes.without(4);
+    routes.remove_worker(4);
     for (subject, home) in home.iter().enumerate() {
         let now = routes.choose(0, Some((subject as u64) << 50), &[]);
         assert!(*home == Some(4) || now == *home);
@@ -525,28 +538,28 @@
     let mut routes = table(20, 50.0);
     for _ in 0..200 {
         let id = routes.choose(0, Some(1), &[]).expect("room");
-        routes.goes(id);
+        routes.record_start(id);
     }
-    let most = (0..20).map(|id| routes.out_at(id)).max().expect("some");
+    let most = (0..20).map(|id| routes.in_flight_at(id)).max().expect("some");
     assert!(most <= 14, "{most} out at one, 10 in the mean");
 }
 
 #[test]
 fn a_full_and_a_draining_worker_get_nothing() {
     let mut routes = LoadBalancer::new(1);
-    routes.worker(0, 1, 4.0, true, 0);
+    routes.set_worker(0, 1, 4.0, true, 0);
     let mut out = 0;
     while let Some(id) = routes.choose(0, None, &[]) {
-        routes.goes(id);
+        routes.record_start(id);
         out += 1;
     }
     assert_eq!(out, 4, "its places, and no more");
-    routes.ended(100, 1, AttemptOutcome::Succeeded, 10, 0);
+    routes.record_end(100, 1, AttemptOutcome::Succeeded, 10, 0);
     assert!(routes.choose(100, None, &[]).is_some());
-    routes.worker(100, 1, 4.0, false, 0);
+    routes.set_worker(100, 1, 4.0, false, 0);
     assert_eq!(routes.choose(100, None, &[]), None);
-    routes.worker(100, 1, 4.0, true, 0);
-    routes.ended(100, 1, AttemptOutcome::Rejected, 10, 500);
+    routes.set_worker(100, 1, 4.0, true, 0);
+    routes.record_end(100, 1, AttemptOutcome::Rejected, 10, 500);
     assert_eq!(routes.choose(200, None, &[]), None, "it said when to come back");
     routes.tick(600);
     assert_eq!(routes.choose(600, None, &[]), Some(1));
@@ -567,12 +580,12 @@
             match what {
                 0 => {
                     let new = (more % 5) as f64;
-                    routes.worker(now, id, new, more % 7 != 0, Time::MIN);
+                    routes.set_worker(now, id, new, more % 7 != 0, Time::MIN);
                     places.insert(id, new);
                     out.entry(id).or_default();
                 }
                 1 => {
-                    routes.without(id);
+                    routes.remove_worker(id);
                     places.remove(&id);
                     out.remove(&id);
                 }
@@ -580,7 +593,7 @@
                     let subject = (what == 3).then_some(more);
                     if let Some(id) = routes.choose(now, subject, &[]) {
                         prop_assert!(f64::from(out[&id]) + 1.0 <= places[&id].max(1.0));
-                        routes.goes(id);
+                        routes.record_start(id);
                         *out.get_mut(&id).unwrap() += 1;
                     }
                 }
@@ -588,14 +601,14 @@
                     if let Some(count) = out.get_mut(&id).filter(|count| **count > 0) {
                         *count -= 1;
                         let how = [AttemptOutcome::Succeeded, AttemptOutcome::Rejected, AttemptOutcome::Failed, AttemptOutcome::ConnectionLost, AttemptOutcome::Cancelled][(more % 5) as usize];
-                        routes.ended(now, id, how, 100, (more % 3) as Time * 100);
+                        routes.record_end(now, id, how, 100, (more % 3) as Time * 100);
                     }
                 }
                 _ => routes.tick(now),
             }
-            prop_assert_eq!(routes.out(), out.values().map(|out| u64::from(*out)).sum::<u64>());
+            prop_assert_eq!(routes.in_flight(), out.values().map(|out| u64::from(*out)).sum::<u64>());
             for (id, out) in &out {
-                prop_assert_eq!(routes.out_at(*id), *out);
+                prop_assert_eq!(routes.in_flight_at(*id), *out);
             }
         }
     }
@@ -610,9 +623,9 @@
         for (first, tries, gap) in ends {
             now += gap;
             if first {
-                budget.first(now);
+                budget.record_first_attempt(now);
             }
-            budget.may(now, Execution::NeverRan, false, tries, SECOND, 10);
+            budget.try_retry(now, Execution::NeverRan, false, tries, SECOND, 10);
         }
         let (first, further, _) = budget.counts();
         let most = first as f64 * RETRY_RATIO + MIN_RETRIES_PER_SECOND * (1.0 + now as f64 / SECOND as f64);
@@ -623,11 +636,11 @@
 #[test]
 fn only_what_never_ran_is_tried_again_and_in_time() {
     let mut budget = RetryBudget::new(0);
-    assert!(!budget.may(0, Execution::MayHaveRun, false, 1, SECOND, 10));
-    assert!(!budget.may(0, Execution::NeverRan, true, 1, SECOND, 10), "asked not to try elsewhere");
-    assert!(!budget.may(0, Execution::NeverRan, false, 3, SECOND, 10));
-    assert!(!budget.may(0, Execution::NeverRan, false, 1, 10, 10), "no time left");
-    assert!(budget.may(0, Execution::NeverRan, false, 1, SECOND, 10));
+    assert!(!budget.try_retry(0, Execution::MayHaveRun, false, 1, SECOND, 10));
+    assert!(!budget.try_retry(0, Execution::NeverRan, true, 1, SECOND, 10), "asked not to try elsewhere");
+    assert!(!budget.try_retry(0, Execution::NeverRan, false, 3, SECOND, 10));
+    assert!(!budget.try_retry(0, Execution::NeverRan, false, 1, 10, 10), "no time left");
+    assert!(budget.try_retry(0, Execution::NeverRan, false, 1, SECOND, 10));
 }
 
 // ---- modes ----
@@ -635,7 +648,7 @@
 #[test]
 fn a_forwarder_falls_back_at_once_and_returns_in_steps() {
     let (mut mode, mut held) = (DispatchMode::new(0), GrantTable::default());
-    let alone = DispatchMode::alone(12.0, 3);
+    let alone = DispatchMode::local_share(12.0, 3);
     assert_eq!(mode.places(0, &held, 9, alone), 4.0);
     let grant = [Grant { worker: 9, places: 8 }];
     let mut seen = Vec::new();
@@ -644,8 +657,8 @@
     for step in 0..24 {
         now = step * RECOVERY_STEP_DURATION / 2;
         if step < 16 {
-            let report = held.asks(now);
-            held.takes(now, (1, step as u64 + 1, report), GRANT_DURATION, &grant).expect("taken");
+            let report = held.start_report(now);
+            held.accept(now, (1, step as u64 + 1, report), GRANT_DURATION, &grant).expect("taken");
         }
         lines.extend(mode.tick(now, &held));
         seen.push(mode.places(now, &held, 9, alone));
@@ -661,12 +674,12 @@
     assert!(lines[0].contains("planners are back: epoch 1, 8 places") && lines[2].starts_with("by itself"));
     // Between two looks too: what has ended is not used.
     let mut held = GrantTable::default();
-    let report = held.asks(0);
-    held.takes(0, (1, 1, report), GRANT_DURATION, &grant).expect("taken");
+    let report = held.start_report(0);
+    held.accept(0, (1, 1, report), GRANT_DURATION, &grant).expect("taken");
     let mut mode = DispatchMode::new(0);
     (0..6).for_each(|step| drop(mode.tick(step * RECOVERY_STEP_DURATION, &held)));
     assert_eq!(mode.places(GRANT_DURATION, &held, 9, alone), 4.0);
-    assert_eq!(id_of(1), cypresscleat_forwarding::node_id("member-1"));
+    assert_eq!(member_id(1), cypresscleat_forwarding::node_id("member-1"));
     assert_eq!(MS * 1000, SECOND);
 }
 
@@ -683,14 +696,14 @@
         incarnation: 1,
         state: MemberState::Alive,
     };
-    let known = Message::MemberList { rumours: vec![rumour] };
-    own.heard(0, address(2), &Envelope { from: 2, incarnation: 1, rumours: vec![], message: known });
+    let known = Message::MemberList { members: vec![rumour] };
+    own.handle(0, address(2), &Envelope { from: 2, incarnation: 1, updates: vec![], message: known });
     let (mut now, mut looks) = (0, 0);
     while now < 20 * cypresscleat_forwarding::SECOND {
         own.tick(now);
         looks += 1;
-        assert!(own.due() > now, "at {now} it is due at {}", own.due());
-        now = own.due();
+        assert!(own.next_deadline() > now, "at {now} it is due at {}", own.next_deadline());
+        now = own.next_deadline();
     }
     assert!(looks < 200, "{looks} looks in 20 s");
 }
@@ -708,12 +721,12 @@
     let known = Envelope {
         from: 1,
         incarnation: 1,
-        rumours: Vec::new(),
-        message: Message::MemberList { rumours: Vec::new() },
+        updates: Vec::new(),
+        message: Message::MemberList { members: Vec::new() },
     };
     for member in [&mut other, &mut third] {
-        member.heard(0, at(1), &known);
-        member.learn(
+        member.handle(0, at(1), &known);
+        member.apply_update(
             0,
             GossipUpdate {
                 id: 1,
@@ -726,7 +739,10 @@
     }
     let learns = |to: &mut Membership, id: u64| {
         let state = MemberState::Alive;
-        to.learn(0, GossipUpdate { id, role: Role::Worker, address: at(id as u16), incarnation: 1, state });
+        to.apply_update(
+            0,
+            GossipUpdate { id, role: Role::Worker, address: at(id as u16), incarnation: 1, state },
+        );
     };
     for id in 10..400 {
         learns(&mut one, id);
@@ -735,10 +751,10 @@
     learns(&mut one, 2);
     learns(&mut other, 1);
     let answers = |to: &mut Membership, asked: &Envelope| {
-        let told = to.heard(0, at(9), asked);
+        let told = to.handle(0, at(9), asked);
         told.iter()
             .map(|send| match &send.envelope.message {
-                Message::MemberList { rumours } => rumours.len(),
+                Message::MemberList { members: rumours } => rumours.len(),
                 _ => 0,
             })
             .sum::<usize>()
--- a/crates/forwarding/tests/versions.rs
+++ b/crates/forwarding/tests/versions.rs
@@ -29,23 +29,24 @@
 
 fn envelope(message: Message) -> Envelope {
     let rumours = vec![rumour(8, MemberState::Suspect), rumour(9, MemberState::Dead)];
-    Envelope { from: 1_234_567_890_123, incarnation: 2, rumours, message }
+    Envelope { from: 1_234_567_890_123, incarnation: 2, updates: rumours, message }
 }
 
 fn meant() -> Vec<Message> {
     let known =
         vec![rumour(5, MemberState::Alive), rumour(6, MemberState::Draining), rumour(7, MemberState::Left)];
-    let demands = vec![Demand { class: 1, rate: 2.5, held: 3, value: 4.0 }];
-    let sights = vec![WorkerObservation { worker: 5, out: 1, ends: 2.0, throttled: 0.5, took: 30.0 }];
+    let demands = vec![Demand { class: 1, rate: 2.5, queued: 3, weight: 4.0 }];
+    let sights =
+        vec![WorkerObservation { worker: 5, in_flight: 1, ended: 2.0, rejected: 0.5, latency: 30.0 }];
     let grants = vec![Grant { worker: 5, places: 3 }];
     vec![
         Message::Ping { number: 7 },
         Message::Ack { number: 7 },
-        Message::PingRequest { number: 8, whom: 77, at: "[::1]:9".parse().expect("an address") },
+        Message::PingRequest { number: 8, target: 77, address: "[::1]:9".parse().expect("an address") },
         Message::Join,
-        Message::MemberList { rumours: known },
-        Message::Report(LoadReport { number: 9, demands, sights, epoch: 4 }),
-        Message::Grants { epoch: 4, number: 2, answers: 9, lasts: 20_000, grants },
+        Message::MemberList { members: known },
+        Message::Report(LoadReport { number: 9, demands, observations: sights, epoch: 4 }),
+        Message::Grants { epoch: 4, number: 2, report: 9, duration: 20_000, grants },
     ]
 }
 
@@ -53,7 +54,7 @@
 fn what_the_version_before_sends_is_read_as_it_meant_it() {
     for (hex, message) in RECORDED.into_iter().zip(meant()) {
         let bytes = bytes(hex);
-        assert_eq!(read(&bytes), Decoded::Message(envelope(message), bytes.len()), "{hex}");
+        assert_eq!(decode(&bytes), Decoded::Message(envelope(message), bytes.len()), "{hex}");
     }
 }
 
@@ -81,16 +82,16 @@
 fn the_version_before_reads_what_it_knows_and_skips_the_rest() {
     for (hex, message) in RECORDED.into_iter().zip(meant()) {
         let mut written = Vec::new();
-        assert!(write(&mut written, &envelope(message)));
+        assert!(encode(&mut written, &envelope(message)));
         assert_eq!(written, bytes(hex), "the same bytes as before");
     }
     let new = [
-        Message::Sync { parts: vec![1; MEMBER_PARTITIONS] },
+        Message::Sync { hashes: vec![1; MEMBER_PARTITIONS] },
         Message::WithPolicyVersion { version: 3, message: Box::new(Message::Join) },
     ];
     for message in new {
         let mut written = Vec::new();
-        assert!(write(&mut written, &envelope(message.clone())));
+        assert!(encode(&mut written, &envelope(message.clone())));
         assert_eq!(written[4], 1, "of the version that it knows: it looks at the kind");
         let before = postcard::from_bytes::<EnvelopeBefore>(&written[5..]);
         assert!(before.is_err(), "it skips what it does not know: {message:?}");
@@ -98,21 +99,21 @@
     // What is past a bound is refused, also inside another.
     let nested = Message::WithPolicyVersion { version: 3, message: Box::new(Message::Join) };
     for message in [
-        Message::Sync { parts: vec![1; MEMBER_PARTITIONS + 1] },
+        Message::Sync { hashes: vec![1; MEMBER_PARTITIONS + 1] },
         Message::WithPolicyVersion { version: 3, message: Box::new(nested) },
         Message::WithPolicyVersion {
             version: 3,
             message: Box::new(Message::Grants {
                 epoch: 1,
                 number: 1,
-                answers: 1,
-                lasts: -1,
+                report: 1,
+                duration: -1,
                 grants: Vec::new(),
             }),
         },
     ] {
         let mut written = Vec::new();
-        assert!(write(&mut written, &envelope(message)));
-        assert!(matches!(read(&written), Decoded::Broken(_)));
+        assert!(encode(&mut written, &envelope(message)));
+        assert!(matches!(decode(&written), Decoded::Malformed(_)));
     }
 }
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -105,7 +105,7 @@
         if let Some(count) = self.came.borrow_mut().get_mut(wanted.op) {
             *count += 1;
         }
-        self.budget.borrow_mut().first(now);
+        self.budget.borrow_mut().record_first_attempt(now);
         let number = self.number.replace(self.number.get() + 1);
         let one = Try { number, worker: 0, tries: 0, started: now, wanted, crossed: false, on: None };
         if let Err(one) = self.go(now, one, &[]) {
@@ -124,7 +124,7 @@
             }
         }
         let now = self.clock.now();
-        self.routes.borrow_mut().ended(now, one.worker, AttemptOutcome::Cancelled, 0, 0);
+        self.routes.borrow_mut().record_end(now, one.worker, AttemptOutcome::Cancelled, 0, 0);
         self.tell(txn, Outcome::CalledOff, &[], None);
     }
 
@@ -134,7 +134,7 @@
 
     fn gauges(&self) -> Gauges {
         let routes = self.routes.borrow();
-        let (out, places) = (routes.out() as f64, routes.places().max(1.0));
+        let (out, places) = (routes.in_flight() as f64, routes.places().max(1.0));
         Gauges { core_use: Some((out / places).min(1.0)), on_cores: Some(out), memory: None, links: None }
     }
 }
@@ -142,7 +142,7 @@
 impl Fleet {
     /// Further tries for each first one from now on.
     pub fn retries(&self, share: f64) {
-        self.budget.borrow_mut().shares(share);
+        self.budget.borrow_mut().set_retry_ratio(share);
     }
 
     pub fn new(
@@ -192,7 +192,7 @@
         let mut came = self.came.borrow_mut();
         let all = came.iter_mut().zip(&self.value).enumerate().map(|(class, (count, value))| {
             let rate = std::mem::take(count) as f64 / span.max(0.01);
-            Demand { class: class as u16, rate: rate as f32, held: 0, value: *value as f32 }
+            Demand { class: class as u16, rate: rate as f32, queued: 0, weight: *value as f32 }
         });
         all.take(cypresscleat_forwarding::messages::MAX_CLASSES).collect()
     }
@@ -205,10 +205,10 @@
             let (ends, throttled) = (per(&mut state.ends), per(&mut state.throttled));
             WorkerObservation {
                 worker: *worker,
-                out: routes.out_at(*worker),
-                ends,
-                throttled,
-                took: state.took as f32,
+                in_flight: routes.in_flight_at(*worker),
+                ended: ends,
+                rejected: throttled,
+                latency: state.took as f32,
             }
         });
         sights.take(cypresscleat_forwarding::messages::MAX_GRANTS).collect()
@@ -224,14 +224,14 @@
         }
         let mut routes = self.routes.borrow_mut();
         for (worker, state) in self.workers.borrow().iter() {
-            let alone = DispatchMode::alone(state.places, self.forwarders.get());
+            let alone = DispatchMode::local_share(state.places, self.forwarders.get());
             // No planner's figure counts past what a planner may learn of a worker: twice what it is told to have.
             let places = mode
                 .places(now, &held, *worker, alone)
                 .min(state.places * cypresscleat_forwarding::capacity_plan::MAX_PLACES_FACTOR);
             // A cold one's own word counts, whoever granted more.
             let places = state.promised.map_or(places, |promised| places.min(promised.places(now).into()));
-            routes.worker(now, *worker, places, state.good, Time::MIN);
+            routes.set_worker(now, *worker, places, state.good, Time::MIN);
         }
         routes.tick(now);
     }
@@ -242,10 +242,10 @@
     fn go(self: &Rc<Fleet>, now: Time, mut one: Try, not: &[NodeId]) -> Result<(), Try> {
         let chosen = self.routes.borrow_mut().choose(now, one.wanted.subject, not);
         let Some(worker) = chosen else { return Err(one) };
-        self.routes.borrow_mut().goes(worker);
+        self.routes.borrow_mut().record_start(worker);
         (one.worker, one.tries, one.started) = (worker, one.tries + 1, now);
         let Some(wire) = self.wire(worker) else {
-            self.routes.borrow_mut().ended(now, worker, AttemptOutcome::Cancelled, 0, 0);
+            self.routes.borrow_mut().record_end(now, worker, AttemptOutcome::Cancelled, 0, 0);
             return Err(one);
         };
         self.puts(one, wire);
@@ -334,7 +334,7 @@
         let known_try = |one: &Try| one.number == number;
         let Some(one) = self.tries.borrow_mut().remove(&txn).filter(known_try) else { return };
         let took = now - one.started;
-        self.routes.borrow_mut().ended(now, one.worker, end, took, said.0);
+        self.routes.borrow_mut().record_end(now, one.worker, end, took, said.0);
         if let Some(state) = self.workers.borrow_mut().get_mut(&one.worker) {
             state.ends += 1.0;
             state.throttled += f64::from(end == AttemptOutcome::Rejected);
@@ -348,7 +348,7 @@
         }
         let left = one.wanted.due - now;
         let (worker, tries) = (one.worker, one.tries);
-        let again = self.budget.borrow_mut().may(now, known, said.1, tries, left, 20 * MS);
+        let again = self.budget.borrow_mut().try_retry(now, known, said.1, tries, left, 20 * MS);
         let one = if again {
             add(&self.shared.counters.tried_again);
             match self.go(now, one, &[worker]) {
@@ -540,9 +540,9 @@
     /// Asks one worker; its promise is taken over. True where it takes work; the connection is kept where it may be used again.
     async fn asks(&self, worker: NodeId, address: SocketAddr, kept: &mut Option<(TcpStream, u32)>) -> bool {
         let asked = self.clock.now();
-        let out = self.routes.borrow().out_at(worker);
+        let out = self.routes.borrow().in_flight_at(worker);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
-            state.promised.iter_mut().for_each(ReservedCapacity::asks);
+            state.promised.iter_mut().for_each(ReservedCapacity::invalidate);
         }
         self.look();
         let payload = frames::put_ramp(self.own, out);
@@ -553,7 +553,7 @@
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
             state.promised = ramp.map(|places| {
                 let mut promised = ReservedCapacity::default();
-                promised.takes(asked, places);
+                promised.accept(asked, places);
                 promised
             });
         }
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -41,7 +41,7 @@
     pub fn send(&self, all: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, envelope } in all {
             let mut bytes = Vec::new();
-            if messages::write(&mut bytes, &envelope) {
+            if messages::encode(&mut bytes, &envelope) {
                 let _ = self.socket.try_send_to(&bytes, to);
             }
         }
@@ -57,7 +57,7 @@
             },
             None => message,
         };
-        Envelope { from: own.id, incarnation: own.incarnation, rumours: Vec::new(), message }
+        Envelope { from: own.id, incarnation: own.incarnation, updates: Vec::new(), message }
     }
 
     /// A report or grants that may be gone by. Grants under another version than ours are not used: what they give out was counted
@@ -89,17 +89,17 @@
     pub async fn hear(&mut self, until: Time) -> Option<(SocketAddr, Envelope)> {
         loop {
             let now = self.clock.now();
-            if now >= self.members.due() {
+            if now >= self.members.next_deadline() {
                 let out = self.members.tick(now);
                 self.send(out);
-                for change in self.members.changes() {
+                for change in self.members.take_changes() {
                     log!("member {:016x}, a {:?}: {:?}", change.id, change.role, change.to);
                 }
             }
             if now >= until {
                 return None;
             }
-            let due = self.clock.instant(until.min(self.members.due()));
+            let due = self.clock.instant(until.min(self.members.next_deadline()));
             let (size, from) = tokio::select! {
                 () = sleep_until(Instant::from_std(due)) => continue,
                 got = self.socket.recv_from(&mut self.bytes) => match got {
@@ -107,12 +107,12 @@
                     Err(_) => continue, // word of an earlier datagram that found nobody
                 },
             };
-            let Decoded::Message(envelope, read) = messages::read(&self.bytes[..size]) else { continue };
+            let Decoded::Message(envelope, read) = messages::decode(&self.bytes[..size]) else { continue };
             if read != size {
                 continue;
             }
             let now = self.clock.now();
-            let out = self.members.heard(now, from, &envelope);
+            let out = self.members.handle(now, from, &envelope);
             self.send(out);
             if let Some(message) = self.under(envelope.message) {
                 return Some((from, Envelope { message, ..envelope }));
@@ -130,10 +130,13 @@
         let now = talk.clock.now();
         if let Some((
             _,
-            Envelope { message: Message::Grants { epoch, number, answers, lasts, grants }, .. },
+            Envelope {
+                message: Message::Grants { epoch, number, report: answers, duration: lasts, grants },
+                ..
+            },
         )) = &heard
         {
-            let taken = fleet.held.borrow_mut().takes(now, (*epoch, *number, *answers), *lasts, grants);
+            let taken = fleet.held.borrow_mut().accept(now, (*epoch, *number, *answers), *lasts, grants);
             if taken.is_ok() {
                 fleet.look();
             }
@@ -142,11 +145,12 @@
             continue;
         }
         next = now + GRANT_RENEWAL_INTERVAL;
-        fleet.forwarders.set(talk.members.of_role(Role::Forwarder).count() + 1);
+        fleet.forwarders.set(talk.members.present_with_role(Role::Forwarder).count() + 1);
         let span = (now - std::mem::replace(&mut last, now)) as f64 / 10_000.0;
-        let number = fleet.held.borrow_mut().asks(now);
+        let number = fleet.held.borrow_mut().start_report(now);
         let epoch = fleet.held.borrow().epoch();
-        let report = LoadReport { number, demands: fleet.demands(span), sights: fleet.sights(span), epoch };
+        let report =
+            LoadReport { number, demands: fleet.demands(span), observations: fleet.sights(span), epoch };
         for planner in &tier.planners {
             let envelope = talk.envelope(Message::Report(report.clone()));
             talk.send(vec![OutgoingMessage { to: planner.address, envelope }]);
--- a/crates/server/src/listeners/frames.rs
+++ b/crates/server/src/listeners/frames.rs
@@ -289,7 +289,7 @@
     let code = if voice.good.get() && voice.fit.get() { frames::SUCCEEDED } else { frames::ERRORED };
     let promised = voice.ramp.get().and_then(|budget| {
         let (who, out) = frames::asks_ramp(payload)?;
-        Some(front.ramp.borrow_mut().asks(front.clock.now(), who, out, budget, front.callers).to_string())
+        Some(front.ramp.borrow_mut().reserve(front.clock.now(), who, out, budget, front.callers).to_string())
     });
     let fields: Vec<_> = promised.iter().map(|places| (frames::RAMP, places.as_str())).collect();
     put(&peer.out, frames::CHECKED, stream, code, &fields, voice.feedback.get(), b"");
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -39,10 +39,10 @@
     /// Epoch and number of the next grants and how long they may last, if it may give out now.
     fn gives(&mut self, now: Time) -> Option<(u64, u64, Time)> {
         match self {
-            By::Itself(lead) => lead.gives(now).map(|(epoch, number)| (epoch, number, GRANT_DURATION)),
+            By::Itself(lead) => lead.next_grant(now).map(|(epoch, number)| (epoch, number, GRANT_DURATION)),
             By::Keepers(hold, owned) => {
                 let now = hold.clock.now();
-                hold.may(part()).and_then(|token| owned.gives(now, token, hold.until() - now))
+                hold.may(part()).and_then(|token| owned.next_grant(now, token, hold.until() - now))
             }
         }
     }
@@ -94,7 +94,7 @@
     };
     let mut plan = CapacityPlan::default();
     for worker in &tier.workers {
-        plan.worker(node_id(&worker.name), worker.places);
+        plan.set_worker(node_id(&worker.name), worker.places);
     }
     let mut said = 0;
     loop {
@@ -105,21 +105,22 @@
         let now = clock.now();
         let mut turns = Vec::new();
         if let By::Itself(lead) = &mut by {
-            let planners: Vec<_> = talk.members.of_role(Role::Planner).map(|(planner, _)| planner).collect();
-            turns.push(lead.planners(now, planners.into_iter()));
+            let planners: Vec<_> =
+                talk.members.present_with_role(Role::Planner).map(|(planner, _)| planner).collect();
+            turns.push(lead.update_planners(now, planners.into_iter()));
         }
         if let Some((from, Envelope { from: forwarder, message: Message::Report(report), .. })) = heard {
             if let By::Itself(lead) = &mut by {
-                turns.push(lead.heard(now, report.epoch));
+                turns.push(lead.observe_epoch(now, report.epoch));
             }
             let answers = report.number;
-            plan.report(now, forwarder, report);
+            plan.record_report(now, forwarder, report);
             plan.adapt(now);
             // Out of service under a policy it gives out nothing.
             let fit = talk.gate.as_ref().is_none_or(|gate| gate.version().is_some());
             if let Some((epoch, number, lasts)) = fit.then(|| by.gives(now)).flatten() {
                 let grants = plan.grants().remove(&forwarder).unwrap_or_default();
-                let message = Message::Grants { epoch, number, answers, lasts, grants };
+                let message = Message::Grants { epoch, number, report: answers, duration: lasts, grants };
                 let envelope = talk.envelope(message);
                 talk.send(vec![OutgoingMessage { to: from, envelope }]);
                 said += 1;
@@ -138,11 +139,11 @@
         gate.leaves.notify_one();
         let _ = tokio::time::timeout(rollout::LEAVES, gate.left.notified()).await;
     }
-    let out = talk.members.leaves();
+    let out = talk.members.announce_leaving();
     talk.send(out);
     if let By::Keepers(hold, owned) = by {
         // What it gave out has to end before the next may give the same out again.
-        tokio::time::sleep_until(hold.clock.instant(owned.ends())).await;
+        tokio::time::sleep_until(hold.clock.instant(owned.all_ended_at())).await;
         hold.leaves().await;
     }
     log!("stopped: {said} grants given, {} forwarders known", plan.forwarders().count());
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -24,11 +24,11 @@
 }
 
 fn say(epoch: u64, number: u64, answers: u32, grants: Vec<Grant>) -> Vec<u8> {
-    let message = Message::Grants { epoch, number, answers, lasts: GRANT_DURATION, grants };
+    let message = Message::Grants { epoch, number, report: answers, duration: GRANT_DURATION, grants };
     let mut bytes = Vec::new();
-    messages::write(
+    messages::encode(
         &mut bytes,
-        &Envelope { from: node_id("p0"), incarnation: 1, rumours: Vec::new(), message },
+        &Envelope { from: node_id("p0"), incarnation: 1, updates: Vec::new(), message },
     );
     bytes
 }
@@ -40,7 +40,7 @@
         let (mut bytes, mut count) = (vec![0; 70_000], 0);
         while !over.load(Ordering::Relaxed) {
             let Ok((size, from)) = socket.recv_from(&mut bytes) else { continue };
-            let Decoded::Message(Envelope { message, .. }, _) = messages::read(&bytes[..size]) else {
+            let Decoded::Message(Envelope { message, .. }, _) = messages::decode(&bytes[..size]) else {
                 continue;
             };
             match message {
@@ -54,8 +54,8 @@
                     let mut ack = Vec::new();
                     let message = Message::Ack { number };
                     let envelope =
-                        Envelope { from: node_id("p0"), incarnation: 1, rumours: Vec::new(), message };
-                    messages::write(&mut ack, &envelope);
+                        Envelope { from: node_id("p0"), incarnation: 1, updates: Vec::new(), message };
+                    messages::encode(&mut ack, &envelope);
                     let _ = socket.send_to(&ack, from);
                 }
                 _ => {}
