--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -8,7 +8,7 @@
 use cypresscleat_forwarding::messages::{
     encode, Demand, Envelope, Grant, LoadReport, Message, WorkerObservation, MAX_GRANTS,
 };
-use cypresscleat_forwarding::{node_id, Time};
+use cypresscleat_forwarding::node_id;
 use std::time::Instant;
 
 /// Operations in a report.
@@ -116,7 +116,7 @@
         let began = Instant::now();
         let (mut routes, held) = heap::of(|| {
             let mut routes = LoadBalancer::new(seed);
-            (0..size).for_each(|at| routes.set_worker(0, worker(at), 50.0, true, Time::MIN));
+            (0..size).for_each(|at| routes.set_worker(0, worker(at), 50.0, true));
             routes
         });
         add("forwarder", "table, made of none", began.elapsed().as_secs_f64() * 1e3, "ms");
@@ -127,7 +127,7 @@
             let mut turn = 0u64;
             timed(|| {
                 turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                if let Some(id) = routes.choose(10, subject(turn), &[]) {
+                if let Some(id) = routes.choose(subject(turn), &[]) {
                     routes.record_start(id);
                     routes.record_end(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
--- a/crates/experiments/src/tier.rs
+++ b/crates/experiments/src/tier.rs
@@ -3,7 +3,6 @@
 use cypresscleat_forwarding::load_balancer::{least_loaded, AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::membership::MembershipConfig;
 use cypresscleat_forwarding::simulation::{compute_heartbeats, measure_gossip, MembershipCost};
-use cypresscleat_forwarding::Time;
 use std::time::{Duration, Instant};
 
 fn row(out: &mut String, way: &str, loss: f64, cost: &MembershipCost) {
@@ -17,13 +16,13 @@
 fn lookups(many: u64) -> (f64, f64) {
     let mut routes = LoadBalancer::new(1);
     for id in 0..many {
-        routes.set_worker(0, id, 50.0, true, Time::MIN);
+        routes.set_worker(0, id, 50.0, true);
     }
-    let timed = |routes: &mut LoadBalancer, by: fn(&mut LoadBalancer, Time) -> Option<u64>| {
+    let timed = |routes: &mut LoadBalancer, by: fn(&mut LoadBalancer) -> Option<u64>| {
         let (began, mut turns) = (Instant::now(), 0u32);
         while began.elapsed() < Duration::from_millis(200) {
             for _ in 0..20 {
-                if let Some(id) = by(routes, 10) {
+                if let Some(id) = by(routes) {
                     routes.record_start(id);
                     routes.record_end(10, id, AttemptOutcome::Succeeded, 100, 0);
                 }
@@ -32,8 +31,8 @@
         }
         began.elapsed().as_nanos() as f64 / f64::from(turns)
     };
-    let own = timed(&mut routes, |routes, now| routes.choose(now, None, &[]));
-    let plain = timed(&mut routes, |routes, now| least_loaded(routes, now));
+    let own = timed(&mut routes, |routes| routes.choose(None, &[]));
+    let plain = timed(&mut routes, |routes| least_loaded(routes));
     (own, plain)
 }
 
--- a/crates/forwarding/src/dispatch_mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -1,23 +1,27 @@
-//! Whether a forwarder goes by its grants or by itself. Without grants that hold it decides alone, from the next invocation
-//! on: of each worker the part that falls to it if all forwarders that it knows take alike. When planners are back it goes over
-//! to their grants in steps, so that many that come back at once do not jump together.
+//! Whether a forwarder goes by its grants or by itself. Without valid grants it decides alone, from the next request on: of each
+//! worker it uses the share that falls to it if all forwarders that it knows use alike. When planners are back it goes over to
+//! their grants in steps, so that many forwarders that come back at once do not jump together.
 
 use crate::grants::GrantTable;
 use crate::{NodeId, Time, SECOND};
 
-/// Steps from its own part to its grants, and how long each lasts.
+/// Steps of the recovery from the local share to the grants.
 pub const RECOVERY_STEPS: u32 = 4;
+/// How long each step lasts.
 pub const RECOVERY_STEP_DURATION: Time = SECOND / 2;
 
+/// What a forwarder goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchState {
-    /// By itself.
+    /// By its local share of each worker.
     Local,
-    /// On its way back, so many steps done.
+    /// On its way back to its grants, so many steps done.
     Recovering(u32),
+    /// By its grants.
     Planned,
 }
 
+/// What a forwarder goes by, and since when.
 #[derive(Clone, Debug)]
 pub struct DispatchMode {
     state: DispatchState,
@@ -30,61 +34,61 @@
         DispatchMode { state: DispatchState::Local, since: now }
     }
 
+    /// What it goes by now.
     pub fn state(&self) -> DispatchState {
         self.state
     }
 
-    /// What changed, with its figures, as one line for the log.
-    pub fn tick(&mut self, now: Time, held: &GrantTable) -> Option<String> {
-        let next = match (held.is_valid(now), self.state) {
-            (false, DispatchState::Local) | (true, DispatchState::Planned) => return None,
-            (false, _) => DispatchState::Local,
-            (true, DispatchState::Local) => DispatchState::Recovering(0),
-            (true, DispatchState::Recovering(done)) if now - self.since < RECOVERY_STEP_DURATION => {
-                DispatchState::Recovering(done)
-            }
-            (true, DispatchState::Recovering(done)) if done + 1 >= RECOVERY_STEPS => DispatchState::Planned,
-            (true, DispatchState::Recovering(done)) => DispatchState::Recovering(done + 1),
-        };
+    /// Does what is due now; returns what changed as a line for the log.
+    pub fn tick(&mut self, now: Time, grants: &GrantTable) -> Option<String> {
+        let next = self.next_state(now, grants.is_valid(now));
         if next == self.state {
             return None;
         }
-        let before = std::mem::replace(&mut self.state, next);
-        let after = (now - std::mem::replace(&mut self.since, now)) / 10;
+        self.state = next;
+        let elapsed_ms = (now - std::mem::replace(&mut self.since, now)) / 10;
+        let (epoch, places) = (grants.epoch(), grants.total_places(now));
         match next {
             DispatchState::Local => {
-                Some(format!("by itself: grants of epoch {} ended, after {after} ms", held.epoch()))
+                Some(format!("by itself: grants of epoch {epoch} ended, after {elapsed_ms} ms"))
             }
             DispatchState::Recovering(0) => Some(format!(
-                "planners are back: epoch {}, {} places, in {RECOVERY_STEPS} steps; {after} ms by itself",
-                held.epoch(),
-                held.total_places(now)
+                "planners are back: epoch {epoch}, {places} places, in {RECOVERY_STEPS} steps; {elapsed_ms} ms by itself"
             )),
-            DispatchState::Planned => {
-                Some(format!("by its grants: epoch {}, {} places", held.epoch(), held.total_places(now)))
+            DispatchState::Recovering(_) => None,
+            DispatchState::Planned => Some(format!("by its grants: epoch {epoch}, {places} places")),
+        }
+    }
+
+    fn next_state(&self, now: Time, has_grants: bool) -> DispatchState {
+        match self.state {
+            _ if !has_grants => DispatchState::Local,
+            DispatchState::Local => DispatchState::Recovering(0),
+            DispatchState::Recovering(done) if now - self.since < RECOVERY_STEP_DURATION => {
+                DispatchState::Recovering(done)
             }
-            DispatchState::Recovering(_) => {
-                debug_assert!(matches!(before, DispatchState::Recovering(_)));
-                None
+            DispatchState::Recovering(done) if done + 1 < RECOVERY_STEPS => {
+                DispatchState::Recovering(done + 1)
             }
+            DispatchState::Recovering(_) | DispatchState::Planned => DispatchState::Planned,
         }
     }
 
-    /// Places that it may use on a worker. `alone` is its part of the worker where it decides by itself.
-    pub fn places(&self, now: Time, held: &GrantTable, worker: NodeId, alone: f64) -> f64 {
-        let granted = held.places(now, worker).map(f64::from);
+    /// Places that the forwarder may use on a worker. `local_share` is its share where it decides by itself.
+    pub fn places(&self, now: Time, grants: &GrantTable, worker: NodeId, local_share: f64) -> f64 {
+        let granted = grants.places(now, worker).map(f64::from);
         match (self.state, granted) {
             (DispatchState::Planned, Some(granted)) => granted,
             (DispatchState::Recovering(done), Some(granted)) => {
-                alone + (granted - alone) * f64::from(done) / f64::from(RECOVERY_STEPS)
+                local_share + (granted - local_share) * f64::from(done) / f64::from(RECOVERY_STEPS)
             }
-            // The grants have just ended, or it has not looked yet: by itself from the next invocation on.
-            (DispatchState::Local, _) | (_, None) => alone,
+            // The grants have just ended, or it has not ticked yet: by itself from the next request on.
+            (DispatchState::Local, _) | (_, None) => local_share,
         }
     }
 
-    /// Its part of a worker with so many places, among so many forwarders, itself among them. One at the least: a worker
-    /// protects itself.
+    /// A forwarder's share of a worker with so many places, among so many forwarders, itself included. One place at the least: a
+    /// worker protects itself.
     pub fn local_share(places: f64, forwarders: usize) -> f64 {
         (places / forwarders.max(1) as f64).max(1.0)
     }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -1,55 +1,62 @@
-//! Who may give out places on workers, and which grants hold. A planner leads while it is the least of those that are
-//! here; each that comes to lead takes an epoch past all that it has heard of, and gives nothing out until the grants of
-//! those before it must have ended. A forwarder takes grants of the newest epoch it knows only.
+//! Who may grant places on workers, and which grants are valid. A planner leads while it is the least of those that are here; each
+//! that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants of those before it must
+//! have ended. A forwarder accepts grants of the newest epoch that it knows only.
 //!
 //! # The bound
 //!
-//! A grant holds for `lasts` from when its planner made it, and its forwarder takes it for no longer than `lasts` from when it
-//! came, less the time since it asked (the report that it answers). A planner that comes to lead waits for `lasts` and
-//! [`MAX_CLOCK_SKEW`]. So while clocks run equally fast to within MAX_CLOCK_SKEW in `lasts`, no two planners' grants hold at once: of each worker no
-//! more than its places is given out. Two that both think they lead, each for longer than that wait (the net between them cut),
-//! give out the places twice at the most, one for each side of the cut, and a forwarder counts one epoch only.
+//! A grant holds for `duration` from when its planner made it, and its forwarder uses it for no longer than `duration` from when it
+//! sent the load report that the grant answers, which was earlier. A planner that becomes leader waits for [`GRANT_DURATION`] and
+//! [`MAX_CLOCK_SKEW`]. So while clocks run equally fast to within that skew in that time, no two planners' grants hold at once: of
+//! each worker no more than its places is granted. Two that both believe that they lead, each for longer than that wait (the network
+//! between them partitioned), grant the places twice at the most, one for each side, and a forwarder counts one epoch only.
 
 use crate::messages::Grant;
 use crate::{NodeId, Time, MS, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long grants last, and how often they are renewed in that time.
+/// How long grants last.
 pub const GRANT_DURATION: Time = 2 * SECOND;
+/// How often they are renewed.
 pub const GRANT_RENEWAL_INTERVAL: Time = GRANT_DURATION / 4;
 /// Clocks may run apart by this much in that time.
 pub const MAX_CLOCK_SKEW: Time = 50 * MS;
 
-/// No grant is taken for more places than this, whatever is said.
+/// No grant counts for more places than this, whatever a planner says.
 pub const MAX_GRANTED_PLACES: u32 = 100_000;
-/// Reports whose answers are still taken.
+/// Load reports whose answers are still accepted.
 const MAX_OPEN_REPORTS: usize = 8;
 
-/// A planner's side: whether it leads, since when, and under which epoch.
+/// A planner's side: whether it leads, and under which epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlannerElection {
     own: NodeId,
     epoch: u64,
     /// The newest epoch heard of.
     seen: u64,
+    /// While it leads: from when on it may grant.
     grants_from: Option<Time>,
+    /// Number of its last grants.
     number: u64,
-    /// How long it waits before it gives out.
+    /// How long it waits before it grants.
     wait: Time,
 }
 
-/// What changed about leading.
+/// A change of who leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// It leads, and may give out from then on.
+    /// It leads.
     BecameLeader {
+        /// Its epoch.
         epoch: u64,
+        /// From when on it may grant.
         from: Time,
     },
+    /// It does not lead any more.
     BecameFollower,
 }
 
 impl PlannerElection {
+    /// A planner that does not lead yet.
     pub fn new(own: NodeId) -> PlannerElection {
         PlannerElection::with_wait(own, GRANT_DURATION + MAX_CLOCK_SKEW)
     }
@@ -59,11 +66,12 @@
         PlannerElection { own, wait, ..PlannerElection::default() }
     }
 
+    /// Whether it leads; it may have to wait before it grants.
     pub fn is_leader(&self) -> bool {
         self.grants_from.is_some()
     }
 
-    /// An epoch that somebody speaks of. One past its own shows another leader: it begins again behind it, if it leads.
+    /// Another member told of an epoch. One past its own shows another leader: it begins again behind it, if it leads.
     pub fn observe_epoch(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
         self.seen = self.seen.max(epoch);
         if self.is_leader() && self.seen > self.epoch {
@@ -72,7 +80,7 @@
         None
     }
 
-    /// The planners that are here, itself among them or not.
+    /// The planners that are here, itself included or not.
     pub fn update_planners(
         &mut self,
         now: Time,
@@ -98,96 +106,105 @@
         LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
-    /// Epoch and number of the next grants, if it may give out now.
+    /// Epoch and number of the next grants, if it may grant now.
     pub fn next_grant(&mut self, now: Time) -> Option<(u64, u64)> {
         self.grants_from.filter(|from| *from <= now)?;
         self.number += 1;
         Some((self.epoch, self.number))
     }
 
+    /// Its epoch, the last one if it does not lead.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 }
 
-/// A planner's side where keepers say who leads: it gives out under the token of its ownership, and nothing that would outlive its
-/// lease. Whoever owns it next may give out at once: all that was given out before has ended by then. So of each worker no more than its
-/// places is given out, once, also where the net between planners is cut, while clocks run equally fast to within the keepers' bound.
+/// A planner's side where the control replicas say who leads: it grants under the fencing token of its lease, and nothing that would
+/// outlive the lease. Whoever holds the lease next may grant at once: all that was granted before has ended by then. So of each worker
+/// no more than its places is granted, once, also where the network between planners is partitioned, while clocks run equally fast to
+/// within the bound of the leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeasedGrants {
     token: u64,
     number: u64,
-    /// When the last of it ends.
-    ends: Time,
+    /// When the last grant ends.
+    last_end: Time,
 }
 
-/// Grants shorter than this are not given: they would end on their way.
+/// Shorter grants are not made: they would end on their way.
 pub const MIN_GRANT_DURATION: Time = GRANT_DURATION / 8;
+/// Puts tokens past every epoch that planners took by themselves: those count changes of leader.
+const TOKEN_EPOCH_SHIFT: u32 = 20;
 
 impl LeasedGrants {
-    /// Epoch and number of the next grants, and how long they last, where it owns under `token`, for `left` at the least, and its
+    /// Epoch, number and duration of the next grants, while the lease with that token holds for `time_left` at the least and its
     /// clock shows `now`.
-    pub fn next_grant(&mut self, now: Time, token: u64, left: Time) -> Option<(u64, u64, Time)> {
-        let lasts = left.min(GRANT_DURATION);
-        if lasts < MIN_GRANT_DURATION {
+    pub fn next_grant(&mut self, now: Time, token: u64, time_left: Time) -> Option<(u64, u64, Time)> {
+        let duration = time_left.min(GRANT_DURATION);
+        if duration < MIN_GRANT_DURATION {
             return None;
         }
         if token != self.token {
             (self.token, self.number) = (token, 0);
         }
         self.number += 1;
-        self.ends = self.ends.max(now + lasts);
-        // Past every epoch that planners took without keepers: those count changes of lead.
-        Some((token << 20, self.number, lasts))
+        self.last_end = self.last_end.max(now + duration);
+        Some((token << TOKEN_EPOCH_SHIFT, self.number, duration))
     }
 
-    /// When all that it gave out has ended.
+    /// When all that it granted has ended.
     pub fn all_ended_at(&self) -> Time {
-        self.ends
+        self.last_end
     }
 }
 
-/// A forwarder's side.
+/// A forwarder's side: the grants that it has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GrantTable {
     epoch: u64,
     number: u64,
-    until: Time,
+    valid_until: Time,
+    /// Places by worker.
     grants: BTreeMap<NodeId, u32>,
-    /// The last reports, and when they went out.
-    asked: VecDeque<(u32, Time)>,
-    reports: u32,
+    /// The last load reports by number, and when they were sent.
+    sent_reports: VecDeque<(u32, Time)>,
+    /// Number of the last one.
+    last_report: u32,
 }
 
-/// Why grants were not taken.
+/// Why grants were not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantRejection {
-    /// Of an epoch before one that is known.
+    /// They are of an epoch before one that is known.
     StaleEpoch,
-    /// Said before already, or overtaken by a later one.
+    /// They came before already, or were overtaken by later ones.
     Duplicate,
-    /// No report of ours can have brought them; how old they are can't be known.
+    /// They answer no load report that is remembered: their age cannot be known.
     UnknownReport,
     /// They had ended when they came.
     Expired,
 }
 
 impl GrantTable {
-    /// A report goes out: its number. Grants that answer it are no older than it.
+    /// A load report is sent; returns its number. Grants that answer it are no older than it.
     pub fn start_report(&mut self, now: Time) -> u32 {
-        self.reports = self.reports.wrapping_add(1);
-        self.asked.push_back((self.reports, now));
-        if self.asked.len() > MAX_OPEN_REPORTS {
-            self.asked.pop_front();
+        self.last_report = self.last_report.wrapping_add(1);
+        self.sent_reports.push_back((self.last_report, now));
+        if self.sent_reports.len() > MAX_OPEN_REPORTS {
+            self.sent_reports.pop_front();
         }
-        self.reports
+        self.last_report
     }
 
+    /// Accepts the grants of an epoch and number that answer a load report, in place of those before.
+    ///
+    /// # Errors
+    /// Says why they are not accepted.
     pub fn accept(
         &mut self,
         now: Time,
-        (epoch, number, answers): (u64, u64, u32),
-        lasts: Time,
+        (epoch, number, report): (u64, u64, u32),
+        duration: Time,
         grants: &[Grant],
     ) -> Result<(), GrantRejection> {
         if epoch < self.epoch {
@@ -196,47 +213,49 @@
         if epoch == self.epoch && number <= self.number {
             return Err(GrantRejection::Duplicate);
         }
-        // Known as the newest even where they are not taken: what came before holds no longer.
+        // Known as the newest even where they are not accepted: what came before is not valid any more.
         if epoch > self.epoch {
             self.grants.clear();
-            self.until = Time::MIN;
+            self.valid_until = Time::MIN;
         }
         (self.epoch, self.number) = (epoch, number);
-        let asked =
-            self.asked.iter().find(|(report, _)| *report == answers).ok_or(GrantRejection::UnknownReport)?.1;
-        let until = asked + lasts.min(GRANT_DURATION);
-        if until <= now {
+        let answered = self.sent_reports.iter().find(|(sent, _)| *sent == report);
+        let sent_at = answered.ok_or(GrantRejection::UnknownReport)?.1;
+        let valid_until = sent_at + duration.min(GRANT_DURATION);
+        if valid_until <= now {
             return Err(GrantRejection::Expired);
         }
-        self.until = until;
-        self.grants =
-            grants.iter().map(|grant| (grant.worker, grant.places.min(MAX_GRANTED_PLACES))).collect();
+        self.valid_until = valid_until;
+        let bounded = |grant: &Grant| (grant.worker, grant.places.min(MAX_GRANTED_PLACES));
+        self.grants = grants.iter().map(bounded).collect();
         Ok(())
     }
 
-    /// Places granted on a worker now; `None` where no grants hold.
+    /// Places granted on a worker now; `None` where no grants are valid.
     pub fn places(&self, now: Time, worker: NodeId) -> Option<u32> {
         self.is_valid(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
 
+    /// Whether the grants are valid now.
     pub fn is_valid(&self, now: Time) -> bool {
-        now < self.until
+        now < self.valid_until
     }
 
+    /// When the grants end.
     pub fn valid_until(&self) -> Time {
-        self.until
+        self.valid_until
     }
 
+    /// The newest epoch that is known.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
+    /// Places granted on all workers now.
     pub fn total_places(&self, now: Time) -> u64 {
-        let places = self.grants.values().map(|places| u64::from(*places));
-        if self.is_valid(now) {
-            places.sum()
-        } else {
-            0
+        if !self.is_valid(now) {
+            return 0;
         }
+        self.grants.values().map(|places| u64::from(*places)).sum()
     }
 }
--- /dev/null
+++ b/crates/forwarding/src/hash_ring.rs
@@ -0,0 +1,54 @@
+//! A ring of points of the workers, for consistent hashing.
+
+use crate::NodeId;
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// Points of a worker on the ring.
+const POINTS_PER_WORKER: u32 = 32;
+
+/// A point and the index of its worker.
+type Point = (u64, usize);
+
+/// Points of all workers, in order.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct HashRing {
+    points: Vec<Point>,
+}
+
+impl HashRing {
+    /// Adds the points of a worker, which stands at `index`.
+    pub fn insert(&mut self, id: NodeId, index: usize) {
+        for number in 0..POINTS_PER_WORKER {
+            let point = (hash_point(id, number), index);
+            let place = self.points.partition_point(|known| *known < point);
+            self.points.insert(place, point);
+        }
+    }
+
+    /// Removes the points of a worker.
+    pub fn remove(&mut self, index: usize) {
+        self.points.retain(|(_, worker)| *worker != index);
+    }
+
+    /// A worker stands at another index from now on.
+    pub fn reindex(&mut self, from: usize, to: usize) {
+        let moved = self.points.iter_mut().filter(|(_, worker)| *worker == from);
+        moved.for_each(|(_, worker)| *worker = to);
+    }
+
+    /// The workers from a subject's place on, once round; one with points behind one another comes once.
+    pub fn walk(&self, subject: u64) -> impl Iterator<Item = usize> + '_ {
+        let start = self.points.partition_point(|(point, _)| *point < subject);
+        let mut previous = usize::MAX;
+        self.points[start..].iter().chain(&self.points[..start]).filter_map(move |(_, worker)| {
+            let is_same = std::mem::replace(&mut previous, *worker) == *worker;
+            (!is_same).then_some(*worker)
+        })
+    }
+}
+
+fn hash_point(id: NodeId, number: u32) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    (id, number).hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -1,97 +1,145 @@
-//! To which worker an invocation goes. One with a subject goes where its subject went, while that worker is not loaded past a
-//! bound (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018: 1.25 of the mean). One
-//! without goes to the best of a few drawn at random, hot and cold told apart by what is out there, as Prequal does (B.
-//! Wydrowski and others, "Load is not what you should balance", 2024): of the cold the fastest, of the hot the emptiest. Workers
-//! that fail are left out for a while; never so many that the rest could not carry it: where most look bad, the measure is.
+//! To which worker a request goes. One with a subject goes where its subject went, while that worker is not loaded past a bound
+//! (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). One without goes to the best of a
+//! few sampled at random, hot and cold told apart by the attempts in flight there, as Prequal does (B. Wydrowski and others,
+//! "Load is not what you should balance", 2024): of the cold the fastest, of the hot the least loaded. Workers that fail or are far
+//! slower than the others are ejected for a while, as Envoy's outlier detection does; never so many that the rest could not carry
+//! the load: where most look bad, the measure is at fault.
 //!
-//! The table is looked up for each invocation: a dense list of those that may be chosen, and a ring of points for subjects.
+//! The table is read for each request: a dense list of the eligible workers, and a ring of points for subjects.
 
+use crate::hash_ring::HashRing;
 use crate::{NodeId, SeededRng, Time, SECOND};
 use std::collections::HashMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Points of a worker on the ring.
-const RING_POINTS_PER_WORKER: u32 = 32;
 /// Load of a worker, against the mean, past which a subject goes to the next.
 const BOUNDED_LOAD_FACTOR: f64 = 1.25;
-/// Workers drawn at random for each choice.
+/// Workers on the ring that a subject tries: far from home any worker is as good.
+const MAX_RING_STEPS: usize = 8;
+/// Workers sampled at random for each choice.
 const SAMPLED_WORKERS: usize = 3;
-/// Past this quantile of what is out at those drawn lately a worker is hot.
+/// Loads of the workers sampled last that are remembered.
+const REMEMBERED_LOADS: usize = 16;
+/// Past this quantile of the remembered loads a worker is hot.
 const HOT_QUANTILE: f64 = 0.8;
-/// Weight of the newest in means.
+/// Weight of the newest sample in exponentially weighted means.
 const EWMA_WEIGHT: f64 = 0.1;
-/// A worker is left out when this part of its ends failed, over this many at the least; or when it takes so many times the
-/// median.
+/// A worker is ejected when this fraction of its attempts failed.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
+/// Attempts that a worker is judged by at the least.
 const EJECTION_MIN_ATTEMPTS: f64 = 10.0;
+/// After so many attempts without another ejection the next one is short again.
+const ATTEMPTS_UNTIL_REHABILITATED: f64 = 10.0 * EJECTION_MIN_ATTEMPTS;
+/// A worker is ejected when its latency is so many times the median.
 const EJECTION_LATENCY_FACTOR: f64 = 5.0;
-/// At first for so long, doubled each time up to the most.
+/// Workers whose latency is known, for the median to mean anything.
+const MIN_MEASURED_WORKERS: usize = 3;
+/// The first ejection; each further one lasts twice as long.
 const BASE_EJECTION_TIME: Time = 5 * SECOND;
 const MAX_EJECTION_TIME: Time = 60 * SECOND;
-/// Never more than this part of all.
+const MAX_EJECTION_DOUBLINGS: u32 = 8;
+/// Never more than this fraction of all workers is ejected.
 const MAX_EJECTED_FRACTION: f64 = 0.3;
 
 #[derive(Clone, Debug)]
 struct Worker {
     id: NodeId,
-    /// Places that may be used there.
+    /// Attempts that may be in flight there.
     places: f64,
     in_flight: u32,
-    /// Mean time to an answer, and the parts of ends that failed and that were turned away.
+    /// Mean time to an answer; 0 where none is known.
     latency: f64,
-    failed: f64,
-    ends: f64,
-    /// Not before then: it said so, or it is left out.
+    /// Mean fraction of attempts that failed.
+    failure_rate: f64,
+    /// Attempts that ended since the last ejection.
+    attempts: f64,
+    /// Not before then: the worker said so, or it is ejected.
     eligible_from: Time,
+    /// Ejections behind one another.
     ejections: u32,
     accepts_work: bool,
-    /// Its place in the dense list.
+    /// Its index in the list of eligible workers.
     eligible_index: Option<usize>,
 }
 
-/// How a try ended, for the measure of its worker.
+impl Worker {
+    fn new(id: NodeId) -> Worker {
+        Worker {
+            id,
+            places: 0.0,
+            in_flight: 0,
+            latency: 0.0,
+            failure_rate: 0.0,
+            attempts: 0.0,
+            eligible_from: Time::MIN,
+            ejections: 0,
+            accepts_work: false,
+            eligible_index: None,
+        }
+    }
+
+    fn is_measured(&self) -> bool {
+        self.attempts >= EJECTION_MIN_ATTEMPTS
+    }
+
+    fn has_capacity(&self) -> bool {
+        self.eligible_index.is_some() && f64::from(self.in_flight) + 1.0 <= self.places.max(1.0)
+    }
+
+    /// Prequal's rule: a cold worker before a hot one; of the cold the fastest, of the hot the least loaded.
+    fn is_better_than(&self, other: &Worker, hot_threshold: u32) -> bool {
+        let is_hot = |worker: &Worker| worker.in_flight > hot_threshold;
+        match (is_hot(self), is_hot(other)) {
+            (false, true) => true,
+            (true, false) => false,
+            (true, true) => self.in_flight < other.in_flight,
+            (false, false) => self.latency < other.latency,
+        }
+    }
+}
+
+/// How an attempt ended, for the measure of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
+    /// The worker ran it.
     Succeeded,
+    /// The worker turned it away.
     Rejected,
+    /// The worker failed.
     Failed,
     /// No connection, or it broke.
     ConnectionLost,
-    /// The caller left, or the try was called off: it says nothing of the worker.
+    /// The client left, or the attempt was called off: it says nothing of the worker.
     Cancelled,
 }
 
+/// Chooses workers, and keeps the measures that it chooses by.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     workers: Vec<Worker>,
+    /// Index of each worker.
     by_id: HashMap<NodeId, usize>,
-    /// Workers that may be chosen.
+    /// Indices of the workers that may be chosen.
     eligible: Vec<usize>,
-    /// Points of all, in order; each names its worker.
-    ring: Vec<(u64, usize)>,
-    /// What was out at those drawn lately, for the hot_threshold between hot and cold.
+    ring: HashRing,
+    /// Loads of the workers sampled last, for the line between hot and cold.
     sampled_loads: Vec<u32>,
     next_sample: usize,
     in_flight: u64,
+    /// Places at all eligible workers.
     places: f64,
     rng: SeededRng,
     full_scans: u64,
 }
 
-fn point(id: NodeId, number: u32) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    (id, number).hash(&mut hasher);
-    hasher.finish()
-}
-
 impl LoadBalancer {
+    /// No workers yet.
     pub fn new(seed: u64) -> LoadBalancer {
         LoadBalancer {
             workers: Vec::new(),
             by_id: HashMap::new(),
             eligible: Vec::new(),
-            ring: Vec::new(),
-            sampled_loads: vec![0; 16],
+            ring: HashRing::default(),
+            sampled_loads: vec![0; REMEMBERED_LOADS],
             next_sample: 0,
             in_flight: 0,
             places: 0.0,
@@ -100,79 +148,77 @@
         }
     }
 
+    /// Number of workers, eligible or not.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
+
+    /// Whether there is no worker.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
-    /// Tries that are out.
+
+    /// Attempts in flight at all workers.
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
-    /// Places at all workers that may be chosen.
+
+    /// Places at all eligible workers.
     pub fn places(&self) -> f64 {
         self.places
     }
+
+    /// Attempts in flight at one worker.
     pub fn in_flight_at(&self, id: NodeId) -> u32 {
-        self.by_id.get(&id).map_or(0, |at| self.workers[*at].in_flight)
+        self.by_id.get(&id).map_or(0, |index| self.workers[*index].in_flight)
     }
+
+    /// Whether a worker may be chosen.
     pub fn is_eligible(&self, id: NodeId) -> bool {
-        self.by_id.get(&id).is_some_and(|at| self.workers[*at].eligible_index.is_some())
+        self.by_id.get(&id).is_some_and(|index| self.workers[*index].eligible_index.is_some())
     }
 
-    /// A worker that is here, with what may be used of it.
-    pub fn set_worker(&mut self, now: Time, id: NodeId, places: f64, accepts_work: bool, _: Time) {
-        let at = match self.by_id.get(&id) {
-            Some(at) => *at,
-            None => {
-                let at = self.workers.len();
-                self.workers.push(Worker {
-                    id,
-                    places: 0.0,
-                    in_flight: 0,
-                    latency: 0.0,
-                    failed: 0.0,
-                    ends: 0.0,
-                    eligible_from: Time::MIN,
-                    ejections: 0,
-                    accepts_work: false,
-                    eligible_index: None,
-                });
-                self.by_id.insert(id, at);
-                for number in 0..RING_POINTS_PER_WORKER {
-                    let new = (point(id, number), at);
-                    let place = self.ring.partition_point(|known| *known < new);
-                    self.ring.insert(place, new);
-                }
-                at
-            }
-        };
-        let worker = &mut self.workers[at];
+    /// Choices that had to look at all workers.
+    pub fn full_scans(&self) -> u64 {
+        self.full_scans
+    }
+
+    /// A worker that is here, with the places that may be used there.
+    pub fn set_worker(&mut self, now: Time, id: NodeId, places: f64, accepts_work: bool) {
+        let index = self.by_id.get(&id).copied().unwrap_or_else(|| self.add_worker(id));
+        let worker = &mut self.workers[index];
         (worker.places, worker.accepts_work) = (places, accepts_work);
-        self.update_eligibility(now, at);
+        self.update_eligibility(now, index);
     }
 
-    /// All of a worker is forgotten; tries that are out there still end by `ended`, unknown.
+    fn add_worker(&mut self, id: NodeId) -> usize {
+        let index = self.workers.len();
+        self.workers.push(Worker::new(id));
+        self.by_id.insert(id, index);
+        self.ring.insert(id, index);
+        index
+    }
+
+    /// Forgets a worker; attempts in flight there may still be ended, which has no effect then.
     pub fn remove_worker(&mut self, id: NodeId) {
-        let Some(at) = self.by_id.remove(&id) else { return };
-        self.remove_from_eligible(at);
-        self.in_flight -= u64::from(self.workers[at].in_flight);
-        self.ring.retain(|(_, worker)| *worker != at);
+        let Some(index) = self.by_id.remove(&id) else { return };
+        self.remove_from_eligible(index);
+        self.in_flight -= u64::from(self.workers[index].in_flight);
+        self.ring.remove(index);
         let last = self.workers.len() - 1;
-        self.workers.swap_remove(at);
-        if at < last {
-            self.by_id.insert(self.workers[at].id, at);
-            self.ring.iter_mut().filter(|(_, worker)| *worker == last).for_each(|(_, worker)| *worker = at);
-            if let Some(place) = self.workers[at].eligible_index {
-                self.eligible[place] = at;
+        self.workers.swap_remove(index);
+        if index < last {
+            self.by_id.insert(self.workers[index].id, index);
+            self.ring.reindex(last, index);
+            if let Some(place) = self.workers[index].eligible_index {
+                self.eligible[place] = index;
             }
         }
     }
 
-    fn remove_from_eligible(&mut self, at: usize) {
-        if let Some(place) = self.workers[at].eligible_index.take() {
-            self.places -= self.workers[at].places;
+    fn remove_from_eligible(&mut self, index: usize) {
+        if let Some(place) = self.workers[index].eligible_index.take() {
+            self.places -= self.workers[index].places;
             self.eligible.swap_remove(place);
             if let Some(moved) = self.eligible.get(place).copied() {
                 self.workers[moved].eligible_index = Some(place);
@@ -180,53 +226,36 @@
         }
     }
 
-    /// Into the dense list or out of it, as it stands now.
-    fn update_eligibility(&mut self, now: Time, at: usize) {
-        self.remove_from_eligible(at);
-        let worker = &self.workers[at];
+    /// Into the list of eligible workers or out of it, as the worker stands now.
+    fn update_eligibility(&mut self, now: Time, index: usize) {
+        self.remove_from_eligible(index);
+        let worker = &mut self.workers[index];
         if worker.accepts_work && worker.places >= 1.0 && worker.eligible_from <= now {
-            self.workers[at].eligible_index = Some(self.eligible.len());
-            self.places += self.workers[at].places;
-            self.eligible.push(at);
+            worker.eligible_index = Some(self.eligible.len());
+            self.places += worker.places;
+            self.eligible.push(index);
         }
     }
 
-    fn has_capacity(&self, at: usize) -> bool {
-        let worker = &self.workers[at];
-        worker.eligible_index.is_some() && f64::from(worker.in_flight) + 1.0 <= worker.places.max(1.0)
-    }
-
-    /// The worker for an invocation, if any has room; not one of `not`.
-    pub fn choose(&mut self, _: Time, subject: Option<u64>, excluded: &[NodeId]) -> Option<NodeId> {
-        let at = subject
-            .and_then(|subject| self.choose_on_ring(subject, excluded))
-            .or_else(|| self.choose_sampled(excluded))?;
-        Some(self.workers[at].id)
+    /// The worker for a request, if any has capacity; none of `excluded`.
+    pub fn choose(&mut self, subject: Option<u64>, excluded: &[NodeId]) -> Option<NodeId> {
+        let on_ring = subject.and_then(|subject| self.choose_on_ring(subject, excluded));
+        let index = on_ring.or_else(|| self.choose_sampled(excluded))?;
+        Some(self.workers[index].id)
     }
 
     fn choose_on_ring(&self, subject: u64, excluded: &[NodeId]) -> Option<usize> {
         let mean = (self.in_flight + 1) as f64 / self.eligible.len().max(1) as f64;
         let bound = (BOUNDED_LOAD_FACTOR * mean).ceil();
-        let start = self.ring.partition_point(|(point, _)| *point < subject);
-        let (mut tried, mut last) = (0, usize::MAX);
-        for (_, at) in self.ring[start..].iter().chain(&self.ring[..start]) {
-            if *at == last {
-                continue;
-            }
-            last = *at;
-            let worker = &self.workers[*at];
-            if self.has_capacity(*at) && f64::from(worker.in_flight) < bound && !excluded.contains(&worker.id)
-            {
-                return Some(*at);
-            }
-            tried += 1;
-            if tried >= 8 {
-                break; // far from home anywhere is as good
-            }
-        }
-        None
+        let can_take = |index: &usize| {
+            let worker = &self.workers[*index];
+            let is_below_bound = f64::from(worker.in_flight) < bound;
+            worker.has_capacity() && is_below_bound && !excluded.contains(&worker.id)
+        };
+        self.ring.walk(subject).take(MAX_RING_STEPS).find(can_take)
     }
 
+    /// The best of a few sampled workers.
     fn choose_sampled(&mut self, excluded: &[NodeId]) -> Option<usize> {
         if self.eligible.is_empty() {
             return None;
@@ -234,152 +263,154 @@
         let hot_threshold = self.hot_threshold();
         let mut best: Option<usize> = None;
         for _ in 0..SAMPLED_WORKERS {
-            let at = self.eligible[self.rng.index_below(self.eligible.len())];
-            let worker = &self.workers[at];
+            let index = self.eligible[self.rng.index_below(self.eligible.len())];
+            let worker = &self.workers[index];
             self.sampled_loads[self.next_sample] = worker.in_flight;
             self.next_sample = (self.next_sample + 1) % self.sampled_loads.len();
-            if !self.has_capacity(at) || excluded.contains(&worker.id) {
+            if !worker.has_capacity() || excluded.contains(&worker.id) {
                 continue;
             }
-            let better = best.is_none_or(|best| {
-                let best = &self.workers[best];
-                let (hot, best_hot) = (worker.in_flight > hot_threshold, best.in_flight > hot_threshold);
-                match (hot, best_hot) {
-                    (false, true) => true,
-                    (true, false) => false,
-                    (true, true) => worker.in_flight < best.in_flight,
-                    (false, false) => worker.latency < best.latency,
-                }
-            });
-            if better {
-                best = Some(at);
+            if best.is_none_or(|best| worker.is_better_than(&self.workers[best], hot_threshold)) {
+                best = Some(index);
             }
         }
-        if best.is_some() {
-            return best;
-        }
-        // Seldom: none of those drawn has room. The emptiest of all, from a random place on.
+        best.or_else(|| self.choose_by_full_scan(excluded))
+    }
+
+    /// The least loaded of all, from a random place on; needed only where none of those sampled has capacity.
+    fn choose_by_full_scan(&mut self, excluded: &[NodeId]) -> Option<usize> {
         self.full_scans += 1;
         let start = self.rng.index_below(self.eligible.len());
         let all = self.eligible[start..].iter().chain(&self.eligible[..start]).copied();
-        let free = all.filter(|at| self.has_capacity(*at) && !excluded.contains(&self.workers[*at].id));
-        free.min_by_key(|at| self.workers[*at].in_flight)
+        let can_take = |index: &usize| {
+            let worker = &self.workers[*index];
+            worker.has_capacity() && !excluded.contains(&worker.id)
+        };
+        all.filter(can_take).min_by_key(|index| self.workers[*index].in_flight)
     }
 
-    /// What is out at most of those drawn lately.
+    /// The load at most of the workers sampled lately.
     fn hot_threshold(&self) -> u32 {
         let mut sorted = self.sampled_loads.clone();
         let place = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
         *sorted.select_nth_unstable(place).1
     }
 
-    /// A try goes out; false where its worker is not known.
+    /// An attempt starts; returns false where its worker is not known.
     pub fn record_start(&mut self, id: NodeId) -> bool {
-        let Some(at) = self.by_id.get(&id) else { return false };
-        self.workers[*at].in_flight += 1;
+        let Some(index) = self.by_id.get(&id) else { return false };
+        self.workers[*index].in_flight += 1;
         self.in_flight += 1;
         true
     }
 
-    /// A try has ended, after `latency`; `later` is what its worker said of when to come back.
-    pub fn record_end(&mut self, now: Time, id: NodeId, how: AttemptOutcome, latency: Time, later: Time) {
-        let Some(at) = self.by_id.get(&id).copied() else { return };
-        let worker = &mut self.workers[at];
+    /// An attempt has ended, after `latency`; `retry_after` is what its worker said of when to come back, or 0.
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        id: NodeId,
+        outcome: AttemptOutcome,
+        latency: Time,
+        retry_after: Time,
+    ) {
+        let Some(index) = self.by_id.get(&id).copied() else { return };
+        let worker = &mut self.workers[index];
         if worker.in_flight > 0 {
             worker.in_flight -= 1;
             self.in_flight -= 1;
         }
-        if how == AttemptOutcome::Cancelled {
+        if outcome == AttemptOutcome::Cancelled {
             return;
         }
-        let failed = matches!(how, AttemptOutcome::Failed | AttemptOutcome::ConnectionLost);
-        worker.ends += 1.0;
-        worker.failed += (f64::from(failed) - worker.failed) * EWMA_WEIGHT;
-        // One that fails fast must not look like the best: what failed counts as slow as what succeeds there, doubled.
-        if how == AttemptOutcome::Succeeded {
-            let first = worker.latency == 0.0;
-            worker.latency += (latency as f64 - worker.latency) * if first { 1.0 } else { EWMA_WEIGHT };
-            worker.ejections = if worker.ends > 10.0 * EJECTION_MIN_ATTEMPTS { 0 } else { worker.ejections };
-        } else if failed {
-            worker.latency *= 1.0 + EWMA_WEIGHT;
+        worker.measure(outcome, latency);
+        if retry_after > 0 {
+            worker.eligible_from = worker.eligible_from.max(now + retry_after);
+            self.update_eligibility(now, index);
         }
-        if later > 0 {
-            worker.eligible_from = worker.eligible_from.max(now + later);
-            self.update_eligibility(now, at);
-        }
-        if failed {
-            self.check_failures(now, at);
+        if outcome.is_failure() {
+            self.eject_if_failing(now, index);
         }
     }
 
-    /// Whether a worker is to be left out for a while.
-    fn check_failures(&mut self, now: Time, at: usize) {
-        let worker = &self.workers[at];
-        if worker.ends < EJECTION_MIN_ATTEMPTS
-            || worker.failed < EJECTION_FAILURE_RATE
-            || worker.eligible_from > now
-        {
-            return;
+    fn eject_if_failing(&mut self, now: Time, index: usize) {
+        let worker = &self.workers[index];
+        let is_failing = worker.is_measured() && worker.failure_rate >= EJECTION_FAILURE_RATE;
+        if is_failing && worker.eligible_from <= now {
+            self.eject(now, index);
         }
-        self.eject(now, at);
     }
 
-    fn eject(&mut self, now: Time, at: usize) {
-        let away =
-            self.workers.iter().filter(|worker| worker.accepts_work && worker.eligible_from > now).count();
+    /// Ejects a worker for a while, unless too many are already: where most look bad, the measure is at fault.
+    fn eject(&mut self, now: Time, index: usize) {
+        let is_away = |worker: &&Worker| worker.accepts_work && worker.eligible_from > now;
+        let away = self.workers.iter().filter(is_away).count();
         if (away + 1) as f64 > self.workers.len() as f64 * MAX_EJECTED_FRACTION {
-            return; // most look bad: then the measure is
+            return;
         }
-        let worker = &mut self.workers[at];
-        let span = (BASE_EJECTION_TIME << worker.ejections.min(8)).min(MAX_EJECTION_TIME);
+        let worker = &mut self.workers[index];
+        let doublings = worker.ejections.min(MAX_EJECTION_DOUBLINGS);
         worker.ejections += 1;
-        (worker.failed, worker.ends) = (0.0, 0.0);
-        worker.eligible_from = now + span;
-        self.update_eligibility(now, at);
+        (worker.failure_rate, worker.attempts) = (0.0, 0.0);
+        worker.eligible_from = now + (BASE_EJECTION_TIME << doublings).min(MAX_EJECTION_TIME);
+        self.update_eligibility(now, index);
     }
 
-    /// From time to time: those whose time is over come back; one far slower than the others is left out.
+    /// To be called from time to time: workers whose ejection is over come back; those far slower than the others are ejected.
     pub fn tick(&mut self, now: Time) {
-        for at in 0..self.workers.len() {
-            if self.workers[at].eligible_index.is_none() {
-                self.update_eligibility(now, at);
+        for index in 0..self.workers.len() {
+            if self.workers[index].eligible_index.is_none() {
+                self.update_eligibility(now, index);
             }
         }
-        let mut latency: Vec<f64> = self
-            .workers
-            .iter()
-            .filter(|w| w.ends >= EJECTION_MIN_ATTEMPTS && w.latency > 0.0)
-            .map(|w| w.latency)
-            .collect();
-        if latency.len() < 3 {
-            return;
-        }
-        let middle = latency.len() / 2;
-        let median = *latency.select_nth_unstable_by(middle, f64::total_cmp).1;
-        for at in 0..self.workers.len() {
-            let worker = &self.workers[at];
-            if worker.eligible_index.is_some()
-                && worker.ends >= EJECTION_MIN_ATTEMPTS
-                && worker.latency > median * EJECTION_LATENCY_FACTOR
-            {
-                self.workers[at].latency = median;
-                self.eject(now, at);
+        let Some(median) = self.median_latency() else { return };
+        for index in 0..self.workers.len() {
+            let worker = &mut self.workers[index];
+            let is_slow = worker.is_measured() && worker.latency > median * EJECTION_LATENCY_FACTOR;
+            if worker.eligible_index.is_some() && is_slow {
+                worker.latency = median;
+                self.eject(now, index);
             }
         }
     }
 
-    /// Choices that had to look at all.
-    pub fn full_scans(&self) -> u64 {
-        self.full_scans
+    fn median_latency(&self) -> Option<f64> {
+        let measured = self.workers.iter().filter(|worker| worker.is_measured() && worker.latency > 0.0);
+        let mut latencies: Vec<f64> = measured.map(|worker| worker.latency).collect();
+        if latencies.len() < MIN_MEASURED_WORKERS {
+            return None;
+        }
+        let middle = latencies.len() / 2;
+        Some(*latencies.select_nth_unstable_by(middle, f64::total_cmp).1)
+    }
+}
+
+impl AttemptOutcome {
+    fn is_failure(self) -> bool {
+        matches!(self, AttemptOutcome::Failed | AttemptOutcome::ConnectionLost)
+    }
+}
+
+impl Worker {
+    /// Adds an attempt's end to the measures.
+    fn measure(&mut self, outcome: AttemptOutcome, latency: Time) {
+        self.attempts += 1.0;
+        self.failure_rate += (f64::from(outcome.is_failure()) - self.failure_rate) * EWMA_WEIGHT;
+        if outcome == AttemptOutcome::Succeeded {
+            let weight = if self.latency == 0.0 { 1.0 } else { EWMA_WEIGHT };
+            self.latency += (latency as f64 - self.latency) * weight;
+            if self.attempts > ATTEMPTS_UNTIL_REHABILITATED {
+                self.ejections = 0;
+            }
+        } else if outcome.is_failure() {
+            // One that fails fast must not look like the best: each failure makes it look slower.
+            self.latency *= 1.0 + EWMA_WEIGHT;
+        }
     }
 }
 
-/// A plain scan over the same table, to measure against: the fastest of the coldest of all.
-pub fn least_loaded(routes: &LoadBalancer, _: Time) -> Option<NodeId> {
-    let free = (0..routes.workers.len()).filter(|at| routes.has_capacity(*at));
-    let best = free.min_by(|a, b| {
-        let (a, b) = (&routes.workers[*a], &routes.workers[*b]);
-        a.in_flight.cmp(&b.in_flight).then(a.latency.total_cmp(&b.latency))
-    });
-    best.map(|at| routes.workers[at].id)
+/// The least loaded worker by a plain scan of the same table, to measure against; of equally loaded ones the fastest.
+pub fn least_loaded(balancer: &LoadBalancer) -> Option<NodeId> {
+    let free = balancer.workers.iter().filter(|worker| worker.has_capacity());
+    let best = free.min_by(|a, b| a.in_flight.cmp(&b.in_flight).then(a.latency.total_cmp(&b.latency)));
+    best.map(|worker| worker.id)
 }
--- a/crates/forwarding/src/retry_budget.rs
+++ b/crates/forwarding/src/retry_budget.rs
@@ -1,93 +1,115 @@
-//! Whether an invocation may go to another worker. One rule for the whole path: only what provably never ran, within its
-//! time, never against the word of whoever turned it away, and under one budget for all callers of a forwarder: a retry_ratio of
-//! first tries with a floor. So two levels never try more than `1 + retry_ratio` times what came, past the floor.
+//! Whether a request may be tried again at another worker. One rule for the whole path: only what provably never ran, within its
+//! deadline, never against the word of whoever rejected it, and under one budget for all clients of a forwarder: a fraction of
+//! the first attempts with a floor. So two levels never send more than `1 + ratio` times what arrived, past the floor.
 
 use crate::{Time, SECOND};
 
-/// Further tries for each first one, and so many a second at the least.
+/// Retries for each first attempt, unless [`RetryBudget::set_retry_ratio`] says otherwise.
 pub const RETRY_RATIO: f64 = 0.1;
+/// Retries that are allowed per second whatever the first attempts.
 pub const MIN_RETRIES_PER_SECOND: f64 = 3.0;
-/// What may be saved up, in tries.
+/// Retries that may be saved up.
 const MAX_SAVED_RETRIES: f64 = 20.0;
-/// Tries of one invocation.
+/// Attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of a try that did not succeed.
+/// What is known of an attempt that did not succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// Turned away, or no byte of it was written: it never ran.
+    /// Rejected, or no byte of it was written.
     NeverRan,
     /// It may have run.
     MayHaveRun,
 }
 
+/// What a retry would be.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryRequest {
+    /// What is known of the attempt before.
+    pub execution: Execution,
+    /// Whoever rejected it said to give up.
+    pub give_up: bool,
+    /// Attempts of the request so far.
+    pub attempts: u32,
+    /// Time left until its deadline.
+    pub time_left: Time,
+    /// Time that an attempt is expected to need.
+    pub time_needed: Time,
+}
+
+impl RetryRequest {
+    fn is_allowed(&self) -> bool {
+        self.execution == Execution::NeverRan
+            && !self.give_up
+            && self.attempts < MAX_ATTEMPTS
+            && self.time_left > self.time_needed
+    }
+}
+
+/// What the budget has counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RetryCounts {
+    /// First attempts.
+    pub first_attempts: u64,
+    /// Retries.
+    pub retries: u64,
+    /// Retries that were allowed by the rule, and that the budget did not cover.
+    pub denied: u64,
+}
+
+/// The retry budget of a forwarder.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    retry_ratio: f64,
-    tries: f64,
-    at: Time,
-    first: u64,
-    further: u64,
-    denied: u64,
+    ratio: f64,
+    /// Retries that may be sent now.
+    saved: f64,
+    updated_at: Time,
+    counts: RetryCounts,
 }
 
 impl RetryBudget {
+    /// A budget with the retries of a second.
     pub fn new(now: Time) -> RetryBudget {
-        RetryBudget {
-            retry_ratio: RETRY_RATIO,
-            tries: MIN_RETRIES_PER_SECOND,
-            at: now,
-            first: 0,
-            further: 0,
-            denied: 0,
-        }
+        let (ratio, saved) = (RETRY_RATIO, MIN_RETRIES_PER_SECOND);
+        RetryBudget { ratio, saved, updated_at: now, counts: RetryCounts::default() }
     }
 
-    /// Further tries for each first one from now on.
-    pub fn set_retry_ratio(&mut self, retry_ratio: f64) {
-        self.retry_ratio = retry_ratio;
+    /// Sets the retries for each first attempt from now on.
+    pub fn set_retry_ratio(&mut self, ratio: f64) {
+        self.ratio = ratio;
     }
 
-    fn grow(&mut self, now: Time) {
-        let span = (now - self.at).max(0);
-        self.at = self.at.max(now);
-        self.tries =
-            (self.tries + MIN_RETRIES_PER_SECOND * span as f64 / SECOND as f64).min(MAX_SAVED_RETRIES);
+    fn add_floor(&mut self, now: Time) {
+        let elapsed = (now - self.updated_at).max(0);
+        self.updated_at = self.updated_at.max(now);
+        let floor = MIN_RETRIES_PER_SECOND * elapsed as f64 / SECOND as f64;
+        self.saved = (self.saved + floor).min(MAX_SAVED_RETRIES);
     }
 
-    /// A first try goes out.
+    /// A first attempt starts.
     pub fn record_first_attempt(&mut self, now: Time) {
-        self.grow(now);
-        self.first += 1;
-        self.tries = (self.tries + self.retry_ratio).min(MAX_SAVED_RETRIES);
+        self.add_floor(now);
+        self.counts.first_attempts += 1;
+        self.saved = (self.saved + self.ratio).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a further try may go out, the `tries`-th of its invocation, with `left` until it is due and `need` expected. One
-    /// that may is counted.
-    pub fn try_retry(
-        &mut self,
-        now: Time,
-        known: Execution,
-        give_up: bool,
-        tries: u32,
-        left: Time,
-        need: Time,
-    ) -> bool {
-        self.grow(now);
-        if known != Execution::NeverRan || give_up || tries >= MAX_ATTEMPTS || left <= need {
+    /// Whether the retry may be sent; one that may is counted against the budget.
+    pub fn try_retry(&mut self, now: Time, request: RetryRequest) -> bool {
+        self.add_floor(now);
+        if !request.is_allowed() {
             return false;
         }
-        if self.tries < 1.0 {
-            self.denied += 1;
+        if self.saved < 1.0 {
+            self.counts.denied += 1;
             return false;
         }
-        self.tries -= 1.0;
-        self.further += 1;
+        self.saved -= 1.0;
+        self.counts.retries += 1;
         true
     }
 
-    /// First tries, further ones, and those that the budget denied.
-    pub fn counts(&self) -> (u64, u64, u64) {
-        (self.first, self.further, self.denied)
+    /// What was counted so far.
+    pub fn counts(&self) -> RetryCounts {
+        self.counts
     }
 }
--- a/crates/forwarding/src/simulation.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A network in which members talk: delays, loss, partitions, deaths, restarts; deterministic by seed. What is measured
-//! stands beside two plain ways to know who is here.
+//! A simulated network of members: delays, loss, partitions, deaths, restarts; deterministic by seed. What gossip costs is measured
+//! in it, and computed for two plain ways to know who is here.
 
 use crate::membership::{Membership, MembershipConfig, OutgoingMessage};
 use crate::messages::{self, MemberState, Role};
@@ -8,11 +8,12 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
+/// How the network treats messages.
 #[derive(Clone, Debug)]
 pub struct NetworkConditions {
-    /// Part of all messages that is lost.
+    /// Fraction of all messages that is lost.
     pub loss: f64,
-    /// Delay of one way, from and to.
+    /// Bounds of the delay one way.
     pub delay: (Time, Time),
     /// Between those under and those from this number on nothing passes, from when to when; `one_way`: only from the first to
     /// the second nothing.
@@ -25,26 +26,33 @@
     Message(usize, usize, usize),
 }
 
+/// Members and the network between them, in simulated time.
 pub struct Simulation {
+    /// Each member; `None` where it is dead.
     pub members: Vec<Option<Membership>>,
+    /// The time now.
     pub now: Time,
     network: NetworkConditions,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     in_flight: Vec<Option<messages::Envelope>>,
     free: Vec<usize>,
-    /// When each looks up next: one time for each, or ticks would breed.
+    /// When each member ticks next: one time for each, or ticks would multiply.
     next_tick: Vec<Time>,
     number: u64,
     rng: SeededRng,
+    /// Messages sent so far.
     pub messages: u64,
+    /// Their bytes.
     pub bytes: u64,
-    /// Of those, bytes that each member sent, and that were on their way to each and not lost.
+    /// Bytes that each member sent.
     pub sent: Vec<u64>,
+    /// Bytes on their way to each member that were not lost.
     pub received: Vec<u64>,
     seed: u64,
     config: MembershipConfig,
 }
 
+/// Address of a member.
 pub fn address(at: usize) -> SocketAddr {
     SocketAddr::from(([10, (at >> 16) as u8, (at >> 8) as u8, at as u8], 1))
 }
@@ -59,12 +67,13 @@
     }
 }
 
+/// Id of a member.
 pub fn member_id(at: usize) -> NodeId {
     crate::node_id(&format!("member-{at}"))
 }
 
 impl Simulation {
-    /// The first three are seeds. They come up over the first second.
+    /// So many members, of which the first three are seeds. They start over the first second.
     pub fn new(many: usize, config: MembershipConfig, network: NetworkConditions, seed: u64) -> Simulation {
         let mut simulation = Simulation {
             members: Vec::new(),
@@ -96,6 +105,7 @@
         self.network = network;
     }
 
+    /// Starts a member, anew where there was one.
     pub fn start(&mut self, at: usize, when: Time, incarnation: u32) {
         let role = [Role::Planner, Role::Forwarder, Role::Worker][at % 3];
         let seeds = (0..3.min(self.members.len().max(1))).map(address).collect();
@@ -114,7 +124,7 @@
         }
     }
 
-    /// It is gone without a word.
+    /// A member dies without a message.
     pub fn kill(&mut self, at: usize) {
         self.members[at] = None;
     }
@@ -124,6 +134,7 @@
         self.events.push(Reverse((at, self.number, event)));
     }
 
+    /// Sends what a member has to send.
     pub fn send(&mut self, from: usize, all: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, envelope } in all {
             let to = index(&to);
@@ -151,6 +162,7 @@
         }
     }
 
+    /// Runs until that time.
     pub fn run(&mut self, until: Time) {
         while let Some(Reverse((at, ..))) = self.events.peek() {
             if *at > until {
@@ -184,7 +196,7 @@
         self.now = until;
     }
 
-    /// How many of those that are here hold that one for so.
+    /// How many of the members that are alive hold that one to be in that state.
     pub fn count_agreeing(&self, whom: usize, state: MemberState) -> usize {
         let id = member_id(whom);
         let holds = |member: &Membership| match member.member(id) {
@@ -198,25 +210,30 @@
             .count()
     }
 
+    /// Members that are alive.
     pub fn alive_count(&self) -> usize {
         self.members.iter().flatten().count()
     }
 }
 
-/// What a way to know costs, for each member and second, and how it does.
+/// What a way to know who is here costs, for each member and second, and how well it does.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipCost {
+    /// Members.
     pub many: usize,
+    /// Messages for each member and second.
     pub messages: f64,
+    /// Their bytes.
     pub bytes: f64,
-    /// Milliseconds until half of the others, and until all, hold a dead one for dead.
+    /// Milliseconds until half of the others know of a death.
     pub half: f64,
+    /// Milliseconds until all others do.
     pub all: f64,
-    /// Members that were held for dead and were not, for each hundred member minutes.
+    /// Members that were wrongly held to be dead, for each hundred member minutes.
     pub false_deaths: f64,
 }
 
-/// Gossip, simulated: `many` members for a minute, then one dies.
+/// Gossip, simulated: so many members for a minute, then one dies.
 pub fn measure_gossip(many: usize, loss: f64, seed: u64, config: MembershipConfig) -> MembershipCost {
     let network = NetworkConditions { loss, delay: (2, 20), cut: None };
     let mut simulation = Simulation::new(many, config, network, seed);
@@ -257,7 +274,7 @@
 }
 
 /// A heartbeat of 60 bytes each half second, dead past `missed` in a row: from each to each other (`all_to_all`), or to a
-/// planner that tells all. Computed, not played: loss falls on each alike.
+/// planner that tells all. Computed, not simulated: loss falls on each alike.
 pub fn compute_heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
     let (period, size) = (0.5, 60.0);
     let others = (many - 1) as f64;
--- a/crates/forwarding/src/slow_start.rs
+++ b/crates/forwarding/src/slow_start.rs
@@ -1,26 +1,31 @@
-//! What a cold worker reservations to each that asks. The worker alone knows its budget, and hears of all who send to it: so it divides
-//! the budget, and no sender counts the others. A reservation is of whole places, holds for [`RESERVATION_DURATION`], and is charged in full, with what
-//! its sender has out already, until it ends or its sender asks again. While a sender asks it uses no earlier reservation.
+//! What a worker that is warming up reserves for each forwarder that asks. The worker alone knows its budget, and hears of all who
+//! send to it: so it divides the budget, and no sender counts the others. A reservation is of whole places, holds for
+//! [`RESERVATION_DURATION`], and is charged in full, with what its sender has in flight already, until it ends or its sender asks
+//! again. While a sender asks it uses no earlier reservation.
 //!
 //! # The bound
 //!
-//! A sender holds a reservation until `RESERVATION_DURATION` after it *asked*, the worker charges it until `RESERVATION_DURATION` after it *answered*, which is later.
-//! So while clocks run equally fast, and the budget does not fall, what all senders have out is never more than the budget, however
-//! many they are, and however they are cut off from each other: none of them needs to know of another.
+//! A sender holds a reservation until `RESERVATION_DURATION` after it *asked*, the worker charges it until `RESERVATION_DURATION`
+//! after it *answered*, which is later. So while clocks run equally fast, and the budget does not fall, what all senders have in
+//! flight is never more than the budget, however many they are, and however they are cut off from each other: none of them needs
+//! to know of another.
 
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
 /// How long a reservation holds: two questions may be lost.
 pub const RESERVATION_DURATION: Time = SECOND * 3 / 2;
-/// Senders that may hold a reservation; one more is promised nothing.
+/// Senders that may hold a reservation; one more gets none.
 pub const MAX_SENDERS: usize = 1024;
+/// No budget counts for more places than this.
+const MAX_BUDGET: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Reservation {
+    /// Places charged against the budget.
     charged: u32,
-    until: Time,
-    /// Its part of the budget that was not given out, as places are whole.
+    ends_at: Time,
+    /// Its share of the budget that was not given out, as places are whole.
     owed: f64,
 }
 
@@ -31,36 +36,44 @@
 }
 
 impl SlowStart {
-    /// The places that `who` may use, which has `out` here already. `budget` is what all together may have; `senders` are expected, and
-    /// more may come.
-    pub fn reserve(&mut self, now: Time, who: NodeId, out: u32, budget: f64, senders: usize) -> u32 {
-        self.reservations.retain(|id, reservation| *id == who || reservation.until > now);
-        if self.reservations.len() >= MAX_SENDERS && !self.reservations.contains_key(&who) {
+    /// The places that `sender` may use, which has `in_flight` here already. `budget` is what all together may have; that many
+    /// `expected_senders` are expected, and more may come.
+    pub fn reserve(
+        &mut self,
+        now: Time,
+        sender: NodeId,
+        in_flight: u32,
+        budget: f64,
+        expected_senders: usize,
+    ) -> u32 {
+        self.reservations.retain(|id, reservation| *id == sender || reservation.ends_at > now);
+        let previous = self.reservations.get(&sender).copied();
+        if self.reservations.len() >= MAX_SENDERS && previous.is_none() {
             return 0;
         }
-        let before = self.reservations.get(&who).copied().unwrap_or_default();
-        let others: u64 = self
-            .reservations
-            .iter()
-            .filter(|(id, _)| **id != who)
-            .map(|(_, one)| u64::from(one.charged))
-            .sum();
-        let many = self.reservations.len() + usize::from(!self.reservations.contains_key(&who));
-        let part = budget.max(0.0) / many.max(senders).max(1) as f64;
-        let owed = (before.owed + part).min(part + 1.0);
-        let room = (budget.clamp(0.0, 1e6) as u64).saturating_sub(others);
-        let places = (owed as u64).min(room) as u32;
-        let charged = places.max(out);
-        self.reservations.insert(
-            who,
-            Reservation { charged, until: now + RESERVATION_DURATION, owed: owed - f64::from(places) },
-        );
+        let senders = self.reservations.len() + usize::from(previous.is_none());
+        let share = budget.max(0.0) / senders.max(expected_senders).max(1) as f64;
+        let owed = (previous.unwrap_or_default().owed + share).min(share + 1.0);
+        let available = (budget.clamp(0.0, MAX_BUDGET) as u64).saturating_sub(self.charged_to_others(sender));
+        let places = (owed as u64).min(available) as u32;
+        let reservation = Reservation {
+            charged: places.max(in_flight),
+            ends_at: now + RESERVATION_DURATION,
+            owed: owed - f64::from(places),
+        };
+        self.reservations.insert(sender, reservation);
         places
     }
 
+    fn charged_to_others(&self, sender: NodeId) -> u64 {
+        let others = self.reservations.iter().filter(|(id, _)| **id != sender);
+        others.map(|(_, reservation)| u64::from(reservation.charged)).sum()
+    }
+
     /// Places that are charged now.
     pub fn charged_places(&self, now: Time) -> u64 {
-        self.reservations.values().filter(|one| one.until > now).map(|one| u64::from(one.charged)).sum()
+        let valid = self.reservations.values().filter(|reservation| reservation.ends_at > now);
+        valid.map(|reservation| u64::from(reservation.charged)).sum()
     }
 }
 
@@ -68,22 +81,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReservedCapacity {
     places: u32,
-    until: Time,
+    ends_at: Time,
 }
 
 impl ReservedCapacity {
-    /// A question goes out: nothing of before holds.
+    /// A question goes out: no reservation of before holds.
     pub fn invalidate(&mut self) {
         self.places = 0;
     }
 
-    /// The answer to what was asked at `asked`.
-    pub fn accept(&mut self, asked: Time, places: u32) {
-        (self.places, self.until) = (places, asked + RESERVATION_DURATION);
+    /// The answer to a question that was asked at `asked_at`.
+    pub fn accept(&mut self, asked_at: Time, places: u32) {
+        (self.places, self.ends_at) = (places, asked_at + RESERVATION_DURATION);
     }
 
+    /// Places that are reserved now.
     pub fn places(&self, now: Time) -> u32 {
-        if now < self.until {
+        if now < self.ends_at {
             self.places
         } else {
             0
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -7,7 +7,7 @@
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::membership::MembershipConfig;
 use cypresscleat_forwarding::messages::*;
-use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, RetryCounts, RetryRequest};
 use cypresscleat_forwarding::simulation::{NetworkConditions, Simulation};
 use cypresscleat_forwarding::slow_start::SlowStart;
 use cypresscleat_forwarding::{NodeId, SeededRng, Time, MS, SECOND};
@@ -84,13 +84,13 @@
             out.retain(|(worker, _)| *worker != gone);
             for id in 0..30 {
                 let places = 2.0 + (id % 5) as f64;
-                routes.set_worker(now, id, places, (id + step / 500) % 11 != 0, Time::MIN);
+                routes.set_worker(now, id, places, (id + step / 500) % 11 != 0);
             }
             routes.tick(now);
         }
         let subject = rng.next_f64();
         let subject = (subject < 0.4).then_some((subject * 1e19) as u64);
-        let chosen = routes.choose(now, subject, &[step % 30]);
+        let chosen = routes.choose(subject, &[step % 30]);
         digest.add(chosen.unwrap_or(NodeId::MAX));
         if let Some(worker) = chosen.filter(|worker| routes.record_start(*worker)) {
             out.push((worker, now));
@@ -173,17 +173,18 @@
     for step in 0..20_000u64 {
         let now = step as Time * 30;
         budget.record_first_attempt(now);
-        let known = if rng.next_f64() < 0.7 { Execution::NeverRan } else { Execution::MayHaveRun };
-        let (give_up, tries) = (rng.next_f64() < 0.1, rng.index_below(4) as u32);
-        let (left, need) = (rng.index_below(1000) as Time, rng.index_below(400) as Time);
-        digest.add(u64::from(budget.try_retry(now, known, give_up, tries, left, need)));
+        let execution = if rng.next_f64() < 0.7 { Execution::NeverRan } else { Execution::MayHaveRun };
+        let (give_up, attempts) = (rng.next_f64() < 0.1, rng.index_below(4) as u32);
+        let (time_left, time_needed) = (rng.index_below(1000) as Time, rng.index_below(400) as Time);
+        let retry = RetryRequest { execution, give_up, attempts, time_left, time_needed };
+        digest.add(u64::from(budget.try_retry(now, retry)));
         let who = rng.index_below(25) as NodeId;
         let budget = 10.0 + rng.next_f64() * 30.0;
         digest.add(u64::from(ramp.reserve(now, who, rng.index_below(4) as u32, budget, 8)));
         digest.add(ramp.charged_places(now));
     }
-    let (first, further, denied) = budget.counts();
-    assert_eq!((digest.0, first, further, denied), (8349135355523100453, 20000, 2182, 5273));
+    let counts = RetryCounts { first_attempts: 20000, retries: 2182, denied: 5273 };
+    assert_eq!((digest.0, budget.counts()), (8349135355523100453, counts));
 }
 
 #[test]
--- a/crates/forwarding/tests/tier.rs
+++ b/crates/forwarding/tests/tier.rs
@@ -9,7 +9,9 @@
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig};
 use cypresscleat_forwarding::messages::{self, *};
-use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, MIN_RETRIES_PER_SECOND, RETRY_RATIO};
+use cypresscleat_forwarding::retry_budget::{
+    Execution, RetryBudget, RetryCounts, RetryRequest, MIN_RETRIES_PER_SECOND, RETRY_RATIO,
+};
 use cypresscleat_forwarding::simulation::{member_id, NetworkConditions, Simulation};
 use cypresscleat_forwarding::{dispatch_mode, NodeId, Time, MS, SECOND};
 use proptest::prelude::*;
@@ -470,7 +472,7 @@
 fn table(many: u64, places: f64) -> LoadBalancer {
     let mut routes = LoadBalancer::new(7);
     for id in 0..many {
-        routes.set_worker(0, id, places, true, Time::MIN);
+        routes.set_worker(0, id, places, true);
     }
     routes
 }
@@ -491,7 +493,7 @@
         if number % 50 == 0 {
             routes.tick(now);
         }
-        if let Some(id) = routes.choose(now, None, &[]) {
+        if let Some(id) = routes.choose(None, &[]) {
             routes.record_start(id);
             served[id as usize] += 1;
             let took = if fails.contains(&id) { 10 } else { speeds[id as usize] };
@@ -524,20 +526,20 @@
 fn subjects_go_home_while_home_is_not_loaded() {
     let mut routes = table(20, 50.0);
     let home: Vec<Option<NodeId>> =
-        (0..200u64).map(|subject| routes.choose(0, Some(subject << 50), &[])).collect();
+        (0..200u64).map(|subject| routes.choose(Some(subject << 50), &[])).collect();
     let again: Vec<Option<NodeId>> =
-        (0..200u64).map(|subject| routes.choose(0, Some(subject << 50), &[])).collect();
+        (0..200u64).map(|subject| routes.choose(Some(subject << 50), &[])).collect();
     assert_eq!(home, again);
     // One worker goes: only its subjects move.
     routes.remove_worker(4);
     for (subject, home) in home.iter().enumerate() {
-        let now = routes.choose(0, Some((subject as u64) << 50), &[]);
+        let now = routes.choose(Some((subject as u64) << 50), &[]);
         assert!(*home == Some(4) || now == *home);
     }
     // One subject for all: none is loaded past the bound.
     let mut routes = table(20, 50.0);
     for _ in 0..200 {
-        let id = routes.choose(0, Some(1), &[]).expect("room");
+        let id = routes.choose(Some(1), &[]).expect("room");
         routes.record_start(id);
     }
     let most = (0..20).map(|id| routes.in_flight_at(id)).max().expect("some");
@@ -547,23 +549,23 @@
 #[test]
 fn a_full_and_a_draining_worker_get_nothing() {
     let mut routes = LoadBalancer::new(1);
-    routes.set_worker(0, 1, 4.0, true, 0);
+    routes.set_worker(0, 1, 4.0, true);
     let mut out = 0;
-    while let Some(id) = routes.choose(0, None, &[]) {
+    while let Some(id) = routes.choose(None, &[]) {
         routes.record_start(id);
         out += 1;
     }
     assert_eq!(out, 4, "its places, and no more");
     routes.record_end(100, 1, AttemptOutcome::Succeeded, 10, 0);
-    assert!(routes.choose(100, None, &[]).is_some());
-    routes.set_worker(100, 1, 4.0, false, 0);
-    assert_eq!(routes.choose(100, None, &[]), None);
-    routes.set_worker(100, 1, 4.0, true, 0);
+    assert!(routes.choose(None, &[]).is_some());
+    routes.set_worker(100, 1, 4.0, false);
+    assert_eq!(routes.choose(None, &[]), None);
+    routes.set_worker(100, 1, 4.0, true);
     routes.record_end(100, 1, AttemptOutcome::Rejected, 10, 500);
-    assert_eq!(routes.choose(200, None, &[]), None, "it said when to come back");
+    assert_eq!(routes.choose(None, &[]), None, "it said when to come back");
     routes.tick(600);
-    assert_eq!(routes.choose(600, None, &[]), Some(1));
-    assert_eq!(routes.choose(600, None, &[1]), None);
+    assert_eq!(routes.choose(None, &[]), Some(1));
+    assert_eq!(routes.choose(None, &[1]), None);
 }
 
 proptest! {
@@ -580,7 +582,7 @@
             match what {
                 0 => {
                     let new = (more % 5) as f64;
-                    routes.set_worker(now, id, new, more % 7 != 0, Time::MIN);
+                    routes.set_worker(now, id, new, more % 7 != 0);
                     places.insert(id, new);
                     out.entry(id).or_default();
                 }
@@ -591,7 +593,7 @@
                 }
                 2 | 3 => {
                     let subject = (what == 3).then_some(more);
-                    if let Some(id) = routes.choose(now, subject, &[]) {
+                    if let Some(id) = routes.choose(subject, &[]) {
                         prop_assert!(f64::from(out[&id]) + 1.0 <= places[&id].max(1.0));
                         routes.record_start(id);
                         *out.get_mut(&id).unwrap() += 1;
@@ -625,22 +627,27 @@
             if first {
                 budget.record_first_attempt(now);
             }
-            budget.try_retry(now, Execution::NeverRan, false, tries, SECOND, 10);
+            budget.try_retry(now, retry(Execution::NeverRan, false, tries, SECOND));
         }
-        let (first, further, _) = budget.counts();
+        let RetryCounts { first_attempts: first, retries: further, .. } = budget.counts();
         let most = first as f64 * RETRY_RATIO + MIN_RETRIES_PER_SECOND * (1.0 + now as f64 / SECOND as f64);
         prop_assert!(further as f64 <= most + 1.0, "{} of {}", further, most);
     }
 }
 
+/// A retry that needs a millisecond.
+fn retry(execution: Execution, give_up: bool, attempts: u32, time_left: Time) -> RetryRequest {
+    RetryRequest { execution, give_up, attempts, time_left, time_needed: MS }
+}
+
 #[test]
 fn only_what_never_ran_is_tried_again_and_in_time() {
     let mut budget = RetryBudget::new(0);
-    assert!(!budget.try_retry(0, Execution::MayHaveRun, false, 1, SECOND, 10));
-    assert!(!budget.try_retry(0, Execution::NeverRan, true, 1, SECOND, 10), "asked not to try elsewhere");
-    assert!(!budget.try_retry(0, Execution::NeverRan, false, 3, SECOND, 10));
-    assert!(!budget.try_retry(0, Execution::NeverRan, false, 1, 10, 10), "no time left");
-    assert!(budget.try_retry(0, Execution::NeverRan, false, 1, SECOND, 10));
+    assert!(!budget.try_retry(0, retry(Execution::MayHaveRun, false, 1, SECOND)));
+    assert!(!budget.try_retry(0, retry(Execution::NeverRan, true, 1, SECOND)), "asked not to try elsewhere");
+    assert!(!budget.try_retry(0, retry(Execution::NeverRan, false, 3, SECOND)));
+    assert!(!budget.try_retry(0, retry(Execution::NeverRan, false, 1, 10)), "no time left");
+    assert!(budget.try_retry(0, retry(Execution::NeverRan, false, 1, SECOND)));
 }
 
 // ---- modes ----
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -15,7 +15,7 @@
 use cypresscleat_forwarding::grants::GrantTable;
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::messages::{Demand, WorkerObservation};
-use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, RetryRequest};
 use cypresscleat_forwarding::slow_start::ReservedCapacity;
 use cypresscleat_forwarding::{node_id, NodeId};
 use cypresscleat_scheduler::api::{Gauges, Outcome, Time};
@@ -37,6 +37,8 @@
 const CONNECT: Duration = Duration::from_millis(500);
 /// A try that was sent so short a time before its worker's announced close is sent once more, as a router does by the protocol.
 const CROSSES: Time = 50 * MS;
+/// Time that a retry is expected to need.
+const EXPECTED_ATTEMPT: Time = 20 * MS;
 /// Health of workers is asked for so often.
 const CHECK: Duration = Duration::from_millis(500);
 /// One whose connection broke is asked again after this long.
@@ -231,7 +233,7 @@
                 .min(state.places * cypresscleat_forwarding::capacity_plan::MAX_PLACES_FACTOR);
             // A cold one's own word counts, whoever granted more.
             let places = state.promised.map_or(places, |promised| places.min(promised.places(now).into()));
-            routes.set_worker(now, *worker, places, state.good, Time::MIN);
+            routes.set_worker(now, *worker, places, state.good);
         }
         routes.tick(now);
     }
@@ -240,7 +242,7 @@
 
     /// Sends a try to a worker, not to one of `not`; back with it where none has room.
     fn go(self: &Rc<Fleet>, now: Time, mut one: Try, not: &[NodeId]) -> Result<(), Try> {
-        let chosen = self.routes.borrow_mut().choose(now, one.wanted.subject, not);
+        let chosen = self.routes.borrow_mut().choose(one.wanted.subject, not);
         let Some(worker) = chosen else { return Err(one) };
         self.routes.borrow_mut().record_start(worker);
         (one.worker, one.tries, one.started) = (worker, one.tries + 1, now);
@@ -348,7 +350,14 @@
         }
         let left = one.wanted.due - now;
         let (worker, tries) = (one.worker, one.tries);
-        let again = self.budget.borrow_mut().try_retry(now, known, said.1, tries, left, 20 * MS);
+        let retry = RetryRequest {
+            execution: known,
+            give_up: said.1,
+            attempts: tries,
+            time_left: left,
+            time_needed: EXPECTED_ATTEMPT,
+        };
+        let again = self.budget.borrow_mut().try_retry(now, retry);
         let one = if again {
             add(&self.shared.counters.tried_again);
             match self.go(now, one, &[worker]) {
