--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -11,12 +11,12 @@
 use crate::log;
 use crate::pool::{Outbox, SIZE};
 use crate::sockets::write_all;
-use cypresscleat_forwarding::grants::Held;
-use cypresscleat_forwarding::messages::{Demand, Sight};
-use cypresscleat_forwarding::mode::Mode;
-use cypresscleat_forwarding::ramp::Promised;
-use cypresscleat_forwarding::retry::{Budget, Known};
-use cypresscleat_forwarding::routes::{End, Routes};
+use cypresscleat_forwarding::dispatch_mode::DispatchMode;
+use cypresscleat_forwarding::grants::GrantTable;
+use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
+use cypresscleat_forwarding::messages::{Demand, WorkerObservation};
+use cypresscleat_forwarding::retry_budget::{Execution, RetryBudget, RetryRequest};
+use cypresscleat_forwarding::slow_start::ReservedCapacity;
 use cypresscleat_forwarding::{node_id, NodeId};
 use cypresscleat_scheduler::{Gauges, Outcome, Time};
 use std::cell::{Cell, RefCell};
@@ -37,6 +37,8 @@
 const CONNECT: Duration = Duration::from_millis(500);
 /// A try that was sent so short a time before its worker's announced close is sent once more, as a router does by the protocol.
 const CROSSES: Time = 50 * MS;
+/// Time that a retry is expected to need.
+const EXPECTED_ATTEMPT: Time = 20 * MS;
 /// Health of workers is asked for so often.
 const CHECK: Duration = Duration::from_millis(500);
 /// One whose connection broke is asked again after this long.
@@ -72,7 +74,7 @@
     places: f64,
     good: bool,
     /// What it promised, while it is cold.
-    promised: Option<Promised>,
+    promised: Option<ReservedCapacity>,
     /// Its health is to be asked for at once.
     recheck: Rc<Notify>,
     wires: Vec<Rc<Wire>>,
@@ -86,10 +88,10 @@
     shared: Shared,
     queue: Sender<Note>,
     clock: Clock,
-    pub routes: RefCell<Routes>,
-    budget: RefCell<Budget>,
-    pub held: RefCell<Held>,
-    pub mode: RefCell<Mode>,
+    pub routes: RefCell<LoadBalancer>,
+    budget: RefCell<RetryBudget>,
+    pub held: RefCell<GrantTable>,
+    pub mode: RefCell<DispatchMode>,
     pub forwarders: Cell<usize>,
     tries: RefCell<HashMap<Txn, Try>>,
     workers: RefCell<HashMap<NodeId, WorkerState>>,
@@ -105,7 +107,7 @@
         if let Some(count) = self.came.borrow_mut().get_mut(wanted.op) {
             *count += 1;
         }
-        self.budget.borrow_mut().first(now);
+        self.budget.borrow_mut().record_first_attempt(now);
         let number = self.number.replace(self.number.get() + 1);
         let one = Try { number, worker: 0, tries: 0, started: now, wanted, crossed: false, on: None };
         if let Err(one) = self.go(now, one, &[]) {
@@ -124,7 +126,7 @@
             }
         }
         let now = self.clock.now();
-        self.routes.borrow_mut().ended(now, one.worker, End::Nothing, 0, 0);
+        self.routes.borrow_mut().record_end(now, one.worker, AttemptOutcome::Cancelled, 0, 0);
         self.tell(txn, Outcome::Cancelled, &[], None);
     }
 
@@ -134,7 +136,7 @@
 
     fn gauges(&self) -> Gauges {
         let routes = self.routes.borrow();
-        let (out, places) = (routes.out() as f64, routes.places().max(1.0));
+        let (out, places) = (routes.in_flight() as f64, routes.places().max(1.0));
         Gauges {
             core_utilization: Some((out / places).min(1.0)),
             runnable_tasks: Some(out),
@@ -147,7 +149,7 @@
 impl Fleet {
     /// Further tries for each first one from now on.
     pub fn retries(&self, share: f64) {
-        self.budget.borrow_mut().shares(share);
+        self.budget.borrow_mut().set_retry_ratio(share);
     }
 
     pub fn new(
@@ -179,10 +181,10 @@
             shared: shared.clone(),
             queue,
             clock,
-            routes: RefCell::new(Routes::new(seed)),
-            budget: RefCell::new(Budget::new(now)),
+            routes: RefCell::new(LoadBalancer::new(seed)),
+            budget: RefCell::new(RetryBudget::new(now)),
             held: RefCell::default(),
-            mode: RefCell::new(Mode::new(now)),
+            mode: RefCell::new(DispatchMode::new(now)),
             forwarders: Cell::new(1),
             tries: RefCell::default(),
             workers: RefCell::new(workers.collect()),
@@ -197,20 +199,26 @@
         let mut came = self.came.borrow_mut();
         let all = came.iter_mut().zip(&self.value).enumerate().map(|(class, (count, value))| {
             let rate = std::mem::take(count) as f64 / span.max(0.01);
-            Demand { class: class as u16, rate: rate as f32, held: 0, value: *value as f32 }
+            Demand { class: class as u16, rate: rate as f32, queued: 0, weight: *value as f32 }
         });
-        all.take(cypresscleat_forwarding::messages::CLASSES).collect()
+        all.take(cypresscleat_forwarding::messages::MAX_CLASSES).collect()
     }
 
-    pub fn sights(&self, span: f64) -> Vec<Sight> {
+    pub fn sights(&self, span: f64) -> Vec<WorkerObservation> {
         let routes = self.routes.borrow();
         let mut workers = self.workers.borrow_mut();
         let sights = workers.iter_mut().map(|(worker, state)| {
             let per = |count: &mut f64| (std::mem::take(count) / span.max(0.01)) as f32;
             let (ends, throttled) = (per(&mut state.ends), per(&mut state.throttled));
-            Sight { worker: *worker, out: routes.out_at(*worker), ends, throttled, took: state.took as f32 }
+            WorkerObservation {
+                worker: *worker,
+                in_flight: routes.in_flight_at(*worker),
+                ended: ends,
+                rejected: throttled,
+                latency: state.took as f32,
+            }
         });
-        sights.take(cypresscleat_forwarding::messages::GRANTS).collect()
+        sights.take(cypresscleat_forwarding::messages::MAX_GRANTS).collect()
     }
 
     /// Takes over what grants, mode and health say of each worker now; a line where the mode changed.
@@ -223,14 +231,14 @@
         }
         let mut routes = self.routes.borrow_mut();
         for (worker, state) in self.workers.borrow().iter() {
-            let alone = Mode::alone(state.places, self.forwarders.get());
+            let alone = DispatchMode::local_share(state.places, self.forwarders.get());
             // No planner's figure counts past what a planner may learn of a worker: twice what it is told to have.
             let places = mode
                 .places(now, &held, *worker, alone)
-                .min(state.places * cypresscleat_forwarding::plan::MOST);
+                .min(state.places * cypresscleat_forwarding::capacity_plan::MAX_PLACES_FACTOR);
             // A cold one's own word counts, whoever granted more.
             let places = state.promised.map_or(places, |promised| places.min(promised.places(now).into()));
-            routes.worker(now, *worker, places, state.good, Time::MIN);
+            routes.set_worker(now, *worker, places, state.good);
         }
         routes.tick(now);
     }
@@ -239,12 +247,12 @@
 
     /// Sends a try to a worker, not to one of `not`; back with it where none has room.
     fn go(self: &Rc<Fleet>, now: Time, mut one: Try, not: &[NodeId]) -> Result<(), Try> {
-        let chosen = self.routes.borrow_mut().choose(now, one.wanted.subject, not);
+        let chosen = self.routes.borrow_mut().choose(one.wanted.subject, not);
         let Some(worker) = chosen else { return Err(one) };
-        self.routes.borrow_mut().goes(worker);
+        self.routes.borrow_mut().record_start(worker);
         (one.worker, one.tries, one.started) = (worker, one.tries + 1, now);
         let Some(wire) = self.wire(worker) else {
-            self.routes.borrow_mut().ended(now, worker, End::Nothing, 0, 0);
+            self.routes.borrow_mut().record_end(now, worker, AttemptOutcome::Cancelled, 0, 0);
             return Err(one);
         };
         self.puts(one, wire);
@@ -324,8 +332,8 @@
         self: &Rc<Fleet>,
         txn: Txn,
         number: u64,
-        end: End,
-        known: Known,
+        end: AttemptOutcome,
+        known: Execution,
         said: (Time, bool),
         body: &[u8],
     ) {
@@ -333,20 +341,28 @@
         let known_try = |one: &Try| one.number == number;
         let Some(one) = self.tries.borrow_mut().remove(&txn).filter(known_try) else { return };
         let took = now - one.started;
-        self.routes.borrow_mut().ended(now, one.worker, end, took, said.0);
+        self.routes.borrow_mut().record_end(now, one.worker, end, took, said.0);
         if let Some(state) = self.workers.borrow_mut().get_mut(&one.worker) {
             state.ends += 1.0;
-            state.throttled += f64::from(end == End::Throttled);
-            state.took += if end == End::Succeeded { (took as f64 - state.took) * 0.1 } else { 0.0 };
+            state.throttled += f64::from(end == AttemptOutcome::Rejected);
+            state.took +=
+                if end == AttemptOutcome::Succeeded { (took as f64 - state.took) * 0.1 } else { 0.0 };
         }
         match end {
-            End::Succeeded => return self.tell(txn, Outcome::Succeeded, body, None),
-            End::Errored => return self.tell(txn, Outcome::Failed, b"", None),
+            AttemptOutcome::Succeeded => return self.tell(txn, Outcome::Succeeded, body, None),
+            AttemptOutcome::Failed => return self.tell(txn, Outcome::Failed, b"", None),
             _ => {}
         }
         let left = one.wanted.due - now;
         let (worker, tries) = (one.worker, one.tries);
-        let again = self.budget.borrow_mut().may(now, known, said.1, tries, left, 20 * MS);
+        let retry = RetryRequest {
+            execution: known,
+            give_up: said.1,
+            attempts: tries,
+            time_left: left,
+            time_needed: EXPECTED_ATTEMPT,
+        };
+        let again = self.budget.borrow_mut().try_retry(now, retry);
         let one = if again {
             add(&self.shared.counters.tried_again);
             match self.go(now, one, &[worker]) {
@@ -357,13 +373,13 @@
             one
         };
         match known {
-            Known::NeverRan => self.tell(
+            Execution::NeverRan => self.tell(
                 one.wanted.txn,
                 Outcome::Rejected,
                 b"",
                 Some(said).filter(|said| said.0 > 0 || said.1),
             ),
-            Known::Perhaps => self.tell(one.wanted.txn, Outcome::Failed, b"", None),
+            Execution::MayHaveRun => self.tell(one.wanted.txn, Outcome::Failed, b"", None),
         }
     }
 
@@ -393,8 +409,8 @@
                 continue;
             }
             let never = !connected || written <= from;
-            let known = if never { Known::NeverRan } else { Known::Perhaps };
-            self.ended(txn, number, End::Lost, known, (0, false), b"");
+            let known = if never { Execution::NeverRan } else { Execution::MayHaveRun };
+            self.ended(txn, number, AttemptOutcome::ConnectionLost, known, (0, false), b"");
         }
         wire.out.clear();
     }
@@ -459,11 +475,25 @@
                     get("later").and_then(|ms| ms.parse::<Time>().ok()).unwrap_or(0).clamp(0, 60_000) * MS;
                 let said = (later, get("giveup") == Some("1"));
                 match *code {
-                    frames::SUCCEEDED => {
-                        self.ended(txn, number, End::Succeeded, Known::Perhaps, (0, false), body)
+                    frames::SUCCEEDED => self.ended(
+                        txn,
+                        number,
+                        AttemptOutcome::Succeeded,
+                        Execution::MayHaveRun,
+                        (0, false),
+                        body,
+                    ),
+                    frames::THROTTLED => {
+                        self.ended(txn, number, AttemptOutcome::Rejected, Execution::NeverRan, said, b"")
                     }
-                    frames::THROTTLED => self.ended(txn, number, End::Throttled, Known::NeverRan, said, b""),
-                    _ => self.ended(txn, number, End::Errored, Known::Perhaps, (0, false), b""),
+                    _ => self.ended(
+                        txn,
+                        number,
+                        AttemptOutcome::Failed,
+                        Execution::MayHaveRun,
+                        (0, false),
+                        b"",
+                    ),
                 }
             }
             _ => {}
@@ -524,9 +554,9 @@
     /// Asks one worker; its promise is taken over. True where it takes work; the connection is kept where it may be used again.
     async fn asks(&self, worker: NodeId, address: SocketAddr, kept: &mut Option<(TcpStream, u32)>) -> bool {
         let asked = self.clock.now();
-        let out = self.routes.borrow().out_at(worker);
+        let out = self.routes.borrow().in_flight_at(worker);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
-            state.promised.iter_mut().for_each(Promised::asks);
+            state.promised.iter_mut().for_each(ReservedCapacity::invalidate);
         }
         self.look();
         let payload = frames::put_ramp(self.own, out);
@@ -536,8 +566,8 @@
         *kept = Some(stream);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
             state.promised = ramp.map(|places| {
-                let mut promised = Promised::default();
-                promised.takes(asked, places);
+                let mut promised = ReservedCapacity::default();
+                promised.accept(asked, places);
                 promised
             });
         }
