--- a/crates/experiments/src/relays.rs
+++ b/crates/experiments/src/relays.rs
@@ -2,7 +2,7 @@
 //! relay and the leading keeper send and hear, at rest and in the busiest second of the change; a region apart and back. Simulated time
 //! and nets, real decisions.
 
-use cypresscleat_rollout::member::May;
+use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
 use cypresscleat_rollout_relay::sim::{Play, Setup, Traffic};
 
@@ -12,7 +12,7 @@
 const APART: Time = 120 * SECOND;
 /// A play is given up after that.
 const END: Time = 60 * SECOND;
-const TEXT: usize = 4_096;
+const DOCUMENT_BYTES: usize = 4_096;
 
 /// Of one place or the mean of many, a second.
 #[derive(Default, Clone, Copy)]
@@ -143,8 +143,8 @@
     all.clone().filter(|at| gone(*at)).for_each(|at| play.kill(at));
     clear(&mut play);
     let began = play.world.now;
-    let text: String = "x".repeat(TEXT);
-    play.propose(0, Rules { together, ..play.setup.rules }, &text);
+    let text: String = "x".repeat(DOCUMENT_BYTES);
+    play.propose(0, Rules { barrier: together, ..play.setup.rules }, &text);
     let there: Vec<usize> = all.filter(|at| *at >= first && !gone(*at)).collect();
     // Until each has had it once: where letters are lost one or the other is without a lease for a moment.
     while play.world.now < began + END && !there.iter().all(|at| play.places[*at].began.0 == 1) {
@@ -161,7 +161,8 @@
     for (sum, peak) in figures.peak.iter_mut().zip(peaks(&play)) {
         *sum = (sum.0.max(peak.0), sum.1.max(peak.1));
     }
-    let others = there.iter().any(|at| !matches!(play.may(*at), May::Admit(1) | May::Nothing));
+    let others =
+        there.iter().any(|at| !matches!(play.may(*at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
     figures.wrong += usize::from(play.wrong.is_some() || play.world.wrong.is_some() || others);
 }
 
@@ -185,7 +186,7 @@
     play.parts(region);
     runs(&mut play, 4 * SECOND);
     let began = play.world.now;
-    play.propose(0, play.setup.rules, &"x".repeat(TEXT));
+    play.propose(0, play.setup.rules, &"x".repeat(DOCUMENT_BYTES));
     while play.now() != 1 && play.world.now < began + END {
         runs(&mut play, 20 * MS);
     }
@@ -197,7 +198,7 @@
     clear(&mut play);
     let back = play.world.now;
     play.joined();
-    while of.iter().any(|at| play.may(*at) != May::Admit(1)) && play.world.now < back + END {
+    while of.iter().any(|at| play.may(*at) != AdmissionPermit::Admit(1)) && play.world.now < back + END {
         runs(&mut play, 20 * MS);
     }
     let took = (play.world.now - back) / MS;
@@ -218,7 +219,7 @@
 pub fn table(seeds: u64, most: usize) {
     println!(
         "Simulated, {seeds} seeds; 3 keepers, 8 regions, 17 zones with two relays each, or none; 1 to 2 ms a letter inside a region, 40 to 41 \
-         between two, 5 to 10 between keepers; lease 2 s, a check takes 5 ms, a text has {TEXT} bytes. Down: 3 of 10 members, and with \
+         between two, 5 to 10 between keepers; lease 2 s, a check takes 5 ms, a text has {DOCUMENT_BYTES} bytes. Down: 3 of 10 members, and with \
          relays 11 of the 34, are gone just before the change. Rates are means at rest, in / out a second; peaks are letters / bytes, in and out \
          together, of the busiest second of the change at the busiest place; the keeper's without what keepers say to each other.\n\n\
          | members | way | lost | down | together | decided, most ms | in force ms, p50 | p99 | most | member: letters | bytes | peak | relay: letters | \
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -2,8 +2,8 @@
 //! two plain ways to make one. Simulated time and nets, real decisions; the plain ways are models of a few lines.
 
 use cypresscleat_consensus::SeededRng;
-use cypresscleat_rollout::member::May;
-use cypresscleat_rollout::sim::{Play, Setup, Traffic};
+use cypresscleat_rollout::member::AdmissionPermit;
+use cypresscleat_rollout::simulation::{Simulation, SimulationConfig, Traffic};
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
 
 /// Tenths of the members that are down while the change is made.
@@ -43,13 +43,13 @@
 struct Load([f64; 4]);
 
 impl Load {
-    fn of(play: &Play) -> Vec<Load> {
+    fn of(play: &Simulation) -> Vec<Load> {
         let load =
             |one: &Traffic| Load([one.heard, one.heard_bytes, one.said, one.said_bytes].map(|n| n as f64));
         play.traffic.iter().map(load).collect()
     }
     /// Of the keeper with the most letters since.
-    fn busiest(play: &Play, before: &[Load]) -> Load {
+    fn busiest(play: &Simulation, before: &[Load]) -> Load {
         let since = |(now, before): (Load, &Load)| Load([0, 1, 2, 3].map(|at| now.0[at] - before.0[at]));
         let all = Load::of(play).into_iter().zip(before).map(since);
         all.max_by(|a, b| (a.0[0] + a.0[2]).total_cmp(&(b.0[0] + b.0[2]))).unwrap_or_default()
@@ -64,8 +64,8 @@
 
 /// One change: members that live are all to have it; those that were down come back after it and have to have it too.
 fn change(seed: u64, members: usize, lost: u64, down: bool, together: bool, figures: &mut Figures) {
-    let rules = Rules { lease: 2 * SECOND, together, ..Rules::default() };
-    let mut play = Play::new(Setup { members, rules, ..Setup::default() }, seed);
+    let rules = Rules { lease: 2 * SECOND, barrier: together, ..Rules::default() };
+    let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
     play.run(3 * SECOND);
     let before = Load::of(&play);
     play.run(4 * SECOND);
@@ -74,7 +74,7 @@
     // Just before it: their leases have to end first.
     (0..gone).for_each(|at| play.kill(at));
     play.world.weather.lost = lost;
-    let (asks, bytes, began) = (play.asks, play.ask_bytes, play.world.now);
+    let (asks, bytes, began) = (play.messages_sent, play.message_bytes, play.world.now);
     let (before, between) = (Load::of(&play), play.world.bytes);
     play.propose(0, rules, "first");
     let end = began + 60 * SECOND;
@@ -83,9 +83,9 @@
     loop {
         let (mut have, mut out) = (0, 0);
         for (at, had) in had.iter_mut().enumerate().skip(gone) {
-            match play.may(at) {
-                May::Admit(1) => (*had, have) = (true, have + 1),
-                May::Nothing => out += 1,
+            match play.permit(at) {
+                AdmissionPermit::Admit(1) => (*had, have) = (true, have + 1),
+                AdmissionPermit::Deny => out += 1,
                 _ => {}
             }
         }
@@ -108,14 +108,15 @@
     let first = play.first.get(&1).copied().unwrap_or(began);
     figures.mixed.push(play.mixed_until.get(&1).map_or(0, |until| until - first));
     let live = (members - gone).max(1) as f64;
-    figures.messages += (play.asks - asks) as f64 / live;
-    figures.bytes += (play.ask_bytes - bytes) as f64 / live;
+    figures.messages += (play.messages_sent - asks) as f64 / live;
+    figures.bytes += (play.message_bytes - bytes) as f64 / live;
     (0..gone).for_each(|at| play.start(at));
     let until = play.world.now + 6 * SECOND;
     play.run(until);
     // Some may be out of service for a moment where letters are lost; none may serve under another version.
-    let others = (0..members).any(|at| !matches!(play.may(at), May::Admit(1) | May::Nothing));
-    figures.wrong += usize::from(play.wrong.is_some() || others);
+    let others =
+        (0..members).any(|at| !matches!(play.permit(at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
+    figures.wrong += usize::from(play.violation.is_some() || others);
 }
 
 /// Whether a fleet ends mixed where each member is told by itself, so many times, and nobody agrees on anything. A member can't carry the
--- a/crates/experiments/src/scale/hollow/keeper.rs
+++ b/crates/experiments/src/scale/hollow/keeper.rs
@@ -215,9 +215,10 @@
     let crowd = begin(&quorum, What::Members, (size, rest), rows, tell)?;
     rests(&mut quorum, &crowd, (size, "rollout", "members"), rest, rows)?;
     let all = quorum.processes();
-    for (name, text) in
-        [("change of 0.1 KiB", text(2, 0)), ("change of 16 KiB", text(3, cypresscleat_rollout::TEXT))]
-    {
+    for (name, text) in [
+        ("change of 0.1 KiB", text(2, 0)),
+        ("change of 16 KiB", text(3, cypresscleat_rollout::MAX_DOCUMENT_BYTES)),
+    ] {
         let spent: Vec<Spent> = all.iter().map(|one| Spent::of(one.1)).collect();
         let (began, before) = (Instant::now(), crowd.books.count(None));
         let changed = change(&mut quorum, &|version| crowd.books.had(version), size, &text, |_| {})?;
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -5,8 +5,8 @@
 use cypresscleat_consensus::letter;
 use cypresscleat_leases::client::LeaseClient;
 use cypresscleat_leases::{node_id, Claim, NodeId};
-use cypresscleat_rollout::member::{Event, Member};
-use cypresscleat_rollout::said::{Answer, Verdict};
+use cypresscleat_rollout::member::{MemberEvent, RolloutMember};
+use cypresscleat_rollout::messages::{Response, Verdict};
 use cypresscleat_server::leases::wire::Wire;
 use cypresscleat_server::leases::{drawn, Keepers, Steady};
 use std::cell::RefCell;
@@ -229,36 +229,42 @@
     async fn member(self) {
         let name = format!("h{}", self.at);
         let keepers = self.to.keys().copied().collect();
-        let mut member = Member::new(self.clock.now(), &name, (node_id(&name), drawn(&name)), keepers);
+        let mut member = RolloutMember::new(self.clock.now(), &name, (node_id(&name), drawn(&name)), keepers);
         loop {
             let now = self.clock.now();
-            let mut asks = if now >= member.due() { member.tick(now) } else { Vec::new() };
+            let mut asks = if now >= member.next_deadline() { member.tick(now) } else { Vec::new() };
             loop {
                 asks.drain(..).for_each(|(to, ask)| self.posts(to, &Wire::PolicyAsk(ask)));
-                let events: Vec<Event> = member.events().collect();
+                let events: Vec<MemberEvent> = member.events().collect();
                 if events.is_empty() {
                     break;
                 }
                 for event in events {
                     match event {
-                        Event::Check { version } => {
-                            asks.extend(member.checked(self.clock.now(), version.number, Verdict::Good));
+                        MemberEvent::Check { version } => {
+                            asks.extend(member.record_verdict(
+                                self.clock.now(),
+                                version.number,
+                                Verdict::Prepared,
+                            ));
                         }
-                        Event::InForce { number } => {
+                        MemberEvent::Activated { number } => {
                             let mut list = self.books.in_force.lock().expect("the list");
                             list.push((self.at, number, Instant::now()));
                         }
-                        Event::Out { .. } => drop(self.books.out.fetch_add(1, Ordering::Relaxed)),
-                        Event::Holds { .. } => {}
+                        MemberEvent::LeaseExpired { .. } => {
+                            self.books.out.fetch_add(1, Ordering::Relaxed);
+                        }
+                        MemberEvent::Paused { .. } => {}
                     }
                 }
             }
-            let Some((by, wire)) = self.hears(member.due()).await else { continue };
+            let Some((by, wire)) = self.hears(member.next_deadline()).await else { continue };
             if let Wire::PolicyAnswer { from, answer } = wire {
-                if matches!(answer, Answer::Held { .. }) {
+                if matches!(answer, Response::Renewed { .. }) {
                     *self.books.leader.lock().expect("the leader") = Some(by);
                 }
-                let asks = member.hear(self.clock.now(), from, answer);
+                let asks = member.handle(self.clock.now(), from, answer);
                 asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::PolicyAsk(ask)));
             }
         }
--- a/crates/experiments/src/scale/hollow/relays.rs
+++ b/crates/experiments/src/scale/hollow/relays.rs
@@ -169,9 +169,10 @@
     let all: u64 = since.iter().map(bytes).sum();
     let each = all as f64 / span.as_secs_f64() / size as f64;
     put(rows, "app-server", size, "bytes in and out at rest, headers with them", each, "B/s");
-    for (name, text) in
-        [("change of 0.1 KiB", text(2, 0)), ("change of 16 KiB", text(3, cypresscleat_rollout::TEXT))]
-    {
+    for (name, text) in [
+        ("change of 0.1 KiB", text(2, 0)),
+        ("change of 16 KiB", text(3, cypresscleat_rollout::MAX_DOCUMENT_BYTES)),
+    ] {
         let (began, keepers, relays) = (Instant::now(), fleet.keepers(), fleet.relays());
         let Fleet { quorum, zones } = &mut fleet;
         let have = |version| zones.iter().flat_map(|zone| zone.crowd.books.had(version)).collect();
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -3,9 +3,9 @@
 use super::row::{How, Row};
 use super::targets::TARGETS;
 use cypresscleat_leases::simulation as owning;
-use cypresscleat_rollout::member::May;
-use cypresscleat_rollout::sim::{Play, Setup};
-use cypresscleat_rollout::{Rules, MS, SECOND, TEXT};
+use cypresscleat_rollout::member::AdmissionPermit;
+use cypresscleat_rollout::simulation::{Simulation, SimulationConfig};
+use cypresscleat_rollout::{Rules, MAX_DOCUMENT_BYTES, MS, SECOND};
 use hdrhistogram::Histogram;
 use std::time::Instant;
 
@@ -19,12 +19,12 @@
 const LONGEST: i64 = 60;
 
 /// What was counted since the beginning: letters between members and keepers, and between keepers.
-fn counted(play: &Play) -> [u64; 4] {
-    [play.asks, play.ask_bytes, play.world.letters, play.world.bytes]
+fn counted(play: &Simulation) -> [u64; 4] {
+    [play.messages_sent, play.message_bytes, play.world.letters, play.world.bytes]
 }
 
 /// Their differences.
-fn since(play: &Play, then: [u64; 4]) -> [f64; 4] {
+fn since(play: &Simulation, then: [u64; 4]) -> [f64; 4] {
     let now = counted(play);
     std::array::from_fn(|at| (now[at] - then[at]) as f64)
 }
@@ -47,7 +47,7 @@
 /// A change of a text of so many bytes, after some seconds at rest.
 pub fn change(members: usize, lost: u64, text: usize, seed: u64) -> Change {
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
-    let mut play = Play::new(Setup { members, rules, ..Setup::default() }, seed);
+    let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
     play.run(4 * SECOND);
     play.world.weather.lost = lost;
     let (then, began) = (counted(&play), Instant::now());
@@ -65,7 +65,7 @@
         play.run(until);
         let after = (play.world.now - began) as f64 / MS as f64;
         let had = without.len();
-        without.retain(|at| play.may(*at) != May::Admit(1));
+        without.retain(|at| play.permit(*at) != AdmissionPermit::Admit(1));
         took.resize(took.len() + had - without.len(), after);
         if play.world.now >= began + SECOND {
             first.get_or_insert(since(&play, then));
@@ -133,7 +133,7 @@
                     "cores",
                 );
                 tell(&format!("rollout, {size} members, a text of 16 KiB"));
-                let whole = change(size as usize, lost, TEXT, seed);
+                let whole = change(size as usize, lost, MAX_DOCUMENT_BYTES, seed);
                 add("app-server", "bytes in and out, a change of 16 KiB each 7.2 s", paced(&whole), "B/s");
                 let change = whole.change[1] + whole.change[3];
                 let rest = whole.rest[1] + whole.rest[3];
--- a/crates/rollout-relay/src/relay.rs
+++ b/crates/rollout-relay/src/relay.rs
@@ -19,21 +19,24 @@
 //!
 //! # A new life
 //!
-//! Its table is empty while members may hold leases of the former life. Under [`Missing::Fence`] that life is a member of its own at the
-//! keepers until its lease is over, and by then those of its members are: nothing has to be waited for. Under [`Missing::Wait`] the new
+//! Its table is empty while members may hold leases of the former life. Under [`UnreachableMembers::Fence`] that life is a member of its own at the
+//! keepers until its lease is over, and by then those of its members are: nothing has to be waited for. Under [`UnreachableMembers::Wait`] the new
 //! life takes the former's place as soon as it joins: it says neither yes nor that all have stopped, nor does it leave, until the longest
 //! lease that a former life can have given (`most`) is over by its own clock; nor where it doesn't know yet by which rule it joined. No version comes in force in between, as that needs its word. Leases
 //! it may give at once in both cases: they are in its table.
 
-use cypresscleat_rollout::member::{Event, May, Member};
-use cypresscleat_rollout::policies::Stage;
-use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
-use cypresscleat_rollout::watch::Seen;
-use cypresscleat_rollout::{cut, Key, Missing, NodeId, Rules, Time, Version, NAME, TOLD, WHY};
+use cypresscleat_rollout::member::{AdmissionPermit, MemberEvent, RolloutMember};
+use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
+use cypresscleat_rollout::state::Stage;
+use cypresscleat_rollout::watch::ServiceTotals;
+use cypresscleat_rollout::{
+    truncate, MemberKey, NodeId, Rules, Time, UnreachableMembers, Version, MAX_MEMBERS_PER_MESSAGE,
+    MAX_NAME_BYTES, MAX_REASON_BYTES,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Members of one relay; one more is not answered, and asks another.
-pub const MEMBERS: usize = 4_096;
+pub const MAX_MEMBERS: usize = 4_096;
 /// Texts in memory, and as many on their way to the disk.
 const TEXTS: usize = 6;
 /// Members that are told of news in one step.
@@ -50,8 +53,8 @@
 /// What is to be done: words to keepers, words to members, texts to be put on the disk (`kept` says how that went).
 #[derive(Clone, Debug)]
 pub struct Out<A> {
-    pub up: Vec<(NodeId, Ask)>,
-    pub down: Vec<(A, Answer)>,
+    pub up: Vec<(NodeId, Request)>,
+    pub down: Vec<(A, Response)>,
     pub keep: Vec<Version>,
 }
 
@@ -90,23 +93,23 @@
     good: u64,
     paused: u64,
     has: u64,
-    seen: Seen,
+    seen: ServiceTotals,
 }
 
 /// `A` is where a member hears.
 #[derive(Debug)]
 pub struct Relay<A> {
-    up: Member,
+    up: RolloutMember,
     started: Time,
     /// It knows what is in force, and so by which rule it joined.
     heard: bool,
     most: Time,
     looked: Time,
-    below: BTreeMap<Key, Below<A>>,
+    below: BTreeMap<MemberKey, Below<A>>,
     /// The same by when they are forgotten.
-    oldest: BTreeSet<(Time, Key)>,
-    left: BTreeSet<Key>,
-    left_first: VecDeque<Key>,
+    oldest: BTreeSet<(Time, MemberKey)>,
+    left: BTreeSet<MemberKey>,
+    left_first: VecDeque<MemberKey>,
     texts: BTreeMap<u64, Version>,
     /// On their way to the disk.
     keeping: BTreeMap<u64, Version>,
@@ -114,17 +117,17 @@
     newest: u64,
     /// The change that members are asked about, and those with a lease that may not have said yes yet.
     change: u64,
-    without: BTreeSet<Key>,
+    without: BTreeSet<MemberKey>,
     /// Its own yes, and the number of the asking that said it first; until that change is over.
     yes: Option<(u64, u32)>,
     refused: u64,
     /// The change for which all are to stop, those that may not have, and the last for which all had.
     pause: u64,
-    going: BTreeSet<Key>,
+    going: BTreeSet<MemberKey>,
     stopped: u64,
     /// Version, change and pause that members were told of last, and who is still to be told.
     told: (u64, u64, u64),
-    to_tell: VecDeque<Key>,
+    to_tell: VecDeque<MemberKey>,
     /// Since when that stands, when those that lag are told again, and how often still.
     since: Time,
     again: (Time, u32),
@@ -138,9 +141,9 @@
 
 impl<A: Copy + Ord> Relay<A> {
     /// `most` is the longest lease that it gives, in any of its lives: to be raised by a restart, and lowered only after a wait.
-    pub fn new(now: Time, name: &str, key: Key, keepers: Vec<NodeId>, most: Time) -> Relay<A> {
-        let mut up = Member::new(now, name, key, keepers);
-        up.for_others();
+    pub fn new(now: Time, name: &str, key: MemberKey, keepers: Vec<NodeId>, most: Time) -> Relay<A> {
+        let mut up = RolloutMember::new(now, name, key, keepers);
+        up.speak_for_others();
         Relay {
             up,
             started: now,
@@ -174,7 +177,7 @@
     }
 
     pub fn left(&self) -> bool {
-        self.up.left()
+        self.up.has_left()
     }
     pub fn log(&mut self) -> impl Iterator<Item = String> + '_ {
         self.log.drain(..)
@@ -183,10 +186,10 @@
         self.below.len()
     }
     pub fn in_force(&self) -> Option<u64> {
-        self.up.in_force()
+        self.up.active()
     }
     pub fn learns(&mut self, keeper: NodeId) {
-        self.up.learns(keeper);
+        self.up.add_replica(keeper);
     }
 
     /// A text that an earlier life kept.
@@ -202,23 +205,24 @@
         }
         let goes = self.oldest.first().map_or(Time::MAX, |first| first.0);
         // What waits for the first of those that have not answered waits for the end of its lease, or of the wait of a new life.
-        let waits = |set: &BTreeSet<Key>, ready: bool| match set.first().and_then(|key| self.below.get(key)) {
-            Some(one) if ready => one.until.max(self.looked + 1).max(self.ready_at()),
-            None if ready && self.looked < self.ready_at() => self.ready_at(),
-            _ => Time::MAX,
-        };
+        let waits =
+            |set: &BTreeSet<MemberKey>, ready: bool| match set.first().and_then(|key| self.below.get(key)) {
+                Some(one) if ready => one.until.max(self.looked + 1).max(self.ready_at()),
+                None if ready && self.looked < self.ready_at() => self.ready_at(),
+                _ => Time::MAX,
+            };
         let asked = self.change != 0 && self.up.verdict(self.change).is_none();
         let stops = self.pause != 0 && self.stopped != self.pause;
         let ends = if self.leaving && !self.gone { self.lease_ends() } else { Time::MAX };
         let own = waits(&self.without, asked).min(waits(&self.going, stops)).min(ends);
-        self.up.due().min(goes).min(own).min(self.again.0)
+        self.up.next_deadline().min(goes).min(own).min(self.again.0)
     }
 
     /// From when on it may speak for all below.
     fn ready_at(&self) -> Time {
         let (wanted, ..) = self.up.told();
         let known = self.heard && (wanted == 0 || self.texts.contains_key(&wanted));
-        let fence = known && self.rules(wanted).missing == Missing::Fence;
+        let fence = known && self.rules(wanted).unreachable == UnreachableMembers::Fence;
         if fence || self.broken.no_wait {
             self.started
         } else {
@@ -248,9 +252,9 @@
     }
 
     /// A keeper's word.
-    pub fn from_above(&mut self, now: Time, from: NodeId, answer: Answer) -> Out<A> {
+    pub fn from_above(&mut self, now: Time, from: NodeId, answer: Response) -> Out<A> {
         let over = match &answer {
-            Answer::Held { key, number, check, .. } if *key == self.up.key() => {
+            Response::Renewed { key, number, check, .. } if *key == self.up.key() => {
                 // The change was over at a moment after the yes was said.
                 self.yes.is_some_and(|(of, since)| *check != of && number.wrapping_sub(since) < u32::MAX / 2)
             }
@@ -259,9 +263,9 @@
         if over {
             self.yes = None;
         }
-        let asks = self.up.hear(now, from, answer);
+        let asks = self.up.handle(now, from, answer);
         // Guards the wait of a new life against an answer that came too late to be taken: it tells nothing of what is in force.
-        self.heard |= self.up.joined();
+        self.heard |= self.up.has_joined();
         self.settles(now, asks, Out::default())
     }
 
@@ -278,7 +282,11 @@
                 self.says(format!("policy {number} can't be kept: {why}"));
                 // What is in force can't be refused any more: it is fetched again after a while.
                 if number > self.up.told().0 {
-                    asks = self.up.checked(now, number, Verdict::Bad(cut(&why, WHY)));
+                    asks = self.up.record_verdict(
+                        now,
+                        number,
+                        Verdict::Refused(truncate(&why, MAX_REASON_BYTES)),
+                    );
                 }
             }
         }
@@ -292,14 +300,14 @@
     }
 
     /// A member's word.
-    pub fn from_below(&mut self, now: Time, from: A, ask: Ask) -> Out<A> {
+    pub fn from_below(&mut self, now: Time, from: A, ask: Request) -> Out<A> {
         let mut out = Out::default();
-        if !ask.bounded() {
+        if !ask.is_within_bounds() {
             return out;
         }
         let mut asks = Vec::new();
         match ask {
-            Ask::Here { key, name, number, verdict, paused, has, seen, .. } => {
+            Request::Heartbeat { key, name, number, verdict, paused, active: has, totals: seen, .. } => {
                 if self.hears(now, (from, key, &name), (paused, has, seen)) {
                     asks = self.finds(now, key, verdict);
                     // First what this letter changes, as its answer says how things stand after it.
@@ -308,12 +316,12 @@
                 }
             }
             // Silence where it is not here: the member asks again, and another one by then.
-            Ask::Fetch { number, version } => {
+            Request::FetchDocument { number, version } => {
                 if let Some(version) = self.texts.get(&version).cloned().map(Box::new) {
-                    out.down.push((from, Answer::Text { number, version: Some(version) }));
+                    out.down.push((from, Response::Document { number, version: Some(version) }));
                 }
             }
-            Ask::Leave { key, number } => {
+            Request::Leave { key, number } => {
                 self.forgets(key);
                 if self.left.insert(key) {
                     self.left_first.push_back(key);
@@ -321,33 +329,38 @@
                 if self.left_first.len() > LEFT {
                     self.left_first.pop_front().map(|first| self.left.remove(&first));
                 }
-                out.down.push((from, Answer::Done { number }));
+                out.down.push((from, Response::Done { number }));
             }
-            Ask::Status { number, from: first } => out.down.push((from, self.status(now, number, first))),
-            Ask::Propose { .. } | Ask::Forget { .. } | Ask::History { .. } => {
-                out.down.push((from, Answer::Elsewhere { leader: 0 }));
+            Request::Status { number, from: first } => out.down.push((from, self.status(now, number, first))),
+            Request::Propose { .. } | Request::Forget { .. } | Request::History { .. } => {
+                out.down.push((from, Response::NotLeader { leader: 0 }));
             }
         }
         self.settles(now, asks, out)
     }
 
     /// Takes down that a member is here; false where it is not to be heard.
-    fn hears(&mut self, now: Time, (at, key, name): (A, Key, &str), said: (u64, u64, Seen)) -> bool {
+    fn hears(
+        &mut self,
+        now: Time,
+        (at, key, name): (A, MemberKey, &str),
+        said: (u64, u64, ServiceTotals),
+    ) -> bool {
         let (paused, has, seen) = said;
         // Guards against a letter from before it left that comes late: nothing would end the wait for it but its lease.
         if self.left.contains(&key) {
             return false;
         }
-        if !self.below.contains_key(&key) && self.below.len() >= MEMBERS {
+        if !self.below.contains_key(&key) && self.below.len() >= MAX_MEMBERS {
             if !std::mem::replace(&mut self.full, true) {
-                self.says(format!("{MEMBERS} members: no more are heard"));
+                self.says(format!("{MAX_MEMBERS} members: no more are heard"));
             }
             return false;
         }
-        let goes = now + self.rules(self.up.in_force().unwrap_or(0)).lease;
+        let goes = now + self.rules(self.up.active().unwrap_or(0)).lease;
         let one = self.below.entry(key).or_insert_with(|| Below {
             at,
-            name: cut(name, NAME),
+            name: truncate(name, MAX_NAME_BYTES),
             heard: now,
             until: Time::MIN,
             goes,
@@ -361,11 +374,11 @@
         self.oldest.insert((one.goes, key));
         (one.at, one.heard, one.has, one.paused) = (at, now, has, one.paused.max(paused));
         // Sums only grow: what a member did since it was last heard here, and nothing for one that is new or counts anew.
-        let sum = &mut self.up.seen;
+        let sum = &mut self.up.totals;
         for (sum, last, new) in [
-            (&mut sum.asked, &mut one.seen.asked, seen.asked),
-            (&mut sum.in_time, &mut one.seen.in_time, seen.in_time),
-            (&mut sum.milli, &mut one.seen.milli, seen.milli),
+            (&mut sum.requests, &mut one.seen.requests, seen.requests),
+            (&mut sum.succeeded_in_time, &mut one.seen.succeeded_in_time, seen.succeeded_in_time),
+            (&mut sum.billed_milli, &mut one.seen.billed_milli, seen.billed_milli),
         ] {
             *sum = sum.saturating_add(new.saturating_sub(*last));
             *last = new.max(*last);
@@ -373,22 +386,27 @@
         true
     }
 
-    fn finds(&mut self, now: Time, key: Key, verdict: Option<(u64, Verdict)>) -> Vec<(NodeId, Ask)> {
+    fn finds(
+        &mut self,
+        now: Time,
+        key: MemberKey,
+        verdict: Option<(u64, Verdict)>,
+    ) -> Vec<(NodeId, Request)> {
         let Some(one) = self.below.get_mut(&key) else { return Vec::new() };
         match verdict {
-            Some((of, Verdict::Good)) => one.good = one.good.max(of),
-            Some((of, Verdict::Bad(why))) if of == self.change && of != 0 && self.refused != of => {
-                let why = cut(&format!("{}: {why}", one.name), WHY);
+            Some((of, Verdict::Prepared)) => one.good = one.good.max(of),
+            Some((of, Verdict::Refused(why))) if of == self.change && of != 0 && self.refused != of => {
+                let why = truncate(&format!("{}: {why}", one.name), MAX_REASON_BYTES);
                 self.refused = of;
                 self.says(format!("policy {of} is refused: {why}"));
-                return self.up.checked(now, of, Verdict::Bad(why));
+                return self.up.record_verdict(now, of, Verdict::Refused(why));
             }
             _ => {}
         }
         Vec::new()
     }
 
-    fn forgets(&mut self, key: Key) {
+    fn forgets(&mut self, key: MemberKey) {
         if let Some(one) = self.below.remove(&key) {
             self.oldest.remove(&(one.goes, key));
         }
@@ -398,8 +416,8 @@
 
     /// The lease that a member may be given: none at all, so that it asks another; or none before it has said what all have said.
     fn lease(&self, now: Time, one: &Below<A>) -> Option<Time> {
-        let number = self.up.in_force()?;
-        if self.leaving || (self.up.may(now) == May::Nothing && !self.broken.longer) {
+        let number = self.up.active()?;
+        if self.leaving || (self.up.permit(now) == AdmissionPermit::Deny && !self.broken.longer) {
             return None;
         }
         // One that is further than this relay would not take its word: it is to ask another.
@@ -407,7 +425,8 @@
             return None;
         }
         let whole = self.rules(number).lease.min(self.most);
-        let rest = if self.broken.longer { whole } else { self.up.until().saturating_sub(now).min(whole) };
+        let rest =
+            if self.broken.longer { whole } else { self.up.lease_ends_at().saturating_sub(now).min(whole) };
         let lease = rest - 1;
         if lease <= 0 {
             return None;
@@ -417,8 +436,8 @@
         Some(if yes && stopped { lease } else { 0 })
     }
 
-    fn holds(&mut self, now: Time, key: Key, number: u32) -> Option<Answer> {
-        let version = self.up.in_force()?;
+    fn holds(&mut self, now: Time, key: MemberKey, number: u32) -> Option<Response> {
+        let version = self.up.active()?;
         let lease = self.lease(now, self.below.get(&key)?)?;
         let whole = self.rules(version).lease.min(self.most);
         let one = self.below.get_mut(&key)?;
@@ -436,75 +455,76 @@
         }
         let (check, pause) = (self.change, self.pause);
         let period = (lease.max(whole / (OFTEN / 4)) / 4).max(8);
-        Some(Answer::Held { key, number, lease: Some(lease), period, version, check, pause })
+        Some(Response::Renewed { key, number, lease: Some(lease), period, version, check, pause })
     }
 
-    fn status(&self, now: Time, number: u32, first: Key) -> Answer {
-        let line = |(key, one): (&Key, &Below<A>)| Line {
+    fn status(&self, now: Time, number: u32, first: MemberKey) -> Response {
+        let line = |(key, one): (&MemberKey, &Below<A>)| MemberStatus {
             key: *key,
             name: one.name.clone(),
-            has: one.has,
-            verdict: (self.change != 0 && one.good == self.change).then_some(Verdict::Good),
+            active: one.has,
+            verdict: (self.change != 0 && one.good == self.change).then_some(Verdict::Prepared),
             paused: self.pause != 0 && one.paused == self.pause,
             silent: now - one.heard,
         };
-        let mut lines: Vec<Line> = self.below.range(first..).take(TOLD / 4 + 1).map(line).collect();
-        let more = lines.len() > TOLD / 4;
-        lines.truncate(TOLD / 4);
-        let stage = if self.pause == self.change { Stage::Closing } else { Stage::Asking };
+        let mut lines: Vec<MemberStatus> =
+            self.below.range(first..).take(MAX_MEMBERS_PER_MESSAGE / 4 + 1).map(line).collect();
+        let more = lines.len() > MAX_MEMBERS_PER_MESSAGE / 4;
+        lines.truncate(MAX_MEMBERS_PER_MESSAGE / 4);
+        let stage = if self.pause == self.change { Stage::Barrier } else { Stage::Preparing };
         let change = (self.change != 0).then_some((self.change, stage));
-        Answer::Status { number, now: self.up.in_force().unwrap_or(0), change, generation: 0, lines, more }
+        Response::Status { number, active: self.up.active().unwrap_or(0), change, generation: 0, lines, more }
     }
 
     /// What follows from what was just heard: to be called at the end of each step.
-    fn settles(&mut self, now: Time, mut asks: Vec<(NodeId, Ask)>, mut out: Out<A>) -> Out<A> {
+    fn settles(&mut self, now: Time, mut asks: Vec<(NodeId, Request)>, mut out: Out<A>) -> Out<A> {
         self.looked = self.looked.max(now);
         while let Some((_, key)) = self.oldest.first().copied().filter(|first| first.0 <= now) {
             self.forgets(key);
         }
         // Guards the log against one that leaves and comes again and again at the bound.
-        self.full &= self.below.len() >= MEMBERS - MEMBERS / 8;
-        let events: Vec<Event> = self.up.events().collect();
+        self.full &= self.below.len() >= MAX_MEMBERS - MAX_MEMBERS / 8;
+        let events: Vec<MemberEvent> = self.up.events().collect();
         for event in events {
             match event {
-                Event::Check { version } => {
+                MemberEvent::Check { version } => {
                     let known = self.texts.contains_key(&version.number);
                     if !known && (self.keeping.len() < TEXTS || self.keeping.contains_key(&version.number)) {
                         self.keeping.insert(version.number, (*version).clone());
                         out.keep.push(*version);
                     }
                 }
-                Event::InForce { number } => self.says(format!("policy {number} is in force")),
-                Event::Out { number } => {
+                MemberEvent::Activated { number } => self.says(format!("policy {number} is in force")),
+                MemberEvent::LeaseExpired { number } => {
                     self.says(format!("no lease on policy {number}: no members are answered"))
                 }
-                Event::Holds { change } => self.says(format!("all stop for policy {change}")),
+                MemberEvent::Paused { change } => self.says(format!("all stop for policy {change}")),
             }
         }
         let (wanted, check, pause) = self.up.told();
         // What is in force has been checked by whoever had to, and one that refuses it now has no lease: only the text has to be here.
-        let has = self.up.verdict(wanted) == Some(Verdict::Good);
+        let has = self.up.verdict(wanted) == Some(Verdict::Prepared);
         if wanted != 0 && !has && self.texts.contains_key(&wanted) {
-            asks.extend(self.up.checked(now, wanted, Verdict::Good));
+            asks.extend(self.up.record_verdict(now, wanted, Verdict::Prepared));
             return self.settles(now, asks, out);
         }
         // Guards a zone against a disk that failed once, as the text was proposed: it came in force without this relay.
         if wanted != 0 && !self.texts.contains_key(&wanted) && self.up.verdict(wanted).is_some() {
-            self.up.unfound(wanted);
+            self.up.forget_verdict(wanted);
         }
         self.newest = self.newest.max(check);
         let change =
             if check == self.newest && check > wanted && self.texts.contains_key(&check) { check } else { 0 };
         if change != self.change {
             self.change = change;
-            let lacks = |(key, one): (&Key, &Below<A>)| {
+            let lacks = |(key, one): (&MemberKey, &Below<A>)| {
                 (change != 0 && one.until > now && one.good != change).then_some(*key)
             };
             self.without = self.below.iter().filter_map(lacks).collect();
         }
         if pause != self.pause {
             self.pause = pause;
-            let goes = |(key, one): (&Key, &Below<A>)| {
+            let goes = |(key, one): (&MemberKey, &Below<A>)| {
                 (pause != 0 && one.until > now && one.paused != pause).then_some(*key)
             };
             self.going = self.below.iter().filter_map(goes).collect();
@@ -514,13 +534,13 @@
         }
         asks.extend(self.speaks(now));
         for (_, ask) in &asks {
-            if let Ask::Here { number, verdict: Some((of, Verdict::Good)), .. } = ask {
+            if let Request::Heartbeat { number, verdict: Some((of, Verdict::Prepared)), .. } = ask {
                 if *of > wanted && self.yes.is_none_or(|yes| yes.0 < *of) {
                     self.yes = Some((*of, *number));
                 }
             }
         }
-        let stands = (self.up.in_force().unwrap_or(0), self.change, self.pause);
+        let stands = (self.up.active().unwrap_or(0), self.change, self.pause);
         if stands != self.told {
             if stands.0 != self.told.0 || stands.1 > self.told.1 || stands.2 > self.told.2 {
                 self.to_tell = self.below.keys().copied().collect();
@@ -537,25 +557,25 @@
         }
         for key in self.to_tell.drain(..self.to_tell.len().min(PUSHED)) {
             if let Some(one) = self.below.get(&key) {
-                out.down.push((one.at, Answer::News));
+                out.down.push((one.at, Response::Changed));
             }
         }
         if self.leaving && !self.gone && self.lease_ends() <= now {
             self.gone = true;
-            asks.extend(self.up.leaves(now));
+            asks.extend(self.up.leave(now));
         }
         // What is on its own disk or on its way there is not asked for.
-        let here = |ask: &Ask| matches!(ask, Ask::Fetch { version, .. } if self.texts.contains_key(version));
+        let here = |ask: &Request| matches!(ask, Request::FetchDocument { version, .. } if self.texts.contains_key(version));
         out.up.extend(asks.into_iter().filter(|(_, ask)| !here(ask)));
         out
     }
 
     fn again_after(&self) -> Time {
-        (self.rules(self.up.in_force().unwrap_or(0)).lease / AGAIN_AFTER).max(8)
+        (self.rules(self.up.active().unwrap_or(0)).lease / AGAIN_AFTER).max(8)
     }
 
     /// Members whose word is waited for, or that have not asked since something changed.
-    fn lag(&self, now: Time) -> Vec<Key> {
+    fn lag(&self, now: Time) -> Vec<MemberKey> {
         let lags = |one: &Below<A>| {
             let asked = self.change != 0 && one.good != self.change;
             let stops = self.pause != 0 && one.paused != self.pause;
@@ -565,7 +585,7 @@
     }
 
     /// Its words upward for all below, where they can be said.
-    fn speaks(&mut self, now: Time) -> Vec<(NodeId, Ask)> {
+    fn speaks(&mut self, now: Time) -> Vec<(NodeId, Request)> {
         let mut asks = Vec::new();
         if now < self.ready_at() {
             return asks;
@@ -573,7 +593,7 @@
         let (change, pause) = (self.change, self.pause);
         let below = &self.below;
         // The first that still has to answer is looked at, and no other: whoever is given a lease later comes in again.
-        let drain = |set: &mut BTreeSet<Key>, done: &dyn Fn(&Below<A>) -> bool| {
+        let drain = |set: &mut BTreeSet<MemberKey>, done: &dyn Fn(&Below<A>) -> bool| {
             while let Some(key) = set.first().copied() {
                 if below.get(&key).is_some_and(|one| one.until > now && !done(one)) {
                     return false;
@@ -587,12 +607,12 @@
         let stops = pause != 0 && self.stopped != pause;
         let still = stops && drain(&mut self.going, &|one| one.paused == pause);
         if asked && (all || self.broken.yes_alone) {
-            asks.extend(self.up.checked(now, change, Verdict::Good));
+            asks.extend(self.up.record_verdict(now, change, Verdict::Prepared));
             self.says(format!("policy {change} is good for {} members", self.below.len()));
         }
         if stops && (still || self.broken.stops_alone) {
             self.stopped = pause;
-            asks.extend(self.up.stopped(now, pause));
+            asks.extend(self.up.all_stopped(now, pause));
         }
         asks
     }
@@ -600,7 +620,7 @@
     /// Drops the oldest texts that nobody can ask for any more.
     fn cuts_texts(&mut self) {
         let (wanted, check, _) = self.up.told();
-        let keep = [wanted, check, self.up.in_force().unwrap_or(0)];
+        let keep = [wanted, check, self.up.active().unwrap_or(0)];
         while self.texts.len() > TEXTS {
             let Some(first) = self.texts.keys().copied().find(|number| !keep.contains(number)) else {
                 return;
--- a/crates/rollout-relay/src/sim.rs
+++ b/crates/rollout-relay/src/sim.rs
@@ -6,11 +6,11 @@
 use cypresscleat_consensus::letter;
 use cypresscleat_consensus::sim::World;
 use cypresscleat_consensus::{Answer as Answered, Options};
-use cypresscleat_rollout::desk::Desk;
-use cypresscleat_rollout::member::{self, Event as Happens, May, Member};
-use cypresscleat_rollout::policies::{News, Policies, Rules, Version};
-use cypresscleat_rollout::said::{Answer, Ask, Verdict};
-use cypresscleat_rollout::{Missing, NodeId, SeededRng, Time, MS, SECOND};
+use cypresscleat_rollout::coordinator::RolloutCoordinator;
+use cypresscleat_rollout::member::{self, AdmissionPermit, MemberEvent as Happens, RolloutMember};
+use cypresscleat_rollout::messages::{Request, Response, Verdict};
+use cypresscleat_rollout::state::{PolicyState, RolloutEvent, Rules, Version};
+use cypresscleat_rollout::{NodeId, SeededRng, Time, UnreachableMembers, MS, SECOND};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -37,7 +37,7 @@
     pub between: Time,
     /// The longest lease that a relay gives.
     pub most: Time,
-    pub member: member::Broken,
+    pub member: member::DisabledSafeguards,
     pub relay: relay::Broken,
 }
 
@@ -51,14 +51,14 @@
             members: 8,
             direct: 1,
             older: false,
-            rules: Rules { lease: SECOND, patience: 8 * SECOND, ..Rules::default() },
+            rules: Rules { lease: SECOND, decision_timeout: 8 * SECOND, ..Rules::default() },
             check: 5 * MS,
             keep: 2 * MS,
             near: MS,
             far: 10 * MS,
             between: 10 * MS,
             most: SECOND,
-            member: member::Broken::default(),
+            member: member::DisabledSafeguards::default(),
             relay: relay::Broken::default(),
         }
     }
@@ -95,7 +95,7 @@
 
 enum Process {
     Relay(Option<Box<Relay<usize>>>),
-    Member(Option<Box<Member>>),
+    RolloutMember(Option<Box<RolloutMember>>),
 }
 
 /// A process and its disk: relays come first, then members.
@@ -132,8 +132,8 @@
 
 #[derive(Clone, Debug)]
 enum Letter {
-    Ask(usize, Ask),
-    Answer(NodeId, Answer),
+    Request(usize, Request),
+    Response(NodeId, Response),
 }
 
 enum Event {
@@ -141,7 +141,7 @@
     Asks {
         to: usize,
         from: usize,
-        ask: Ask,
+        ask: Request,
         bytes: u64,
     },
     Arrives {
@@ -181,8 +181,8 @@
 
 pub struct Play {
     pub setup: Setup,
-    pub world: World<Policies>,
-    pub desks: Vec<Desk<usize>>,
+    pub world: World<PolicyState>,
+    pub desks: Vec<RolloutCoordinator<usize>>,
     pub places: Vec<Place>,
     /// Places of relays come before this one.
     pub first_member: usize,
@@ -208,12 +208,12 @@
 
 impl Play {
     pub fn new(setup: Setup, seed: u64) -> Play {
-        let mut world = World::new(setup.keepers, Policies::default(), Options::default(), seed);
+        let mut world = World::new(setup.keepers, PolicyState::default(), Options::default(), seed);
         world.weather.delay = setup.between;
         let mut play = Play {
             setup,
             world,
-            desks: (0..setup.keepers).map(|_| Desk::default()).collect(),
+            desks: (0..setup.keepers).map(|_| RolloutCoordinator::default()).collect(),
             places: Vec::new(),
             first_member: setup.zones * setup.relays,
             events: BinaryHeap::new(),
@@ -249,7 +249,7 @@
             true => (1..=self.setup.keepers as NodeId).collect(),
             false => (0..each).map(|one| RELAY + (zone * each + one) as NodeId).collect(),
         };
-        self.adds(Process::Member(None), format!("m{at}"), MEMBER + at as NodeId, zone, above);
+        self.adds(Process::RolloutMember(None), format!("m{at}"), MEMBER + at as NodeId, zone, above);
     }
 
     fn adds(&mut self, process: Process, name: String, id: NodeId, zone: usize, above: Vec<NodeId>) {
@@ -316,11 +316,11 @@
                 one.kept.values().for_each(|version| new.knows(version.clone()));
                 *process = Some(new);
             }
-            Process::Member(process) => {
-                let mut new = Box::new(Member::new(now, &one.name, key, above));
-                new.broken = member;
+            Process::RolloutMember(process) => {
+                let mut new = Box::new(RolloutMember::new(now, &one.name, key, above));
+                new.safeguards = member;
                 new.older = self.setup.older && (at / 2) % 2 == 1;
-                one.kept.keys().for_each(|number| new.knows(*number));
+                one.kept.keys().for_each(|number| new.restore(*number));
                 *process = Some(new);
             }
         }
@@ -331,7 +331,7 @@
         let one = &mut self.places[at];
         match &mut one.process {
             Process::Relay(process) => *process = None,
-            Process::Member(process) => *process = None,
+            Process::RolloutMember(process) => *process = None,
         }
         one.letters.clear();
         one.checks.clear();
@@ -346,7 +346,7 @@
     pub fn runs(&self, at: usize) -> bool {
         match &self.places[at].process {
             Process::Relay(process) => process.is_some(),
-            Process::Member(process) => process.is_some(),
+            Process::RolloutMember(process) => process.is_some(),
         }
     }
 
@@ -365,8 +365,8 @@
                 let out = relay.leaves(now);
                 self.carries(at, out);
             }
-            Process::Member(Some(member)) => {
-                let asks = member.leaves(now);
+            Process::RolloutMember(Some(member)) => {
+                let asks = member.leave(now);
                 self.asks(at, asks);
             }
             _ => {}
@@ -378,7 +378,7 @@
     pub fn relay(&self, at: usize) -> Option<&Relay<usize>> {
         match &self.places[at].process {
             Process::Relay(process) => process.as_deref(),
-            Process::Member(_) => None,
+            Process::RolloutMember(_) => None,
         }
     }
 
@@ -387,22 +387,22 @@
         let to = self.world.leader().unwrap_or(0);
         let at_ms = self.world.now as u64;
         let (by, hash) = ("operator".to_string(), self.posted);
-        let version = Version { parent, rules, text: text.into(), by, at_ms, hash, ..Version::default() };
-        let ask = Ask::Propose { number: 1, version };
+        let version = Version { parent, rules, document: text.into(), by, at_ms, hash, ..Version::default() };
+        let ask = Request::Propose { number: 1, version };
         self.plan(self.world.now + self.setup.near, Event::Asks { to, from: OPERATOR, ask, bytes: 0 });
     }
 
     /// An operator says that a process will not come back.
     pub fn forget(&mut self, at: usize) {
         let to = self.world.leader().unwrap_or(0);
-        let ask = Ask::Forget { number: 2, member: self.places[at].id };
+        let ask = Request::Forget { number: 2, member: self.places[at].id };
         self.plan(self.world.now + self.setup.near, Event::Asks { to, from: OPERATOR, ask, bytes: 0 });
     }
 
     /// The version in force as the keepers have it.
     pub fn now(&self) -> u64 {
         let leader = self.world.leader().and_then(|at| self.world.seats[at].keeper.as_ref());
-        leader.map_or(0, |keeper| keeper.machine().now().number)
+        leader.map_or(0, |keeper| keeper.machine().active().number)
     }
 
     /// Lives that count at the keepers.
@@ -411,10 +411,10 @@
         leader.map_or(0, |keeper| keeper.machine().members().len())
     }
 
-    pub fn may(&self, at: usize) -> May {
+    pub fn may(&self, at: usize) -> AdmissionPermit {
         match &self.places[at].process {
-            Process::Member(Some(member)) => member.may(self.clock(at)),
-            _ => May::Nothing,
+            Process::RolloutMember(Some(member)) => member.permit(self.clock(at)),
+            _ => AdmissionPermit::Deny,
         }
     }
 
@@ -452,7 +452,7 @@
         Some(ways.collect())
     }
 
-    fn asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
+    fn asks(&mut self, from: usize, asks: Vec<(NodeId, Request)>) {
         let now = self.world.now;
         for (to, ask) in asks {
             let bytes = letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
@@ -467,7 +467,7 @@
                 let event = match keeper {
                     Some(to) => Event::Asks { to, from, ask: ask.clone(), bytes },
                     None => {
-                        let (to, letter) = ((to - RELAY) as usize, Letter::Ask(from, ask.clone()));
+                        let (to, letter) = ((to - RELAY) as usize, Letter::Request(from, ask.clone()));
                         Event::Arrives { to, life: 0, letter, bytes }
                     }
                 };
@@ -476,11 +476,11 @@
         }
     }
 
-    fn answers(&mut self, from: NodeId, region: usize, to: usize, answer: &Answer) -> u64 {
+    fn answers(&mut self, from: NodeId, region: usize, to: usize, answer: &Response) -> u64 {
         let bytes = letter::write(answer).map_or(0, |bytes| bytes.len() as u64);
         let now = self.world.now;
         for way in self.way(region, self.places[to].region).unwrap_or_default() {
-            let (life, letter) = (self.places[to].lives, Letter::Answer(from, answer.clone()));
+            let (life, letter) = (self.places[to].lives, Letter::Response(from, answer.clone()));
             self.plan(now + way, Event::Arrives { to, life, letter, bytes });
         }
         bytes
@@ -505,13 +505,13 @@
         self.world.answers = others;
         let answers: Vec<Answered> = own.into_iter().map(|one| one.1).collect();
         let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
-        let (out, said) = self.desks[at].look(now, keeper, answers);
+        let (out, said) = self.desks[at].poll(now, keeper, answers);
         self.desks[at].log().for_each(drop);
-        for news in keeper.machine_mut().take_news() {
+        for news in keeper.machine_mut().take_events() {
             match news {
-                News::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
-                News::Taken { number } => self.decides(at, number, true),
-                News::Dropped { number, reason } => {
+                RolloutEvent::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
+                RolloutEvent::Committed { number } => self.decides(at, number, true),
+                RolloutEvent::Aborted { number, reason } => {
                     self.decides(at, number, false);
                     self.reasons.insert(number, reason);
                 }
@@ -521,7 +521,7 @@
         self.keeper_says(at, out, said);
     }
 
-    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
+    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Response)>) {
         self.world.carry(at, out);
         for (to, answer) in said {
             if to != OPERATOR {
@@ -553,7 +553,7 @@
         }
         // Whoever may admit now, or holds for the change, has it on its disk.
         for at in self.first_member..self.places.len() {
-            if self.places[at].stopped <= now && self.may(at) != May::Nothing {
+            if self.places[at].stopped <= now && self.may(at) != AdmissionPermit::Deny {
                 let one = &self.places[at];
                 if !one.kept.contains_key(&number) {
                     let wrong =
@@ -578,7 +578,7 @@
         let now = self.world.now;
         let stands = self.places[at].stopped > now;
         let admits = match self.may(at) {
-            May::Admit(number) if !stands => Some(number),
+            AdmissionPermit::Admit(number) if !stands => Some(number),
             _ => None,
         };
         let before = std::mem::replace(&mut self.places[at].admits, admits);
@@ -600,13 +600,13 @@
         let newest = self.first.keys().next_back().copied().unwrap_or(0);
         if number > newest {
             self.first.insert(number, now);
-            if self.rules.get(&number).is_some_and(|rules| rules.together) {
+            if self.rules.get(&number).is_some_and(|rules| rules.barrier) {
                 let older: Vec<u64> = self.admit.range(..number).map(|one| *one.0).collect();
                 older.into_iter().for_each(|older| self.nobody(older, number));
             }
         } else if number < newest {
             let lease = self.rules.get(&number).map_or(SECOND, |rules| rules.lease);
-            let together = self.rules.get(&newest).is_some_and(|rules| rules.together);
+            let together = self.rules.get(&newest).is_some_and(|rules| rules.barrier);
             let late = self.decided.range(number + 1..).any(|(_, one)| one.1 && now > one.0 + lease);
             if together || late {
                 let name = &self.places[at].name;
@@ -623,7 +623,7 @@
         }
         let now = self.world.now;
         let one = (self.first_member..self.places.len())
-            .find(|at| self.places[*at].stopped <= now && self.may(*at) == May::Admit(older));
+            .find(|at| self.places[*at].stopped <= now && self.may(*at) == AdmissionPermit::Admit(older));
         if let Some(at) = one {
             let since = self.decided.get(&number).map_or(0, |decided| (now - decided.0) / MS);
             let name = &self.places[at].name;
@@ -636,7 +636,7 @@
     fn plans(&mut self, at: usize) {
         let due = match &self.places[at].process {
             Process::Relay(Some(relay)) => relay.due(),
-            Process::Member(Some(member)) => member.due(),
+            Process::RolloutMember(Some(member)) => member.next_deadline(),
             _ => Time::MAX,
         };
         let due = self.when(at, due);
@@ -661,7 +661,7 @@
         self.stuck = (self.world.now, again);
         assert!(again < 1_000_000, "time stands still at {}", self.world.now);
         let event = self.events.peek().map_or(until, |event| event.0);
-        let desk = self.desks.iter().map(Desk::due).min().unwrap_or(until);
+        let desk = self.desks.iter().map(RolloutCoordinator::next_deadline).min().unwrap_or(until);
         let next = until.min(event).min(desk).max(self.world.now);
         if self.world.step(next) {
             (0..self.setup.keepers).for_each(|at| self.after(at));
@@ -679,7 +679,7 @@
             Event::Asks { to, from, ask, bytes } => {
                 self.keepers[to].counts(next, bytes, false);
                 let Some(keeper) = self.world.seats[to].keeper.as_mut() else { return };
-                let (out, said) = self.desks[to].hear(next, keeper, from, ask);
+                let (out, said) = self.desks[to].handle(next, keeper, from, ask);
                 self.keeper_says(to, out, said);
                 self.after(to);
             }
@@ -725,8 +725,8 @@
                     outs.push(relay.tick(clock));
                 }
                 outs.extend(letters.into_iter().map(|letter| match letter {
-                    Letter::Ask(from, ask) => relay.from_below(clock, from, ask),
-                    Letter::Answer(from, answer) => relay.from_above(clock, from, answer),
+                    Letter::Request(from, ask) => relay.from_below(clock, from, ask),
+                    Letter::Response(from, answer) => relay.from_above(clock, from, answer),
                 }));
                 for version in done {
                     let number = version.number;
@@ -739,23 +739,23 @@
                 relay.log().for_each(drop);
                 outs.into_iter().for_each(|out| self.carries(at, out));
             }
-            Process::Member(Some(member)) => {
+            Process::RolloutMember(Some(member)) => {
                 let mut asks = member.tick(clock);
                 for letter in letters {
-                    if let Letter::Answer(from, answer) = letter {
-                        asks.extend(member.hear(clock, from, answer));
+                    if let Letter::Response(from, answer) = letter {
+                        asks.extend(member.handle(clock, from, answer));
                     }
                 }
                 for version in done {
                     let number = version.number;
                     let verdict = match one.refuses.contains(&number) {
-                        true => Verdict::Bad("line 1: no such thing".into()),
-                        false => Verdict::Good,
+                        true => Verdict::Refused("line 1: no such thing".into()),
+                        false => Verdict::Prepared,
                     };
-                    if verdict == Verdict::Good {
+                    if verdict == Verdict::Prepared {
                         one.kept.insert(number, version);
                     }
-                    asks.extend(member.checked(clock, number, verdict));
+                    asks.extend(member.record_verdict(clock, number, verdict));
                 }
                 for event in member.events() {
                     if let Happens::Check { version } = event {
@@ -827,11 +827,11 @@
                 _ => {
                     text += 1;
                     let mut rules = self.setup.rules;
-                    rules.together = self.rng.one_in(2);
+                    rules.barrier = self.rng.one_in(2);
                     if self.rng.one_in(4) {
-                        rules.missing = match rules.missing {
-                            Missing::Fence => Missing::Wait,
-                            Missing::Wait => Missing::Fence,
+                        rules.unreachable = match rules.unreachable {
+                            UnreachableMembers::Fence => UnreachableMembers::Wait,
+                            UnreachableMembers::Wait => UnreachableMembers::Fence,
                         };
                     }
                     if self.rng.one_in(4) {
@@ -888,8 +888,8 @@
     pub fn settled(&self) -> bool {
         let now = self.now();
         (self.first_member..self.places.len()).all(|at| match self.places[at].refuses.contains(&now) {
-            false => self.may(at) == May::Admit(now),
-            true => self.may(at) == May::Nothing,
+            false => self.may(at) == AdmissionPermit::Admit(now),
+            true => self.may(at) == AdmissionPermit::Deny,
         })
     }
 }
--- a/crates/rollout-relay/tests/properties.rs
+++ b/crates/rollout-relay/tests/properties.rs
@@ -1,11 +1,11 @@
 //! One relay by itself, in any order of events: what it says upward holds for whoever holds a lease of it, and no lease outlives its own.
 //! The harness stands in for the keepers and keeps its own account of what was given, also over lives that take a former one's place.
 
-use cypresscleat_rollout::policies::{Missing, Rules, Version};
-use cypresscleat_rollout::said::{Answer, Ask, Verdict};
-use cypresscleat_rollout::watch::Seen;
-use cypresscleat_rollout::{Key, Time, MS, SECOND};
-use cypresscleat_rollout_relay::relay::{Broken, Out, Relay, MEMBERS};
+use cypresscleat_rollout::messages::{Request, Response, Verdict};
+use cypresscleat_rollout::state::{Rules, UnreachableMembers, Version};
+use cypresscleat_rollout::watch::ServiceTotals;
+use cypresscleat_rollout::{MemberKey, Time, MS, SECOND};
+use cypresscleat_rollout_relay::relay::{Broken, Out, Relay, MAX_MEMBERS};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
@@ -66,13 +66,13 @@
 #[derive(Default)]
 struct Harness {
     now: Time,
-    missing: Missing,
+    missing: UnreachableMembers,
     relay: Option<Relay<usize>>,
     life: u64,
     broken: Broken,
     ones: [One; 3],
     /// Until when each life may hold a lease, and what it said: good to, stopped for.
-    given: BTreeMap<Key, (Time, u64, u64)>,
+    given: BTreeMap<MemberKey, (Time, u64, u64)>,
     /// Askings that wait at the keepers: number, when.
     asked: VecDeque<(u32, Time)>,
     keeping: Vec<Version>,
@@ -94,7 +94,7 @@
 }
 
 impl Harness {
-    fn new(missing: Missing, broken: Broken) -> Harness {
+    fn new(missing: UnreachableMembers, broken: Broken) -> Harness {
         let mut one = Harness { missing, broken, version: 1, numbers: 1, ..Harness::default() };
         one.texts.insert(1, one.text(1, false));
         one.restarts();
@@ -102,7 +102,7 @@
     }
 
     fn text(&self, number: u64, together: bool) -> Version {
-        let rules = Rules { missing: self.missing, lease: LEASE, together, ..Rules::default() };
+        let rules = Rules { unreachable: self.missing, lease: LEASE, barrier: together, ..Rules::default() };
         Version { number, rules, ..Version::default() }
     }
 
@@ -120,7 +120,7 @@
         self.asked.clear();
         self.keeping.clear();
         (self.good, self.stopped, self.bound, self.own, self.seen) = (0, 0, None, Time::MIN, 0);
-        if self.missing == Missing::Fence {
+        if self.missing == UnreachableMembers::Fence {
             // The former life counts by itself until its lease is over, which is after these are.
             self.given.clear();
         }
@@ -134,21 +134,22 @@
     fn takes(&mut self, out: Out<usize>) {
         for (_, ask) in out.up {
             match ask {
-                Ask::Here { number, verdict, paused, seen, .. } => {
+                Request::Heartbeat { number, verdict, paused, totals: seen, .. } => {
                     self.asked.push_back((number, self.now));
-                    if std::mem::replace(&mut self.seen, seen.asked) > seen.asked {
+                    if std::mem::replace(&mut self.seen, seen.requests) > seen.requests {
                         self.fails("sums fell".into());
                     }
-                    if let Some((of, Verdict::Good)) = verdict.filter(|verdict| verdict.0 > self.version) {
+                    if let Some((of, Verdict::Prepared)) = verdict.filter(|verdict| verdict.0 > self.version)
+                    {
                         self.says_yes(of, number);
                     }
                     if paused > self.version {
                         self.says_stopped(paused);
                     }
                 }
-                Ask::Fetch { version, .. } => {
+                Request::FetchDocument { version, .. } => {
                     if let Some(text) = self.texts.get(&version).cloned() {
-                        let answer = Answer::Text { number: 0, version: Some(Box::new(text)) };
+                        let answer = Response::Document { number: 0, version: Some(Box::new(text)) };
                         self.steps(|relay, now| relay.from_above(now, 1, answer));
                     }
                 }
@@ -157,7 +158,7 @@
         }
         self.keeping.extend(out.keep);
         for (at, answer) in out.down {
-            if let Answer::Held { key, lease, check, pause, version, .. } = answer {
+            if let Response::Renewed { key, lease, check, pause, version, .. } = answer {
                 self.gives(key, lease.unwrap_or(Time::MAX), version);
                 if key.1 == self.ones[at].life {
                     (self.ones[at].check, self.ones[at].pause) = (check, pause);
@@ -167,7 +168,7 @@
     }
 
     /// One that may hold a lease and of which this is so.
-    fn live(&self, so: impl Fn(&(Time, u64, u64)) -> bool) -> Option<(Key, u64)> {
+    fn live(&self, so: impl Fn(&(Time, u64, u64)) -> bool) -> Option<(MemberKey, u64)> {
         let mut live = self.given.iter().filter(|(_, one)| one.0 > self.now);
         live.find(|(_, one)| so(one)).map(|(key, one)| (*key, one.1))
     }
@@ -178,7 +179,7 @@
                 self.fails(format!("yes to {of} while {key:?} has a lease and said yes to {one}"));
             }
             self.bound = Some((of, number));
-            if self.missing == Missing::Wait {
+            if self.missing == UnreachableMembers::Wait {
                 self.own = self.own.min(self.now + LEASE);
             }
         }
@@ -192,7 +193,7 @@
         self.stopped = of;
     }
 
-    fn gives(&mut self, key: Key, lease: Time, version: u64) {
+    fn gives(&mut self, key: MemberKey, lease: Time, version: u64) {
         if lease <= 0 {
             return;
         }
@@ -214,19 +215,20 @@
     fn asks(&mut self, at: usize, verdict: Option<(u64, Verdict)>, stopped: bool) {
         let one = &mut self.ones[at];
         one.asked += 1;
-        if let Some((of, Verdict::Good)) = &verdict {
+        if let Some((of, Verdict::Prepared)) = &verdict {
             one.good = one.good.max(*of);
         }
         if stopped {
             one.stopped = one.stopped.max(one.pause);
         }
         let key = (at as u64, one.life);
-        let seen = Seen { asked: one.asked.into(), ..Seen::default() };
+        let seen = ServiceTotals { requests: one.asked.into(), ..ServiceTotals::default() };
         let (number, paused) = (one.asked, one.stopped);
         let given = self.given.entry(key).or_default();
         (given.1, given.2) = (one.good, one.stopped);
         let name = format!("m{at}");
-        let ask = Ask::Here { key, name, joins: true, number, verdict, paused, has: 0, seen };
+        let ask =
+            Request::Heartbeat { key, name, joins: true, number, verdict, paused, active: 0, totals: seen };
         self.steps(|relay, now| relay.from_below(now, at, ask));
     }
 
@@ -237,7 +239,8 @@
             self.asked.clear();
         }
         let check = self.change.as_ref().map_or(0, |change| change.number);
-        let leased = self.missing == Missing::Fence || self.closing || (check != 0 && self.good == check);
+        let leased =
+            self.missing == UnreachableMembers::Fence || self.closing || (check != 0 && self.good == check);
         // Over for the relay with this word, and not before.
         if self.bound.is_some_and(|(of, since)| of <= self.version || (of != check && number >= since)) {
             self.bound = None;
@@ -247,7 +250,7 @@
             _ if self.own == Time::MAX => at + LEASE,
             _ => self.own.max(at + LEASE),
         };
-        let answer = Answer::Held {
+        let answer = Response::Renewed {
             key: (7, self.life),
             number,
             lease: leased.then_some(LEASE),
@@ -277,14 +280,14 @@
             }
             Op::Asks { at, yes, stopped } => {
                 let check = self.ones[at].check;
-                let said = |yes| if yes { Verdict::Good } else { Verdict::Bad("no".into()) };
+                let said = |yes| if yes { Verdict::Prepared } else { Verdict::Refused("no".into()) };
                 self.asks(at, yes.filter(|_| check != 0).map(|yes| (check, said(yes))), stopped);
             }
             Op::Goes(at) => {
                 let key = (at as u64, self.ones[at].life);
                 self.given.remove(&key);
                 self.ones[at] = One { life: key.1 + 1, ..One::default() };
-                self.steps(|relay, now| relay.from_below(now, at, Ask::Leave { key, number: 1 }));
+                self.steps(|relay, now| relay.from_below(now, at, Request::Leave { key, number: 1 }));
             }
             Op::Starts(at) => self.ones[at] = One { life: self.ones[at].life + 1, ..One::default() },
             Op::Answers(newest) => self.answers(newest),
@@ -299,7 +302,7 @@
                 self.numbers += 1;
                 self.change = Some(self.text(self.numbers, together));
                 self.texts.extend(self.change.clone().map(|change| (change.number, change)));
-                self.steps(|relay, now| relay.from_above(now, 1, Answer::News));
+                self.steps(|relay, now| relay.from_above(now, 1, Response::Changed));
             }
             Op::Drops if !self.closing => self.change = None,
             Op::Decides => {
@@ -308,7 +311,7 @@
                 if !self.closing && self.good == change.number {
                     self.closing = true;
                 }
-                if (self.closing && !change.rules.together) || opens {
+                if (self.closing && !change.rules.barrier) || opens {
                     (self.version, self.change, self.closing) = (change.number, None, false);
                 }
             }
@@ -320,38 +323,38 @@
 
 #[test]
 fn more_members_than_it_can_hold_are_not_heard_and_news_go_out_in_parts() {
-    let mut harness = Harness::new(Missing::Fence, Broken::default());
+    let mut harness = Harness::new(UnreachableMembers::Fence, Broken::default());
     let steps = [Op::Keeps(true), Op::Answers(false), Op::Keeps(true), Op::Answers(true)];
     steps.into_iter().for_each(|op| harness.step(op));
     let mut relay = harness.relay.take().expect("it runs");
     let now = harness.now;
-    let (number, name, seen) = (1, String::new(), Seen::default());
-    let here = |at| Ask::Here {
+    let (number, name, seen) = (1, String::new(), ServiceTotals::default());
+    let here = |at| Request::Heartbeat {
         key: (at, 1),
         name: name.clone(),
         joins: true,
         number,
         verdict: None,
         paused: 0,
-        has: 1,
-        seen,
+        active: 1,
+        totals: seen,
     };
     let held =
         (0..5_000).filter(|at| !relay.from_below(now, *at as usize, here(*at)).down.is_empty()).count();
-    assert_eq!((held, relay.members(), relay.log().count()), (MEMBERS, MEMBERS, 2));
+    assert_eq!((held, relay.members(), relay.log().count()), (MAX_MEMBERS, MAX_MEMBERS, 2));
     // One that goes and comes again at the bound fills no log.
     for life in 0..50 {
         let (gone, key) = ((u64::from(life > 0) * (9_000 + life - 1), 1), (9_000 + life, 1));
-        relay.from_below(now, 0, Ask::Leave { key: gone, number });
+        relay.from_below(now, 0, Request::Leave { key: gone, number });
         for at in [key.0, 8_000] {
             relay.from_below(now, 0, here(at));
         }
     }
-    assert_eq!((relay.members(), relay.log().count()), (MEMBERS, 0));
+    assert_eq!((relay.members(), relay.log().count()), (MAX_MEMBERS, 0));
     // A change comes: all are told, in steps, and at once.
-    relay.from_above(now, 1, Answer::News);
+    relay.from_above(now, 1, Response::Changed);
     let version = harness.text(2, false);
-    let held = |number| Answer::Held {
+    let held = |number| Response::Renewed {
         key: (7, 1),
         number,
         lease: Some(LEASE),
@@ -361,21 +364,21 @@
         pause: 0,
     };
     (0..9).for_each(|number| drop(relay.from_above(now, 1, held(number))));
-    relay.from_above(now, 1, Answer::Text { number: 0, version: Some(Box::new(version)) });
+    relay.from_above(now, 1, Response::Document { number: 0, version: Some(Box::new(version)) });
     let mut told = vec![relay.kept(now, 2, Ok(())).down.len()];
     while relay.due() <= now {
         told.push(relay.tick(now).down.len());
     }
-    assert_eq!((told.iter().max(), told.iter().sum()), (Some(&256), MEMBERS));
+    assert_eq!((told.iter().max(), told.iter().sum()), (Some(&256), MAX_MEMBERS));
     let ends = relay.due();
     assert!(ends > now);
     relay.tick(now + 2 * LEASE);
     assert_eq!(relay.members(), 0, "whoever is not heard is forgotten");
 }
 
-fn held(number: u32, version: u64, check: u64) -> Answer {
+fn held(number: u32, version: u64, check: u64) -> Response {
     let (key, lease, period) = ((7, 1), Some(LEASE), LEASE / 4);
-    Answer::Held { key, number, lease, period, version, check, pause: 0 }
+    Response::Renewed { key, number, lease, period, version, check, pause: 0 }
 }
 
 /// An answer that its member does not take tells nothing: not that nothing was in force when it joined, and so by which rule.
@@ -384,7 +387,7 @@
     let mut relay = Relay::<usize>::new(0, "r", (7, 1), vec![1], LEASE);
     relay.tick(0);
     relay.from_above(10, 1, held(77, 1, 0));
-    let leaves = |out: &Out<usize>| out.up.iter().any(|(_, ask)| matches!(ask, Ask::Leave { .. }));
+    let leaves = |out: &Out<usize>| out.up.iter().any(|(_, ask)| matches!(ask, Request::Leave { .. }));
     assert!(!leaves(&relay.leaves(20)), "leases of its former life may be out");
     assert!(leaves(&relay.tick(LEASE)), "no longer");
 }
@@ -402,14 +405,16 @@
                 for (_, ask) in out.up {
                     match ask {
                         // First it is proposed, then taken without this relay, or it is in force from the beginning.
-                        Ask::Here { number, .. } if asked_before && !failed => {
+                        Request::Heartbeat { number, .. } if asked_before && !failed => {
                             outs.push(relay.from_above(now, 1, held(number, 0, 1)));
                         }
-                        Ask::Here { number, .. } => outs.push(relay.from_above(now, 1, held(number, 1, 0))),
-                        Ask::Fetch { version: 1, number } => {
+                        Request::Heartbeat { number, .. } => {
+                            outs.push(relay.from_above(now, 1, held(number, 1, 0)))
+                        }
+                        Request::FetchDocument { version: 1, number } => {
                             fetched += 1;
                             let version = Some(Box::new(text.clone()));
-                            outs.push(relay.from_above(now, 1, Answer::Text { number, version }));
+                            outs.push(relay.from_above(now, 1, Response::Document { number, version }));
                         }
                         _ => {}
                     }
@@ -427,7 +432,7 @@
     }
 }
 
-fn broken(missing: Missing, broken: Broken, cases: u32) -> Result<(), String> {
+fn broken(missing: UnreachableMembers, broken: Broken, cases: u32) -> Result<(), String> {
     let mut runner = TestRunner::new(Config { cases, failure_persistence: None, ..Config::default() });
     let result = runner.run(&proptest::collection::vec(op(), 1..120), |ops| {
         let mut harness = Harness::new(missing, broken);
@@ -444,7 +449,7 @@
 #[test]
 fn what_it_says_holds_for_all_below_in_any_order() {
     let cases = std::env::var("RELAYS_CASES").ok().and_then(|many| many.parse().ok()).unwrap_or(1_500);
-    for missing in [Missing::Fence, Missing::Wait] {
+    for missing in [UnreachableMembers::Fence, UnreachableMembers::Wait] {
         assert_eq!(broken(missing, Broken::default(), cases), Ok(()), "{missing:?}");
     }
 }
@@ -452,11 +457,11 @@
 #[test]
 fn each_guard_taken_out_is_found() {
     for (missing, guard, words) in [
-        (Missing::Fence, Broken { yes_alone: true, ..Broken::default() }, "yes to"),
-        (Missing::Fence, Broken { longer: true, ..Broken::default() }, "its own ends"),
-        (Missing::Wait, Broken { to_all: true, ..Broken::default() }, "a lease to"),
-        (Missing::Wait, Broken { stops_alone: true, ..Broken::default() }, "stopped for"),
-        (Missing::Wait, Broken { no_wait: true, ..Broken::default() }, "yes to"),
+        (UnreachableMembers::Fence, Broken { yes_alone: true, ..Broken::default() }, "yes to"),
+        (UnreachableMembers::Fence, Broken { longer: true, ..Broken::default() }, "its own ends"),
+        (UnreachableMembers::Wait, Broken { to_all: true, ..Broken::default() }, "a lease to"),
+        (UnreachableMembers::Wait, Broken { stops_alone: true, ..Broken::default() }, "stopped for"),
+        (UnreachableMembers::Wait, Broken { no_wait: true, ..Broken::default() }, "yes to"),
     ] {
         let found = broken(missing, guard, 20_000);
         assert!(found.as_ref().is_err_and(|why| why.contains(words)), "{guard:?}: {found:?}");
--- a/crates/rollout-relay/tests/relays.rs
+++ b/crates/rollout-relay/tests/relays.rs
@@ -1,8 +1,8 @@
 //! Relays in a simulated net: each hard case by itself, then faults by chance over many seeds, then the same with guards taken out,
 //! which has to be found.
 
-use cypresscleat_rollout::member::May;
-use cypresscleat_rollout::policies::{Missing, Rules};
+use cypresscleat_rollout::member::AdmissionPermit;
+use cypresscleat_rollout::state::{Rules, UnreachableMembers};
 use cypresscleat_rollout::{Time, MS, SECOND};
 use cypresscleat_rollout_relay::relay::Broken;
 use cypresscleat_rollout_relay::sim::{Play, Setup};
@@ -12,11 +12,11 @@
 }
 
 fn wait() -> Rules {
-    Rules { missing: Missing::Wait, ..rules() }
+    Rules { unreachable: UnreachableMembers::Wait, ..rules() }
 }
 
 fn together(rules: Rules) -> Rules {
-    Rules { together: true, ..rules }
+    Rules { barrier: true, ..rules }
 }
 
 /// Members joined and served under their own file, then under a version with these rules.
@@ -41,7 +41,8 @@
 fn runs_until(play: &mut Play, most: Time, done: impl Fn(&Play) -> bool) {
     let end = play.world.now + most;
     while !done(play) {
-        let mays: Vec<May> = (play.first_member..play.places.len()).map(|at| play.may(at)).collect();
+        let mays: Vec<AdmissionPermit> =
+            (play.first_member..play.places.len()).map(|at| play.may(at)).collect();
         assert!(play.world.now < end, "it never came: {:?} {:?} {mays:?}", play.decided, play.reasons);
         runs(play, 5 * MS);
     }
@@ -67,14 +68,14 @@
 
 #[test]
 fn a_relay_dies_and_its_members_ask_the_other_one() {
-    for (seed, missing) in [(2, Missing::Fence), (3, Missing::Wait)] {
-        let rules = Rules { missing, ..rules() };
+    for (seed, missing) in [(2, UnreachableMembers::Fence), (3, UnreachableMembers::Wait)] {
+        let rules = Rules { unreachable: missing, ..rules() };
         let mut play = play(Setup { rules, ..Setup::default() }, seed);
         play.kill(0);
         play.propose(1, rules, "second");
         runs(&mut play, 3 * SECOND);
         // Under `wait` it counts until it is here again, or an operator says that it won't be.
-        assert_eq!(play.decided.contains_key(&2), missing == Missing::Fence);
+        assert_eq!(play.decided.contains_key(&2), missing == UnreachableMembers::Fence);
         assert!(play.settled(), "the zone serves by its other relay");
         play.start(0);
         runs_until(&mut play, 4 * SECOND, |play| play.now() == 2 && play.settled());
@@ -98,9 +99,9 @@
         }
         play.propose(1, rules(), "second");
         runs_until(&mut play, 4 * SECOND, |play| play.decided.contains_key(&2));
-        assert!(play.decided[&2].1 && members.iter().all(|at| play.may(*at) == May::Nothing));
+        assert!(play.decided[&2].1 && members.iter().all(|at| play.may(*at) == AdmissionPermit::Deny));
         runs(&mut play, 4 * SECOND);
-        assert!(members.iter().all(|at| still || play.may(*at) == May::Nothing));
+        assert!(members.iter().all(|at| still || play.may(*at) == AdmissionPermit::Deny));
         play.places[0].cut = false;
         runs_until(&mut play, 4 * SECOND, Play::settled);
     }
@@ -119,7 +120,7 @@
             .collect::<Vec<_>>()
     };
     runs(&mut play, 60 * SECOND);
-    assert!(apart(&play).iter().all(|may| *may == May::Nothing), "its relays have no lease");
+    assert!(apart(&play).iter().all(|may| *may == AdmissionPermit::Deny), "its relays have no lease");
     play.joined();
     runs_until(&mut play, 4 * SECOND, Play::settled);
 }
@@ -131,7 +132,7 @@
     (0..2).for_each(|at| play.lose_disk(at));
     play.propose(1, rules(), "second");
     runs_until(&mut play, 4 * SECOND, |play| play.now() == 2);
-    assert!(members.iter().all(|at| play.may(*at) == May::Nothing));
+    assert!(members.iter().all(|at| play.may(*at) == AdmissionPermit::Deny));
     (0..2).for_each(|at| play.start(at));
     runs_until(&mut play, 4 * SECOND, Play::settled);
 }
@@ -229,11 +230,11 @@
 }
 
 fn setup(seed: u64) -> Setup {
-    let missing = if seed.is_multiple_of(2) { Missing::Fence } else { Missing::Wait };
+    let missing = if seed.is_multiple_of(2) { UnreachableMembers::Fence } else { UnreachableMembers::Wait };
     // One relay for a zone in a third of the plays, where leases below last longest without another's.
     let relays = if seed.is_multiple_of(3) { 1 } else { 2 };
     let older = seed.is_multiple_of(5);
-    Setup { rules: Rules { missing, ..rules() }, relays, older, ..Setup::default() }
+    Setup { rules: Rules { unreachable: missing, ..rules() }, relays, older, ..Setup::default() }
 }
 
 /// `RELAYS_SEEDS` plays more of them.
@@ -257,7 +258,8 @@
         }
         let wrong = play.wrong.clone().or(play.world.wrong.clone());
         assert_eq!(wrong, None, "seed {seed}, in peace");
-        let mays: Vec<May> = (play.first_member..play.places.len()).map(|at| play.may(at)).collect();
+        let mays: Vec<AdmissionPermit> =
+            (play.first_member..play.places.len()).map(|at| play.may(at)).collect();
         assert!(
             play.settled(),
             "seed {seed}: in peace all serve under one version, {}: {mays:?}",
--- a/crates/rollout/src/said.rs
+++ b/crates/rollout/src/messages.rs
@@ -1,24 +1,27 @@
 //! What members, operators and the keepers' desk say to each other, one in each datagram (bytes as in `quorum::letter`).
 
-use crate::policies::{Dropped, Outcome, Stage, Version};
-use crate::watch::Seen;
-use crate::{Key, NodeId, Time, HISTORY, NAME, TEXT, TOLD, WHY};
+use crate::state::{AbortedChange, Outcome, Stage, Version};
+use crate::watch::ServiceTotals;
+use crate::{
+    MemberKey, NodeId, Time, MAX_DOCUMENT_BYTES, MAX_HISTORY, MAX_MEMBERS_PER_MESSAGE, MAX_NAME_BYTES,
+    MAX_REASON_BYTES,
+};
 use serde::{Deserialize, Serialize};
 
 /// What a member found of a text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
     /// It can carry it out, and has kept it.
-    Good,
+    Prepared,
     /// It can't, and why: with the line.
-    Bad(String),
+    Refused(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Request {
     /// A member is here. Answered by `Held`, or by `Gone` where it is none and may join with `joins`.
-    Here {
-        key: Key,
+    Heartbeat {
+        key: MemberKey,
         name: String,
         joins: bool,
         /// Comes back with the answer.
@@ -28,29 +31,29 @@
         /// It admits nothing until this change is in force; 0 for none.
         paused: u64,
         /// The version that it has in force.
-        has: u64,
-        seen: Seen,
+        active: u64,
+        totals: ServiceTotals,
     },
     /// The text of a version.
-    Fetch { number: u32, version: u64 },
+    FetchDocument { number: u32, version: u64 },
     /// It drains, and admits nothing any more.
-    Leave { key: Key, number: u32 },
+    Leave { key: MemberKey, number: u32 },
     /// An operator, or the watch. `number` of the version and its stage are of no account.
     Propose { number: u32, version: Version },
     /// An operator: that instance will not come back.
     Forget { number: u32, member: NodeId },
     /// An operator asks how all stands; members from this one on.
-    Status { number: u32, from: Key },
+    Status { number: u32, from: MemberKey },
     /// An operator asks for what was taken and dropped.
     History { number: u32 },
 }
 
 /// How a member stands, as the desk has it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Line {
-    pub key: Key,
+pub struct MemberStatus {
+    pub key: MemberKey,
     pub name: String,
-    pub has: u64,
+    pub active: u64,
     pub verdict: Option<Verdict>,
     pub paused: bool,
     /// Since it was last heard; negative where this keeper does not know.
@@ -58,10 +61,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// Version `version` is in force, and may be admitted under for `lease` from when it was asked, or for good.
-    Held {
-        key: Key,
+    Renewed {
+        key: MemberKey,
         number: u32,
         lease: Option<Time>,
         /// What renewals go by, also where there is no lease.
@@ -73,10 +76,10 @@
         pause: u64,
     },
     /// This life is no member.
-    Gone {
-        key: Key,
+    MembershipExpired {
+        key: MemberKey,
     },
-    Text {
+    Document {
         number: u32,
         version: Option<Box<Version>>,
     },
@@ -89,56 +92,61 @@
     },
     Status {
         number: u32,
-        now: u64,
+        active: u64,
         change: Option<(u64, Stage)>,
         generation: u64,
-        lines: Vec<Line>,
+        lines: Vec<MemberStatus>,
         more: bool,
     },
     /// Texts are fetched one by one.
     History {
         number: u32,
-        taken: Vec<Version>,
-        dropped: Vec<Dropped>,
+        committed: Vec<Version>,
+        aborted: Vec<AbortedChange>,
     },
     /// Another keeper leads, as far as this one knows.
-    Elsewhere {
+    NotLeader {
         leader: NodeId,
     },
     /// Something changed: ask now.
-    News,
+    Changed,
 }
 
-impl Ask {
-    pub fn bounded(&self) -> bool {
+impl Request {
+    pub fn is_within_bounds(&self) -> bool {
         match self {
-            Ask::Here { name, verdict, .. } => {
+            Request::Heartbeat { name, verdict, .. } => {
                 let short = match verdict {
-                    Some((_, Verdict::Bad(why))) => why.len() <= WHY,
+                    Some((_, Verdict::Refused(why))) => why.len() <= MAX_REASON_BYTES,
                     _ => true,
                 };
-                name.len() <= NAME && short
+                name.len() <= MAX_NAME_BYTES && short
             }
-            Ask::Propose { version, .. } => bounded(version),
+            Request::Propose { version, .. } => is_within_bounds(version),
             _ => true,
         }
     }
 }
 
-fn bounded(version: &Version) -> bool {
+fn is_within_bounds(version: &Version) -> bool {
     let lease = (1..=6_000_000).contains(&version.rules.lease);
-    version.text.len() <= TEXT && version.by.len() <= NAME && version.why.len() <= WHY && lease
+    version.document.len() <= MAX_DOCUMENT_BYTES
+        && version.by.len() <= MAX_NAME_BYTES
+        && version.why.len() <= MAX_REASON_BYTES
+        && lease
 }
 
-impl Answer {
-    pub fn bounded(&self) -> bool {
+impl Response {
+    pub fn is_within_bounds(&self) -> bool {
         match self {
-            Answer::Held { lease, period, .. } => {
+            Response::Renewed { lease, period, .. } => {
                 lease.is_none_or(|lease| (0..36_000_000).contains(&lease)) && (8..36_000_000).contains(period)
             }
-            Answer::Text { version, .. } => version.as_ref().is_none_or(|version| bounded(version)),
-            Answer::Status { lines, .. } => lines.len() <= TOLD,
-            Answer::History { taken, .. } => taken.len() <= HISTORY + 1,
+            Response::Document { version, .. } => {
+                version.as_ref().is_none_or(|version| is_within_bounds(version))
+            }
+            Response::Status { lines, .. } => lines.len() <= MAX_MEMBERS_PER_MESSAGE,
+            Response::History { committed, .. } => committed.len() <= MAX_HISTORY + 1,
             _ => true,
         }
     }
--- a/crates/rollout/src/sim.rs
+++ b/crates/rollout/src/simulation.rs
@@ -1,10 +1,10 @@
 //! Keepers and members in one simulated net with simulated disks: members die, stand still, drain, are cut off; some refuse a text. The
 //! rules are checked as it goes. Deterministic by seed.
 
-use crate::desk::{self, Desk};
-use crate::member::{self, Event, May, Member};
-use crate::policies::{Missing, News, Policies, Rules, Version};
-use crate::said::{Answer, Ask, Verdict};
+use crate::coordinator::{self, RolloutCoordinator};
+use crate::member::{self, AdmissionPermit, MemberEvent, RolloutMember};
+use crate::messages::{Request, Response, Verdict};
+use crate::state::{PolicyState, RolloutEvent, Rules, UnreachableMembers, Version};
 use crate::{NodeId, Time, MS, SECOND};
 use cypresscleat_consensus::letter;
 use cypresscleat_consensus::sim::World;
@@ -13,27 +13,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub struct SimulationConfig {
     pub keepers: usize,
     pub members: usize,
     pub rules: Rules,
     /// Time that a member takes to check a text and keep it.
     pub check: Time,
-    pub member: member::Broken,
-    pub desk: desk::Broken,
+    pub member: member::DisabledSafeguards,
+    pub coordinator: coordinator::DisabledSafeguards,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
-        let rules = Rules { lease: SECOND, patience: 5 * SECOND, ..Rules::default() };
-        let (member, desk) = Default::default();
-        Setup { keepers: 3, members: 5, rules, check: 5 * MS, member, desk }
+impl Default for SimulationConfig {
+    fn default() -> SimulationConfig {
+        let rules = Rules { lease: SECOND, decision_timeout: 5 * SECOND, ..Rules::default() };
+        let (member, coordinator) = Default::default();
+        SimulationConfig { keepers: 3, members: 5, rules, check: 5 * MS, member, coordinator }
     }
 }
 
 /// A member's process: its disk outlives it.
-pub struct Seat {
-    pub member: Option<Member>,
+pub struct SimulatedMember {
+    pub member: Option<RolloutMember>,
     name: String,
     lives: u64,
     /// Stands still until then.
@@ -44,7 +44,7 @@
     kept: BTreeSet<u64>,
     /// Checks under way: when they end, and of what.
     checks: Vec<(Time, u64)>,
-    letters: Vec<(NodeId, Answer)>,
+    letters: Vec<(NodeId, Response)>,
     /// It refuses these.
     pub refuses: BTreeSet<u64>,
     /// It was told to leave.
@@ -53,8 +53,8 @@
 
 #[derive(Clone, Debug)]
 enum Mail {
-    Ask { to: usize, from: usize, ask: Ask },
-    Answer { to: usize, life: u64, from: NodeId, answer: Answer },
+    Request { to: usize, from: usize, ask: Request },
+    Response { to: usize, life: u64, from: NodeId, answer: Response },
 }
 
 /// Letters between one keeper and the members, and their bytes; lost ones among what it said, not among what it heard.
@@ -69,24 +69,24 @@
 /// Who asks at a desk: a member, or the operator.
 const OPERATOR: usize = usize::MAX;
 
-pub struct Play {
-    pub setup: Setup,
-    pub world: World<Policies>,
-    pub desks: Vec<Desk<usize>>,
-    pub seats: Vec<Seat>,
+pub struct Simulation {
+    pub setup: SimulationConfig,
+    pub world: World<PolicyState>,
+    pub coordinators: Vec<RolloutCoordinator<usize>>,
+    pub seats: Vec<SimulatedMember>,
     mail: BTreeMap<(Time, u64), Mail>,
     posted: u64,
     rng: SeededRng,
     /// Members that reach no keeper.
     pub cut: BTreeSet<usize>,
-    pub asks: u64,
-    pub ask_bytes: u64,
+    pub messages_sent: u64,
+    pub message_bytes: u64,
     /// Of each keeper.
     pub traffic: Vec<Traffic>,
     /// Seats whose members go by an older version than the newest that was in force anywhere: all that `rule` has to look at.
     behind: BTreeSet<usize>,
     /// What the operator was answered.
-    pub answers: Vec<Answer>,
+    pub answers: Vec<Response>,
     /// Of each version: when it was proposed, decided and whether taken, first in force anywhere, and in force as agreed.
     pub proposed: BTreeMap<u64, Time>,
     pub decided: BTreeMap<u64, (Time, bool)>,
@@ -99,31 +99,31 @@
     planned: Vec<Option<(Time, i64, Time)>>,
     due: BTreeSet<(Time, usize)>,
     /// What was wrong, the first of it.
-    pub wrong: Option<String>,
+    pub violation: Option<String>,
     /// Rules of each version, by its number; what bounds the one before it.
     rules: BTreeMap<u64, Rules>,
     stuck: (Time, u64),
 }
 
-impl Play {
-    pub fn new(setup: Setup, seed: u64) -> Play {
-        let world = World::new(setup.keepers, Policies::default(), Options::default(), seed);
-        let desk = || {
-            let mut desk = Desk::default();
-            desk.broken = setup.desk;
-            desk
+impl Simulation {
+    pub fn new(setup: SimulationConfig, seed: u64) -> Simulation {
+        let world = World::new(setup.keepers, PolicyState::default(), Options::default(), seed);
+        let coordinator = || {
+            let mut coordinator = RolloutCoordinator::default();
+            coordinator.safeguards = setup.coordinator;
+            coordinator
         };
-        let mut play = Play {
+        let mut play = Simulation {
             setup,
             world,
-            desks: (0..setup.keepers).map(|_| desk()).collect(),
+            coordinators: (0..setup.keepers).map(|_| coordinator()).collect(),
             seats: Vec::new(),
             mail: BTreeMap::new(),
             posted: 0,
             rng: SeededRng::new(seed ^ 0x7011),
             cut: BTreeSet::new(),
-            asks: 0,
-            ask_bytes: 0,
+            messages_sent: 0,
+            message_bytes: 0,
             traffic: vec![Traffic::default(); setup.keepers],
             behind: BTreeSet::new(),
             answers: Vec::new(),
@@ -135,7 +135,7 @@
             dues: Vec::new(),
             planned: Vec::new(),
             due: BTreeSet::new(),
-            wrong: None,
+            violation: None,
             rules: BTreeMap::new(),
             stuck: (0, 0),
         };
@@ -146,7 +146,7 @@
     }
 
     fn adds(&mut self, at: usize) {
-        self.seats.push(Seat {
+        self.seats.push(SimulatedMember {
             member: None,
             name: format!("m{at}"),
             lives: 0,
@@ -192,11 +192,11 @@
         self.seats[at].lives += 1;
         let now = self.clock(at);
         let keepers = (0..self.setup.keepers).map(|keeper| keeper as NodeId + 1).collect();
-        let broken = self.setup.member;
+        let safeguards = self.setup.member;
         let one = &mut self.seats[at];
-        let mut member = Member::new(now, &one.name, (1000 + at as NodeId, one.lives), keepers);
-        member.broken = broken;
-        one.kept.iter().for_each(|number| member.knows(*number));
+        let mut member = RolloutMember::new(now, &one.name, (1000 + at as NodeId, one.lives), keepers);
+        member.safeguards = safeguards;
+        one.kept.iter().for_each(|number| member.restore(*number));
         (one.member, one.stopped, one.drained) = (Some(member), 0, false);
         one.letters.clear();
         one.checks.clear();
@@ -244,8 +244,8 @@
     pub fn drain(&mut self, at: usize) {
         let now = self.clock(at);
         self.seats[at].drained = true;
-        let asks = self.seats[at].member.as_mut().map(|member| member.leaves(now));
-        self.post_asks(at, asks.unwrap_or_default());
+        let asks = self.seats[at].member.as_mut().map(|member| member.leave(now));
+        self.post_requests(at, asks.unwrap_or_default());
         self.after_member(at);
     }
 
@@ -256,41 +256,41 @@
         let version = Version {
             parent,
             rules,
-            text: text.into(),
+            document: text.into(),
             by: "operator".into(),
             at_ms,
             hash: self.posted,
             ..Version::default()
         };
-        let ask = Ask::Propose { number: 1, version };
-        self.post(self.world.weather.delay, Mail::Ask { to, from: OPERATOR, ask });
+        let ask = Request::Propose { number: 1, version };
+        self.post(self.world.weather.delay, Mail::Request { to, from: OPERATOR, ask });
     }
 
     pub fn forget(&mut self, at: usize) {
-        self.asked_by_others(Ask::Forget { number: 2, member: 1000 + at as NodeId });
+        self.asked_by_others(Request::Forget { number: 2, member: 1000 + at as NodeId });
     }
 
     /// Somebody who is no member of the play asks the keeper that leads.
-    pub fn asked_by_others(&mut self, ask: Ask) {
+    pub fn asked_by_others(&mut self, ask: Request) {
         let to = self.world.leader().unwrap_or(0);
-        self.post(self.world.weather.delay, Mail::Ask { to, from: OPERATOR, ask });
+        self.post(self.world.weather.delay, Mail::Request { to, from: OPERATOR, ask });
     }
 
     /// The version in force as the keepers have it.
-    pub fn now(&self) -> u64 {
+    pub fn active_version(&self) -> u64 {
         let leader = self.world.leader().and_then(|at| self.world.seats[at].keeper.as_ref());
-        leader.map_or(0, |keeper| keeper.machine().now().number)
+        leader.map_or(0, |keeper| keeper.machine().active().number)
     }
 
-    pub fn may(&self, at: usize) -> May {
+    pub fn permit(&self, at: usize) -> AdmissionPermit {
         let now = self.clock(at);
-        self.seats[at].member.as_ref().map_or(May::Nothing, |member| member.may(now))
+        self.seats[at].member.as_ref().map_or(AdmissionPermit::Deny, |member| member.permit(now))
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
         let weather = self.world.weather;
         let lost = weather.lost > 0 && self.rng.one_in(weather.lost);
-        let by_operator = matches!(mail, Mail::Ask { from: OPERATOR, .. });
+        let by_operator = matches!(mail, Mail::Request { from: OPERATOR, .. });
         if lost && !by_operator {
             return;
         }
@@ -305,12 +305,12 @@
         }
     }
 
-    fn post_asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
+    fn post_requests(&mut self, from: usize, asks: Vec<(NodeId, Request)>) {
         for (to, ask) in asks {
-            self.asks += 1;
-            self.ask_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
+            self.messages_sent += 1;
+            self.message_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut.contains(&from) {
-                self.post(self.world.weather.delay, Mail::Ask { to: to as usize - 1, from, ask });
+                self.post(self.world.weather.delay, Mail::Request { to: to as usize - 1, from, ask });
             }
         }
     }
@@ -323,13 +323,13 @@
         self.world.answers = others;
         let answers: Vec<Answered> = own.into_iter().map(|one| one.1).collect();
         let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
-        let (out, said) = self.desks[at].look(now, keeper, answers);
-        self.desks[at].log().for_each(drop);
-        for news in keeper.machine_mut().take_news() {
+        let (out, said) = self.coordinators[at].poll(now, keeper, answers);
+        self.coordinators[at].log().for_each(drop);
+        for news in keeper.machine_mut().take_events() {
             match news {
-                News::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
-                News::Taken { number } => self.decides(number, true),
-                News::Dropped { number, reason } => {
+                RolloutEvent::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
+                RolloutEvent::Committed { number } => self.decides(number, true),
+                RolloutEvent::Aborted { number, reason } => {
                     self.decides(number, false);
                     self.reasons.insert(number, reason);
                 }
@@ -337,7 +337,7 @@
             }
         }
         let keeper = self.world.seats[at].keeper.as_ref();
-        if let Some(version) = keeper.map(|keeper| keeper.machine().now()) {
+        if let Some(version) = keeper.map(|keeper| keeper.machine().active()) {
             self.rules.insert(version.number, version.rules);
         }
         self.carry(at, out, said);
@@ -346,25 +346,25 @@
     fn decides(&mut self, number: u64, taken: bool) {
         let known = *self.decided.entry(number).or_insert((self.world.now, taken));
         if known.1 != taken {
-            self.wrong.get_or_insert(format!("version {number} was decided both ways"));
+            self.violation.get_or_insert(format!("version {number} was decided both ways"));
         }
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
+    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Response)>) {
         self.world.carry(at, out);
         for (to, answer) in said {
             if to == OPERATOR {
                 self.answers.push(answer);
                 continue;
             }
-            self.asks += 1;
+            self.messages_sent += 1;
             let bytes = letter::write(&answer).map_or(0, |bytes| bytes.len() as u64);
-            self.ask_bytes += bytes;
+            self.message_bytes += bytes;
             self.traffic[at].said += 1;
             self.traffic[at].said_bytes += bytes;
             if !self.cut.contains(&to) {
                 let (from, life) = (at as NodeId + 1, self.seats[to].lives);
-                self.post(self.world.weather.delay, Mail::Answer { to, life, from, answer });
+                self.post(self.world.weather.delay, Mail::Response { to, life, from, answer });
             }
         }
         if self.world.answers.iter().any(|one| one.0 == at) {
@@ -377,24 +377,26 @@
         let now = self.world.now;
         let check = self.setup.check;
         let Some(member) = self.seats[at].member.as_mut() else { return self.plans(at) };
-        let events: Vec<Event> = member.events().collect();
+        let events: Vec<MemberEvent> = member.events().collect();
         for event in events {
             match event {
-                Event::Check { version, .. } => self.seats[at].checks.push((now + check, version.number)),
-                Event::InForce { number } => {
-                    self.in_force(at, number);
+                MemberEvent::Check { version, .. } => {
+                    self.seats[at].checks.push((now + check, version.number))
                 }
-                Event::Out { .. } | Event::Holds { .. } => {}
+                MemberEvent::Activated { number } => {
+                    self.active(at, number);
+                }
+                MemberEvent::LeaseExpired { .. } | MemberEvent::Paused { .. } => {}
             }
         }
         self.plans(at);
     }
 
     /// The rules, at the moment at which a member goes over.
-    fn in_force(&mut self, at: usize, number: u64) {
+    fn active(&mut self, at: usize, number: u64) {
         let now = self.world.now;
         if number != 0 && !self.decided.get(&number).is_some_and(|decided| decided.1) {
-            self.wrong.get_or_insert(format!("m{at} goes by version {number}, which was not taken"));
+            self.violation.get_or_insert(format!("m{at} goes by version {number}, which was not taken"));
         }
         let newest = self.newest();
         self.first.entry(number).or_insert(now);
@@ -402,7 +404,7 @@
             true => (0..self.seats.len()).for_each(|at| self.lies_behind(at)),
             false => self.lies_behind(at),
         }
-        self.rule(now);
+        self.check_invariants(now);
     }
 
     fn newest(&self) -> u64 {
@@ -411,7 +413,7 @@
 
     /// Notes whether the member goes by an older version than the newest. To be called whenever either may have changed.
     fn lies_behind(&mut self, at: usize) {
-        let own = self.seats[at].member.as_ref().and_then(Member::in_force);
+        let own = self.seats[at].member.as_ref().and_then(RolloutMember::active);
         match own.is_some_and(|own| own < self.newest()) {
             true => drop(self.behind.insert(at)),
             false => drop(self.behind.remove(&at)),
@@ -420,15 +422,15 @@
 
     /// No member may admit under what was dropped, nor under an older version past its lease behind the decision, nor, where all were
     /// to go together, beside a newer one.
-    pub fn rule(&mut self, now: Time) {
+    pub fn check_invariants(&mut self, now: Time) {
         let newest = self.newest();
-        let together = self.rules.get(&newest).is_some_and(|rules| rules.together);
+        let barrier = self.rules.get(&newest).is_some_and(|rules| rules.barrier);
         for at in self.behind.iter().copied() {
             // One that stands still admits nothing; what it does right after it wakes counts.
             if self.seats[at].stopped > now {
                 continue;
             }
-            let May::Admit(own) = self.may(at) else { continue };
+            let AdmissionPermit::Admit(own) = self.permit(at) else { continue };
             if own >= newest {
                 continue;
             }
@@ -436,10 +438,10 @@
             *until = now.max(*until);
             let lease = self.rules.get(&own).map_or(SECOND, |rules| rules.lease);
             let decided = self.decided.get(&newest).map_or(now, |decided| decided.0);
-            if together {
-                self.wrong.get_or_insert(format!("m{at} admits under {own} while {newest} is in force"));
+            if barrier {
+                self.violation.get_or_insert(format!("m{at} admits under {own} while {newest} is in force"));
             } else if now > decided + lease {
-                self.wrong.get_or_insert(format!(
+                self.violation.get_or_insert(format!(
                     "m{at} admits under {own}, {} ms after {newest} was taken",
                     (now - decided) / MS
                 ));
@@ -452,7 +454,7 @@
         let next = one.member.as_ref().map_or(Time::MAX, |member| {
             let check = one.checks.iter().map(|check| check.0).min().unwrap_or(Time::MAX);
             let letter = if one.letters.is_empty() { Time::MAX } else { 0 };
-            self.when(at, member.due()).min(check).min(letter).max(one.stopped)
+            self.when(at, member.next_deadline()).min(check).min(letter).max(one.stopped)
         });
         self.planned[at] = Some((one.stopped, one.rate, one.ahead));
         self.lies_behind(at);
@@ -469,7 +471,7 @@
         while self.world.now < until {
             self.step(until);
         }
-        self.rule(until);
+        self.check_invariants(until);
     }
 
     fn step(&mut self, until: Time) {
@@ -478,7 +480,10 @@
         assert!(again < 100_000, "time stands still at {}", self.world.now);
         let mail = self.mail.first_key_value().map(|(key, _)| key.0);
         let due = self.due.first().map_or(until, |first| first.0);
-        let desk = (0..self.desks.len()).map(|at| self.desks[at].due()).min().unwrap_or(until);
+        let desk = (0..self.coordinators.len())
+            .map(|at| self.coordinators[at].next_deadline())
+            .min()
+            .unwrap_or(until);
         let next = until.min(mail.unwrap_or(until)).min(due).min(desk).max(self.world.now);
         if self.world.step(next) {
             for at in 0..self.setup.keepers {
@@ -508,17 +513,17 @@
 
     fn arrives(&mut self, now: Time, mail: Mail) {
         match mail {
-            Mail::Ask { to, from, ask } => {
+            Mail::Request { to, from, ask } => {
                 let Some(keeper) = self.world.seats[to].keeper.as_mut() else { return };
                 if from != OPERATOR {
                     self.traffic[to].heard += 1;
                     self.traffic[to].heard_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
                 }
-                let (out, said) = self.desks[to].hear(now, keeper, from, ask);
+                let (out, said) = self.coordinators[to].handle(now, keeper, from, ask);
                 self.carry(to, out, said);
                 self.after(to);
             }
-            Mail::Answer { to, life, from, answer } => {
+            Mail::Response { to, life, from, answer } => {
                 if self.cut.contains(&to) || self.seats[to].lives != life {
                     return;
                 }
@@ -543,27 +548,27 @@
         // As a process that wakes: its own time first, then what waits for it.
         asks.extend(member.tick(clock));
         for (from, answer) in letters {
-            asks.extend(member.hear(clock, from, answer));
+            asks.extend(member.handle(clock, from, answer));
         }
         for number in due {
             let verdict = match one.refuses.contains(&number) {
-                true => Verdict::Bad("line 1: no such thing".into()),
-                false => Verdict::Good,
+                true => Verdict::Refused("line 1: no such thing".into()),
+                false => Verdict::Prepared,
             };
-            if verdict == Verdict::Good {
+            if verdict == Verdict::Prepared {
                 one.kept.insert(number);
             }
-            asks.extend(member.checked(clock, number, verdict));
+            asks.extend(member.record_verdict(clock, number, verdict));
         }
-        self.post_asks(at, asks);
+        self.post_requests(at, asks);
         self.after_member(at);
     }
 
     /// Faults of all kinds drawn from the play's chance, changes proposed every few seconds, for so long; then peace.
-    pub fn faults(&mut self, time: Time) {
+    pub fn inject_faults(&mut self, time: Time) {
         let end = self.world.now + time;
         let mut text = 0;
-        while self.world.now < end && self.wrong.is_none() && self.world.wrong.is_none() {
+        while self.world.now < end && self.violation.is_none() && self.world.wrong.is_none() {
             let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
             let (at, keeper) = (
                 self.rng.below(self.seats.len() as u64) as usize,
@@ -601,11 +606,11 @@
                 _ => {
                     text += 1;
                     let mut rules = self.setup.rules;
-                    rules.together = self.rng.one_in(2);
+                    rules.barrier = self.rng.one_in(2);
                     if self.rng.one_in(4) {
-                        rules.missing = match rules.missing {
-                            Missing::Fence => Missing::Wait,
-                            Missing::Wait => Missing::Fence,
+                        rules.unreachable = match rules.unreachable {
+                            UnreachableMembers::Fence => UnreachableMembers::Wait,
+                            UnreachableMembers::Wait => UnreachableMembers::Fence,
                         };
                     }
                     let refused = self.rng.one_in(3);
@@ -613,7 +618,7 @@
                     if refused {
                         self.seats[at].refuses.insert(next);
                     }
-                    self.propose(self.now(), rules, &format!("text {text}"));
+                    self.propose(self.active_version(), rules, &format!("text {text}"));
                 }
             }
             self.run(until);
@@ -621,7 +626,7 @@
     }
 
     /// All links as new, all processes there and awake.
-    pub fn peace(&mut self) {
+    pub fn heal(&mut self) {
         self.cut.clear();
         self.world.cut.clear();
         for at in 0..self.setup.keepers {
@@ -639,10 +644,10 @@
 
     /// Whether all members admit under the version that is in force, but for those that can't carry it out.
     pub fn settled(&self) -> bool {
-        let now = self.now();
+        let now = self.active_version();
         (0..self.seats.len()).all(|at| match self.seats[at].refuses.contains(&now) {
-            false => self.may(at) == May::Admit(now),
-            true => self.may(at) == May::Nothing,
+            false => self.permit(at) == AdmissionPermit::Admit(now),
+            true => self.permit(at) == AdmissionPermit::Deny,
         })
     }
 }
--- a/crates/rollout/src/policies.rs
+++ b/crates/rollout/src/state.rs
@@ -1,17 +1,20 @@
 //! What the keepers agree on: the version in force, those before it, the change under way, and the members that count. A machine of
 //! `quorum`: the same commands give the same state at every keeper.
 
-use crate::{cut, Key, NodeId, Time, DROPPED, HISTORY, MEMBERS, NAME, SECOND, TEXT, WHY};
+use crate::{
+    truncate, MemberKey, NodeId, Time, MAX_ABORTED, MAX_DOCUMENT_BYTES, MAX_HISTORY, MAX_MEMBERS,
+    MAX_NAME_BYTES, MAX_REASON_BYTES, SECOND,
+};
 use cypresscleat_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// First byte of a command, by which it is told from those of other machines that share a log.
-pub const TAG: u8 = 0x40;
+pub const COMMAND_TAG: u8 = 0x40;
 
 /// What becomes of members that are not heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Missing {
+pub enum UnreachableMembers {
     /// They are out of service once their lease is over, and a change goes on without them.
     #[default]
     Fence,
@@ -30,19 +33,22 @@
 /// How changes are made while a version is in force. Part of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    pub missing: Missing,
+    #[serde(rename = "missing")]
+    pub unreachable: UnreachableMembers,
     pub lease: Time,
     /// A change that is not decided for so long is dropped.
-    pub patience: Time,
+    #[serde(rename = "patience")]
+    pub decision_timeout: Time,
     /// The change to this version stops everybody first.
-    pub together: bool,
+    #[serde(rename = "barrier")]
+    pub barrier: bool,
     pub watch: Option<WatchRules>,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
-        let (lease, patience) = (2 * SECOND, 30 * SECOND);
-        Rules { missing: Missing::Fence, lease, patience, together: false, watch: None }
+        let (lease, decision_timeout) = (2 * SECOND, 30 * SECOND);
+        Rules { unreachable: UnreachableMembers::Fence, lease, decision_timeout, barrier: false, watch: None }
     }
 }
 
@@ -58,7 +64,8 @@
     pub at_ms: u64,
     pub why: String,
     pub rules: Rules,
-    pub text: String,
+    #[serde(rename = "text")]
+    pub document: String,
     /// Made by the watch, to undo its parent: it is not watched itself.
     pub undoes: bool,
 }
@@ -66,9 +73,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Members check it.
-    Asking,
-    /// It is taken; members stop admitting, and it comes in force once all have.
-    Closing,
+    Preparing,
+    /// It is commit; members stop admitting, and it comes in force once all have.
+    Barrier,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -79,7 +86,7 @@
 
 /// A change that was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Dropped {
+pub struct AbortedChange {
     pub number: u64,
     pub hash: u64,
     pub by: String,
@@ -90,12 +97,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     Join {
-        key: Key,
+        key: MemberKey,
         name: String,
     },
-    /// Its lease is over, or it left: then it is not taken in again, as letters of it may come late.
+    /// Its lease is over, or it left: then it is not commit in again, as letters of it may come late.
     End {
-        key: Key,
+        key: MemberKey,
         left: bool,
     },
     /// All lives of an instance: an operator says that it will not come back.
@@ -107,11 +114,11 @@
     Decide {
         number: u64,
         generation: u64,
-        taken: bool,
+        commit: bool,
         reason: String,
     },
     /// Nobody admits under the older version any more.
-    Open {
+    Activate {
         number: u64,
         generation: u64,
     },
@@ -125,119 +132,122 @@
     Proposed(u64),
     /// It was made from a version that is no longer in force.
     Stale {
-        now: u64,
+        active: u64,
     },
     /// Another change is under way.
     Busy {
         number: u64,
     },
     /// The members are others by now: to be counted again.
-    Again,
+    MembersChanged,
     /// That is decided already, or never was asked.
-    Late,
+    AlreadyDecided,
     /// Past a bound.
-    Full,
+    LimitReached,
 }
 
 /// What changed, for logs and journals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum News {
+pub enum RolloutEvent {
     Proposed { number: u64, by: String },
-    Taken { number: u64 },
-    Dropped { number: u64, reason: String },
-    InForce { number: u64 },
-    Joined { name: String },
-    Ended { name: String },
+    Committed { number: u64 },
+    Aborted { number: u64, reason: String },
+    Activated { number: u64 },
+    MemberJoined { name: String },
+    MemberEnded { name: String },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Policies {
-    now: Version,
+pub struct PolicyState {
+    active: Version,
     before: VecDeque<Version>,
     change: Option<Change>,
-    dropped: VecDeque<Dropped>,
-    members: BTreeMap<Key, String>,
+    aborted: VecDeque<AbortedChange>,
+    members: BTreeMap<MemberKey, String>,
     /// The last that left.
-    left: VecDeque<Key>,
+    left: VecDeque<MemberKey>,
     generation: u64,
     numbers: u64,
     #[serde(skip)]
-    news: Vec<News>,
+    events: Vec<RolloutEvent>,
 }
 
 /// Lives that left and are remembered: as many as may leave while a letter is on its way.
-const LEFT: usize = 1024;
-/// News that are kept for whoever looks.
-const NEWS: usize = 4 * MEMBERS;
+const MAX_REMEMBERED_LEAVERS: usize = 1024;
+/// RolloutEvent that are kept for whoever looks.
+const MAX_EVENTS: usize = 4 * MAX_MEMBERS;
 
-impl Policies {
+impl PolicyState {
     /// The version in force; 0 is each instance's own file.
-    pub fn now(&self) -> &Version {
-        &self.now
+    pub fn active(&self) -> &Version {
+        &self.active
     }
-    pub fn change(&self) -> Option<&Change> {
+    pub fn pending_change(&self) -> Option<&Change> {
         self.change.as_ref()
     }
     pub fn generation(&self) -> u64 {
         self.generation
     }
-    pub fn members(&self) -> &BTreeMap<Key, String> {
+    pub fn members(&self) -> &BTreeMap<MemberKey, String> {
         &self.members
     }
-    pub fn dropped(&self) -> impl Iterator<Item = &Dropped> {
-        self.dropped.iter()
+    pub fn aborted(&self) -> impl Iterator<Item = &AbortedChange> {
+        self.aborted.iter()
     }
-    /// Those that were taken, the newest first.
+    /// Those that were commit, the newest first.
     pub fn history(&self) -> impl Iterator<Item = &Version> {
-        std::iter::once(&self.now).chain(self.before.iter().rev())
+        std::iter::once(&self.active).chain(self.before.iter().rev())
     }
     /// A version that is in force, was, or may come to be.
     pub fn version(&self, number: u64) -> Option<&Version> {
         let change = self.change.as_ref().map(|change| &change.version);
         self.history().chain(change).find(|version| version.number == number)
     }
-    pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_events(&mut self) -> Vec<RolloutEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    fn tells(&mut self, news: News) {
-        if self.news.len() < NEWS {
-            self.news.push(news);
+    fn record_event(&mut self, event: RolloutEvent) {
+        if self.events.len() < MAX_EVENTS {
+            self.events.push(event);
         }
     }
 
-    fn joins(&mut self, key: Key, name: String) -> Outcome {
+    fn join(&mut self, key: MemberKey, name: String) -> Outcome {
         if self.members.contains_key(&key) || self.left.contains(&key) {
             return Outcome::Done;
         }
-        if self.members.len() >= MEMBERS || name.len() > NAME {
-            return Outcome::Full;
+        if self.members.len() >= MAX_MEMBERS || name.len() > MAX_NAME_BYTES {
+            return Outcome::LimitReached;
         }
-        if self.now.rules.missing == Missing::Wait {
+        if self.active.rules.unreachable == UnreachableMembers::Wait {
             // Under this rule a name is one process, so its former life is over.
-            let former: Vec<Key> = self.lives(key.0);
-            former.into_iter().for_each(|former| self.ends(former));
+            let former: Vec<MemberKey> = self.incarnations(key.0);
+            former.into_iter().for_each(|former| self.end(former));
         }
-        self.tells(News::Joined { name: name.clone() });
+        self.record_event(RolloutEvent::MemberJoined { name: name.clone() });
         self.members.insert(key, name);
         self.generation += 1;
         Outcome::Done
     }
 
-    fn lives(&self, member: NodeId) -> Vec<Key> {
+    fn incarnations(&self, member: NodeId) -> Vec<MemberKey> {
         self.members.range((member, 0)..=(member, u64::MAX)).map(|(key, _)| *key).collect()
     }
 
-    fn ends(&mut self, key: Key) {
+    fn end(&mut self, key: MemberKey) {
         if let Some(name) = self.members.remove(&key) {
-            self.tells(News::Ended { name });
+            self.record_event(RolloutEvent::MemberEnded { name });
             self.generation += 1;
         }
     }
 
-    fn proposes(&mut self, mut version: Version) -> Outcome {
-        if version.text.len() > TEXT || version.by.len() > NAME || version.why.len() > WHY {
-            return Outcome::Full;
+    fn propose(&mut self, mut version: Version) -> Outcome {
+        if version.document.len() > MAX_DOCUMENT_BYTES
+            || version.by.len() > MAX_NAME_BYTES
+            || version.why.len() > MAX_REASON_BYTES
+        {
+            return Outcome::LimitReached;
         }
         if let Some(change) = &self.change {
             // Asked again, as an answer was lost.
@@ -252,112 +262,113 @@
         }) {
             return Outcome::Proposed(known.number);
         }
-        if version.parent != self.now.number {
-            return Outcome::Stale { now: self.now.number };
+        if version.parent != self.active.number {
+            return Outcome::Stale { active: self.active.number };
         }
         self.numbers += 1;
         version.number = self.numbers;
-        self.tells(News::Proposed { number: version.number, by: version.by.clone() });
-        self.change = Some(Change { version, stage: Stage::Asking });
+        self.record_event(RolloutEvent::Proposed { number: version.number, by: version.by.clone() });
+        self.change = Some(Change { version, stage: Stage::Preparing });
         Outcome::Proposed(self.numbers)
     }
 
-    fn decides(&mut self, number: u64, generation: u64, taken: bool, reason: String) -> Outcome {
-        let asked = |change: &&mut Change| change.version.number == number && change.stage == Stage::Asking;
-        let Some(change) = self.change.as_mut().filter(asked) else { return Outcome::Late };
-        if taken && generation != self.generation {
-            return Outcome::Again;
+    fn decide(&mut self, number: u64, generation: u64, commit: bool, reason: String) -> Outcome {
+        let asked =
+            |change: &&mut Change| change.version.number == number && change.stage == Stage::Preparing;
+        let Some(change) = self.change.as_mut().filter(asked) else { return Outcome::AlreadyDecided };
+        if commit && generation != self.generation {
+            return Outcome::MembersChanged;
         }
-        if !taken {
-            let Some(Change { version, .. }) = self.change.take() else { return Outcome::Late };
-            let reason = cut(&reason, WHY);
-            self.tells(News::Dropped { number, reason: reason.clone() });
-            self.dropped.push_back(Dropped { number, hash: version.hash, by: version.by, reason });
-            if self.dropped.len() > DROPPED {
-                self.dropped.pop_front();
+        if !commit {
+            let Some(Change { version, .. }) = self.change.take() else { return Outcome::AlreadyDecided };
+            let reason = truncate(&reason, MAX_REASON_BYTES);
+            self.record_event(RolloutEvent::Aborted { number, reason: reason.clone() });
+            self.aborted.push_back(AbortedChange { number, hash: version.hash, by: version.by, reason });
+            if self.aborted.len() > MAX_ABORTED {
+                self.aborted.pop_front();
             }
             return Outcome::Done;
         }
-        let together = change.version.rules.together;
-        change.stage = Stage::Closing;
-        self.tells(News::Taken { number });
-        if !together {
-            self.opens();
+        let barrier = change.version.rules.barrier;
+        change.stage = Stage::Barrier;
+        self.record_event(RolloutEvent::Committed { number });
+        if !barrier {
+            self.activate();
         }
         Outcome::Done
     }
 
-    fn opens(&mut self) {
+    fn activate(&mut self) {
         if let Some(Change { version, .. }) = self.change.take() {
-            self.tells(News::InForce { number: version.number });
-            let before = std::mem::replace(&mut self.now, version);
+            self.record_event(RolloutEvent::Activated { number: version.number });
+            let before = std::mem::replace(&mut self.active, version);
             self.before.push_back(before);
-            if self.before.len() > HISTORY {
+            if self.before.len() > MAX_HISTORY {
                 self.before.pop_front();
             }
         }
     }
 }
 
-impl Machine for Policies {
+impl Machine for PolicyState {
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let outcome = match command.split_first().map(|(tag, rest)| (tag, postcard::from_bytes(rest))) {
-            Some((&TAG, Ok(Command::Join { key, name }))) => self.joins(key, name),
-            Some((&TAG, Ok(Command::End { key, left }))) => {
-                self.ends(key);
+            Some((&COMMAND_TAG, Ok(Command::Join { key, name }))) => self.join(key, name),
+            Some((&COMMAND_TAG, Ok(Command::End { key, left }))) => {
+                self.end(key);
                 if left {
                     self.left.push_back(key);
-                    if self.left.len() > LEFT {
+                    if self.left.len() > MAX_REMEMBERED_LEAVERS {
                         self.left.pop_front();
                     }
                 }
                 Outcome::Done
             }
-            Some((&TAG, Ok(Command::Forget { member }))) => {
-                self.lives(member).into_iter().for_each(|key| self.ends(key));
+            Some((&COMMAND_TAG, Ok(Command::Forget { member }))) => {
+                self.incarnations(member).into_iter().for_each(|key| self.end(key));
                 Outcome::Done
             }
-            Some((&TAG, Ok(Command::Propose(version)))) => self.proposes(version),
-            Some((&TAG, Ok(Command::Decide { number, generation, taken, reason }))) => {
-                self.decides(number, generation, taken, reason)
+            Some((&COMMAND_TAG, Ok(Command::Propose(version)))) => self.propose(version),
+            Some((&COMMAND_TAG, Ok(Command::Decide { number, generation, commit, reason }))) => {
+                self.decide(number, generation, commit, reason)
             }
-            Some((&TAG, Ok(Command::Open { number, generation }))) => {
+            Some((&COMMAND_TAG, Ok(Command::Activate { number, generation }))) => {
                 let closing =
-                    |change: &Change| change.version.number == number && change.stage == Stage::Closing;
+                    |change: &Change| change.version.number == number && change.stage == Stage::Barrier;
                 match self.change.as_ref().is_some_and(closing) {
-                    false => Outcome::Late,
-                    true if generation != self.generation => Outcome::Again,
+                    false => Outcome::AlreadyDecided,
+                    true if generation != self.generation => Outcome::MembersChanged,
                     true => {
-                        self.opens();
+                        self.activate();
                         Outcome::Done
                     }
                 }
             }
             // Of a later version: the same everywhere, nothing.
-            _ => Outcome::Late,
+            _ => Outcome::AlreadyDecided,
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
     }
     fn image(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    fn from_image(bytes: &[u8]) -> Option<Policies> {
+    fn from_image(bytes: &[u8]) -> Option<PolicyState> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-impl AsRef<Policies> for Policies {
-    fn as_ref(&self) -> &Policies {
+impl AsRef<PolicyState> for PolicyState {
+    fn as_ref(&self) -> &PolicyState {
         self
     }
 }
-impl AsMut<Policies> for Policies {
-    fn as_mut(&mut self) -> &mut Policies {
+impl AsMut<PolicyState> for PolicyState {
+    fn as_mut(&mut self) -> &mut PolicyState {
         self
     }
 }
 
 /// A command's bytes.
-pub fn bytes(command: &Command) -> Vec<u8> {
-    postcard::to_extend(command, vec![TAG]).unwrap_or_default()
+pub fn encode_command(command: &Command) -> Vec<u8> {
+    postcard::to_extend(command, vec![COMMAND_TAG]).unwrap_or_default()
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -3,10 +3,12 @@
 //! JSON, in which the names of its fields are the format.
 
 use cypresscleat_consensus::Machine;
-use cypresscleat_rollout::policies::{bytes, Change, Command, Dropped, Outcome, Policies, Stage};
-use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
-use cypresscleat_rollout::watch::Seen;
-use cypresscleat_rollout::{Missing, Rules, Version, WatchRules};
+use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
+use cypresscleat_rollout::state::{
+    encode_command, AbortedChange, Change, Command, Outcome, PolicyState, Stage,
+};
+use cypresscleat_rollout::watch::ServiceTotals;
+use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use std::path::Path;
@@ -45,7 +47,13 @@
 
 fn version() -> Version {
     let watch = Some(WatchRules { share: 50, within: 100_000 });
-    let rules = Rules { missing: Missing::Wait, lease: 15_000, patience: 300_000, together: true, watch };
+    let rules = Rules {
+        unreachable: UnreachableMembers::Wait,
+        lease: 15_000,
+        decision_timeout: 300_000,
+        barrier: true,
+        watch,
+    };
     Version {
         number: 12,
         parent: 11,
@@ -54,7 +62,7 @@
         at_ms: 1_700_000_000_000,
         why: "a try".into(),
         rules,
-        text: "missing: \"wait\"\n".into(),
+        document: "missing: \"wait\"\n".into(),
         undoes: true,
     }
 }
@@ -65,54 +73,54 @@
         parent,
         hash: number + 70,
         by: "x".into(),
-        text: format!("text {number}"),
+        document: format!("text {number}"),
         ..Version::default()
     }
 }
 
-fn requests() -> Vec<(&'static str, Ask)> {
-    let seen = Seen { asked: 500, in_time: 499, milli: 1 << 40 };
-    let here = |verdict, joins| Ask::Here {
+fn requests() -> Vec<(&'static str, Request)> {
+    let seen = ServiceTotals { requests: 500, succeeded_in_time: 499, billed_milli: 1 << 40 };
+    let here = |verdict, joins| Request::Heartbeat {
         key: KEY,
         name: "m1".into(),
         joins,
         number: 300,
         verdict,
         paused: 12,
-        has: 11,
-        seen,
+        active: 11,
+        totals: seen,
     };
     vec![
         ("here", here(None, true)),
-        ("here_prepared", here(Some((12, Verdict::Good)), false)),
-        ("here_refused", here(Some((12, Verdict::Bad("line 3: no".into()))), false)),
-        ("fetch", Ask::Fetch { number: 1, version: 12 }),
-        ("leave", Ask::Leave { key: KEY, number: 2 }),
-        ("propose", Ask::Propose { number: 3, version: version() }),
-        ("forget", Ask::Forget { number: 4, member: 5 }),
-        ("status", Ask::Status { number: 5, from: KEY }),
-        ("history", Ask::History { number: 6 }),
+        ("here_prepared", here(Some((12, Verdict::Prepared)), false)),
+        ("here_refused", here(Some((12, Verdict::Refused("line 3: no".into()))), false)),
+        ("fetch", Request::FetchDocument { number: 1, version: 12 }),
+        ("leave", Request::Leave { key: KEY, number: 2 }),
+        ("propose", Request::Propose { number: 3, version: version() }),
+        ("forget", Request::Forget { number: 4, member: 5 }),
+        ("status", Request::Status { number: 5, from: KEY }),
+        ("history", Request::History { number: 6 }),
     ]
 }
 
-fn dropped() -> Dropped {
-    Dropped { number: 10, hash: 1 << 60, by: "operator".into(), reason: "m3 refuses it".into() }
+fn dropped() -> AbortedChange {
+    AbortedChange { number: 10, hash: 1 << 60, by: "operator".into(), reason: "m3 refuses it".into() }
 }
 
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     vec![
         ("done", Outcome::Done),
         ("proposed", Outcome::Proposed(12)),
-        ("stale", Outcome::Stale { now: 11 }),
+        ("stale", Outcome::Stale { active: 11 }),
         ("busy", Outcome::Busy { number: 12 }),
-        ("again", Outcome::Again),
-        ("late", Outcome::Late),
-        ("full", Outcome::Full),
+        ("again", Outcome::MembersChanged),
+        ("late", Outcome::AlreadyDecided),
+        ("full", Outcome::LimitReached),
     ]
 }
 
-fn responses() -> Vec<(&'static str, Answer)> {
-    let held = |lease, period| Answer::Held {
+fn responses() -> Vec<(&'static str, Response)> {
+    let held = |lease, period| Response::Renewed {
         key: KEY,
         number: 300,
         lease,
@@ -121,33 +129,46 @@
         check: 12,
         pause: 0,
     };
-    let line = |verdict| Line { key: KEY, name: "m1".into(), has: 11, verdict, paused: true, silent: -1 };
-    let status =
-        |change, lines| Answer::Status { number: 5, now: 11, change, generation: 400, lines, more: true };
-    let lines = vec![line(None), line(Some(Verdict::Good)), line(Some(Verdict::Bad("no".into())))];
+    let line =
+        |verdict| MemberStatus { key: KEY, name: "m1".into(), active: 11, verdict, paused: true, silent: -1 };
+    let status = |change, lines| Response::Status {
+        number: 5,
+        active: 11,
+        change,
+        generation: 400,
+        lines,
+        more: true,
+    };
+    let lines = vec![line(None), line(Some(Verdict::Prepared)), line(Some(Verdict::Refused("no".into())))];
     let mut all = vec![
         ("held", held(Some(15_000), 3_750)),
         ("held_for_good", held(None, 5_000)),
-        ("gone", Answer::Gone { key: KEY }),
-        ("document", Answer::Text { number: 1, version: Some(Box::new(version())) }),
-        ("document_unknown", Answer::Text { number: 1, version: None }),
-        ("done", Answer::Done { number: 2 }),
+        ("gone", Response::MembershipExpired { key: KEY }),
+        ("document", Response::Document { number: 1, version: Some(Box::new(version())) }),
+        ("document_unknown", Response::Document { number: 1, version: None }),
+        ("done", Response::Done { number: 2 }),
         ("status", status(None, vec![])),
-        ("status_preparing", status(Some((12, Stage::Asking)), lines.clone())),
-        ("status_closing", status(Some((12, Stage::Closing)), lines)),
+        ("status_preparing", status(Some((12, Stage::Preparing)), lines.clone())),
+        ("status_closing", status(Some((12, Stage::Barrier)), lines)),
         (
             "history",
-            Answer::History { number: 6, taken: vec![version(), plain(1, 0)], dropped: vec![dropped()] },
+            Response::History {
+                number: 6,
+                committed: vec![version(), plain(1, 0)],
+                aborted: vec![dropped()],
+            },
         ),
-        ("elsewhere", Answer::Elsewhere { leader: 3 }),
-        ("news", Answer::News),
+        ("elsewhere", Response::NotLeader { leader: 3 }),
+        ("news", Response::Changed),
     ];
-    all.extend(outcomes().into_iter().map(|(name, outcome)| (name, Answer::Proposed { number: 3, outcome })));
+    all.extend(
+        outcomes().into_iter().map(|(name, outcome)| (name, Response::Proposed { number: 3, outcome })),
+    );
     all
 }
 
 fn commands() -> Vec<(&'static str, Command)> {
-    let decide = |taken| Command::Decide { number: 12, generation: 400, taken, reason: "late".into() };
+    let decide = |commit| Command::Decide { number: 12, generation: 400, commit, reason: "late".into() };
     vec![
         ("join", Command::Join { key: KEY, name: "m1".into() }),
         ("end_left", Command::End { key: KEY, left: true }),
@@ -156,7 +177,7 @@
         ("propose", Command::Propose(version())),
         ("decide_commit", decide(true)),
         ("decide_abort", decide(false)),
-        ("open", Command::Open { number: 12, generation: 400 }),
+        ("open", Command::Activate { number: 12, generation: 400 }),
     ]
 }
 
@@ -175,12 +196,12 @@
     assert_golden("commands.hex", commands());
     assert_golden("outcomes.hex", outcomes());
     let tagged: Vec<_> =
-        commands().iter().map(|(name, command)| (name.to_string(), bytes(command))).collect();
+        commands().iter().map(|(name, command)| (name.to_string(), encode_command(command))).collect();
     assert_recorded("tagged-commands.hex", &tagged);
     let change = |stage| Change { version: version(), stage };
     assert_golden(
         "changes.hex",
-        vec![("preparing", change(Stage::Asking)), ("closing", change(Stage::Closing))],
+        vec![("preparing", change(Stage::Preparing)), ("closing", change(Stage::Barrier))],
     );
 }
 
@@ -189,7 +210,7 @@
 fn snapshots_and_what_commands_came_to_keep_their_bytes() {
     let join = |member, life| Command::Join { key: (member, life), name: format!("m{member}") };
     let decide =
-        |number, generation, taken| Command::Decide { number, generation, taken, reason: "why".into() };
+        |number, generation, commit| Command::Decide { number, generation, commit, reason: "why".into() };
     let steps = [
         join(1, 1),
         join(2, 1),
@@ -208,18 +229,18 @@
         Command::Propose(Version { parent: 1, ..version() }),
         decide(3, 6, true),
         decide(3, 7, true),
-        Command::Open { number: 3, generation: 6 },
-        Command::Open { number: 3, generation: 7 },
+        Command::Activate { number: 3, generation: 6 },
+        Command::Activate { number: 3, generation: 7 },
         join(1, 2),
         Command::Propose(plain(9, 3)),
         Command::Propose(plain(10, 3)),
     ];
-    let (mut state, mut lines) = (Policies::default(), Vec::new());
+    let (mut state, mut lines) = (PolicyState::default(), Vec::new());
     for (at, command) in steps.iter().enumerate() {
-        let outcome = state.apply(at as u64 + 1, &bytes(command));
+        let outcome = state.apply(at as u64 + 1, &encode_command(command));
         lines.push((format!("outcome_{at}"), outcome));
         lines.push((format!("snapshot_{at}"), state.image()));
-        let again = Policies::from_image(&state.image()).expect("a snapshot is read");
+        let again = PolicyState::from_image(&state.image()).expect("a snapshot is read");
         assert_eq!(again.image(), state.image(), "written again");
     }
     assert_recorded("snapshots.hex", &lines);
--- a/crates/rollout/tests/size.rs
+++ b/crates/rollout/tests/size.rs
@@ -1,15 +1,15 @@
 //! A change among many members where letters are lost: what holds for five has to hold for thousands, where something is always lost.
 
-use cypresscleat_rollout::member::{May, Member};
-use cypresscleat_rollout::said::{Answer, Ask};
-use cypresscleat_rollout::sim::{Play, Setup};
+use cypresscleat_rollout::member::{AdmissionPermit, RolloutMember};
+use cypresscleat_rollout::messages::{Request, Response};
+use cypresscleat_rollout::simulation::{Simulation, SimulationConfig};
 use cypresscleat_rollout::{NodeId, Rules, Time, MS, SECOND};
 
 /// A change, with so many of which one letter in ten is lost: how long until all are under it at one moment, at the longest 20 s, and
 /// how many were out of service at once, at the most.
-fn change(members: usize, seed: u64) -> (Play, Time, usize) {
+fn change(members: usize, seed: u64) -> (Simulation, Time, usize) {
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
-    let mut play = Play::new(Setup { members, rules, ..Setup::default() }, seed);
+    let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
     play.run(3 * SECOND);
     assert!(play.settled(), "all serve under their own file");
     play.world.weather.lost = 10;
@@ -18,12 +18,12 @@
     while play.world.now < began + 20 * SECOND {
         let until = play.world.now + 5 * MS;
         play.run(until);
-        out = out.max((0..members).filter(|at| play.may(*at) == May::Nothing).count());
-        if (0..members).all(|at| play.may(at) == May::Admit(1)) {
+        out = out.max((0..members).filter(|at| play.permit(*at) == AdmissionPermit::Deny).count());
+        if (0..members).all(|at| play.permit(at) == AdmissionPermit::Admit(1)) {
             break;
         }
     }
-    assert_eq!(play.wrong.as_deref().or(play.world.wrong.as_deref()), None);
+    assert_eq!(play.violation.as_deref().or(play.world.wrong.as_deref()), None);
     let took = play.world.now - began;
     (play, took, out)
 }
@@ -33,7 +33,7 @@
 fn a_tenth_of_the_letters_lost_delays_a_change_among_a_thousand_by_seconds_and_ends_no_lease() {
     for seed in 1..=2 {
         let (play, took, out) = change(1_000, seed);
-        let expired: u64 = play.desks.iter().map(|desk| desk.counts.expired).sum();
+        let expired: u64 = play.coordinators.iter().map(|desk| desk.counts.expired).sum();
         assert!(took < 4 * SECOND, "seed {seed}: {} ms, {out} out at once", took / MS);
         assert_eq!((out, expired), (0, 0), "seed {seed}: out of service at once, and leases that ended");
     }
@@ -43,7 +43,16 @@
 fn the_same_seed_plays_the_same() {
     let figures = |seed| {
         let (play, took, out) = change(200, seed);
-        (took, out, play.asks, play.ask_bytes, play.decided, play.first, play.mixed_until, play.traffic)
+        (
+            took,
+            out,
+            play.messages_sent,
+            play.message_bytes,
+            play.decided,
+            play.first,
+            play.mixed_until,
+            play.traffic,
+        )
     };
     assert_eq!(figures(3), figures(3));
     assert_ne!(figures(3), figures(4));
@@ -53,17 +62,17 @@
 
 /// A member whose first asking was answered after `round`, and no other; when it asked whom, from then on, for so long.
 fn unanswered(round: Time, time: Time) -> Vec<(Time, NodeId)> {
-    let mut member = Member::new(0, "m", KEY, vec![1, 2, 3]);
+    let mut member = RolloutMember::new(0, "m", KEY, vec![1, 2, 3]);
     let asked = member.tick(0);
-    let [(leader, Ask::Here { number, .. })] = asked.as_slice() else { panic!("{asked:?}") };
+    let [(leader, Request::Heartbeat { number, .. })] = asked.as_slice() else { panic!("{asked:?}") };
     let (number, period) = (*number, SECOND / 2);
     let lease = Some(2 * SECOND);
-    let held = Answer::Held { key: KEY, number, lease, period, version: 0, check: 0, pause: 0 };
-    assert_eq!(member.hear(round, *leader, held), Vec::new());
+    let held = Response::Renewed { key: KEY, number, lease, period, version: 0, check: 0, pause: 0 };
+    assert_eq!(member.handle(round, *leader, held), Vec::new());
     let mut asks = Vec::new();
     let mut now = round;
-    while member.due() < time {
-        now = now.max(member.due());
+    while member.next_deadline() < time {
+        now = now.max(member.next_deadline());
         asks.extend(member.tick(now).into_iter().map(|(to, _)| (now, to)));
     }
     asks
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -11,7 +11,7 @@
 use crate::ready::Ready;
 use crate::rollout::gate::Gate;
 use cypresscleat_concurrency::Setup;
-use cypresscleat_rollout::member::May;
+use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_scheduler::api::*;
 use cypresscleat_scheduler::Brain;
 use cypresscleat_settings::{set_gauge, Names};
@@ -458,7 +458,7 @@
 
     /// The gate stands otherwise: the roster and health checks are told, and what is held is looked at again.
     fn gate(&mut self, unix: Time) {
-        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != May::Nothing);
+        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
         self.side.voice.fit.set(fit);
         self.admits_held(unix);
     }
@@ -645,8 +645,8 @@
         };
         if let Some(gate) = &side.gate {
             match gate.admits(&txn) {
-                May::Admit(_) => gate.asked(),
-                May::Hold if self.held.len() < HELD => {
+                AdmissionPermit::Admit(_) => gate.asked(),
+                AdmissionPermit::Hold if self.held.len() < HELD => {
                     add(&side.counters.policy_held);
                     peer.queued.set(peer.queued.get() + 1); // it counts as on its way, so its connection stays
                     let budget = read.budget.or(self.settings.operations.get(read.op).map(|op| op.timeout));
--- a/crates/server/src/leases/agreed.rs
+++ b/crates/server/src/leases/agreed.rs
@@ -3,12 +3,12 @@
 
 use cypresscleat_consensus::Machine;
 use cypresscleat_leases::state::LeaseState;
-use cypresscleat_rollout::policies::{Policies, TAG};
+use cypresscleat_rollout::state::{PolicyState, COMMAND_TAG};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Agreed {
     pub duties: LeaseState,
-    pub policies: Policies,
+    pub policies: PolicyState,
 }
 
 /// In front of an image of both; one without it is of duties alone, as earlier versions of this program wrote it.
@@ -17,7 +17,7 @@
 impl Machine for Agreed {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         match command.first() {
-            Some(&TAG) => self.policies.apply(index, command),
+            Some(&COMMAND_TAG) => self.policies.apply(index, command),
             _ => self.duties.apply(index, command),
         }
     }
@@ -28,12 +28,12 @@
     }
     fn from_image(bytes: &[u8]) -> Option<Agreed> {
         let Some(rest) = bytes.strip_prefix(BOTH) else {
-            return Some(Agreed { duties: LeaseState::from_image(bytes)?, policies: Policies::default() });
+            return Some(Agreed { duties: LeaseState::from_image(bytes)?, policies: PolicyState::default() });
         };
         let (length, rest) = rest.split_at_checked(8)?;
         let length = u64::from_le_bytes(length.try_into().ok()?);
         let (duties, policies) = rest.split_at_checked(usize::try_from(length).ok()?)?;
-        Some(Agreed { duties: LeaseState::from_image(duties)?, policies: Policies::from_image(policies)? })
+        Some(Agreed { duties: LeaseState::from_image(duties)?, policies: PolicyState::from_image(policies)? })
     }
 }
 
@@ -47,13 +47,13 @@
         &mut self.duties
     }
 }
-impl AsRef<Policies> for Agreed {
-    fn as_ref(&self) -> &Policies {
+impl AsRef<PolicyState> for Agreed {
+    fn as_ref(&self) -> &PolicyState {
         &self.policies
     }
 }
-impl AsMut<Policies> for Agreed {
-    fn as_mut(&mut self) -> &mut Policies {
+impl AsMut<PolicyState> for Agreed {
+    fn as_mut(&mut self) -> &mut PolicyState {
         &mut self.policies
     }
 }
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -11,8 +11,8 @@
 use cypresscleat_leases::messages::Response;
 use cypresscleat_leases::state::OwnerChange;
 use cypresscleat_leases::{node_id, NodeId};
-use cypresscleat_rollout::policies::News;
-use cypresscleat_rollout::{desk as policy, said as policies};
+use cypresscleat_rollout::state::RolloutEvent;
+use cypresscleat_rollout::{coordinator as policy, messages as policies};
 use cypresscleat_store::disk::Folder;
 use cypresscleat_store::{Error, Store};
 use std::collections::HashMap;
@@ -112,17 +112,17 @@
 }
 
 /// What the two desks say, and to whom.
-type Said = (Vec<(SocketAddr, Response)>, Vec<(SocketAddr, policies::Answer)>);
+type Said = (Vec<(SocketAddr, Response)>, Vec<(SocketAddr, policies::Response)>);
 
 /// Decisions, in tests: each keeper tells of each, the first of them counts.
-fn journals(journal: &Journal, news: &News) {
-    let (event, number) = match news {
-        News::Proposed { number, .. } => ("proposed", number),
-        News::Taken { number } => ("taken", number),
-        News::Dropped { number, .. } => ("dropped", number),
+fn journals(journal: &Journal, event: &RolloutEvent) {
+    let (name, number) = match event {
+        RolloutEvent::Proposed { number, .. } => ("proposed", number),
+        RolloutEvent::Committed { number } => ("taken", number),
+        RolloutEvent::Aborted { number, .. } => ("dropped", number),
         _ => return,
     };
-    journal.line(monotonic(), &format!("\"event\":\"{event}\",\"version\":{number}"));
+    journal.line(monotonic(), &format!("\"event\":\"{name}\",\"version\":{number}"));
 }
 
 struct Desked {
@@ -132,7 +132,7 @@
     keeper: Keeper<Agreed>,
     manager: LeaseManager<SocketAddr>,
     /// Of changes of policy.
-    policy: policy::Desk<SocketAddr>,
+    policy: policy::RolloutCoordinator<SocketAddr>,
     journal: Option<Journal>,
     disk: Kept0,
 }
@@ -154,7 +154,7 @@
                 _ => None,
             });
             let also = said.1.iter().filter_map(|(to, answer)| match answer {
-                policies::Answer::Elsewhere { leader } => Some((*to, *leader)),
+                policies::Response::NotLeader { leader } => Some((*to, *leader)),
                 _ => None,
             });
             for (to, keeper) in elsewhere.chain(also) {
@@ -169,23 +169,23 @@
                 super::send(&self.socket, to, &Wire::PolicyAnswer { from, answer });
             }
             let answers = std::mem::take(&mut out.answers);
-            let (policies, policy_said) = self.policy.look(now, &mut self.keeper, answers.clone());
+            let (policies, policy_said) = self.policy.poll(now, &mut self.keeper, answers.clone());
             let (duties, duty_said) = self.manager.poll(now, &mut self.keeper, answers);
             (out, said) = (policies.and(duties), (duty_said, policy_said));
             self.policy.log().for_each(|line| log!("{line}"));
             let leads = self.keeper.leads();
-            for news in self.keeper.machine_mut().policies.take_news() {
+            for event in self.keeper.machine_mut().policies.take_events() {
                 if let Some(journal) = &self.journal {
-                    journals(journal, &news);
+                    journals(journal, &event);
                 }
-                match news {
+                match event {
                     _ if !leads => {}
-                    News::Proposed { number, by } => log!("policy {number} is proposed by {by:?}"),
-                    News::Taken { number } => log!("policy {number} is taken"),
-                    News::Dropped { number, reason } => log!("policy {number} is dropped: {reason}"),
-                    News::InForce { number } => log!("policy {number} is in force"),
-                    News::Joined { name } => log!("policy: {name} counts"),
-                    News::Ended { name } => log!("policy: {name} counts no longer"),
+                    RolloutEvent::Proposed { number, by } => log!("policy {number} is proposed by {by:?}"),
+                    RolloutEvent::Committed { number } => log!("policy {number} is taken"),
+                    RolloutEvent::Aborted { number, reason } => log!("policy {number} is dropped: {reason}"),
+                    RolloutEvent::Activated { number } => log!("policy {number} is in force"),
+                    RolloutEvent::MemberJoined { name } => log!("policy: {name} counts"),
+                    RolloutEvent::MemberEnded { name } => log!("policy: {name} counts no longer"),
                 }
             }
             for change in self.keeper.machine_mut().duties.take_owner_changes() {
@@ -297,7 +297,7 @@
         own: node_id(name),
         keeper,
         manager: LeaseManager::new(set.lease),
-        policy: policy::Desk::default(),
+        policy: policy::RolloutCoordinator::default(),
         journal: Journal::open(),
         disk,
     };
@@ -306,7 +306,7 @@
     let (mut garbled, mut told) = (0u64, 0u64);
     loop {
         tokio::select! {
-            () = sleep_until(clock.instant(all.keeper.due().min(all.policy.due()))) => {}
+            () = sleep_until(clock.instant(all.keeper.due().min(all.policy.next_deadline()))) => {}
             ready = all.socket.readable() => ready?,
             _ = hup.recv() => {
                 if let Some(new) = path.and_then(|path| follows(name, set, path)) {
@@ -327,7 +327,7 @@
             match letter::read::<Wire>(&bytes[..size]) {
                 Ok(Wire::Letter(letter)) => out = out.and(all.keeper.hear(now, &letter)),
                 Ok(Wire::PolicyAsk(ask)) => {
-                    let (more, answers) = all.policy.hear(now, &mut all.keeper, from, ask);
+                    let (more, answers) = all.policy.handle(now, &mut all.keeper, from, ask);
                     out = out.and(more);
                     said.1.extend(answers);
                 }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -3,7 +3,7 @@
 use super::Keepers;
 use cypresscleat_consensus::letter::{self, Letter};
 use cypresscleat_leases::{messages, node_id, NodeId};
-use cypresscleat_rollout::said as policies;
+use cypresscleat_rollout::messages as policies;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::io;
@@ -22,10 +22,10 @@
         from: NodeId,
         answer: messages::Response,
     },
-    PolicyAsk(policies::Ask),
+    PolicyAsk(policies::Request),
     PolicyAnswer {
         from: NodeId,
-        answer: policies::Answer,
+        answer: policies::Response,
     },
     /// Where a keeper hears, said ahead of the word that it leads: it may have come since whoever asks was started.
     At {
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -14,7 +14,7 @@
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{Pool, Setup};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
-use cypresscleat_rollout::{Missing, Rules, WatchRules};
+use cypresscleat_rollout::{Rules, UnreachableMembers, WatchRules};
 use cypresscleat_scgi::request::variable;
 use cypresscleat_scgi::{is_token, is_value, Bounds};
 use cypresscleat_scheduler::api::Time;
@@ -144,10 +144,13 @@
     let root = schema.read(text).map_err(|faults| wrong(name, text, &faults))?;
     let mut reader = Reader { names, faults: Vec::new() };
     let rules = Rules {
-        missing: if root.get("missing").text() == "wait" { Missing::Wait } else { Missing::Fence },
+        unreachable: match root.get("missing").text() {
+            "wait" => UnreachableMembers::Wait,
+            _ => UnreachableMembers::Fence,
+        },
         lease: time(root.get("lease").duration()),
-        patience: time(root.get("within").duration()),
-        together: root.get("together").flag(),
+        decision_timeout: time(root.get("within").duration()),
+        barrier: root.get("together").flag(),
         watch: root.find("watch").map(|node| WatchRules {
             share: (node.get("share").number() * 1000.0).round() as u32,
             within: time(node.get("within").duration()),
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -9,8 +9,8 @@
 use crate::rollout::texts::{keep, load, KEPT};
 use crate::rollout::{check, LEAVES};
 use cypresscleat_consensus::letter;
-use cypresscleat_rollout::said::{Answer, Ask};
-use cypresscleat_rollout::{node_id, NodeId, Version, TEXT};
+use cypresscleat_rollout::messages::{Request, Response};
+use cypresscleat_rollout::{node_id, NodeId, Version, MAX_DOCUMENT_BYTES};
 use cypresscleat_rollout_relay::{Out, Relay as Decider};
 use cypresscleat_scheduler::api::Time;
 use std::collections::{HashMap, VecDeque};
@@ -127,7 +127,7 @@
     let mut relay = Decider::new(clock.now(), name, key, all, set.most);
     for version in load(&set.folder) {
         // What a disk garbled is not handed out: members would refuse it under its number.
-        match check(&version, TEXT, None) {
+        match check(&version, MAX_DOCUMENT_BYTES, None) {
             Ok(_) => relay.knows(version),
             Err(what) => log!("policy {} was kept and is not handed out: {what}", version.number),
         }
@@ -199,7 +199,7 @@
             let Some(got) = next(&self.above, bytes) else { return };
             let Ok((size, by)) = got else { continue };
             match letter::read::<Wire>(&bytes[..size]) {
-                // Whoever else can reach this socket is no keeper by saying so. May hurt where keepers answer from another address than
+                // Whoever else can reach this socket is no keeper by saying so. AdmissionPermit hurt where keepers answer from another address than
                 // the one at which they hear.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {
                     add(&self.counters.strangers);
@@ -223,7 +223,7 @@
             let Some(got) = next(&self.below, bytes) else { return };
             let Ok((size, by)) = got else { continue };
             match letter::read::<Wire>(&bytes[..size]) {
-                Ok(Wire::PolicyAsk(ask)) if ask.bounded() => {
+                Ok(Wire::PolicyAsk(ask)) if ask.is_within_bounds() => {
                     add(&self.counters.asks);
                     let out = self.relay.from_below(self.clock.now(), by, ask);
                     self.carry(out);
@@ -249,16 +249,16 @@
         }
     }
 
-    fn says_up(&self, to: NodeId, ask: Ask) {
+    fn says_up(&self, to: NodeId, ask: Request) {
         if let Some(to) = self.to.get(&to) {
             add(&self.counters.up);
             self.sends(&self.above, *to, &Wire::PolicyAsk(ask));
         }
     }
 
-    fn says_down(&self, to: SocketAddr, answer: Answer) {
+    fn says_down(&self, to: SocketAddr, answer: Response) {
         add(&self.counters.told);
-        if matches!(answer, Answer::Text { version: Some(_), .. }) {
+        if matches!(answer, Response::Document { version: Some(_), .. }) {
             add(&self.counters.texts);
         }
         self.sends(&self.below, to, &Wire::PolicyAnswer { from: self.own, answer });
--- a/crates/server/src/rollout/ask.rs
+++ b/crates/server/src/rollout/ask.rs
@@ -5,9 +5,9 @@
 use crate::leases::Keepers;
 use crate::operator::{self, Operator};
 use crate::rollout::read;
-use cypresscleat_rollout::policies::{Outcome, Stage, Version};
-use cypresscleat_rollout::said::{Answer, Ask, Line, Verdict};
-use cypresscleat_rollout::{cut, node_id, Key, NAME, WHY};
+use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
+use cypresscleat_rollout::state::{Outcome, Stage, Version};
+use cypresscleat_rollout::{node_id, truncate, MemberKey, MAX_NAME_BYTES, MAX_REASON_BYTES};
 use serde_json::{json, Value};
 use std::io::{self, IsTerminal, Write};
 use std::net::SocketAddr;
@@ -121,15 +121,15 @@
                 None => Err(none()),
                 Some(None) => Err((BAD, format!("there is no version {number}, or it is no longer known"))),
                 Some(Some(version)) if words.json => Ok(format!("{}\n", shown(&version, true))),
-                Some(Some(version)) => Ok(format!("{}\n{}", head(&version), version.text)),
+                Some(Some(version)) => Ok(format!("{}\n{}", head(&version), version.document)),
             })
         }
         What::Forget => {
             if words.instance.is_empty() {
                 return Ok(Err((BAD, "--instance says which".into())));
             }
-            let ask = Ask::Forget { number: number(), member: node_id(&words.instance) };
-            let done = asks(&mut asker, ask, |answer| matches!(answer, Answer::Done { .. }).then_some(()))?;
+            let ask = Request::Forget { number: number(), member: node_id(&words.instance) };
+            let done = asks(&mut asker, ask, |answer| matches!(answer, Response::Done { .. }).then_some(()))?;
             Ok(done.map(|()| "decided\n".into()).ok_or_else(none))
         }
     }
@@ -142,10 +142,10 @@
     (std::process::id() << 8) ^ NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-fn asks<T>(asker: &mut Asker, ask: Ask, read: impl Fn(Answer) -> Option<T>) -> io::Result<Option<T>> {
+fn asks<T>(asker: &mut Asker, ask: Request, read: impl Fn(Response) -> Option<T>) -> io::Result<Option<T>> {
     asker.again();
     asker.ask(&Wire::PolicyAsk(ask), |wire| match wire {
-        Wire::PolicyAnswer { answer: Answer::Elsewhere { leader }, .. } => Heard::Elsewhere(leader),
+        Wire::PolicyAnswer { answer: Response::NotLeader { leader }, .. } => Heard::Elsewhere(leader),
         Wire::PolicyAnswer { answer, .. } => read(answer).map_or(Heard::Other, Heard::Fits),
         _ => Heard::Other,
     })
@@ -159,11 +159,11 @@
     let policy = read(&name, &text, None).map_err(|wrong| (BAD, wrong.shown))?;
     let version = Version {
         hash: policy.hash,
-        by: cut(&words.by, NAME),
+        by: truncate(&words.by, MAX_NAME_BYTES),
         at_ms: (crate::clock::unix() / 10) as u64,
-        why: cut(&words.why, WHY),
+        why: truncate(&words.why, MAX_REASON_BYTES),
         rules: policy.rules,
-        text,
+        document: text,
         ..Version::default()
     };
     Ok((name, version))
@@ -173,20 +173,20 @@
 struct Stands {
     now: u64,
     change: Option<(u64, Stage)>,
-    lines: Vec<Line>,
+    lines: Vec<MemberStatus>,
 }
 
 impl Stands {
     fn shown(&self, as_json: bool) -> String {
-        let verdict = |line: &Line| match &line.verdict {
+        let verdict = |line: &MemberStatus| match &line.verdict {
             None => "-".to_string(),
-            Some(Verdict::Good) => "good".into(),
-            Some(Verdict::Bad(why)) => format!("refused: {why}"),
+            Some(Verdict::Prepared) => "good".into(),
+            Some(Verdict::Refused(why)) => format!("refused: {why}"),
         };
-        let stage = |stage: Stage| if stage == Stage::Asking { "asked" } else { "closing" };
+        let stage = |stage: Stage| if stage == Stage::Preparing { "asked" } else { "closing" };
         if as_json {
             let lines: Vec<Value> = self.lines.iter().map(|line| {
-                json!({"member": line.name, "version": line.has, "verdict": verdict(line), "stopped": line.paused,
+                json!({"member": line.name, "version": line.active, "verdict": verdict(line), "stopped": line.paused,
                     "silent_ms": (line.silent >= 0).then_some(line.silent as f64 / 10.0)})
             }).collect();
             let change = self.change.map(|(number, at)| json!({"version": number, "stage": stage(at)}));
@@ -194,7 +194,7 @@
         }
         let mut text = format!("policy {} is in force", self.now);
         if let Some((number, at)) = self.change {
-            let good = self.lines.iter().filter(|line| line.verdict == Some(Verdict::Good)).count();
+            let good = self.lines.iter().filter(|line| line.verdict == Some(Verdict::Prepared)).count();
             text += &format!("; {number} is {}: {good} of {} said yes", stage(at), self.lines.len());
         }
         text += "\n";
@@ -203,7 +203,7 @@
             text += &format!(
                 "{}: policy {}, heard {silent}, the change: {}\n",
                 line.name,
-                line.has,
+                line.active,
                 verdict(line)
             );
         }
@@ -212,11 +212,11 @@
 }
 
 fn status(asker: &mut Asker) -> io::Result<Option<Stands>> {
-    let (mut from, mut all): (Key, Vec<Line>) = ((0, 0), Vec::new());
+    let (mut from, mut all): (MemberKey, Vec<MemberStatus>) = ((0, 0), Vec::new());
     loop {
         let number = number();
-        let found = asks(asker, Ask::Status { number, from }, |answer| match answer {
-            Answer::Status { number: one, now, change, lines, more, .. } if one == number => {
+        let found = asks(asker, Request::Status { number, from }, |answer| match answer {
+            Response::Status { number: one, active: now, change, lines, more, .. } if one == number => {
                 Some((now, change, lines, more))
             }
             _ => None,
@@ -233,18 +233,20 @@
 
 fn fetch(asker: &mut Asker, version: u64) -> io::Result<Option<Option<Box<Version>>>> {
     let number = number();
-    asks(asker, Ask::Fetch { number, version }, |answer| match answer {
-        Answer::Text { number: one, version } if one == number => Some(version),
+    asks(asker, Request::FetchDocument { number, version }, |answer| match answer {
+        Response::Document { number: one, version } if one == number => Some(version),
         _ => None,
     })
 }
 
 fn past(
     asker: &mut Asker,
-) -> io::Result<Option<(Vec<Version>, Vec<cypresscleat_rollout::policies::Dropped>)>> {
+) -> io::Result<Option<(Vec<Version>, Vec<cypresscleat_rollout::state::AbortedChange>)>> {
     let number = number();
-    asks(asker, Ask::History { number }, |answer| match answer {
-        Answer::History { number: one, taken, dropped } if one == number => Some((taken, dropped)),
+    asks(asker, Request::History { number }, |answer| match answer {
+        Response::History { number: one, committed: taken, aborted: dropped } if one == number => {
+            Some((taken, dropped))
+        }
         _ => None,
     })
 }
@@ -261,7 +263,7 @@
     let mut all = json!({"version": version.number, "from": version.parent, "hash": format!("{:016x}", version.hash),
         "by": version.by, "at_ms": version.at_ms, "why": version.why, "undoes": version.undoes});
     if text {
-        all["text"] = json!(version.text);
+        all["text"] = json!(version.document);
     }
     all
 }
@@ -329,9 +331,9 @@
     let why = if words.why.is_empty() { format!("back to {back}") } else { words.why.clone() };
     let version = Version {
         parent: found.now,
-        by: cut(&words.by, NAME),
+        by: truncate(&words.by, MAX_NAME_BYTES),
         at_ms: (crate::clock::unix() / 10) as u64,
-        why: cut(&why, WHY),
+        why: truncate(&why, MAX_REASON_BYTES),
         undoes: false,
         ..*old
     };
@@ -352,17 +354,17 @@
 /// Proposes, and watches until it is decided.
 fn follows(asker: &mut Asker, version: Version, words: &Words) -> io::Result<Result<String, End>> {
     let asked = number();
-    let ask = Ask::Propose { number: asked, version: version.clone() };
+    let ask = Request::Propose { number: asked, version: version.clone() };
     let outcome = asks(asker, ask, |answer| match answer {
-        Answer::Proposed { number: one, outcome } if one == asked => Some(outcome),
+        Response::Proposed { number: one, outcome } if one == asked => Some(outcome),
         _ => None,
     })?;
     let number = match outcome {
         None => return Ok(Err(none())),
         Some(Outcome::Proposed(number)) => number,
-        Some(Outcome::Stale { now }) => {
-            let parent = fetch(asker, version.parent)?.flatten().map(|old| old.text).unwrap_or_default();
-            let current = fetch(asker, now)?.flatten().map(|old| old.text).unwrap_or_default();
+        Some(Outcome::Stale { active: now }) => {
+            let parent = fetch(asker, version.parent)?.flatten().map(|old| old.document).unwrap_or_default();
+            let current = fetch(asker, now)?.flatten().map(|old| old.document).unwrap_or_default();
             let shown = difference(&parent, &current);
             return Ok(Err((
                 DROPPED,
@@ -392,7 +394,7 @@
             return Ok(Err((UNDECIDED, format!("policy {number} is not decided yet; see policy status"))));
         }
         if let Some(found) = status(asker)?.filter(|_| live) {
-            let good = found.lines.iter().filter(|line| line.verdict == Some(Verdict::Good)).count();
+            let good = found.lines.iter().filter(|line| line.verdict == Some(Verdict::Prepared)).count();
             let _ =
                 write!(io::stderr(), "\rpolicy {number}: {good} of {} members said yes ", found.lines.len());
         }
--- a/crates/server/src/rollout/gate.rs
+++ b/crates/server/src/rollout/gate.rs
@@ -3,8 +3,8 @@
 
 use crate::journal::{monotonic, Journal};
 use crate::leases::Steady;
-use cypresscleat_rollout::member::{May, Member};
-use cypresscleat_rollout::watch::Seen;
+use cypresscleat_rollout::member::{AdmissionPermit, RolloutMember};
+use cypresscleat_rollout::watch::ServiceTotals;
 use cypresscleat_rollout::Time;
 use std::cell::Cell;
 use tokio::sync::Notify;
@@ -18,7 +18,7 @@
     holds: Cell<bool>,
     /// What the core goes by: a version counts once its settings do.
     applied: Cell<Option<u64>>,
-    pub seen: Cell<Seen>,
+    pub seen: Cell<ServiceTotals>,
     /// The program ends: the member is to leave.
     pub leaves: Notify,
     pub left: Notify,
@@ -43,20 +43,20 @@
     }
 
     /// Takes over how the member stands.
-    pub fn follow(&self, member: &Member) {
-        self.holds.set(member.paused());
-        self.until.set(member.until());
-        self.granted.set(member.in_force());
+    pub fn follow(&self, member: &RolloutMember) {
+        self.holds.set(member.is_paused());
+        self.until.set(member.lease_ends_at());
+        self.granted.set(member.active());
     }
 
     /// To be asked right before each admission.
-    pub fn may(&self) -> May {
+    pub fn may(&self) -> AdmissionPermit {
         let Some(granted) = self.granted.get().filter(|_| self.clock.now() < self.until.get()) else {
-            return May::Nothing;
+            return AdmissionPermit::Deny;
         };
         match self.holds.get() || self.applied.get() != Some(granted) {
-            true => May::Hold,
-            false => May::Admit(granted),
+            true => AdmissionPermit::Hold,
+            false => AdmissionPermit::Admit(granted),
         }
     }
 
@@ -71,7 +71,7 @@
     /// The version that is applied and may be served under.
     pub fn version(&self) -> Option<u64> {
         match self.may() {
-            May::Admit(number) => Some(number),
+            AdmissionPermit::Admit(number) => Some(number),
             _ => None,
         }
     }
@@ -84,10 +84,10 @@
     }
 
     /// The same as `may`, for one that is admitted where it may be: its moment is the one before the gate is asked.
-    pub fn admits(&self, txn: &[u8]) -> May {
+    pub fn admits(&self, txn: &[u8]) -> AdmissionPermit {
         let at = self.journal.as_ref().map(|_| monotonic());
         let may = self.may();
-        if let (May::Admit(version), Some(journal), Some(at)) = (may, &self.journal, at) {
+        if let (AdmissionPermit::Admit(version), Some(journal), Some(at)) = (may, &self.journal, at) {
             let fields = format!(
                 "\"member\":\"{}\",\"event\":\"admitted\",\"version\":{version},\"invocation\":\"{}\"",
                 self.name,
@@ -106,13 +106,17 @@
 
     pub fn asked(&self) {
         let seen = self.seen.get();
-        self.seen.set(Seen { asked: seen.asked + 1, ..seen });
+        self.seen.set(ServiceTotals { requests: seen.requests + 1, ..seen });
     }
 
     /// One succeeded, in time or not, and billed so much.
     pub fn succeeded(&self, in_time: bool, billed: f64) {
         let seen = self.seen.get();
         let milli = (billed * 1000.0).round().max(0.0) as u64;
-        self.seen.set(Seen { in_time: seen.in_time + u64::from(in_time), milli: seen.milli + milli, ..seen });
+        self.seen.set(ServiceTotals {
+            succeeded_in_time: seen.succeeded_in_time + u64::from(in_time),
+            billed_milli: seen.billed_milli + milli,
+            ..seen
+        });
     }
 }
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -8,9 +8,9 @@
 use crate::leases::{self, addresses, drawn, from, Steady};
 use crate::log;
 use cypresscleat_consensus::letter;
-use cypresscleat_rollout::member::{Event, Member};
-use cypresscleat_rollout::said::{Ask, Verdict};
-use cypresscleat_rollout::{cut, node_id, NodeId, Time, Version, WHY};
+use cypresscleat_rollout::member::{MemberEvent, RolloutMember};
+use cypresscleat_rollout::messages::{Request, Verdict};
+use cypresscleat_rollout::{node_id, truncate, NodeId, Time, Version, MAX_REASON_BYTES};
 use cypresscleat_settings::Names;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -41,7 +41,7 @@
     socket: UdpSocket,
     to: HashMap<NodeId, SocketAddr>,
     clock: Steady,
-    member: Member,
+    member: RolloutMember,
     policies: BTreeMap<u64, Policy>,
     last: Option<u64>,
 }
@@ -59,7 +59,7 @@
         let socket = UdpSocket::bind(from(above)).await?;
         let clock = Steady::start();
         let all = above.iter().map(|(name, _)| node_id(name)).collect();
-        let member = Member::new(clock.now(), name, (node_id(name), drawn(name)), all);
+        let member = RolloutMember::new(clock.now(), name, (node_id(name), drawn(name)), all);
         let gate = Rc::new(Gate::new(clock, name));
         let mut task = Task {
             name: name.to_string(),
@@ -91,7 +91,7 @@
             match check(&version, self.set.room, self.names.as_deref()) {
                 Ok(policy) => {
                     self.policies.insert(number, policy);
-                    self.member.knows(number);
+                    self.member.restore(number);
                 }
                 Err(what) => log!("policy {number} was kept and can't be carried out: {what}"),
             }
@@ -100,7 +100,7 @@
         self.last = text.trim().parse().ok().filter(|number| self.policies.contains_key(number));
     }
 
-    fn post(&self, asks: Vec<(NodeId, Ask)>) {
+    fn post(&self, asks: Vec<(NodeId, Request)>) {
         for (to, ask) in asks {
             if let Some(to) = self.to.get(&to) {
                 leases::send(&self.socket, *to, &Wire::PolicyAsk(ask));
@@ -114,29 +114,28 @@
         let began = self.clock.now();
         let gate = self.gate.clone();
         let mut leaving = false;
-        while !self.member.left() {
+        while !self.member.has_left() {
             let now = self.clock.now();
-            if now >= self.member.due() {
-                self.member.seen = gate.seen.get();
+            if now >= self.member.next_deadline() {
+                self.member.totals = gate.seen.get();
                 let asks = self.member.tick(now);
                 self.post(asks);
             }
-            let alone =
-                self.set.alone.map(|alone| began + alone).filter(|_| self.member.in_force().is_none());
+            let alone = self.set.alone.map(|alone| began + alone).filter(|_| self.member.active().is_none());
             if alone.is_some_and(|at| now >= at) && !leaving {
                 let number = self.last.unwrap_or(0);
                 self.set.alone = None;
                 log!("no keeper answers: {} begins under policy {number}, which it had last", self.name);
-                self.member.begins_alone(number);
+                self.member.start_alone(number);
             }
             self.gate.follow(&self.member);
             self.events().await;
-            let due = self.member.due().min(alone.unwrap_or(Time::MAX)).min(now + 10_000);
+            let due = self.member.next_deadline().min(alone.unwrap_or(Time::MAX)).min(now + 10_000);
             let got = tokio::select! {
                 () = sleep_until(self.clock.instant(due)) => continue,
                 () = gate.leaves.notified(), if !leaving => {
                     leaving = true;
-                    let asks = self.member.leaves(self.clock.now());
+                    let asks = self.member.leave(self.clock.now());
                     self.gate.follow(&self.member);
                     self.post(asks);
                     continue;
@@ -145,18 +144,18 @@
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
             match letter::read::<Wire>(&bytes[..size]) {
-                // Whoever else can reach this socket is no keeper, nor a relay, by saying so. May hurt where one answers from another
+                // Whoever else can reach this socket is no keeper, nor a relay, by saying so. AdmissionPermit hurt where one answers from another
                 // address than the one at which it hears.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {}
                 Ok(Wire::PolicyAnswer { from, answer }) => {
-                    self.member.seen = gate.seen.get();
-                    let asks = self.member.hear(self.clock.now(), from, answer);
+                    self.member.totals = gate.seen.get();
+                    let asks = self.member.handle(self.clock.now(), from, answer);
                     self.gate.follow(&self.member);
                     self.post(asks);
                     self.events().await;
                 }
                 Ok(Wire::At { keeper, address }) if learns(&mut self.to, by, keeper, address) => {
-                    self.member.learns(keeper);
+                    self.member.add_replica(keeper);
                 }
                 _ => {}
             }
@@ -166,20 +165,22 @@
 
     async fn events(&mut self) {
         loop {
-            let events: Vec<Event> = self.member.events().collect();
+            let events: Vec<MemberEvent> = self.member.events().collect();
             if events.is_empty() {
                 return;
             }
             for event in events {
                 match event {
-                    Event::Check { version, .. } => self.checks(*version).await,
-                    Event::InForce { number } => self.in_force(number).await,
-                    Event::Out { number } => {
+                    MemberEvent::Check { version, .. } => self.checks(*version).await,
+                    MemberEvent::Activated { number } => self.in_force(number).await,
+                    MemberEvent::LeaseExpired { number } => {
                         log!("out of service: no keeper has renewed the lease on policy {number}");
                         self.gate.out(number);
                         self.says(Note::Gate).await;
                     }
-                    Event::Holds { change } => log!("holds what comes until policy {change} is in force"),
+                    MemberEvent::Paused { change } => {
+                        log!("holds what comes until policy {change} is in force")
+                    }
                 }
             }
         }
@@ -212,18 +213,20 @@
                             };
                             self.policies.remove(&old);
                         }
-                        Verdict::Good
+                        Verdict::Prepared
+                    }
+                    Err(error) => {
+                        Verdict::Refused(truncate(&format!("it can't be kept: {error}"), MAX_REASON_BYTES))
                     }
-                    Err(error) => Verdict::Bad(cut(&format!("it can't be kept: {error}"), WHY)),
                 }
             }
-            Err(what) => Verdict::Bad(cut(&what, WHY)),
+            Err(what) => Verdict::Refused(truncate(&what, MAX_REASON_BYTES)),
         };
-        if let Verdict::Bad(what) = &verdict {
+        if let Verdict::Refused(what) = &verdict {
             log!("policy {number} can't be carried out here: {what}");
         }
         dies("kept");
-        let asks = self.member.checked(self.clock.now(), number, verdict);
+        let asks = self.member.record_verdict(self.clock.now(), number, verdict);
         self.gate.follow(&self.member);
         self.post(asks);
         dies("said_yes");
@@ -235,7 +238,11 @@
             dies("heard");
         }
         let rules = policy.rules;
-        log!("policy {number} is in force here: missing {:?}, lease {} ms", rules.missing, rules.lease / 10);
+        log!(
+            "policy {number} is in force here: missing {:?}, lease {} ms",
+            rules.unreachable,
+            rules.lease / 10
+        );
         (self.apply)(&policy);
         match self.queue {
             Some(_) => self.says(Note::Policy { number, pools: policy.pools }).await,
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -61,10 +61,10 @@
 /// Whether this instance can carry it out, in full: its room, the text against its own settings, and that the rules which the keepers
 /// go by are those of the text.
 pub fn check(version: &Version, room: usize, names: Option<&Names>) -> Result<Policy, String> {
-    if version.text.len() > room {
-        return Err(format!("a text of {} bytes, room for {room}", version.text.len()));
+    if version.document.len() > room {
+        return Err(format!("a text of {} bytes, room for {room}", version.document.len()));
     }
-    let policy = read("policy", &version.text, names)
+    let policy = read("policy", &version.document, names)
         .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.shown))?;
     if policy.rules != version.rules || policy.hash != version.hash {
         return Err("its rules or its hash are not those of its text".into());
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -6,9 +6,9 @@
 use cypresscleat_leases::messages::{Request, Response};
 use cypresscleat_leases::state::{self, LeaseState};
 use cypresscleat_leases::{Claim, Partition};
-use cypresscleat_rollout::policies::{self, Policies};
-use cypresscleat_rollout::said as policy;
-use cypresscleat_rollout::{Missing, Rules, Version, WatchRules};
+use cypresscleat_rollout::messages as policy;
+use cypresscleat_rollout::state::{self as policies, PolicyState};
+use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
 use cypresscleat_server::leases::agreed::Agreed;
 use cypresscleat_server::leases::wire::Wire;
 use cypresscleat_server::rollout::{self, texts};
@@ -41,7 +41,7 @@
     let last_seen_grant = (5, Partition { task: 6, index: 7 });
     let claims = vec![Claim { task: 6, partitions: 8, rank: 1 }];
     let address = |text: &str| text.parse().expect("an address");
-    let held = policy::Answer::Held {
+    let held = policy::Response::Renewed {
         key,
         number: 1,
         lease: Some(20_000),
@@ -64,7 +64,7 @@
             }),
         ),
         ("lease_response", Wire::Answer { from: 300, answer: Response::SessionExpired { session: 9 } }),
-        ("rollout_request", Wire::PolicyAsk(policy::Ask::Leave { key, number: 2 })),
+        ("rollout_request", Wire::PolicyAsk(policy::Request::Leave { key, number: 2 })),
         ("rollout_response", Wire::PolicyAnswer { from: 300, answer: held }),
         ("address_v4", Wire::At { keeper: 300, address: address("127.0.0.1:8080") }),
         ("address_v6", Wire::At { keeper: 300, address: address("[::1]:8080") }),
@@ -88,7 +88,7 @@
     let claims = vec![Claim { task: 6, partitions: 2, rank: 0 }];
     let open = postcard::to_stdvec(&state::Command::OpenSession { instance: 1, incarnation: 2, claims })
         .expect("a command");
-    let propose = policies::bytes(&policies::Command::Propose(Version { parent: 0, ..version() }));
+    let propose = policies::encode_command(&policies::Command::Propose(Version { parent: 0, ..version() }));
     let (mut agreed, mut alone) = (Agreed::default(), LeaseState::default());
     let mut lines = vec![("empty".to_string(), agreed.image())];
     for (index, command) in [(5, &open), (6, &propose)] {
@@ -101,7 +101,7 @@
         let again = Agreed::from_image(bytes).expect("a snapshot is read");
         let written = if name == "partitions_alone" { again.duties.image() } else { again.image() };
         assert_eq!(&written, bytes, "{name}: written again");
-        assert_eq!(again.policies == Policies::default(), name != "snapshot_6", "{name}");
+        assert_eq!(again.policies == PolicyState::default(), name != "snapshot_6", "{name}");
     }
     assert_recorded("agreed.hex", &lines);
 }
@@ -129,7 +129,13 @@
 
 fn version() -> Version {
     let watch = Some(WatchRules { share: 50, within: 100_000 });
-    let rules = Rules { missing: Missing::Wait, lease: 15_000, patience: 300_000, together: true, watch };
+    let rules = Rules {
+        unreachable: UnreachableMembers::Wait,
+        lease: 15_000,
+        decision_timeout: 300_000,
+        barrier: true,
+        watch,
+    };
     Version {
         number: 12,
         parent: 11,
@@ -138,13 +144,13 @@
         at_ms: 1_700_000_000_000,
         why: "a \"try\"".into(),
         rules,
-        text: "missing: \"wait\"\n".into(),
+        document: "missing: \"wait\"\n".into(),
         undoes: true,
     }
 }
 
 fn versions() -> Vec<Version> {
-    let plain = Version { number: 3, parent: 2, text: "lease: 1s\n".into(), ..Version::default() };
+    let plain = Version { number: 3, parent: 2, document: "lease: 1s\n".into(), ..Version::default() };
     vec![plain, version()]
 }
 
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -5,10 +5,10 @@
 use cypresscleat_leases::messages::{Datagram, Request, Response};
 use cypresscleat_leases::state::LeaseState;
 use cypresscleat_leases::{Claim, Partition};
-use cypresscleat_rollout::member::May;
-use cypresscleat_rollout::policies::{self, Policies, Version};
-use cypresscleat_rollout::said as policy;
-use cypresscleat_rollout::{node_id, Key, SECOND, TEXT};
+use cypresscleat_rollout::member::AdmissionPermit;
+use cypresscleat_rollout::messages as policy;
+use cypresscleat_rollout::state::{self as policies, PolicyState, Version};
+use cypresscleat_rollout::{node_id, MemberKey, MAX_DOCUMENT_BYTES, SECOND};
 use cypresscleat_server::leases::agreed::Agreed;
 use cypresscleat_server::leases::wire::Wire;
 use cypresscleat_server::rollout::member::Task;
@@ -43,8 +43,8 @@
         assert_eq!(letter::read::<Wire>(&bytes), Ok(now));
     }
     let new = [
-        Wire::PolicyAsk(policy::Ask::History { number: 1 }),
-        Wire::PolicyAnswer { from: 1, answer: policy::Answer::News },
+        Wire::PolicyAsk(policy::Request::History { number: 1 }),
+        Wire::PolicyAnswer { from: 1, answer: policy::Response::Changed },
     ];
     for new in new {
         let bytes = letter::write(&new).expect("it is short");
@@ -68,20 +68,20 @@
     duties.apply(5, &open);
     let before = Agreed::from_image(&duties.image()).expect("an image of before");
     assert_eq!(before.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
-    assert_eq!(before.policies, Policies::default());
+    assert_eq!(before.policies, PolicyState::default());
     let mut both = Agreed::default();
     both.apply(5, &open);
     let propose = policies::Command::Propose(Version {
         by: "x".into(),
-        text: "lease: 1s".into(),
+        document: "lease: 1s".into(),
         ..Version::default()
     });
-    both.apply(6, &policies::bytes(&propose));
+    both.apply(6, &policies::encode_command(&propose));
     assert_eq!(both.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
-    assert!(both.policies.change().is_some());
+    assert!(both.policies.pending_change().is_some());
     let mut again = Agreed::from_image(&both.image()).expect("an image");
-    again.policies.take_news();
-    both.policies.take_news();
+    again.policies.take_events();
+    both.policies.take_events();
     assert_eq!(again.policies, both.policies);
     assert_eq!(again.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     for cut in 0..both.image().len() {
@@ -116,25 +116,33 @@
         let keeper = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let above = [("k".to_string(), keeper.local_addr().expect("an address"))];
-        let set = Rollout { folder: folder.clone(), alone: None, room: TEXT, relays: Vec::new() };
+        let set =
+            Rollout { folder: folder.clone(), alone: None, room: MAX_DOCUMENT_BYTES, relays: Vec::new() };
         let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let plays = async {
-            for (socket, may) in [(&stranger, May::Nothing), (&keeper, May::Admit(0))] {
+            for (socket, may) in [(&stranger, AdmissionPermit::Deny), (&keeper, AdmissionPermit::Admit(0))] {
                 let (key, number, member, _) = asking(&keeper).await;
                 let lease = 30 * SECOND;
                 let (period, version, check, pause) = (lease / 4, 0, 0, 0);
-                let answer =
-                    policy::Answer::Held { key, number, lease: Some(lease), period, version, check, pause };
+                let answer = policy::Response::Renewed {
+                    key,
+                    number,
+                    lease: Some(lease),
+                    period,
+                    version,
+                    check,
+                    pause,
+                };
                 says(socket, member, answer).await;
                 // Heard after that one, and answered by an asking.
-                says(&keeper, member, policy::Answer::News).await;
+                says(&keeper, member, policy::Response::Changed).await;
                 let mut joins = asking(&keeper).await.3;
                 // It may have asked again by itself.
-                while may != May::Nothing && joins {
+                while may != AdmissionPermit::Deny && joins {
                     joins = asking(&keeper).await.3;
                 }
-                assert_eq!((joins, gate.may()), (may == May::Nothing, may));
+                assert_eq!((joins, gate.may()), (may == AdmissionPermit::Deny, may));
             }
         };
         tokio::select! {
@@ -145,16 +153,18 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-async fn asking(keeper: &UdpSocket) -> (Key, u32, std::net::SocketAddr, bool) {
+async fn asking(keeper: &UdpSocket) -> (MemberKey, u32, std::net::SocketAddr, bool) {
     let mut bytes = vec![0; letter::LONGEST];
     let (size, by) = keeper.recv_from(&mut bytes).await.expect("an asking");
     match letter::read::<Wire>(&bytes[..size]) {
-        Ok(Wire::PolicyAsk(policy::Ask::Here { key, number, joins, .. })) => (key, number, by, joins),
+        Ok(Wire::PolicyAsk(policy::Request::Heartbeat { key, number, joins, .. })) => {
+            (key, number, by, joins)
+        }
         other => panic!("{other:?}"),
     }
 }
 
-async fn says(by: &UdpSocket, to: std::net::SocketAddr, answer: policy::Answer) {
+async fn says(by: &UdpSocket, to: std::net::SocketAddr, answer: policy::Response) {
     let bytes = letter::write(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
     by.send_to(&bytes, to).await.expect("it goes");
 }
@@ -167,7 +177,7 @@
     runtime.block_on(async {
         let keeper = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let above = [("k".to_string(), keeper.local_addr().expect("an address"))];
-        let set = Rollout { folder: folder.clone(), alone: None, room: TEXT, relays: Vec::new() };
+        let set = Rollout { folder: folder.clone(), alone: None, room: MAX_DOCUMENT_BYTES, relays: Vec::new() };
         let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let plays = async {
@@ -175,31 +185,31 @@
             loop {
                 let (size, member) = keeper.recv_from(&mut bytes).await.expect("an asking");
                 match letter::read::<Wire>(&bytes[..size]) {
-                    Ok(Wire::PolicyAsk(policy::Ask::Fetch { number, version })) => {
+                    Ok(Wire::PolicyAsk(policy::Request::FetchDocument { number, version })) => {
                         let version = Some(Box::new(Version { number: version, ..Version::default() }));
-                        says(&keeper, member, policy::Answer::Text { number, version }).await;
+                        says(&keeper, member, policy::Response::Document { number, version }).await;
                     }
-                    Ok(Wire::PolicyAsk(policy::Ask::Here { key, number, joins, verdict, has, .. })) => {
+                    Ok(Wire::PolicyAsk(policy::Request::Heartbeat { key, number, joins, verdict, active: has, .. })) => {
                         if gone && has == 1 {
                             break;
                         }
-                        if (check == 0 && has == 1) || verdict == Some((check, policy::Verdict::Good)) {
+                        if (check == 0 && has == 1) || verdict == Some((check, policy::Verdict::Prepared)) {
                             check = if check == 0 { 2 } else { check + 1 };
                         }
                         if check > 12 && !joins {
                             gone = true;
-                            says(&keeper, member, policy::Answer::Gone { key }).await;
+                            says(&keeper, member, policy::Response::MembershipExpired { key }).await;
                             continue;
                         }
                         let (lease, period, check) = (Some(30 * SECOND), SECOND / 10, check.min(12));
                         let answer =
-                            policy::Answer::Held { key, number, lease, period, version: 1, check, pause: 0 };
+                            policy::Response::Renewed { key, number, lease, period, version: 1, check, pause: 0 };
                         says(&keeper, member, answer).await;
                     }
                     other => panic!("{other:?}"),
                 }
             }
-            assert_eq!(gate.may(), May::Admit(1), "taken in anew");
+            assert_eq!(gate.may(), AdmissionPermit::Admit(1), "taken in anew");
             assert!(texts::kept(&folder).contains(&1), "{:?}", texts::kept(&folder));
         };
         tokio::select! {
