--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -40,7 +40,7 @@
     #[serde(rename = "patience")]
     pub decision_timeout: Time,
     /// The change to this version stops everybody first.
-    #[serde(rename = "barrier")]
+    #[serde(rename = "together")]
     pub barrier: bool,
     pub watch: Option<WatchRules>,
 }
