--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -11,7 +11,7 @@
 use crate::ready::Ready;
 use crate::rollout::gate::Gate;
 use cypresscleat_concurrency::PoolsConfig;
-use cypresscleat_rollout::member::May;
+use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_scheduler::*;
 use cypresscleat_settings::{set_gauge, Names};
 use door::{Cause, Fault, How, Invocation, Peer, Places, Txn, Wanted};
@@ -461,7 +461,7 @@
 
     /// The gate stands otherwise: the roster and health checks are told, and what is held is looked at again.
     fn gate(&mut self, unix: Time) {
-        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != May::Nothing);
+        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
         self.side.voice.fit.set(fit);
         self.admits_held(unix);
     }
@@ -652,8 +652,8 @@
         };
         if let Some(gate) = &side.gate {
             match gate.admits(&txn) {
-                May::Admit(_) => gate.asked(),
-                May::Hold if self.held.len() < HELD => {
+                AdmissionPermit::Admit(_) => gate.asked(),
+                AdmissionPermit::Hold if self.held.len() < HELD => {
                     add(&side.counters.policy_held);
                     peer.queued.set(peer.queued.get() + 1); // it counts as on its way, so its connection stays
                     let budget = read.budget.or(self.settings.classes.get(read.op).map(|op| op.timeout));
