--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,51 +1,54 @@
-//! Agreement of three or five named keepers: a majority of them decides the next command, once and for good, and each has on its
-//! disk what it promised before it says so. Without I/O, clock or chance of its own: time is an argument, letters and disk words
-//! come back as plain values, the same events give the same actions.
+//! Raft for the control replicas: three or five named replicas agree on a sequence of commands. Without I/O, clock or random
+//! source of its own: time is an argument, messages and disk writes come back as plain values, and the same inputs always give
+//! the same outputs.
 //!
-//! | module | question |
+//! | module | concern |
 //! | --- | --- |
-//! | [`keeper`] | who leads, what is decided, who the keepers are |
-//! | [`letter`] | which bytes say what; versioned, checked, bounded |
-//! | [`kept`] | what stands on a keeper's disk, and how it is read again |
-//! | [`sim`] | a network and disks in which keepers can be played |
+//! | [`replica`] | the state machine: election, replication, membership change, read index, snapshots |
+//! | [`message`] | messages between replicas and their encoding |
+//! | [`storage`] | what a replica keeps on its disk, and how it is loaded |
+//! | [`sim`] | a simulated network with simulated disks |
 //!
-//! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with its pre-vote, its leader that steps down
-//! when it hears no majority, and changes of members one at a time; `docs/design/owners.md` says what was compared. What is added:
-//! a disk has an identity. A letter goes from disk to disk, not from name to name, so a keeper whose disk was lost or put back
-//! from a copy is a new one: it has no vote until the others have admitted it.
+//! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote, check-quorum and single-server
+//! membership changes; `docs/design/owners.md` compares the alternatives. One addition: a disk has an identity. A message is
+//! addressed to a disk, not to a name, so a replica whose disk was lost or restored from a copy is a new one and has no vote until
+//! the others have admitted it as a member.
 //!
-//! # The order of effects
+//! # Order of effects
 //!
-//! Each call gives an [`Out`]. Its `writes` have to be on the disk, in their order, before one of its `letters` leaves or one of
-//! its `answers` is told. A keeper whose disk fails at that has to stop: what was not kept may not be said.
+//! Each call returns a [`Ready`]. Its `writes` must be on the disk, in their order, before one of its `messages` is sent or one of
+//! its `responses` is returned to a caller. A replica whose disk fails must stop.
 //!
-//! Times are whole tenths of a millisecond.
+//! Times are in tenths of a millisecond.
 
-pub mod keeper;
-pub mod kept;
-pub mod letter;
+pub mod message;
+pub mod replica;
 pub mod sim;
+pub mod storage;
 
-pub use keeper::{Answer, Begin, Keeper, Options, Out};
+pub use replica::{ProposalResponse, RaftConfig, Ready, Replica, ReplicaConfig};
 use serde::{Deserialize, Serialize};
 
 pub use cypresscleat_primitives::{node_id, NodeId, SeededRng, Time, MS, SECOND};
 
-/// A disk: drawn when it is first used, and never again.
+/// Identity of a disk: drawn when the disk is first used, and never used again for another.
 pub type DiskId = u64;
 
-/// Whose votes count.
+/// A member of the configuration: a replica together with its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
+    /// The replica.
     pub id: NodeId,
+    /// Its disk.
     pub disk: DiskId,
 }
 
-/// What the keepers agree on: commands, one after the other, give the same state everywhere.
-pub trait Machine: Clone {
-    /// Carries out the command that was decided at `index`; what it comes to is told to whoever proposed it.
+/// The replicated state machine: the same commands in the same order give the same state on each replica.
+pub trait StateMachine: Clone {
+    /// Applies the command that was committed at `index`; the result goes to whoever proposed it.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8>;
-    /// All of it, as bytes.
-    fn image(&self) -> Vec<u8>;
-    fn from_image(bytes: &[u8]) -> Option<Self>;
+    /// Returns the whole state as bytes.
+    fn snapshot(&self) -> Vec<u8>;
+    /// Restores the state from a snapshot; `None` where the bytes are not one.
+    fn from_snapshot(bytes: &[u8]) -> Option<Self>;
 }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -4,10 +4,10 @@
 #[path = "golden/samples.rs"]
 mod samples;
 
-use cypresscleat_consensus::kept;
-use cypresscleat_consensus::letter::{self, Letter};
-use cypresscleat_consensus::sim::Chain;
-use cypresscleat_consensus::{Begin, Keeper, Options};
+use cypresscleat_consensus::message::{self, Message};
+use cypresscleat_consensus::sim::HashChain;
+use cypresscleat_consensus::storage;
+use cypresscleat_consensus::{RaftConfig, Replica, ReplicaConfig};
 use cypresscleat_store::disk::Folder;
 use cypresscleat_store::Store;
 use std::path::{Path, PathBuf};
@@ -34,14 +34,14 @@
     assert_eq!(lines.len(), samples.len());
     for ((name, golden), (sample_name, message)) in lines.into_iter().zip(samples) {
         assert_eq!(name, sample_name);
-        assert_eq!(hex(&letter::write(&message).expect("short")), golden, "{name}");
-        assert_eq!(letter::read::<Letter>(&unhex(golden)), Ok(message), "{name}");
+        assert_eq!(hex(&message::encode(&message).expect("short")), golden, "{name}");
+        assert_eq!(message::decode::<Message>(&unhex(golden)), Ok(message), "{name}");
     }
 }
 
 #[test]
 fn disk_writes_are_the_recorded_bytes() {
-    let shown = |(name, (key, value)): (String, kept::Write)| {
+    let shown = |(name, (key, value)): (String, storage::Write)| {
         format!("{name} {} {}", hex(&key), value.map_or("removed".into(), |value| hex(&value)))
     };
     let found: Vec<String> = samples::writes().into_iter().map(shown).collect();
@@ -64,15 +64,21 @@
 fn a_folder_of_67fc394_opens_and_its_replica_goes_on() {
     let mut store =
         Store::open(Folder::open(&copied_folder()).expect("a folder"), Default::default()).expect("a store");
-    let state = kept::read(&mut store).expect("a state");
+    let state = storage::load(&mut store).expect("a state");
     assert_eq!(state.stale, Vec::new());
-    let base = state.base.clone().expect("it was formed");
+    let base = state.snapshot.clone().expect("it was formed");
 
     // Written again, each value is what stands in the folder.
-    let mut writes = vec![kept::hard(&state.hard)];
-    kept::base(&mut writes, &base, &state.image, &base, 1..=0);
-    for (at, entry) in state.log.iter().enumerate() {
-        writes.push(kept::entry(base.mark.index + 1 + at as u64, entry));
+    let mut writes = vec![storage::write_hard_state(&state.hard_state)];
+    storage::write_snapshot(
+        &mut writes,
+        &base,
+        &state.snapshot_bytes,
+        &base,
+        base.position.index + 1..=base.position.index,
+    );
+    for (at, entry) in state.entries.iter().enumerate() {
+        writes.push(storage::write_entry(base.position.index + 1 + at as u64, entry));
     }
     let snapshot = store.snapshot();
     assert_eq!(snapshot.len(), writes.len());
@@ -81,19 +87,24 @@
     }
 
     // Alone in its configuration it would not be a majority; what it shows is what it has of its snapshot.
-    let (hard, entries) = (state.hard, state.log.len());
-    let begin =
-        Begin { own: 1, named: [1, 2, 3].into(), disk: hard.disk, options: Options::default(), seed: 1 };
-    let (replica, _) = Keeper::start(0, begin, state, Chain::default());
+    let (hard, entries) = (state.hard_state, state.entries.len());
+    let begin = ReplicaConfig {
+        id: 1,
+        configured_replicas: [1, 2, 3].into(),
+        disk: hard.disk,
+        raft: RaftConfig::default(),
+        seed: 1,
+    };
+    let (replica, _) = Replica::start(0, begin, state, HashChain::default());
     let shown = format!(
         "disk {} term {} voted {:?} snapshot {} members {} entries {entries} hash {:016x} numbers {:?}\n",
         hard.disk,
         replica.term(),
-        hard.voted,
-        replica.commit(),
+        hard.voted_for,
+        replica.commit_index(),
         replica.members().len(),
-        replica.machine().link,
-        replica.machine().numbers,
+        replica.state_machine().hash,
+        replica.state_machine().numbers,
     );
     assert_eq!(shown, FOLDER);
 }
--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -111,7 +111,7 @@
         }
         let both: Done = |play, at| {
             let leader = play.world.leader().unwrap_or(0);
-            play.world.kill(leader);
+            play.world.crash(leader);
             play.kill(at);
         };
         let all = (1..=seeds).map(|seed| without(seed, setup, both)).collect();
@@ -130,19 +130,21 @@
     {
         let mut play = Play::new(Setup { keepers, instances, parts, act: 0, ..Setup::default() }, 3);
         play.run(8 * SECOND);
-        let writes = |play: &Play| play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
-        let (asks, bytes, letters, wrote) = (play.asks, play.ask_bytes, play.world.letters, writes(&play));
+        let writes = |play: &Play| play.world.nodes.iter().map(|seat| seat.disk.synced).max().unwrap_or(0);
+        let (asks, bytes, letters, wrote) =
+            (play.asks, play.ask_bytes, play.world.messages_sent, writes(&play));
         play.run(28 * SECOND);
         let a_second = |now: u64, then: u64| (now - then) as f64 / 20.0;
         let owned: usize =
             play.instances.iter().filter_map(|one| one.holder.as_ref()).map(|one| one.owned().count()).sum();
-        let leader = play.world.leader().and_then(|at| play.world.seats[at].keeper.as_ref());
-        let image = leader.map_or(0, |keeper| cypresscleat_consensus::Machine::image(keeper.machine()).len());
+        let leader = play.world.leader().and_then(|at| play.world.nodes[at].replica.as_ref());
+        let image = leader
+            .map_or(0, |keeper| cypresscleat_consensus::StateMachine::snapshot(keeper.state_machine()).len());
         out += &format!(
             "| {keepers} | {instances} | {owned} of {parts} | {:.0} | {:.0} | {:.0} | {:.1} | {image} |\n",
             a_second(play.asks, asks),
             a_second(play.ask_bytes, bytes),
-            a_second(play.world.letters, letters),
+            a_second(play.world.messages_sent, letters),
             a_second(writes(&play), wrote)
         );
     }
--- a/crates/experiments/src/relays.rs
+++ b/crates/experiments/src/relays.rs
@@ -128,7 +128,7 @@
         figures.never += members;
         return;
     };
-    play.world.weather.lost = lost;
+    play.world.network.loss_one_in = lost;
     runs(&mut play, 2 * SECOND);
     clear(&mut play);
     runs(&mut play, 8 * SECOND);
@@ -162,7 +162,7 @@
         *sum = (sum.0.max(peak.0), sum.1.max(peak.1));
     }
     let others = there.iter().any(|at| !matches!(play.may(*at), May::Admit(1) | May::Nothing));
-    figures.wrong += usize::from(play.wrong.is_some() || play.world.wrong.is_some() || others);
+    figures.wrong += usize::from(play.wrong.is_some() || play.world.violation.is_some() || others);
 }
 
 /// Ms until decided; until in force as p50, p99, most.
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -73,9 +73,9 @@
     let gone = if down { members * DOWN / 10 } else { 0 };
     // Just before it: their leases have to end first.
     (0..gone).for_each(|at| play.kill(at));
-    play.world.weather.lost = lost;
+    play.world.network.loss_one_in = lost;
     let (asks, bytes, began) = (play.asks, play.ask_bytes, play.world.now);
-    let (before, between) = (Load::of(&play), play.world.bytes);
+    let (before, between) = (Load::of(&play), play.world.bytes_sent);
     play.propose(0, rules, "first");
     let end = began + 60 * SECOND;
     // All at one moment, which is more than that each has gone over: one that is out of service for a moment counts as not there.
@@ -102,7 +102,7 @@
     figures.gone_over.push(over.map_or(60 * SECOND, |at| at - began));
     figures.during.add(Load::busiest(&play, &before));
     figures.seconds += (play.world.now - began) as f64 / SECOND as f64;
-    figures.between += (play.world.bytes - between) as f64;
+    figures.between += (play.world.bytes_sent - between) as f64;
     figures.decided.push(play.decided.get(&1).map_or(60 * SECOND, |one| one.0 - began));
     figures.everywhere.push(play.world.now - began);
     let first = play.first.get(&1).copied().unwrap_or(began);
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -2,7 +2,7 @@
 //! held for good at once: it is neither read nor kept.
 
 use super::{Count, Flow, HEADERS};
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_leases::holder::Holder;
 use cypresscleat_leases::{node_id, NodeId, Want};
 use cypresscleat_rollout::member::{Event, Member};
@@ -177,7 +177,7 @@
 ) -> Result<(), String> {
     let clock = Steady::start();
     let set = Rc::new(set);
-    let bytes = Rc::new(RefCell::new(vec![0; letter::LONGEST + 1]));
+    let bytes = Rc::new(RefCell::new(vec![0; message::MAX_DATAGRAM_BYTES + 1]));
     for at in own {
         let socket = UdpSocket::bind(set.from()).await.map_err(|error| format!("instance {at}: {error}"))?;
         let end = End { at, socket, to: set.addresses(), clock, books: books.clone(), bytes: bytes.clone() };
@@ -206,7 +206,7 @@
 impl End {
     fn posts(&self, to: NodeId, wire: &Wire) {
         let Some(to) = self.to.get(&to) else { return };
-        if let Some(bytes) = letter::write(wire) {
+        if let Some(bytes) = message::encode(wire) {
             if self.socket.try_send_to(&bytes, *to).is_ok() {
                 self.books.notes(*to, bytes.len(), true);
             }
@@ -223,7 +223,7 @@
         // Word of an earlier datagram that found nobody is an error here, and is passed over.
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
         self.books.notes(from, size, false);
-        Some((from, letter::read::<Wire>(&bytes[..size]).ok()?))
+        Some((from, message::decode::<Wire>(&bytes[..size]).ok()?))
     }
 
     async fn member(self) {
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -20,7 +20,7 @@
 
 /// What was counted since the beginning: letters between members and keepers, and between keepers.
 fn counted(play: &Play) -> [u64; 4] {
-    [play.asks, play.ask_bytes, play.world.letters, play.world.bytes]
+    [play.asks, play.ask_bytes, play.world.messages_sent, play.world.bytes_sent]
 }
 
 /// Their differences.
@@ -49,7 +49,7 @@
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
     let mut play = Play::new(Setup { members, rules, ..Setup::default() }, seed);
     play.run(4 * SECOND);
-    play.world.weather.lost = lost;
+    play.world.network.loss_one_in = lost;
     let (then, began) = (counted(&play), Instant::now());
     play.run((4 + REST) * SECOND);
     let wall = began.elapsed().as_secs_f64() / REST as f64;
@@ -161,8 +161,8 @@
     let mut play = owning::Play::new(setup, seed);
     play.run(8 * SECOND);
     let counted = |play: &owning::Play| {
-        let writes = play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
-        [play.asks, play.ask_bytes, play.world.letters, play.world.bytes, writes]
+        let writes = play.world.nodes.iter().map(|seat| seat.disk.synced).max().unwrap_or(0);
+        [play.asks, play.ask_bytes, play.world.messages_sent, play.world.bytes_sent, writes]
     };
     let (then, began) = (counted(&play), Instant::now());
     play.run((8 + REST) * SECOND);
--- a/crates/leases/src/desk.rs
+++ b/crates/leases/src/desk.rs
@@ -7,8 +7,8 @@
 use crate::duties::{Command, Duties, Outcome};
 use crate::said::{Answer, Ask};
 use crate::{NodeId, Part, Time};
-use cypresscleat_consensus as quorum;
-use cypresscleat_consensus::{Keeper, Machine, Out};
+use cypresscleat_consensus as consensus;
+use cypresscleat_consensus::{Ready, Replica, StateMachine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Renewals and proposals that wait for an answer at once; more are not heard.
@@ -44,8 +44,8 @@
 pub type Said<A> = Vec<(A, Answer)>;
 
 /// What the keepers agree on holds duties.
-pub trait Holds: Machine + AsRef<Duties> + AsMut<Duties> {}
-impl<M: Machine + AsRef<Duties> + AsMut<Duties>> Holds for M {}
+pub trait Holds: StateMachine + AsRef<Duties> + AsMut<Duties> {}
+impl<M: StateMachine + AsRef<Duties> + AsMut<Duties>> Holds for M {}
 
 impl<A: Copy> Desk<A> {
     pub fn new(lease: Time) -> Desk<A> {
@@ -64,28 +64,34 @@
         }
     }
 
-    pub fn hear<M: Holds>(&mut self, now: Time, keeper: &mut Keeper<M>, from: A, ask: Ask) -> (Out, Said<A>) {
+    pub fn hear<M: Holds>(
+        &mut self,
+        now: Time,
+        keeper: &mut Replica<M>,
+        from: A,
+        ask: Ask,
+    ) -> (Ready, Said<A>) {
         let mut said = Vec::new();
         if !ask.bounded() {
-            return (Out::default(), said);
+            return (Ready::default(), said);
         }
-        let Some(round) = keeper.asks() else {
-            let leader = keeper.leader().filter(|leader| *leader != keeper.own().id).unwrap_or(0);
+        let Some(round) = keeper.read_index() else {
+            let leader = keeper.leader().filter(|leader| *leader != keeper.member().id).unwrap_or(0);
             said.push((from, Answer::Elsewhere { leader }));
-            return (Out::default(), said);
+            return (Ready::default(), said);
         };
-        let mut out = Out::default();
+        let mut out = Ready::default();
         self.leads(now, keeper);
         if self.waiting.len() + self.proposed.len() >= WAITING {
             return (out, said);
         }
         match ask {
             Ask::Renew { instance, life, session, number, known, wants } => {
-                let of_its_own = keeper.machine().as_ref().instance(session) == Some(instance);
+                let of_its_own = keeper.state_machine().as_ref().instance(session) == Some(instance);
                 if session == 0 {
                     if self.opening.insert((instance, life)) {
                         let command = Command::Open { instance, life, wants };
-                        out = out.and(self.proposes(
+                        out = out.merge(self.proposes(
                             now,
                             keeper,
                             &command,
@@ -109,18 +115,18 @@
                     }
                 }
                 let command = Command::Do { session, items };
-                out = out.and(self.proposes(now, keeper, &command, For::Do { from, number }));
+                out = out.merge(self.proposes(now, keeper, &command, For::Do { from, number }));
             }
             Ask::Leave { session, number } => {
                 let command = Command::End { session };
-                out = out.and(self.proposes(now, keeper, &command, For::Do { from, number }));
+                out = out.merge(self.proposes(now, keeper, &command, For::Do { from, number }));
             }
             Ask::Bar { number, duty, instance, barred } => {
                 let command = Command::Bar { duty, instance, barred };
-                out = out.and(self.proposes(now, keeper, &command, For::Do { from, number }));
+                out = out.merge(self.proposes(now, keeper, &command, For::Do { from, number }));
             }
             Ask::List { number, from: first } => {
-                let (mut lines, more) = keeper.machine().as_ref().lines(first);
+                let (mut lines, more) = keeper.state_machine().as_ref().lines(first);
                 for line in &mut lines {
                     let session = line.left as u64;
                     let heard = self.renewed.get(&session).copied();
@@ -132,16 +138,16 @@
         }
         let (more, also) = self.look(now, keeper, Vec::new());
         said.extend(also);
-        (out.and(more), said)
+        (out.merge(more), said)
     }
 
     fn proposes<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &mut Keeper<M>,
+        keeper: &mut Replica<M>,
         command: &Command,
         whose: For<A>,
-    ) -> Out {
+    ) -> Ready {
         self.next += 1;
         self.proposed.insert(self.next, whose);
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
@@ -149,13 +155,13 @@
             Some(out) => out,
             None => {
                 self.proposed.remove(&self.next);
-                Out::default()
+                Ready::default()
             }
         }
     }
 
     /// A leader that is new, or was away itself, gives every session its whole lease again: nobody can have renewed with it.
-    fn leads<M: Holds>(&mut self, now: Time, keeper: &Keeper<M>) {
+    fn leads<M: Holds>(&mut self, now: Time, keeper: &Replica<M>) {
         let away = now - self.looked > self.lease / 2;
         self.looked = now;
         if self.term != Some(keeper.term()) || away {
@@ -167,7 +173,7 @@
                 self.hears.clear();
             }
             self.term = Some(keeper.term());
-            self.renewed = keeper.machine().as_ref().sessions().map(|session| (session, now)).collect();
+            self.renewed = keeper.state_machine().as_ref().sessions().map(|session| (session, now)).collect();
         }
     }
 
@@ -175,18 +181,21 @@
     pub fn look<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &mut Keeper<M>,
-        answers: Vec<quorum::Answer>,
-    ) -> (Out, Said<A>) {
-        let (mut out, mut said) = (Out::default(), Vec::new());
-        if !keeper.leads() {
+        keeper: &mut Replica<M>,
+        answers: Vec<consensus::ProposalResponse>,
+    ) -> (Ready, Said<A>) {
+        let (mut out, mut said) = (Ready::default(), Vec::new());
+        if !keeper.is_leader() {
             self.term = None;
-            keeper.machine_mut().as_mut().take_touched();
+            keeper.state_machine_mut().as_mut().take_touched();
             return (out, said);
         }
         self.leads(now, keeper);
         for answer in answers {
-            let quorum::Answer::Done { number, said: bytes, .. } = answer else { continue };
+            let consensus::ProposalResponse::Applied { proposal_id: number, result: bytes, .. } = answer
+            else {
+                continue;
+            };
             let outcome = postcard::from_bytes(&bytes).unwrap_or(Outcome::Done);
             self.done(now, keeper, number, outcome, &mut said);
         }
@@ -198,24 +207,24 @@
         let over: Vec<u64> = over.map(|(session, _)| *session).collect();
         for session in over {
             self.ending.insert(session);
-            out = out.and(self.proposes(now, keeper, &Command::End { session }, For::End));
+            out = out.merge(self.proposes(now, keeper, &Command::End { session }, For::End));
         }
-        for session in keeper.machine_mut().as_mut().take_touched() {
+        for session in keeper.state_machine_mut().as_mut().take_touched() {
             let Some((from, after)) = self.hears.get(&session).copied() else { continue };
-            let (grants, _) = keeper.machine().as_ref().grants(session, after);
+            let (grants, _) = keeper.state_machine().as_ref().grants(session, after);
             said.push((from, Answer::Granted { session, after, grants }));
         }
-        let confirmed = keeper.confirmed();
+        let confirmed = keeper.confirmed_read_index();
         while let Some((_, from, session, number)) =
             self.waiting.front().filter(|one| one.0 <= confirmed).copied()
         {
             self.waiting.pop_front();
-            if keeper.machine().as_ref().instance(session).is_none() {
+            if keeper.state_machine().as_ref().instance(session).is_none() {
                 said.push((from, Answer::Gone { session }));
                 continue;
             }
             let after = self.hears.get(&session).map_or((0, Part { duty: 0, part: 0 }), |hears| hears.1);
-            let (grants, more) = keeper.machine().as_ref().grants(session, after);
+            let (grants, more) = keeper.state_machine().as_ref().grants(session, after);
             said.push((from, Answer::Held { session, number, lease: self.lease, after, grants, more }));
         }
         (out, said)
@@ -224,13 +233,13 @@
     fn done<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &Keeper<M>,
+        keeper: &Replica<M>,
         number: u64,
         outcome: Outcome,
         said: &mut Said<A>,
     ) {
         let Some(whose) = self.proposed.remove(&number) else { return };
-        let machine = keeper.machine().as_ref();
+        let machine = keeper.state_machine().as_ref();
         match (whose, outcome) {
             (For::Open { from, number, whose }, Outcome::Opened(session)) => {
                 self.opening.remove(&whose);
@@ -238,7 +247,7 @@
                 let renewed = self.renewed.entry(session).or_insert(now);
                 *renewed = (*renewed).max(now);
                 self.hears.insert(session, (from, (0, Part { duty: 0, part: 0 })));
-                if let Some(round) = keeper.asks() {
+                if let Some(round) = keeper.read_index() {
                     self.waiting.push_back((round, from, session, number));
                 }
             }
--- a/crates/leases/src/duties.rs
+++ b/crates/leases/src/duties.rs
@@ -3,7 +3,7 @@
 
 use crate::said::{Grant, Item, Line};
 use crate::{NodeId, Part, Time, Want, PARTS, SESSIONS, TOLD, WANTS};
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -300,7 +300,7 @@
     }
 }
 
-impl Machine for Duties {
+impl StateMachine for Duties {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let outcome = match postcard::from_bytes(command) {
             Ok(Command::Open { instance, life, wants }) => self.opens(index, instance, life, wants),
@@ -318,10 +318,10 @@
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
     }
-    fn image(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    fn from_image(bytes: &[u8]) -> Option<Duties> {
+    fn from_snapshot(bytes: &[u8]) -> Option<Duties> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/leases/src/said.rs
+++ b/crates/leases/src/said.rs
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Between keepers.
-    Letter(cypresscleat_consensus::letter::Letter),
+    Letter(cypresscleat_consensus::message::Message),
     /// To a keeper.
     Ask(Ask),
     /// From a keeper, whose number goes with it.
--- a/crates/leases/src/sim.rs
+++ b/crates/leases/src/sim.rs
@@ -8,10 +8,10 @@
 use crate::holder::{Event, Holder};
 use crate::said::{Answer, Ask};
 use crate::{NodeId, Part, Time, Want, MS};
-use cypresscleat_consensus::letter;
-use cypresscleat_consensus::sim::World;
-use cypresscleat_consensus::Answer as Answered;
-use cypresscleat_consensus::{Options, SeededRng};
+use cypresscleat_consensus::message;
+use cypresscleat_consensus::sim::Simulation;
+use cypresscleat_consensus::ProposalResponse;
+use cypresscleat_consensus::{RaftConfig, SeededRng};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards that tests take out.
@@ -95,7 +95,7 @@
 
 pub struct Play {
     pub setup: Setup,
-    pub world: World<Duties>,
+    pub world: Simulation<Duties>,
     pub desks: Vec<Desk<usize>>,
     pub instances: Vec<Instance>,
     mail: BTreeMap<(Time, u64), Mail>,
@@ -127,7 +127,7 @@
 
 impl Play {
     pub fn new(setup: Setup, seed: u64) -> Play {
-        let world = World::new(setup.keepers, Duties::default(), Options::default(), seed);
+        let world = Simulation::new(setup.keepers, Duties::default(), RaftConfig::default(), seed);
         let mut play = Play {
             setup,
             world,
@@ -230,21 +230,22 @@
     /// The instance that owns a part as the keepers have it.
     pub fn owner(&self, part: Part) -> Option<usize> {
         let leader = self.world.leader()?;
-        let (owner, _) = self.world.seats[leader].keeper.as_ref()?.machine().owner(part)?;
+        let (owner, _) = self.world.nodes[leader].replica.as_ref()?.state_machine().owner(part)?;
         self.instances.iter().position(|one| one.id == owner)
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
         let spread = self.rng.below(delay.max(1) as u64) as Time;
-        let lost = self.world.weather.lost > 0 && self.rng.one_in(self.world.weather.lost);
+        let lost = self.world.network.loss_one_in > 0 && self.rng.one_in(self.world.network.loss_one_in);
         // Acts go over a connection: late, but not lost by themselves.
         if lost && matches!(mail, Mail::Ask { .. } | Mail::Answer { .. }) {
             return;
         }
-        let twice = self.world.weather.doubled > 0 && self.rng.one_in(self.world.weather.doubled);
+        let twice =
+            self.world.network.duplicate_one_in > 0 && self.rng.one_in(self.world.network.duplicate_one_in);
         let mut late = 0;
-        if self.world.weather.slow > 0 && self.rng.one_in(20) {
-            late = self.rng.below(self.world.weather.slow as u64) as Time;
+        if self.world.network.max_extra_delay > 0 && self.rng.one_in(20) {
+            late = self.rng.below(self.world.network.max_extra_delay as u64) as Time;
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
@@ -255,9 +256,9 @@
     fn post_asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             self.asks += 1;
-            self.ask_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
+            self.ask_bytes += message::encode(&ask).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_keepers.contains(&from) {
-                self.post(self.world.weather.delay, Mail::Ask { to: to as usize - 1, from, ask });
+                self.post(self.world.network.delay, Mail::Ask { to: to as usize - 1, from, ask });
             }
         }
     }
@@ -265,13 +266,14 @@
     /// What a keeper's step asks for, its desk's words with it.
     fn after(&mut self, at: usize) {
         let now = self.world.now;
-        let (own, others) = std::mem::take(&mut self.world.answers).into_iter().partition(|one| one.0 == at);
-        self.world.answers = others;
-        let own: Vec<(usize, Answered)> = own;
+        let (own, others) =
+            std::mem::take(&mut self.world.responses).into_iter().partition(|one| one.0 == at);
+        self.world.responses = others;
+        let own: Vec<(usize, ProposalResponse)> = own;
         let answers = own.into_iter().map(|one| one.1).collect();
-        let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
+        let Some(keeper) = self.world.nodes[at].replica.as_mut() else { return };
         let (out, said) = self.desks[at].look(now, keeper, answers);
-        for (part, session, token) in keeper.machine_mut().take_changes() {
+        for (part, session, token) in keeper.state_machine_mut().take_changes() {
             // Each change once, from whichever keeper has it first.
             if self.told.insert((part, token, session == 0)) {
                 self.changes.push((now, part, session, token));
@@ -280,18 +282,18 @@
         self.carry(at, out, said);
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
-        let more = !out.answers.is_empty() || !out.letters.is_empty() || !out.writes.is_empty();
-        self.world.carry(at, out);
+    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Ready, said: Vec<(usize, Answer)>) {
+        let more = !out.responses.is_empty() || !out.messages.is_empty() || !out.writes.is_empty();
+        self.world.process_ready(at, out);
         for (to, answer) in said {
             self.asks += 1;
-            self.ask_bytes += letter::write(&answer).map_or(0, |bytes| bytes.len() as u64);
+            self.ask_bytes += message::encode(&answer).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_keepers.contains(&to) {
                 let from = at as NodeId + 1;
-                self.post(self.world.weather.delay, Mail::Answer { to, from, answer });
+                self.post(self.world.network.delay, Mail::Answer { to, from, answer });
             }
         }
-        if more && self.world.answers.iter().any(|one| one.0 == at) {
+        if more && self.world.responses.iter().any(|one| one.0 == at) {
             self.after(at);
         }
     }
@@ -351,7 +353,7 @@
         let now = self.world.now;
         match mail {
             Mail::Ask { to, from, ask } => {
-                let Some(keeper) = self.world.seats[to].keeper.as_mut() else { return };
+                let Some(keeper) = self.world.nodes[to].replica.as_mut() else { return };
                 let (out, said) = self.desks[to].hear(now, keeper, from, ask);
                 self.carry(to, out, said);
             }
@@ -505,7 +507,7 @@
             }
             *due += 1;
         }
-        match &self.world.wrong {
+        match &self.world.violation {
             Some(wrong) => Err(wrong.clone()),
             None => Ok(()),
         }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,7 +1,7 @@
 //! The rules of leases and tokens, walked by a model checker: two instances, the agreed state (the real one), one thing that is
 //! acted upon (the real fence), renewals and acts that arrive late or never, instances that stand still, clocks that may lie.
 
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use cypresscleat_leases::duties::{Command, Duties};
 use cypresscleat_leases::fence::Fence;
 use cypresscleat_leases::{Part, Want};
--- a/crates/leases/tests/owners.rs
+++ b/crates/leases/tests/owners.rs
@@ -1,7 +1,7 @@
 //! One owner at a time, played in a simulated net: stops, deaths, drains, cuts, clocks that run apart. The journal of what was
 //! acted upon judges. Guards taken out are found out.
 
-use cypresscleat_consensus::sim::Weather;
+use cypresscleat_consensus::sim::NetworkConditions;
 use cypresscleat_consensus::SeededRng;
 use cypresscleat_leases::fence::Fence;
 use cypresscleat_leases::sim::{Broken, Play, Setup};
@@ -23,11 +23,11 @@
         play.instances[at].rate = rng.below(2 * drift as u64 + 1) as i64 - drift;
         play.instances[at].ahead = [0, 3600 * SECOND][rng.below(2) as usize];
     }
-    play.world.weather = Weather {
+    play.world.network = NetworkConditions {
         delay: [MS / 2, 3 * MS][rng.below(2) as usize],
-        lost: [0, 20, 6][rng.below(3) as usize],
-        doubled: [0, 8][rng.below(2) as usize],
-        slow: [0, 500 * MS, 3 * SECOND][rng.below(3) as usize],
+        loss_one_in: [0, 20, 6][rng.below(3) as usize],
+        duplicate_one_in: [0, 8][rng.below(2) as usize],
+        max_extra_delay: [0, 500 * MS, 3 * SECOND][rng.below(3) as usize],
     };
     let end = seconds * SECOND;
     while play.world.now < end {
@@ -39,20 +39,20 @@
             2 => play.drain(at),
             3 => drop(play.cut_keepers.insert(at)),
             4 => drop(play.cut_thing.insert(at)),
-            5 => play.world.kill(keeper),
+            5 => play.world.crash(keeper),
             6 => {
                 let ids: Vec<u64> = (1..=setup.keepers as u64).collect();
                 let one = keeper as u64 + 1;
                 ids.iter().filter(|id| **id != one).for_each(|id| {
-                    play.world.cut.insert((one, *id));
+                    play.world.blocked_links.insert((one, *id));
                     if rng.one_in(2) {
-                        play.world.cut.insert((*id, one));
+                        play.world.blocked_links.insert((*id, one));
                     }
                 });
             }
             7 => play.cut_keepers.clear(),
             8 => play.cut_thing.clear(),
-            9 => play.world.cut.clear(),
+            9 => play.world.blocked_links.clear(),
             _ => {}
         }
         for at in 0..setup.instances {
@@ -62,7 +62,7 @@
             }
         }
         for at in 0..setup.keepers {
-            if play.world.seats[at].keeper.is_none() && rng.one_in(3) {
+            if play.world.nodes[at].replica.is_none() && rng.one_in(3) {
                 play.world.start(at);
             }
         }
@@ -76,10 +76,10 @@
     // Peace: it goes on.
     play.cut_keepers.clear();
     play.cut_thing.clear();
-    play.world.cut.clear();
-    play.world.weather = Weather::default();
+    play.world.blocked_links.clear();
+    play.world.network = NetworkConditions::default();
     (0..setup.keepers)
-        .filter(|at| play.world.seats[*at].keeper.is_none())
+        .filter(|at| play.world.nodes[*at].replica.is_none())
         .collect::<Vec<_>>()
         .into_iter()
         .for_each(|at| play.world.start(at));
@@ -207,7 +207,7 @@
     let mut play = Play::new(Setup { instances: 50, ..Setup::default() }, 6);
     play.run(4 * SECOND);
     for at in 0..2 {
-        play.world.kill(at);
+        play.world.crash(at);
     }
     let before = play.asks;
     play.run(34 * SECOND);
@@ -227,12 +227,12 @@
     let writes = |parts: u32| {
         let mut play = Play::new(Setup { parts, instances: 3, act: 0, ..Setup::default() }, 7);
         play.run(6 * SECOND);
-        let before: Vec<u64> = play.world.seats.iter().map(|seat| seat.shelf.synced).collect();
+        let before: Vec<u64> = play.world.nodes.iter().map(|seat| seat.disk.synced).collect();
         let owned: usize =
             play.instances.iter().filter_map(|one| one.holder.as_ref()).map(|one| one.owned().count()).sum();
         assert_eq!(owned, parts as usize, "all are owned, and their owners know it");
         play.run(26 * SECOND);
-        play.world.seats.iter().zip(before).map(|(seat, before)| seat.shelf.synced - before).max()
+        play.world.nodes.iter().zip(before).map(|(seat, before)| seat.disk.synced - before).max()
     };
     assert_eq!(writes(1), Some(0));
     assert_eq!(writes(10_000), Some(0));
--- a/crates/rollout-relay/src/sim.rs
+++ b/crates/rollout-relay/src/sim.rs
@@ -3,9 +3,9 @@
 //! what changes and not by looks at everybody, so that thousands can be played. Deterministic by seed.
 
 use crate::relay::{self, Out, Relay};
-use cypresscleat_consensus::letter;
-use cypresscleat_consensus::sim::World;
-use cypresscleat_consensus::{Answer as Answered, Options};
+use cypresscleat_consensus::message;
+use cypresscleat_consensus::sim::Simulation;
+use cypresscleat_consensus::{ProposalResponse, RaftConfig};
 use cypresscleat_rollout::desk::Desk;
 use cypresscleat_rollout::member::{self, Event as Happens, May, Member};
 use cypresscleat_rollout::policies::{News, Policies, Rules, Version};
@@ -181,7 +181,7 @@
 
 pub struct Play {
     pub setup: Setup,
-    pub world: World<Policies>,
+    pub world: Simulation<Policies>,
     pub desks: Vec<Desk<usize>>,
     pub places: Vec<Place>,
     /// Places of relays come before this one.
@@ -208,8 +208,8 @@
 
 impl Play {
     pub fn new(setup: Setup, seed: u64) -> Play {
-        let mut world = World::new(setup.keepers, Policies::default(), Options::default(), seed);
-        world.weather.delay = setup.between;
+        let mut world = Simulation::new(setup.keepers, Policies::default(), RaftConfig::default(), seed);
+        world.network.delay = setup.between;
         let mut play = Play {
             setup,
             world,
@@ -401,14 +401,14 @@
 
     /// The version in force as the keepers have it.
     pub fn now(&self) -> u64 {
-        let leader = self.world.leader().and_then(|at| self.world.seats[at].keeper.as_ref());
-        leader.map_or(0, |keeper| keeper.machine().now().number)
+        let leader = self.world.leader().and_then(|at| self.world.nodes[at].replica.as_ref());
+        leader.map_or(0, |keeper| keeper.state_machine().now().number)
     }
 
     /// Lives that count at the keepers.
     pub fn counted(&self) -> usize {
-        let leader = self.world.leader().and_then(|at| self.world.seats[at].keeper.as_ref());
-        leader.map_or(0, |keeper| keeper.machine().members().len())
+        let leader = self.world.leader().and_then(|at| self.world.nodes[at].replica.as_ref());
+        leader.map_or(0, |keeper| keeper.state_machine().members().len())
     }
 
     pub fn may(&self, at: usize) -> May {
@@ -434,18 +434,18 @@
 
     /// Whether a letter gets through, how long it takes, and how often it comes.
     fn way(&mut self, from: usize, to: usize) -> Option<Vec<Time>> {
-        let weather = self.world.weather;
+        let weather = self.world.network;
         let far = from != to;
         let cut = far && (self.apart.contains(&from) || self.apart.contains(&to));
-        if (weather.lost > 0 && self.rng.one_in(weather.lost)) || cut {
+        if (weather.loss_one_in > 0 && self.rng.one_in(weather.loss_one_in)) || cut {
             return None;
         }
-        let twice = weather.doubled > 0 && self.rng.one_in(weather.doubled);
+        let twice = weather.duplicate_one_in > 0 && self.rng.one_in(weather.duplicate_one_in);
         let base = if far { self.setup.far } else { self.setup.near };
         let ways = (0..1 + usize::from(twice)).map(|_| {
             let mut way = base + self.rng.below(self.setup.near.max(1) as u64) as Time;
-            if weather.slow > 0 && self.rng.one_in(20) {
-                way += self.rng.below(weather.slow as u64) as Time;
+            if weather.max_extra_delay > 0 && self.rng.one_in(20) {
+                way += self.rng.below(weather.max_extra_delay as u64) as Time;
             }
             way
         });
@@ -455,7 +455,7 @@
     fn asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         let now = self.world.now;
         for (to, ask) in asks {
-            let bytes = letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
+            let bytes = message::encode(&ask).map_or(0, |bytes| bytes.len() as u64);
             self.places[from].traffic.counts(now, bytes, true);
             let (own, cut) = (self.places[from].region, self.places[from].cut);
             let keeper = (to < RELAY).then_some(to as usize - 1);
@@ -477,7 +477,7 @@
     }
 
     fn answers(&mut self, from: NodeId, region: usize, to: usize, answer: &Answer) -> u64 {
-        let bytes = letter::write(answer).map_or(0, |bytes| bytes.len() as u64);
+        let bytes = message::encode(answer).map_or(0, |bytes| bytes.len() as u64);
         let now = self.world.now;
         for way in self.way(region, self.places[to].region).unwrap_or_default() {
             let (life, letter) = (self.places[to].lives, Letter::Answer(from, answer.clone()));
@@ -501,13 +501,13 @@
     fn after(&mut self, at: usize) {
         let now = self.world.now;
         let (own, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.world.answers).into_iter().partition(|one| one.0 == at);
-        self.world.answers = others;
-        let answers: Vec<Answered> = own.into_iter().map(|one| one.1).collect();
-        let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
+            std::mem::take(&mut self.world.responses).into_iter().partition(|one| one.0 == at);
+        self.world.responses = others;
+        let answers: Vec<ProposalResponse> = own.into_iter().map(|one| one.1).collect();
+        let Some(keeper) = self.world.nodes[at].replica.as_mut() else { return };
         let (out, said) = self.desks[at].look(now, keeper, answers);
         self.desks[at].log().for_each(drop);
-        for news in keeper.machine_mut().take_news() {
+        for news in keeper.state_machine_mut().take_news() {
             match news {
                 News::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
                 News::Taken { number } => self.decides(at, number, true),
@@ -521,8 +521,8 @@
         self.keeper_says(at, out, said);
     }
 
-    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
-        self.world.carry(at, out);
+    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Ready, said: Vec<(usize, Answer)>) {
+        self.world.process_ready(at, out);
         for (to, answer) in said {
             if to != OPERATOR {
                 let cut = self.places[to].cut;
@@ -531,7 +531,7 @@
                 self.keepers[at].counts(self.world.now, bytes, true);
             }
         }
-        if self.world.answers.iter().any(|one| one.0 == at) {
+        if self.world.responses.iter().any(|one| one.0 == at) {
             self.after(at);
         }
     }
@@ -545,7 +545,7 @@
             return;
         }
         self.decided.insert(number, (now, taken));
-        let agreed = self.world.seats[keeper].keeper.as_ref().map(|keeper| keeper.machine());
+        let agreed = self.world.nodes[keeper].replica.as_ref().map(|keeper| keeper.state_machine());
         let rules = agreed.and_then(|agreed| agreed.version(number)).map(|version| version.rules);
         self.rules.insert(number, rules.unwrap_or_default());
         if !taken {
@@ -678,7 +678,7 @@
         match event {
             Event::Asks { to, from, ask, bytes } => {
                 self.keepers[to].counts(next, bytes, false);
-                let Some(keeper) = self.world.seats[to].keeper.as_mut() else { return };
+                let Some(keeper) = self.world.nodes[to].replica.as_mut() else { return };
                 let (out, said) = self.desks[to].hear(next, keeper, from, ask);
                 self.keeper_says(to, out, said);
                 self.after(to);
@@ -781,7 +781,7 @@
             self.places[at].ahead -= self.world.now * self.places[at].rate / 1000;
             self.plans(at);
         }
-        while self.world.now < end && self.wrong.is_none() && self.world.wrong.is_none() {
+        while self.world.now < end && self.wrong.is_none() && self.world.violation.is_none() {
             let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
             let any = self.rng.below(self.places.len() as u64) as usize;
             // Relays as often as all members.
@@ -808,10 +808,10 @@
                     }
                 }
                 7 => self.drain(at),
-                8 => self.world.kill(keeper),
+                8 => self.world.crash(keeper),
                 9 => {
                     for at in 0..self.setup.keepers {
-                        if self.world.seats[at].keeper.is_none() {
+                        if self.world.nodes[at].replica.is_none() {
                             self.world.start(at);
                         }
                     }
@@ -855,7 +855,7 @@
             (0..self.setup.keepers).flat_map(|one| (0..self.setup.keepers).map(move |other| (one, other)))
         {
             if (self.region(one) == region) != (self.region(other) == region) {
-                self.world.cut.insert((one as NodeId + 1, other as NodeId + 1));
+                self.world.blocked_links.insert((one as NodeId + 1, other as NodeId + 1));
             }
         }
     }
@@ -863,14 +863,14 @@
     /// All regions are together again.
     pub fn joined(&mut self) {
         self.apart.clear();
-        self.world.cut.clear();
+        self.world.blocked_links.clear();
     }
 
     /// All links as new, all processes there and awake.
     pub fn peace(&mut self) {
         self.joined();
         for at in 0..self.setup.keepers {
-            if self.world.seats[at].keeper.is_none() {
+            if self.world.nodes[at].replica.is_none() {
                 self.world.start(at);
             }
         }
--- a/crates/rollout-relay/tests/relays.rs
+++ b/crates/rollout-relay/tests/relays.rs
@@ -29,7 +29,7 @@
 }
 
 fn good(play: &Play) {
-    assert_eq!(play.wrong.as_deref().or(play.world.wrong.as_deref()), None);
+    assert_eq!(play.wrong.as_deref().or(play.world.violation.as_deref()), None);
 }
 
 fn runs(play: &mut Play, time: Time) {
@@ -156,8 +156,8 @@
     for seed in 0..12 {
         let rules = if seed % 2 == 0 { rules() } else { wait() };
         let mut play = play(Setup { rules, check: 200 * MS, ..Setup::default() }, 200 + seed);
-        play.world.weather.slow = 300 * MS;
-        play.world.weather.lost = 10;
+        play.world.network.max_extra_delay = 300 * MS;
+        play.world.network.loss_one_in = 10;
         play.propose(1, together(rules), "second");
         let member = play.first_member + 1;
         runs(&mut play, 100 * MS);
@@ -213,16 +213,16 @@
     let setup = Setup { zones: 17, regions: 8, members: 1_000, direct: 0, ..Setup::default() };
     let mut play = play(setup, 11);
     assert_eq!(play.counted(), 34);
-    play.world.weather.lost = 10;
+    play.world.network.loss_one_in = 10;
     play.propose(1, rules(), "second");
     runs_until(&mut play, 14 * SECOND, |play| play.admitting(2) >= 990);
 }
 
 fn faults(setup: Setup, seed: u64, time: Time) -> Play {
     let mut play = Play::new(setup, seed);
-    play.world.weather.lost = 12;
-    play.world.weather.doubled = 20;
-    play.world.weather.slow = 800 * MS;
+    play.world.network.loss_one_in = 12;
+    play.world.network.duplicate_one_in = 20;
+    play.world.network.max_extra_delay = 800 * MS;
     play.run(2 * SECOND);
     play.faults(time);
     play
@@ -244,7 +244,7 @@
     let (mut taken, mut dropped) = (0, 0);
     for seed in from..from + many {
         let mut play = faults(setup(seed), seed, 20 * SECOND);
-        let wrong = play.wrong.clone().or(play.world.wrong.clone());
+        let wrong = play.wrong.clone().or(play.world.violation.clone());
         assert_eq!(wrong, None, "seed {seed}");
         play.peace();
         let end = play.world.now + 25 * SECOND;
@@ -255,7 +255,7 @@
                 break;
             }
         }
-        let wrong = play.wrong.clone().or(play.world.wrong.clone());
+        let wrong = play.wrong.clone().or(play.world.violation.clone());
         assert_eq!(wrong, None, "seed {seed}, in peace");
         let mays: Vec<May> = (play.first_member..play.places.len()).map(|at| play.may(at)).collect();
         assert!(
@@ -274,7 +274,7 @@
 fn found(broken: Broken) {
     let first = (0..600).find_map(|seed| {
         let play = faults(Setup { relay: broken, ..setup(seed) }, seed, 20 * SECOND);
-        play.wrong.or(play.world.wrong).map(|wrong| (seed, wrong))
+        play.wrong.or(play.world.violation).map(|wrong| (seed, wrong))
     });
     let (seed, wrong) = first.expect("a play without that guard broke no rule");
     println!("{broken:?}: seed {seed}: {wrong}");
--- a/crates/rollout/src/desk.rs
+++ b/crates/rollout/src/desk.rs
@@ -9,7 +9,7 @@
 use crate::said::{Answer, Ask, Line, Verdict};
 use crate::watch::{Found, Watch};
 use crate::{cut, Key, Time, NAME, SECOND, TOLD, WHY};
-use cypresscleat_consensus::{self as quorum, Keeper, Machine, Out};
+use cypresscleat_consensus::{self as consensus, Ready, Replica, StateMachine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Askers that wait; one more is not heard, and asks again.
@@ -106,8 +106,8 @@
 pub type Said<A> = Vec<(A, Answer)>;
 
 /// What the keepers agree on holds policies.
-pub trait Holds: Machine + AsRef<Policies> + AsMut<Policies> {}
-impl<M: Machine + AsRef<Policies> + AsMut<Policies>> Holds for M {}
+pub trait Holds: StateMachine + AsRef<Policies> + AsMut<Policies> {}
+impl<M: StateMachine + AsRef<Policies> + AsMut<Policies>> Holds for M {}
 
 impl<A: Copy> Default for Desk<A> {
     fn default() -> Desk<A> {
@@ -157,24 +157,30 @@
         }
     }
 
-    pub fn hear<M: Holds>(&mut self, now: Time, keeper: &mut Keeper<M>, from: A, ask: Ask) -> (Out, Said<A>) {
+    pub fn hear<M: Holds>(
+        &mut self,
+        now: Time,
+        keeper: &mut Replica<M>,
+        from: A,
+        ask: Ask,
+    ) -> (Ready, Said<A>) {
         let mut said = Vec::new();
         if !ask.bounded() {
-            return (Out::default(), said);
+            return (Ready::default(), said);
         }
-        let Some(round) = keeper.asks() else {
-            let leader = keeper.leader().filter(|leader| *leader != keeper.own().id).unwrap_or(0);
+        let Some(round) = keeper.read_index() else {
+            let leader = keeper.leader().filter(|leader| *leader != keeper.member().id).unwrap_or(0);
             said.push((from, Answer::Elsewhere { leader }));
-            return (Out::default(), said);
+            return (Ready::default(), said);
         };
-        let mut out = Out::default();
+        let mut out = Ready::default();
         self.leads(now, keeper);
         if self.waiting.len() + self.proposed.len() >= WAITING {
             return (out, said);
         }
         match ask {
             Ask::Here { key, name, joins, number, verdict, paused, has, seen } => {
-                let known = keeper.machine().as_ref().members().contains_key(&key);
+                let known = keeper.state_machine().as_ref().members().contains_key(&key);
                 if self.ending.contains(&key) {
                     // It is being ended, and asks anew once it has heard of that.
                 } else if known {
@@ -197,37 +203,37 @@
                     self.waiting.push_back((round, from, key, number));
                     self.counts.waiting = self.counts.waiting.max(self.waiting.len());
                     if refuses {
-                        out = out.and(self.decides(now, keeper));
+                        out = out.merge(self.decides(now, keeper));
                     }
                 } else if !joins {
                     said.push((from, Answer::Gone { key }));
                 } else if self.joining.insert(key) {
                     let command = Command::Join { key, name: cut(&name, NAME) };
                     self.heard.insert(key, Heard { at: now, from, verdict, paused, has });
-                    out = out.and(self.proposes(now, keeper, &command, For::Join { key }));
+                    out = out.merge(self.proposes(now, keeper, &command, For::Join { key }));
                 }
             }
             Ask::Fetch { number, version } => {
                 self.counts.fetched += 1;
-                let version = keeper.machine().as_ref().version(version).cloned().map(Box::new);
+                let version = keeper.state_machine().as_ref().version(version).cloned().map(Box::new);
                 said.push((from, Answer::Text { number, version }));
             }
             Ask::Leave { key, number } => {
                 let whose = For::Ask { from, number };
-                out = out.and(self.proposes(now, keeper, &Command::End { key, left: true }, whose));
+                out = out.merge(self.proposes(now, keeper, &Command::End { key, left: true }, whose));
             }
             Ask::Propose { number, version } => {
                 let version = Version { undoes: false, ..version };
                 let whose = For::Ask { from, number };
-                out = out.and(self.proposes(now, keeper, &Command::Propose(version), whose));
+                out = out.merge(self.proposes(now, keeper, &Command::Propose(version), whose));
             }
             Ask::Forget { number, member } => {
                 let whose = For::Ask { from, number };
-                out = out.and(self.proposes(now, keeper, &Command::Forget { member }, whose));
+                out = out.merge(self.proposes(now, keeper, &Command::Forget { member }, whose));
             }
             Ask::Status { number, from: first } => said.push((from, self.status(now, keeper, number, first))),
             Ask::History { number } => {
-                let agreed = keeper.machine().as_ref();
+                let agreed = keeper.state_machine().as_ref();
                 let short = |version: &Version| Version { text: String::new(), ..version.clone() };
                 let taken = agreed.history().map(short).collect();
                 let dropped = agreed.dropped().cloned().collect();
@@ -236,11 +242,11 @@
         }
         let (more, also) = self.look(now, keeper, Vec::new());
         said.extend(also);
-        (out.and(more), said)
+        (out.merge(more), said)
     }
 
-    fn status<M: Holds>(&self, now: Time, keeper: &Keeper<M>, number: u32, first: Key) -> Answer {
-        let agreed = keeper.machine().as_ref();
+    fn status<M: Holds>(&self, now: Time, keeper: &Replica<M>, number: u32, first: Key) -> Answer {
+        let agreed = keeper.state_machine().as_ref();
         let change = agreed.change().map(|change| (change.version.number, change.stage));
         let of = change.map_or(0, |change| change.0);
         let line = |(key, name): (&Key, &String)| {
@@ -266,10 +272,10 @@
     fn proposes<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &mut Keeper<M>,
+        keeper: &mut Replica<M>,
         command: &Command,
         whose: For<A>,
-    ) -> Out {
+    ) -> Ready {
         self.next += 1;
         self.proposed.insert(self.next, whose);
         match keeper.propose(now, self.next, bytes(command)) {
@@ -279,14 +285,14 @@
             }
             None => {
                 self.proposed.remove(&self.next);
-                Out::default()
+                Ready::default()
             }
         }
     }
 
     /// A leader that is new, or was away itself, gives every member its whole lease again: nobody can have renewed with it.
-    fn leads<M: Holds>(&mut self, now: Time, keeper: &Keeper<M>) {
-        let agreed = keeper.machine().as_ref();
+    fn leads<M: Holds>(&mut self, now: Time, keeper: &Replica<M>) {
+        let agreed = keeper.state_machine().as_ref();
         let away = now - self.looked > agreed.now().rules.lease / 2;
         self.looked = now;
         let new = self.term != Some(keeper.term());
@@ -316,8 +322,8 @@
     }
 
     /// Version in force, change, and whether it closes.
-    fn stands<M: Holds>(&self, keeper: &Keeper<M>) -> (u64, u64, bool) {
-        let agreed = keeper.machine().as_ref();
+    fn stands<M: Holds>(&self, keeper: &Replica<M>) -> (u64, u64, bool) {
+        let agreed = keeper.state_machine().as_ref();
         let change = agreed.change().map(|change| (change.version.number, change.stage == Stage::Closing));
         let (number, closing) = change.unwrap_or((0, false));
         (agreed.now().number, number, closing)
@@ -327,27 +333,30 @@
     pub fn look<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &mut Keeper<M>,
-        answers: Vec<quorum::Answer>,
-    ) -> (Out, Said<A>) {
-        let (mut out, mut said) = (Out::default(), Vec::new());
-        if !keeper.leads() {
+        keeper: &mut Replica<M>,
+        answers: Vec<consensus::ProposalResponse>,
+    ) -> (Ready, Said<A>) {
+        let (mut out, mut said) = (Ready::default(), Vec::new());
+        if !keeper.is_leader() {
             self.term = None;
             self.to_tell.clear();
             return (out, said);
         }
         self.leads(now, keeper);
         for answer in answers {
-            let quorum::Answer::Done { number, said: bytes, .. } = answer else { continue };
+            let consensus::ProposalResponse::Applied { proposal_id: number, result: bytes, .. } = answer
+            else {
+                continue;
+            };
             let outcome = postcard::from_bytes(&bytes).unwrap_or(Outcome::Late);
             self.done(now, keeper, number, outcome, &mut said);
         }
         let stands = self.stands(keeper);
         if stands != self.told {
             if stands.0 != self.told.0 {
-                let before = keeper.machine().as_ref().version(self.told.0);
+                let before = keeper.state_machine().as_ref().version(self.told.0);
                 self.longer_by(now, before.map(|version| version.rules.lease));
-                self.watch.in_force(now, keeper.machine().as_ref().now());
+                self.watch.in_force(now, keeper.state_machine().as_ref().now());
             }
             if stands.1 != self.told.1 {
                 self.good.clear();
@@ -355,12 +364,12 @@
                 self.bad.clear();
             }
             (self.told, self.deciding) = (stands, false);
-            self.to_tell = keeper.machine().as_ref().members().keys().copied().collect();
+            self.to_tell = keeper.state_machine().as_ref().members().keys().copied().collect();
         }
         let change = (stands.1 != 0).then_some(stands.1);
         if self.change.map(|change| change.0) != change {
             self.change = change.map(|number| (number, now));
-            let agreed = keeper.machine().as_ref().members();
+            let agreed = keeper.state_machine().as_ref().members();
             for (key, heard) in self.heard.iter().filter(|(key, _)| agreed.contains_key(key)) {
                 if change.is_some() && heard.verdict == change.map(|number| (number, Verdict::Good)) {
                     self.good.insert(*key);
@@ -380,22 +389,22 @@
                 said.push((heard.from, Answer::News));
             }
         }
-        out = out.and(self.expires(now, keeper));
-        out = out.and(self.decides(now, keeper));
+        out = out.merge(self.expires(now, keeper));
+        out = out.merge(self.decides(now, keeper));
         if let Some((number, found)) = self.watch.look(now) {
-            out = out.and(self.judged(now, keeper, number, found));
+            out = out.merge(self.judged(now, keeper, number, found));
         }
         self.answers(keeper, &mut said);
         (out, said)
     }
 
     /// Members whose lease is over go; where changes wait for everybody, only those that a change is bound to wait for no more.
-    fn expires<M: Holds>(&mut self, now: Time, keeper: &mut Keeper<M>) -> Out {
-        let agreed = keeper.machine().as_ref();
+    fn expires<M: Holds>(&mut self, now: Time, keeper: &mut Replica<M>) -> Ready {
+        let agreed = keeper.state_machine().as_ref();
         let rules = agreed.now().rules;
         let closing = agreed.change().is_some_and(|change| change.stage == Stage::Closing);
         if rules.missing == Missing::Wait && !closing {
-            return Out::default();
+            return Ready::default();
         }
         // Guards a member that has not heard of a version with a shorter lease, and counts by the one that it was told.
         let lease = rules.lease.max(if now < self.longer.1 { self.longer.0 } else { 0 });
@@ -406,21 +415,21 @@
             .map(|(_, key)| *key)
             .filter(|key| !self.ending.contains(key))
             .collect();
-        let mut out = Out::default();
+        let mut out = Ready::default();
         for key in over {
             self.ending.insert(key);
             self.counts.expired += 1;
-            out = out.and(self.proposes(now, keeper, &Command::End { key, left: false }, For::Own));
+            out = out.merge(self.proposes(now, keeper, &Command::End { key, left: false }, For::Own));
         }
         out
     }
 
     /// Asks for the decision of the change under way, where it can be decided.
-    fn decides<M: Holds>(&mut self, now: Time, keeper: &mut Keeper<M>) -> Out {
-        let Some((number, since)) = self.change.filter(|_| !self.deciding) else { return Out::default() };
-        let agreed = keeper.machine().as_ref();
+    fn decides<M: Holds>(&mut self, now: Time, keeper: &mut Replica<M>) -> Ready {
+        let Some((number, since)) = self.change.filter(|_| !self.deciding) else { return Ready::default() };
+        let agreed = keeper.state_machine().as_ref();
         let Some(change) = agreed.change().filter(|change| change.version.number == number) else {
-            return Out::default();
+            return Ready::default();
         };
         let (generation, members, rules) = (agreed.generation(), agreed.members(), agreed.now().rules);
         let counted = |set: &BTreeSet<Key>| {
@@ -429,7 +438,7 @@
         };
         let command = match change.stage {
             Stage::Closing if counted(&self.paused) => Command::Open { number, generation },
-            Stage::Closing => return Out::default(),
+            Stage::Closing => return Ready::default(),
             Stage::Asking => {
                 let bad = self.bad.iter().find_map(|(key, why)| Some((members.get(key)?, why)));
                 let late = now - since > rules.patience;
@@ -449,7 +458,7 @@
                     let reason = cut(&reason, WHY);
                     Command::Decide { number, generation, taken: false, reason }
                 } else {
-                    return Out::default();
+                    return Ready::default();
                 }
             }
         };
@@ -459,8 +468,8 @@
     }
 
     /// The watch has found something: harm is undone, once; what was made to undo is not watched.
-    fn judged<M: Holds>(&mut self, now: Time, keeper: &mut Keeper<M>, number: u64, found: Found) -> Out {
-        let agreed = keeper.machine().as_ref();
+    fn judged<M: Holds>(&mut self, now: Time, keeper: &mut Replica<M>, number: u64, found: Found) -> Ready {
+        let agreed = keeper.state_machine().as_ref();
         let (what, figures) = match &found {
             Found::Harm(figures) => ("did harm", figures),
             Found::Good(figures) => ("did no harm", figures),
@@ -470,7 +479,7 @@
         let known = agreed.version(agreed.now().parent).cloned();
         let Some(before) = known.filter(|_| matches!(found, Found::Harm(_)) && agreed.now().number == number)
         else {
-            return Out::default();
+            return Ready::default();
         };
         let version = Version {
             number: 0,
@@ -487,13 +496,13 @@
     fn done<M: Holds>(
         &mut self,
         now: Time,
-        keeper: &Keeper<M>,
+        keeper: &Replica<M>,
         number: u64,
         outcome: Outcome,
         said: &mut Said<A>,
     ) {
         let Some(whose) = self.proposed.remove(&number) else { return };
-        let members = keeper.machine().as_ref().members();
+        let members = keeper.state_machine().as_ref().members();
         match whose {
             For::Join { key } => {
                 self.joining.remove(&key);
@@ -535,9 +544,9 @@
     }
 
     /// Those whose round a majority has heard.
-    fn answers<M: Holds>(&mut self, keeper: &Keeper<M>, said: &mut Said<A>) {
-        let agreed = keeper.machine().as_ref();
-        let (rules, confirmed) = (agreed.now().rules, keeper.confirmed());
+    fn answers<M: Holds>(&mut self, keeper: &Replica<M>, said: &mut Said<A>) {
+        let agreed = keeper.state_machine().as_ref();
+        let (rules, confirmed) = (agreed.now().rules, keeper.confirmed_read_index());
         let (version, change, closing) = self.stands(keeper);
         while let Some((_, from, key, number)) =
             self.waiting.front().filter(|one| one.0 <= confirmed).copied()
--- a/crates/rollout/src/policies.rs
+++ b/crates/rollout/src/policies.rs
@@ -2,7 +2,7 @@
 //! `quorum`: the same commands give the same state at every keeper.
 
 use crate::{cut, Key, NodeId, Time, DROPPED, HISTORY, MEMBERS, NAME, SECOND, TEXT, WHY};
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -299,7 +299,7 @@
     }
 }
 
-impl Machine for Policies {
+impl StateMachine for Policies {
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let outcome = match command.split_first().map(|(tag, rest)| (tag, postcard::from_bytes(rest))) {
             Some((&TAG, Ok(Command::Join { key, name }))) => self.joins(key, name),
@@ -338,10 +338,10 @@
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
     }
-    fn image(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    fn from_image(bytes: &[u8]) -> Option<Policies> {
+    fn from_snapshot(bytes: &[u8]) -> Option<Policies> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/rollout/src/sim.rs
+++ b/crates/rollout/src/sim.rs
@@ -6,10 +6,10 @@
 use crate::policies::{Missing, News, Policies, Rules, Version};
 use crate::said::{Answer, Ask, Verdict};
 use crate::{NodeId, Time, MS, SECOND};
-use cypresscleat_consensus::letter;
-use cypresscleat_consensus::sim::World;
-use cypresscleat_consensus::Answer as Answered;
-use cypresscleat_consensus::{Options, SeededRng};
+use cypresscleat_consensus::message;
+use cypresscleat_consensus::sim::Simulation;
+use cypresscleat_consensus::ProposalResponse;
+use cypresscleat_consensus::{RaftConfig, SeededRng};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
@@ -71,7 +71,7 @@
 
 pub struct Play {
     pub setup: Setup,
-    pub world: World<Policies>,
+    pub world: Simulation<Policies>,
     pub desks: Vec<Desk<usize>>,
     pub seats: Vec<Seat>,
     mail: BTreeMap<(Time, u64), Mail>,
@@ -107,7 +107,7 @@
 
 impl Play {
     pub fn new(setup: Setup, seed: u64) -> Play {
-        let world = World::new(setup.keepers, Policies::default(), Options::default(), seed);
+        let world = Simulation::new(setup.keepers, Policies::default(), RaftConfig::default(), seed);
         let desk = || {
             let mut desk = Desk::default();
             desk.broken = setup.desk;
@@ -263,7 +263,7 @@
             ..Version::default()
         };
         let ask = Ask::Propose { number: 1, version };
-        self.post(self.world.weather.delay, Mail::Ask { to, from: OPERATOR, ask });
+        self.post(self.world.network.delay, Mail::Ask { to, from: OPERATOR, ask });
     }
 
     pub fn forget(&mut self, at: usize) {
@@ -273,13 +273,13 @@
     /// Somebody who is no member of the play asks the keeper that leads.
     pub fn asked_by_others(&mut self, ask: Ask) {
         let to = self.world.leader().unwrap_or(0);
-        self.post(self.world.weather.delay, Mail::Ask { to, from: OPERATOR, ask });
+        self.post(self.world.network.delay, Mail::Ask { to, from: OPERATOR, ask });
     }
 
     /// The version in force as the keepers have it.
     pub fn now(&self) -> u64 {
-        let leader = self.world.leader().and_then(|at| self.world.seats[at].keeper.as_ref());
-        leader.map_or(0, |keeper| keeper.machine().now().number)
+        let leader = self.world.leader().and_then(|at| self.world.nodes[at].replica.as_ref());
+        leader.map_or(0, |keeper| keeper.state_machine().now().number)
     }
 
     pub fn may(&self, at: usize) -> May {
@@ -288,16 +288,16 @@
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
-        let weather = self.world.weather;
-        let lost = weather.lost > 0 && self.rng.one_in(weather.lost);
+        let weather = self.world.network;
+        let lost = weather.loss_one_in > 0 && self.rng.one_in(weather.loss_one_in);
         let by_operator = matches!(mail, Mail::Ask { from: OPERATOR, .. });
         if lost && !by_operator {
             return;
         }
-        let twice = weather.doubled > 0 && self.rng.one_in(weather.doubled);
+        let twice = weather.duplicate_one_in > 0 && self.rng.one_in(weather.duplicate_one_in);
         let mut late = self.rng.below(delay.max(1) as u64) as Time;
-        if weather.slow > 0 && self.rng.one_in(20) {
-            late += self.rng.below(weather.slow as u64) as Time;
+        if weather.max_extra_delay > 0 && self.rng.one_in(20) {
+            late += self.rng.below(weather.max_extra_delay as u64) as Time;
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
@@ -308,9 +308,9 @@
     fn post_asks(&mut self, from: usize, asks: Vec<(NodeId, Ask)>) {
         for (to, ask) in asks {
             self.asks += 1;
-            self.ask_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
+            self.ask_bytes += message::encode(&ask).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut.contains(&from) {
-                self.post(self.world.weather.delay, Mail::Ask { to: to as usize - 1, from, ask });
+                self.post(self.world.network.delay, Mail::Ask { to: to as usize - 1, from, ask });
             }
         }
     }
@@ -319,13 +319,13 @@
     fn after(&mut self, at: usize) {
         let now = self.world.now;
         let (own, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.world.answers).into_iter().partition(|one| one.0 == at);
-        self.world.answers = others;
-        let answers: Vec<Answered> = own.into_iter().map(|one| one.1).collect();
-        let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
+            std::mem::take(&mut self.world.responses).into_iter().partition(|one| one.0 == at);
+        self.world.responses = others;
+        let answers: Vec<ProposalResponse> = own.into_iter().map(|one| one.1).collect();
+        let Some(keeper) = self.world.nodes[at].replica.as_mut() else { return };
         let (out, said) = self.desks[at].look(now, keeper, answers);
         self.desks[at].log().for_each(drop);
-        for news in keeper.machine_mut().take_news() {
+        for news in keeper.state_machine_mut().take_news() {
             match news {
                 News::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
                 News::Taken { number } => self.decides(number, true),
@@ -336,8 +336,8 @@
                 _ => {}
             }
         }
-        let keeper = self.world.seats[at].keeper.as_ref();
-        if let Some(version) = keeper.map(|keeper| keeper.machine().now()) {
+        let keeper = self.world.nodes[at].replica.as_ref();
+        if let Some(version) = keeper.map(|keeper| keeper.state_machine().now()) {
             self.rules.insert(version.number, version.rules);
         }
         self.carry(at, out, said);
@@ -350,24 +350,24 @@
         }
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Out, said: Vec<(usize, Answer)>) {
-        self.world.carry(at, out);
+    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Ready, said: Vec<(usize, Answer)>) {
+        self.world.process_ready(at, out);
         for (to, answer) in said {
             if to == OPERATOR {
                 self.answers.push(answer);
                 continue;
             }
             self.asks += 1;
-            let bytes = letter::write(&answer).map_or(0, |bytes| bytes.len() as u64);
+            let bytes = message::encode(&answer).map_or(0, |bytes| bytes.len() as u64);
             self.ask_bytes += bytes;
             self.traffic[at].said += 1;
             self.traffic[at].said_bytes += bytes;
             if !self.cut.contains(&to) {
                 let (from, life) = (at as NodeId + 1, self.seats[to].lives);
-                self.post(self.world.weather.delay, Mail::Answer { to, life, from, answer });
+                self.post(self.world.network.delay, Mail::Answer { to, life, from, answer });
             }
         }
-        if self.world.answers.iter().any(|one| one.0 == at) {
+        if self.world.responses.iter().any(|one| one.0 == at) {
             self.after(at);
         }
     }
@@ -509,10 +509,11 @@
     fn arrives(&mut self, now: Time, mail: Mail) {
         match mail {
             Mail::Ask { to, from, ask } => {
-                let Some(keeper) = self.world.seats[to].keeper.as_mut() else { return };
+                let Some(keeper) = self.world.nodes[to].replica.as_mut() else { return };
                 if from != OPERATOR {
                     self.traffic[to].heard += 1;
-                    self.traffic[to].heard_bytes += letter::write(&ask).map_or(0, |bytes| bytes.len() as u64);
+                    self.traffic[to].heard_bytes +=
+                        message::encode(&ask).map_or(0, |bytes| bytes.len() as u64);
                 }
                 let (out, said) = self.desks[to].hear(now, keeper, from, ask);
                 self.carry(to, out, said);
@@ -563,7 +564,7 @@
     pub fn faults(&mut self, time: Time) {
         let end = self.world.now + time;
         let mut text = 0;
-        while self.world.now < end && self.wrong.is_none() && self.world.wrong.is_none() {
+        while self.world.now < end && self.wrong.is_none() && self.world.violation.is_none() {
             let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
             let (at, keeper) = (
                 self.rng.below(self.seats.len() as u64) as usize,
@@ -584,19 +585,19 @@
                 5 => self.cut.clear(),
                 6 => self.lose_disk(at),
                 7 => self.drain(at),
-                8 => self.world.kill(keeper),
+                8 => self.world.crash(keeper),
                 9 => {
                     for at in 0..self.setup.keepers {
-                        if self.world.seats[at].keeper.is_none() {
+                        if self.world.nodes[at].replica.is_none() {
                             self.world.start(at);
                         }
                     }
                 }
                 10 => {
                     let other = self.rng.below(self.setup.keepers as u64) as NodeId + 1;
-                    self.world.cut.insert((keeper as NodeId + 1, other));
+                    self.world.blocked_links.insert((keeper as NodeId + 1, other));
                 }
-                11 => self.world.cut.clear(),
+                11 => self.world.blocked_links.clear(),
                 12 if self.seats.len() < self.setup.members + 4 => drop(self.joins()),
                 _ => {
                     text += 1;
@@ -623,9 +624,9 @@
     /// All links as new, all processes there and awake.
     pub fn peace(&mut self) {
         self.cut.clear();
-        self.world.cut.clear();
+        self.world.blocked_links.clear();
         for at in 0..self.setup.keepers {
-            if self.world.seats[at].keeper.is_none() {
+            if self.world.nodes[at].replica.is_none() {
                 self.world.start(at);
             }
         }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -2,7 +2,7 @@
 //! arrive late or never, leases by each member's clock, disks that are lost. What the desk decides by is written out here once more, in
 //! its simplest form, so that guards can be taken out one by one.
 
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use cypresscleat_rollout::policies::{bytes, Command, Outcome, Policies, Rules, Stage, Version};
 use cypresscleat_rollout::Key;
 use stateright::{Checker, Model, Property};
--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Changes of policy in a simulated net: each hard case by itself, then faults by chance over many seeds, then the same with guards
 //! taken out, which has to be found.
 
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use cypresscleat_rollout::member::May;
 use cypresscleat_rollout::policies::{Command, Missing, Outcome, Policies, Rules, Version};
 use cypresscleat_rollout::said::{Answer, Ask, Verdict};
@@ -38,7 +38,7 @@
 }
 
 fn good(play: &Play) {
-    assert_eq!(play.wrong.as_deref().or(play.world.wrong.as_deref()), None);
+    assert_eq!(play.wrong.as_deref().or(play.world.violation.as_deref()), None);
 }
 
 #[test]
@@ -149,10 +149,10 @@
         let until = play.world.now + at * MS;
         play.run(until);
         let leader = play.world.leader().expect("a leader");
-        play.world.kill(leader);
-        if play.world.seats.iter().any(|seat| {
-            seat.keeper.as_ref().is_some_and(|keeper| {
-                keeper.machine().change().is_some() || keeper.machine().now().number == 2
+        play.world.crash(leader);
+        if play.world.nodes.iter().any(|seat| {
+            seat.replica.as_ref().is_some_and(|keeper| {
+                keeper.state_machine().change().is_some() || keeper.state_machine().now().number == 2
             })
         }) {
             runs_until(&mut play, 5 * SECOND, |play| play.now() == 2 && play.settled());
@@ -164,7 +164,7 @@
 fn together_nobody_admits_under_the_old_one_beside_the_new_one() {
     for seed in 0..10 {
         let mut play = play(Setup { check: 300 * MS, ..Setup::default() }, 200 + seed);
-        play.world.weather.slow = 400 * MS;
+        play.world.network.max_extra_delay = 400 * MS;
         play.cut.insert(4);
         play.propose(1, Rules { together: true, ..rules() }, "second");
         runs_until(&mut play, 8 * SECOND, |play| play.now() == 2);
@@ -216,8 +216,8 @@
 #[test]
 fn without_a_majority_nothing_is_decided_and_all_stop_then_all_goes_on() {
     let mut play = play(Setup::default(), 9);
-    play.world.kill(0);
-    play.world.kill(1);
+    play.world.crash(0);
+    play.world.crash(1);
     let until = play.world.now + 3 * SECOND;
     play.run(until);
     assert!((0..5).all(|at| play.may(at) == May::Nothing));
@@ -258,9 +258,9 @@
 
 fn faults(setup: Setup, seed: u64, time: Time) -> Play {
     let mut play = Play::new(setup, seed);
-    play.world.weather.lost = 12;
-    play.world.weather.doubled = 20;
-    play.world.weather.slow = 800 * MS;
+    play.world.network.loss_one_in = 12;
+    play.world.network.duplicate_one_in = 20;
+    play.world.network.max_extra_delay = 800 * MS;
     play.run(2 * SECOND);
     play.faults(time);
     play
@@ -276,7 +276,7 @@
         let missing = if seed % 2 == 0 { Missing::Fence } else { Missing::Wait };
         let setup = Setup { rules: Rules { missing, ..rules() }, ..Setup::default() };
         let mut play = faults(setup, seed, 20 * SECOND);
-        let wrong = play.wrong.clone().or(play.world.wrong.clone());
+        let wrong = play.wrong.clone().or(play.world.violation.clone());
         assert_eq!(wrong, None, "seed {seed}");
         play.peace();
         let end = play.world.now + 20 * SECOND;
@@ -287,7 +287,7 @@
                 break;
             }
         }
-        let wrong = play.wrong.clone().or(play.world.wrong.clone());
+        let wrong = play.wrong.clone().or(play.world.violation.clone());
         assert_eq!(wrong, None, "seed {seed}, in peace");
         let mays: Vec<May> = (0..play.seats.len()).map(|at| play.may(at)).collect();
         assert!(
@@ -322,7 +322,7 @@
 fn found(setup: Setup, words: &str) {
     let some = (0..300).any(|seed| {
         let play = faults(setup, seed, 20 * SECOND);
-        play.wrong.or(play.world.wrong).is_some_and(|wrong| wrong.contains(words))
+        play.wrong.or(play.world.violation).is_some_and(|wrong| wrong.contains(words))
     });
     assert!(some, "a play without that guard broke no rule");
 }
@@ -385,7 +385,7 @@
     let drop = Command::Decide { number: 1, generation: 1, taken: false, reason: "late".into() };
     assert_eq!(apply(&mut agreed, &drop), Outcome::Late, "a decision is final");
     agreed.take_news();
-    assert_eq!(Policies::from_image(&agreed.image()).as_ref(), Some(&agreed));
+    assert_eq!(Policies::from_snapshot(&agreed.snapshot()).as_ref(), Some(&agreed));
     assert_eq!(agreed.now().number, 1);
 }
 
@@ -423,7 +423,7 @@
 }
 
 mod letters {
-    use cypresscleat_consensus::letter;
+    use cypresscleat_consensus::message;
     use cypresscleat_rollout::said::{Answer, Ask, Verdict};
     use cypresscleat_rollout::watch::Seen;
     use proptest::prelude::*;
@@ -436,13 +436,13 @@
             let seen = Seen { asked: number.into(), in_time: 1, milli: 2 };
             let verdict = Some((7, Verdict::Bad(why)));
             let ask = Ask::Here { key, name, joins: true, number, verdict, paused: 1, has: 2, seen };
-            let mut bytes = letter::write(&ask).expect("it is short");
-            let read = letter::read::<Ask>(&bytes);
+            let mut bytes = message::encode(&ask).expect("it is short");
+            let read = message::decode::<Ask>(&bytes);
             prop_assert_eq!(read.as_ref(), Ok(&ask));
             let at = at.index(bytes.len());
             bytes[at] ^= 1 << bit;
-            prop_assert!(letter::read::<Ask>(&bytes).is_err());
-            prop_assert!(letter::read::<Answer>(&bytes[..at]).is_err());
+            prop_assert!(message::decode::<Ask>(&bytes).is_err());
+            prop_assert!(message::decode::<Answer>(&bytes[..at]).is_err());
         }
     }
 }
--- a/crates/rollout/tests/size.rs
+++ b/crates/rollout/tests/size.rs
@@ -12,7 +12,7 @@
     let mut play = Play::new(Setup { members, rules, ..Setup::default() }, seed);
     play.run(3 * SECOND);
     assert!(play.settled(), "all serve under their own file");
-    play.world.weather.lost = 10;
+    play.world.network.loss_one_in = 10;
     play.propose(0, rules, "first");
     let (began, mut out) = (play.world.now, 0);
     while play.world.now < began + 20 * SECOND {
@@ -23,7 +23,7 @@
             break;
         }
     }
-    assert_eq!(play.wrong.as_deref().or(play.world.wrong.as_deref()), None);
+    assert_eq!(play.wrong.as_deref().or(play.world.violation.as_deref()), None);
     let took = play.world.now - began;
     (play, took, out)
 }
--- a/crates/server/src/leases/hold.rs
+++ b/crates/server/src/leases/hold.rs
@@ -2,7 +2,7 @@
 
 use super::wire::{learns, Wire};
 use super::{drawn, Keepers, Steady};
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_leases::holder::{Event, Holder};
 use cypresscleat_leases::said::Ask;
 use cypresscleat_leases::{node_id, NodeId, Part, Time, Want};
@@ -27,7 +27,7 @@
         let clock = Steady::start();
         let keepers = set.all.iter().map(|(name, _)| node_id(name)).collect();
         let holder = Holder::new(clock.now(), node_id(name), drawn(name), wants, keepers);
-        let bytes = vec![0; letter::LONGEST + 1];
+        let bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         Ok(Hold { socket, to: set.addresses(), clock, holder, events: VecDeque::new(), bytes })
     }
 
@@ -80,7 +80,7 @@
                 got = self.socket.recv_from(&mut self.bytes) => got,
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match letter::read::<Wire>(&self.bytes[..size]) {
+            match message::decode::<Wire>(&self.bytes[..size]) {
                 Ok(Wire::Answer { from, answer }) => {
                     let now = self.clock.now();
                     let asks = self.holder.hear(now, from, answer);
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -5,8 +5,8 @@
 use super::{drawn, Keepers, Steady};
 use crate::journal::{monotonic, Journal};
 use crate::{log, operator};
-use cypresscleat_consensus::kept::Kept;
-use cypresscleat_consensus::{kept, letter, Begin, Keeper, Options, Out};
+use cypresscleat_consensus::storage::PersistentState;
+use cypresscleat_consensus::{message, storage, RaftConfig, Ready, Replica, ReplicaConfig};
 use cypresscleat_leases::desk::Desk;
 use cypresscleat_leases::said::Answer;
 use cypresscleat_leases::{node_id, NodeId};
@@ -91,7 +91,7 @@
 impl Kept0 {
     /// A sync that failed is final for this disk: what can be read of it afterwards may never have reached it, and the next sync
     /// would not say so. Without its marks it counts as empty from the next start on.
-    fn write(&mut self, writes: Vec<kept::Write>) -> io::Result<()> {
+    fn write(&mut self, writes: Vec<storage::Write>) -> io::Result<()> {
         if writes.is_empty() {
             return Ok(());
         }
@@ -128,7 +128,7 @@
     socket: UdpSocket,
     to: HashMap<NodeId, SocketAddr>,
     own: NodeId,
-    keeper: Keeper<Agreed>,
+    keeper: Replica<Agreed>,
     desk: Desk<SocketAddr>,
     /// Of changes of policy.
     policy: policy::Desk<SocketAddr>,
@@ -138,11 +138,11 @@
 
 impl Desked {
     /// Writes, and then says, what a step asked for, and what its answers bring with them.
-    fn carry(&mut self, now: i64, mut out: Out, mut said: Said) -> io::Result<()> {
+    fn carry(&mut self, now: i64, mut out: Ready, mut said: Said) -> io::Result<()> {
         loop {
             self.disk.write(std::mem::take(&mut out.writes))?;
-            out.said.drain(..).for_each(|line| log!("{line}"));
-            for (to, letter) in out.letters.drain(..) {
+            out.events.drain(..).for_each(|line| log!("{line}"));
+            for (to, letter) in out.messages.drain(..) {
                 if let Some(to) = self.to.get(&to) {
                     super::send(&self.socket, *to, &Wire::Letter(letter));
                 }
@@ -167,13 +167,13 @@
             for (to, answer) in said.1.drain(..) {
                 super::send(&self.socket, to, &Wire::PolicyAnswer { from, answer });
             }
-            let answers = std::mem::take(&mut out.answers);
+            let answers = std::mem::take(&mut out.responses);
             let (policies, policy_said) = self.policy.look(now, &mut self.keeper, answers.clone());
             let (duties, duty_said) = self.desk.look(now, &mut self.keeper, answers);
-            (out, said) = (policies.and(duties), (duty_said, policy_said));
+            (out, said) = (policies.merge(duties), (duty_said, policy_said));
             self.policy.log().for_each(|line| log!("{line}"));
-            let leads = self.keeper.leads();
-            for news in self.keeper.machine_mut().policies.take_news() {
+            let leads = self.keeper.is_leader();
+            for news in self.keeper.state_machine_mut().policies.take_news() {
                 if let Some(journal) = &self.journal {
                     journals(journal, &news);
                 }
@@ -187,9 +187,9 @@
                     News::Ended { name } => log!("policy: {name} counts no longer"),
                 }
             }
-            for (part, session, token) in self.keeper.machine_mut().duties.take_changes() {
-                let owner = self.keeper.machine().duties.instance(session);
-                if self.keeper.leads() {
+            for (part, session, token) in self.keeper.state_machine_mut().duties.take_changes() {
+                let owner = self.keeper.state_machine().duties.instance(session);
+                if self.keeper.is_leader() {
                     match owner {
                         Some(owner) => {
                             log!(
@@ -206,7 +206,7 @@
                     }
                 }
             }
-            if out == Out::default() && said.0.is_empty() && said.1.is_empty() {
+            if out == Ready::default() && said.0.is_empty() && said.1.is_empty() {
                 return Ok(());
             }
         }
@@ -274,15 +274,21 @@
     let clock = Steady::start();
     let to = set.addresses();
     let (disk, mut store) = open(name, folder)?;
-    let kept: Kept = kept::read(&mut store).map_err(other)?;
-    let (entries, formed) = (kept.log.len(), kept.base.is_some());
+    let kept: PersistentState = storage::load(&mut store).map_err(other)?;
+    let (entries, formed) = (kept.entries.len(), kept.snapshot.is_some());
     log!(
         "keeper {name}: disk {disk:016x}, {}",
         if formed { format!("{entries} entries") } else { "empty".into() }
     );
     let named = to.keys().copied().collect();
-    let begin = Begin { own: node_id(name), named, disk, options: Options::default(), seed: drawn(name) };
-    let (keeper, out) = Keeper::start(clock.now(), begin, kept, Agreed::default());
+    let begin = ReplicaConfig {
+        id: node_id(name),
+        configured_replicas: named,
+        disk,
+        raft: RaftConfig::default(),
+        seed: drawn(name),
+    };
+    let (keeper, out) = Replica::start(clock.now(), begin, kept, Agreed::default());
     // A second handle of the same socket, so that the next life has it too.
     let shared = UdpSocket::from_std({
         use std::os::fd::AsFd;
@@ -300,38 +306,38 @@
         disk,
     };
     all.carry(clock.now(), out, Said::default())?;
-    let mut bytes = vec![0; letter::LONGEST + 1];
+    let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
     let (mut garbled, mut told) = (0u64, 0u64);
     loop {
         tokio::select! {
-            () = sleep_until(clock.instant(all.keeper.due().min(all.policy.due()))) => {}
+            () = sleep_until(clock.instant(all.keeper.next_deadline().min(all.policy.due()))) => {}
             ready = all.socket.readable() => ready?,
             _ = hup.recv() => {
                 if let Some(new) = path.and_then(|path| follows(name, set, path)) {
                     *set = new;
                     all.to = set.addresses();
-                    all.keeper.names(all.to.keys().copied().collect());
+                    all.keeper.set_configured_replicas(all.to.keys().copied().collect());
                 }
             }
         }
         let now = clock.now();
-        let (mut out, mut said) = (Out::default(), Said::default());
+        let (mut out, mut said) = (Ready::default(), Said::default());
         for _ in 0..BATCH {
             let (size, from) = match all.socket.try_recv_from(&mut bytes) {
                 Ok(got) => got,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => continue, // word of an earlier datagram that found nobody
             };
-            match letter::read::<Wire>(&bytes[..size]) {
-                Ok(Wire::Letter(letter)) => out = out.and(all.keeper.hear(now, &letter)),
+            match message::decode::<Wire>(&bytes[..size]) {
+                Ok(Wire::Letter(letter)) => out = out.merge(all.keeper.step(now, &letter)),
                 Ok(Wire::PolicyAsk(ask)) => {
                     let (more, answers) = all.policy.hear(now, &mut all.keeper, from, ask);
-                    out = out.and(more);
+                    out = out.merge(more);
                     said.1.extend(answers);
                 }
                 Ok(Wire::Ask(ask)) => {
                     let (more, answers) = all.desk.hear(now, &mut all.keeper, from, ask);
-                    out = out.and(more);
+                    out = out.merge(more);
                     said.0.extend(answers);
                 }
                 Ok(Wire::Answer { .. } | Wire::PolicyAnswer { .. } | Wire::At { .. }) => {}
@@ -342,12 +348,12 @@
             told = garbled;
             log!("keeper {name}: {garbled} datagrams that are no letters");
         }
-        out = out.and(all.keeper.tick(now));
+        out = out.merge(all.keeper.tick(now));
         all.carry(now, out, said)?;
-        if all.keeper.older() {
+        if all.keeper.is_disk_stale() {
             return Ok(format!(
                 "its disk {disk:016x} has forgotten what it said; it counts as empty",
-                disk = all.keeper.own().disk
+                disk = all.keeper.member().disk
             ));
         }
         if let Err(error) = all.disk.store.compact_step() {
--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::log;
 use crate::operator::{self, Operator};
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_leases::{node_id, NodeId, Time};
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -167,7 +167,7 @@
 
 /// Sends what fits; what is lost is lost, as any datagram. Whether it was taken.
 pub fn send(socket: &UdpSocket, to: SocketAddr, datagram: &wire::Wire) -> bool {
-    letter::write(datagram).is_some_and(|bytes| socket.try_send_to(&bytes, to).is_ok())
+    message::encode(datagram).is_some_and(|bytes| socket.try_send_to(&bytes, to).is_ok())
 }
 
 /// A number that no other start of this program has had.
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -1,7 +1,7 @@
 //! What a datagram to or from a keeper holds, and a question asked of whichever keeper leads.
 
 use super::Keepers;
-use cypresscleat_consensus::letter::{self, Letter};
+use cypresscleat_consensus::message::{self, Message};
 use cypresscleat_leases::{node_id, said, NodeId};
 use cypresscleat_rollout::said as policies;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Wire {
     /// Between keepers.
-    Letter(Letter),
+    Letter(Message),
     /// To a keeper.
     Ask(said::Ask),
     /// From a keeper, whose number goes with it.
@@ -89,8 +89,8 @@
 
     /// The answer that fits, from the keeper that leads.
     pub fn ask<T>(&mut self, ask: &Wire, read: impl Fn(Wire) -> Heard<T>) -> io::Result<Option<T>> {
-        let mut bytes = vec![0; letter::LONGEST + 1];
-        let Some(datagram) = letter::write(ask) else { return Ok(None) };
+        let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
+        let Some(datagram) = message::encode(ask) else { return Ok(None) };
         while Instant::now() < self.until {
             let to = self.order.get(self.at % self.order.len().max(1)).and_then(|id| self.keepers.get(id));
             if let Some(to) = to {
@@ -101,7 +101,7 @@
                 self.at += 1;
                 continue;
             };
-            let wire = match letter::read::<Wire>(&bytes[..size]) {
+            let wire = match message::decode::<Wire>(&bytes[..size]) {
                 Ok(Wire::At { keeper, address }) => {
                     if learns(&mut self.keepers, by, keeper, address) {
                         self.order.push(keeper);
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -8,7 +8,7 @@
 use crate::operator;
 use crate::rollout::texts::{keep, load, KEPT};
 use crate::rollout::{check, LEAVES};
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_rollout::said::{Answer, Ask};
 use cypresscleat_rollout::{node_id, NodeId, Version, TEXT};
 use cypresscleat_rollout_relay::{Out, Relay as Decider};
@@ -147,7 +147,7 @@
         told: 0,
     };
     let mut ends = None;
-    let mut bytes = vec![0; letter::LONGEST + 1];
+    let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
     loop {
         let now = clock.now();
         if now >= task.relay.due() {
@@ -198,7 +198,7 @@
         for _ in 0..BATCH {
             let Some(got) = next(&self.above, bytes) else { return };
             let Ok((size, by)) = got else { continue };
-            match letter::read::<Wire>(&bytes[..size]) {
+            match message::decode::<Wire>(&bytes[..size]) {
                 // Whoever else can reach this socket is no keeper by saying so. May hurt where keepers answer from another address than
                 // the one at which they hear.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {
@@ -222,7 +222,7 @@
         for _ in 0..BATCH {
             let Some(got) = next(&self.below, bytes) else { return };
             let Ok((size, by)) = got else { continue };
-            match letter::read::<Wire>(&bytes[..size]) {
+            match message::decode::<Wire>(&bytes[..size]) {
                 Ok(Wire::PolicyAsk(ask)) if ask.bounded() => {
                     add(&self.counters.asks);
                     let out = self.relay.from_below(self.clock.now(), by, ask);
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -7,7 +7,7 @@
 use crate::leases::wire::{learns, Wire};
 use crate::leases::{self, addresses, drawn, from, Steady};
 use crate::log;
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_rollout::member::{Event, Member};
 use cypresscleat_rollout::said::{Ask, Verdict};
 use cypresscleat_rollout::{cut, node_id, NodeId, Time, Version, WHY};
@@ -110,7 +110,7 @@
 
     /// Lives until the program ends.
     pub async fn run(mut self) {
-        let mut bytes = vec![0; letter::LONGEST + 1];
+        let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         let began = self.clock.now();
         let gate = self.gate.clone();
         let mut leaving = false;
@@ -144,7 +144,7 @@
                 got = self.socket.recv_from(&mut bytes) => got,
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match letter::read::<Wire>(&bytes[..size]) {
+            match message::decode::<Wire>(&bytes[..size]) {
                 // Whoever else can reach this socket is no keeper, nor a relay, by saying so. May hurt where one answers from another
                 // address than the one at which it hears.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {}
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -1,7 +1,7 @@
 //! Changes of policy through relays, between processes of the program: keepers, two relays of one zone, app servers under load behind
 //! them and beside them, with faults in between. The journals on one clock judge, and what callers were answered.
 
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::said::{Answer, Ask};
@@ -407,7 +407,7 @@
     let stranger = socket.local_addr().expect("an address");
     let led = Wire::At { keeper: 7, address: stranger };
     for word in [said, led] {
-        let bytes = letter::write(&word).expect("a datagram");
+        let bytes = message::encode(&word).expect("a datagram");
         for _ in 0..20 {
             let _ = socket.send_to(&bytes, at);
         }
@@ -430,7 +430,7 @@
         scope.spawn(|| {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
             let ask = Wire::PolicyAsk(Ask::Status { number: 1, from: (0, 0) });
-            let ask = letter::write(&ask).expect("a datagram");
+            let ask = message::encode(&ask).expect("a datagram");
             let mut bytes = [0xC5u8; 1400];
             for count in 0u32.. {
                 if over.load(Ordering::SeqCst) || Instant::now() > until {
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Keepers of the version before: what they send is read, what they wrote is read, and what they know is written as it was.
 
-use cypresscleat_consensus::letter::{self, Letter};
-use cypresscleat_consensus::{Machine, Member};
+use cypresscleat_consensus::message::{self, Message};
+use cypresscleat_consensus::{Member, StateMachine};
 use cypresscleat_leases::duties::Duties;
 use cypresscleat_leases::said::{Answer, Ask, Datagram};
 use cypresscleat_leases::{Part, Want};
@@ -17,11 +17,11 @@
 
 #[test]
 fn datagrams_are_those_of_before_and_new_ones_are_none_to_them() {
-    let letter_of = Letter {
+    let letter_of = Message {
         from: Member { id: 1, disk: 2 },
         to_disk: 3,
         term: 4,
-        body: letter::Body::Fresh { empty: true },
+        body: message::MessageBody::JoinRequest { empty_disk: true },
     };
     let ask = Ask::Renew {
         instance: 1,
@@ -38,19 +38,19 @@
         (Datagram::Answer { from: 1, answer: answer.clone() }, Wire::Answer { from: 1, answer }),
     ];
     for (before, now) in pairs {
-        let bytes = letter::write(&before).expect("it is short");
-        assert_eq!(letter::write(&now).as_ref(), Some(&bytes));
-        assert_eq!(letter::read::<Wire>(&bytes), Ok(now));
+        let bytes = message::encode(&before).expect("it is short");
+        assert_eq!(message::encode(&now).as_ref(), Some(&bytes));
+        assert_eq!(message::decode::<Wire>(&bytes), Ok(now));
     }
     let new = [
         Wire::PolicyAsk(policy::Ask::History { number: 1 }),
         Wire::PolicyAnswer { from: 1, answer: policy::Answer::News },
     ];
     for new in new {
-        let bytes = letter::write(&new).expect("it is short");
+        let bytes = message::encode(&new).expect("it is short");
         assert_eq!(
-            letter::read::<Datagram>(&bytes),
-            Err(letter::Wrong::Unknown),
+            message::decode::<Datagram>(&bytes),
+            Err(message::DecodeError::UnknownFormat),
             "skipped, as if it were lost"
         );
     }
@@ -66,7 +66,7 @@
     let open = postcard::to_stdvec(&open).expect("a command");
     let mut duties = Duties::default();
     duties.apply(5, &open);
-    let before = Agreed::from_image(&duties.image()).expect("an image of before");
+    let before = Agreed::from_snapshot(&duties.snapshot()).expect("an image of before");
     assert_eq!(before.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
     assert_eq!(before.policies, Policies::default());
     let mut both = Agreed::default();
@@ -79,13 +79,13 @@
     both.apply(6, &policies::bytes(&propose));
     assert_eq!(both.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
     assert!(both.policies.change().is_some());
-    let mut again = Agreed::from_image(&both.image()).expect("an image");
+    let mut again = Agreed::from_snapshot(&both.snapshot()).expect("an image");
     again.policies.take_news();
     both.policies.take_news();
     assert_eq!(again.policies, both.policies);
     assert_eq!(again.duties.owner(Part { duty: 6, part: 0 }), Some((1, 5)));
-    for cut in 0..both.image().len() {
-        let _ = Agreed::from_image(&both.image()[..cut]); // nothing panics
+    for cut in 0..both.snapshot().len() {
+        let _ = Agreed::from_snapshot(&both.snapshot()[..cut]); // nothing panics
     }
 }
 
@@ -146,16 +146,16 @@
 }
 
 async fn asking(keeper: &UdpSocket) -> (Key, u32, std::net::SocketAddr, bool) {
-    let mut bytes = vec![0; letter::LONGEST];
+    let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES];
     let (size, by) = keeper.recv_from(&mut bytes).await.expect("an asking");
-    match letter::read::<Wire>(&bytes[..size]) {
+    match message::decode::<Wire>(&bytes[..size]) {
         Ok(Wire::PolicyAsk(policy::Ask::Here { key, number, joins, .. })) => (key, number, by, joins),
         other => panic!("{other:?}"),
     }
 }
 
 async fn says(by: &UdpSocket, to: std::net::SocketAddr, answer: policy::Answer) {
-    let bytes = letter::write(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
+    let bytes = message::encode(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
     by.send_to(&bytes, to).await.expect("it goes");
 }
 
@@ -171,10 +171,10 @@
         let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let plays = async {
-            let (mut check, mut gone, mut bytes) = (0, false, vec![0; letter::LONGEST]);
+            let (mut check, mut gone, mut bytes) = (0, false, vec![0; message::MAX_DATAGRAM_BYTES]);
             loop {
                 let (size, member) = keeper.recv_from(&mut bytes).await.expect("an asking");
-                match letter::read::<Wire>(&bytes[..size]) {
+                match message::decode::<Wire>(&bytes[..size]) {
                     Ok(Wire::PolicyAsk(policy::Ask::Fetch { number, version })) => {
                         let version = Some(Box::new(Version { number: version, ..Version::default() }));
                         says(&keeper, member, policy::Answer::Text { number, version }).await;
