--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -122,7 +122,7 @@
         }
         let both: Done = |play, at| {
             let leader = play.world.leader().unwrap_or(0);
-            play.world.kill(leader);
+            play.world.crash(leader);
             play.kill(at);
         };
         let all = (1..=seeds).map(|seed| without(seed, setup, both)).collect();
@@ -151,20 +151,21 @@
         );
         play.run(8 * SECOND);
         let writes =
-            |play: &Simulation| play.world.seats.iter().map(|seat| seat.shelf.synced).max().unwrap_or(0);
+            |play: &Simulation| play.world.nodes.iter().map(|seat| seat.disk.synced).max().unwrap_or(0);
         let (asks, bytes, letters, wrote) =
-            (play.messages_sent, play.message_bytes, play.world.letters, writes(&play));
+            (play.messages_sent, play.message_bytes, play.world.messages_sent, writes(&play));
         play.run(28 * SECOND);
         let a_second = |now: u64, then: u64| (now - then) as f64 / 20.0;
         let owned: usize =
             play.instances.iter().filter_map(|one| one.client.as_ref()).map(|one| one.owned().count()).sum();
-        let leader = play.world.leader().and_then(|at| play.world.seats[at].keeper.as_ref());
-        let image = leader.map_or(0, |keeper| cypresscleat_consensus::Machine::image(keeper.machine()).len());
+        let leader = play.world.leader().and_then(|at| play.world.nodes[at].replica.as_ref());
+        let image = leader
+            .map_or(0, |keeper| cypresscleat_consensus::StateMachine::snapshot(keeper.state_machine()).len());
         out += &format!(
             "| {keepers} | {instances} | {owned} of {parts} | {:.0} | {:.0} | {:.0} | {:.1} | {image} |\n",
             a_second(play.messages_sent, asks),
             a_second(play.message_bytes, bytes),
-            a_second(play.world.letters, letters),
+            a_second(play.world.messages_sent, letters),
             a_second(writes(&play), wrote)
         );
     }
--- a/crates/experiments/src/relays.rs
+++ b/crates/experiments/src/relays.rs
@@ -128,7 +128,7 @@
         figures.never += members;
         return;
     };
-    play.world.weather.lost = lost;
+    play.world.network.loss_one_in = lost;
     runs(&mut play, 2 * SECOND);
     clear(&mut play);
     runs(&mut play, 8 * SECOND);
@@ -163,7 +163,7 @@
     }
     let others =
         there.iter().any(|at| !matches!(play.may(*at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
-    figures.wrong += usize::from(play.wrong.is_some() || play.world.wrong.is_some() || others);
+    figures.wrong += usize::from(play.wrong.is_some() || play.world.violation.is_some() || others);
 }
 
 /// Ms until decided; until in force as p50, p99, most.
--- a/crates/leases/src/manager/requests.rs
+++ b/crates/leases/src/manager/requests.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Operation, Request, Response};
 use crate::state::Command;
 use crate::{Claim, GrantPosition, NodeId, Partition, Time};
-use cypresscleat_consensus::{Keeper, Out};
+use cypresscleat_consensus::{Ready, Replica};
 
 /// The fields of [`Request::Renew`].
 struct Renewal {
@@ -23,20 +23,20 @@
     pub fn handle<M: LeaseStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
+        replica: &mut Replica<M>,
         from: A,
         request: Request,
-    ) -> (Out, Responses<A>) {
+    ) -> (Ready, Responses<A>) {
         if !request.is_within_bounds() {
-            return (Out::default(), Vec::new());
+            return (Ready::default(), Vec::new());
         }
-        let Some(round) = replica.asks() else {
-            let leader = replica.leader().filter(|leader| *leader != replica.own().id).unwrap_or(0);
-            return (Out::default(), vec![(from, Response::NotLeader { leader })]);
+        let Some(round) = replica.read_index() else {
+            let leader = replica.leader().filter(|leader| *leader != replica.member().id).unwrap_or(0);
+            return (Ready::default(), vec![(from, Response::NotLeader { leader })]);
         };
         self.refresh_term(now, replica);
         if self.pending_renewals.len() + self.proposed.len() >= MAX_PENDING {
-            return (Out::default(), Vec::new());
+            return (Ready::default(), Vec::new());
         }
         let mut responses = Vec::new();
         let out = match request {
@@ -59,28 +59,28 @@
             }
             Request::List { number, from: first } => {
                 responses.push((from, self.list(now, replica, number, first)));
-                Out::default()
+                Ready::default()
             }
         };
         let (more, polled) = self.poll(now, replica, Vec::new());
         responses.extend(polled);
-        (out.and(more), responses)
+        (out.merge(more), responses)
     }
 
     /// `round` is the round of confirmation that a renewal which arrives now waits for.
     fn handle_renew<M: LeaseStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
+        replica: &mut Replica<M>,
         (round, from): (u64, A),
         renewal: Renewal,
         responses: &mut Responses<A>,
-    ) -> Out {
+    ) -> Ready {
         let Renewal { instance, incarnation, session, number, last_seen_grant, claims } = renewal;
         if session == 0 {
             let opening = (instance, incarnation);
             if !self.opening.insert(opening) {
-                return Out::default();
+                return Ready::default();
             }
             let command = Command::OpenSession { instance, incarnation, claims };
             return self.propose(
@@ -90,14 +90,14 @@
                 PendingProposal::OpenSession { from, number, opening },
             );
         }
-        if replica.machine().as_ref().instance(session) != Some(instance) {
+        if replica.state_machine().as_ref().instance(session) != Some(instance) {
             responses.push((from, Response::SessionExpired { session }));
         } else if !self.ending.contains(&session) {
             self.heard_at.insert(session, now);
             self.subscribers.insert(session, Subscriber { address: from, last_seen_grant });
             self.pending_renewals.push_back(PendingRenewal { round, from, session, number });
         }
-        Out::default()
+        Ready::default()
     }
 
     fn record_cursors(&mut self, now: Time, operations: &[Operation]) {
@@ -111,11 +111,11 @@
     fn list<M: LeaseStateMachine>(
         &self,
         now: Time,
-        replica: &Keeper<M>,
+        replica: &Replica<M>,
         number: u32,
         first: Partition,
     ) -> Response {
-        let (owned, more) = replica.machine().as_ref().list_partitions(first);
+        let (owned, more) = replica.state_machine().as_ref().list_partitions(first);
         let partitions = owned.into_iter().map(|(session, mut status)| {
             let lease_end = self.heard_at.get(&session).map(|heard_at| heard_at + self.lease);
             status.lease_left = lease_end.map_or(0, |end| (end - now).max(0));
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -5,7 +5,7 @@
     Claim, GrantPosition, NodeId, Partition, Time, MAX_CLAIMS, MAX_CURSOR_BYTES, MAX_GRANTS_PER_MESSAGE,
     MAX_OPERATIONS_PER_MESSAGE,
 };
-use cypresscleat_consensus::letter::Letter;
+use cypresscleat_consensus::message::Message;
 use serde::{Deserialize, Serialize};
 
 /// Longest lease that a client accepts: an hour.
@@ -213,7 +213,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Between replicas.
-    Consensus(Letter),
+    Consensus(Message),
     /// To a replica.
     Request(Request),
     /// From a replica.
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -6,7 +6,7 @@
     Claim, GrantPosition, NodeId, Partition, MAX_CLAIMS, MAX_GRANTS_PER_MESSAGE, MAX_OPERATIONS_PER_MESSAGE,
     MAX_PARTITIONS, MAX_SESSIONS,
 };
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -392,7 +392,7 @@
     }
 }
 
-impl Machine for LeaseState {
+impl StateMachine for LeaseState {
     fn apply(&mut self, log_index: u64, command: &[u8]) -> Vec<u8> {
         let outcome = match postcard::from_bytes(command) {
             Ok(Command::OpenSession { instance, incarnation, claims }) => {
@@ -414,10 +414,10 @@
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
     }
-    fn image(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    fn from_image(bytes: &[u8]) -> Option<LeaseState> {
+    fn from_snapshot(bytes: &[u8]) -> Option<LeaseState> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -9,7 +9,7 @@
 use crate::state::{encode_command, Command, Outcome, PolicyState, Stage, UnreachableMembers, Version};
 use crate::watch::{Watch, WatchVerdict};
 use crate::{truncate, MemberKey, Time, MAX_MEMBERS_PER_MESSAGE, MAX_NAME_BYTES, MAX_REASON_BYTES, SECOND};
-use cypresscleat_consensus::{self as quorum, Keeper, Machine, Out};
+use cypresscleat_consensus::{self as consensus, Ready, Replica, StateMachine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Askers that wait; one more is not heard, and asks again.
@@ -106,8 +106,8 @@
 pub type Responses<A> = Vec<(A, Response)>;
 
 /// What the replicas agree on holds policies.
-pub trait PolicyStateMachine: Machine + AsRef<PolicyState> + AsMut<PolicyState> {}
-impl<M: Machine + AsRef<PolicyState> + AsMut<PolicyState>> PolicyStateMachine for M {}
+pub trait PolicyStateMachine: StateMachine + AsRef<PolicyState> + AsMut<PolicyState> {}
+impl<M: StateMachine + AsRef<PolicyState> + AsMut<PolicyState>> PolicyStateMachine for M {}
 
 impl<A: Copy> Default for RolloutCoordinator<A> {
     fn default() -> RolloutCoordinator<A> {
@@ -160,27 +160,27 @@
     pub fn handle<M: PolicyStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
+        replica: &mut Replica<M>,
         from: A,
         request: Request,
-    ) -> (Out, Responses<A>) {
+    ) -> (Ready, Responses<A>) {
         let mut responses = Vec::new();
         if !request.is_within_bounds() {
-            return (Out::default(), responses);
+            return (Ready::default(), responses);
         }
-        let Some(round) = replica.asks() else {
-            let leader = replica.leader().filter(|leader| *leader != replica.own().id).unwrap_or(0);
+        let Some(round) = replica.read_index() else {
+            let leader = replica.leader().filter(|leader| *leader != replica.member().id).unwrap_or(0);
             responses.push((from, Response::NotLeader { leader }));
-            return (Out::default(), responses);
+            return (Ready::default(), responses);
         };
-        let mut out = Out::default();
+        let mut out = Ready::default();
         self.refresh_term(now, replica);
         if self.waiting.len() + self.proposed.len() >= MAX_WAITING {
             return (out, responses);
         }
         match request {
             Request::Heartbeat { key, name, joins, number, verdict, paused, active, totals } => {
-                let known = replica.machine().as_ref().members().contains_key(&key);
+                let known = replica.state_machine().as_ref().members().contains_key(&key);
                 if self.ending.contains(&key) {
                     // It is being ended, and asks anew once it has heard of that.
                 } else if known {
@@ -205,39 +205,39 @@
                     self.waiting.push_back((round, from, key, number));
                     self.counts.waiting = self.counts.waiting.max(self.waiting.len());
                     if refuses {
-                        out = out.and(self.decide(now, replica));
+                        out = out.merge(self.decide(now, replica));
                     }
                 } else if !joins {
                     responses.push((from, Response::MembershipExpired { key }));
                 } else if self.joining.insert(key) {
                     let command = Command::Join { key, name: truncate(&name, MAX_NAME_BYTES) };
                     self.heard.insert(key, Heard { at: now, from, verdict, paused, active });
-                    out = out.and(self.propose(now, replica, &command, PendingProposal::Join { key }));
+                    out = out.merge(self.propose(now, replica, &command, PendingProposal::Join { key }));
                 }
             }
             Request::FetchDocument { number, version } => {
                 self.counts.fetched += 1;
-                let version = replica.machine().as_ref().version(version).cloned().map(Box::new);
+                let version = replica.state_machine().as_ref().version(version).cloned().map(Box::new);
                 responses.push((from, Response::Document { number, version }));
             }
             Request::Leave { key, number } => {
                 let whose = PendingProposal::Request { from, number };
-                out = out.and(self.propose(now, replica, &Command::End { key, left: true }, whose));
+                out = out.merge(self.propose(now, replica, &Command::End { key, left: true }, whose));
             }
             Request::Propose { number, version } => {
                 let version = Version { undoes: false, ..version };
                 let whose = PendingProposal::Request { from, number };
-                out = out.and(self.propose(now, replica, &Command::Propose(version), whose));
+                out = out.merge(self.propose(now, replica, &Command::Propose(version), whose));
             }
             Request::Forget { number, member } => {
                 let whose = PendingProposal::Request { from, number };
-                out = out.and(self.propose(now, replica, &Command::Forget { member }, whose));
+                out = out.merge(self.propose(now, replica, &Command::Forget { member }, whose));
             }
             Request::Status { number, from: first } => {
                 responses.push((from, self.status(now, replica, number, first)))
             }
             Request::History { number } => {
-                let agreed = replica.machine().as_ref();
+                let agreed = replica.state_machine().as_ref();
                 let short = |version: &Version| Version { document: String::new(), ..version.clone() };
                 let committed = agreed.history().map(short).collect();
                 let aborted = agreed.aborted().cloned().collect();
@@ -246,17 +246,17 @@
         }
         let (more, also) = self.poll(now, replica, Vec::new());
         responses.extend(also);
-        (out.and(more), responses)
+        (out.merge(more), responses)
     }
 
     fn status<M: PolicyStateMachine>(
         &self,
         now: Time,
-        replica: &Keeper<M>,
+        replica: &Replica<M>,
         number: u32,
         first: MemberKey,
     ) -> Response {
-        let agreed = replica.machine().as_ref();
+        let agreed = replica.state_machine().as_ref();
         let change = agreed.pending_change().map(|change| (change.version.number, change.stage));
         let of = change.map_or(0, |change| change.0);
         let line = |(key, name): (&MemberKey, &String)| {
@@ -283,10 +283,10 @@
     fn propose<M: PolicyStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
+        replica: &mut Replica<M>,
         command: &Command,
         whose: PendingProposal<A>,
-    ) -> Out {
+    ) -> Ready {
         self.next += 1;
         self.proposed.insert(self.next, whose);
         match replica.propose(now, self.next, encode_command(command)) {
@@ -296,14 +296,14 @@
             }
             None => {
                 self.proposed.remove(&self.next);
-                Out::default()
+                Ready::default()
             }
         }
     }
 
     /// A leader that is new, or was away itself, gives every member its whole lease again: nobody can have renewed with it.
-    fn refresh_term<M: PolicyStateMachine>(&mut self, now: Time, replica: &Keeper<M>) {
-        let agreed = replica.machine().as_ref();
+    fn refresh_term<M: PolicyStateMachine>(&mut self, now: Time, replica: &Replica<M>) {
+        let agreed = replica.state_machine().as_ref();
         let away = now - self.polled_at > agreed.active().rules.lease / 2;
         self.polled_at = now;
         let new = self.term != Some(replica.term());
@@ -340,8 +340,8 @@
     }
 
     /// Version in force, change, and whether it closes.
-    fn rollout_position<M: PolicyStateMachine>(&self, replica: &Keeper<M>) -> (u64, u64, bool) {
-        let agreed = replica.machine().as_ref();
+    fn rollout_position<M: PolicyStateMachine>(&self, replica: &Replica<M>) -> (u64, u64, bool) {
+        let agreed = replica.state_machine().as_ref();
         let change =
             agreed.pending_change().map(|change| (change.version.number, change.stage == Stage::Barrier));
         let (number, closing) = change.unwrap_or((0, false));
@@ -352,27 +352,30 @@
     pub fn poll<M: PolicyStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
-        answers: Vec<quorum::Answer>,
-    ) -> (Out, Responses<A>) {
-        let (mut out, mut responses) = (Out::default(), Vec::new());
-        if !replica.leads() {
+        replica: &mut Replica<M>,
+        answers: Vec<consensus::ProposalResponse>,
+    ) -> (Ready, Responses<A>) {
+        let (mut out, mut responses) = (Ready::default(), Vec::new());
+        if !replica.is_leader() {
             self.term = None;
             self.to_notify.clear();
             return (out, responses);
         }
         self.refresh_term(now, replica);
         for answer in answers {
-            let quorum::Answer::Done { number, said: bytes, .. } = answer else { continue };
+            let consensus::ProposalResponse::Applied { proposal_id: number, result: bytes, .. } = answer
+            else {
+                continue;
+            };
             let outcome = postcard::from_bytes(&bytes).unwrap_or(Outcome::AlreadyDecided);
             self.complete_proposal(now, replica, number, outcome, &mut responses);
         }
         let stands = self.rollout_position(replica);
         if stands != self.announced {
             if stands.0 != self.announced.0 {
-                let before = replica.machine().as_ref().version(self.announced.0);
+                let before = replica.state_machine().as_ref().version(self.announced.0);
                 self.extend_longer_lease(now, before.map(|version| version.rules.lease));
-                self.watch.start(now, replica.machine().as_ref().active());
+                self.watch.start(now, replica.state_machine().as_ref().active());
             }
             if stands.1 != self.announced.1 {
                 self.prepared.clear();
@@ -380,12 +383,12 @@
                 self.refused.clear();
             }
             (self.announced, self.deciding) = (stands, false);
-            self.to_notify = replica.machine().as_ref().members().keys().copied().collect();
+            self.to_notify = replica.state_machine().as_ref().members().keys().copied().collect();
         }
         let change = (stands.1 != 0).then_some(stands.1);
         if self.change.map(|change| change.0) != change {
             self.change = change.map(|number| (number, now));
-            let agreed = replica.machine().as_ref().members();
+            let agreed = replica.state_machine().as_ref().members();
             for (key, heard) in self.heard.iter().filter(|(key, _)| agreed.contains_key(key)) {
                 if change.is_some() && heard.verdict == change.map(|number| (number, Verdict::Prepared)) {
                     self.prepared.insert(*key);
@@ -405,22 +408,22 @@
                 responses.push((heard.from, Response::Changed));
             }
         }
-        out = out.and(self.expire_members(now, replica));
-        out = out.and(self.decide(now, replica));
+        out = out.merge(self.expire_members(now, replica));
+        out = out.merge(self.decide(now, replica));
         if let Some((number, found)) = self.watch.poll(now) {
-            out = out.and(self.act_on_watch(now, replica, number, found));
+            out = out.merge(self.act_on_watch(now, replica, number, found));
         }
         self.answer_confirmed(replica, &mut responses);
         (out, responses)
     }
 
     /// Members whose lease is over go; where changes wait for everybody, only those that a change is bound to wait for no more.
-    fn expire_members<M: PolicyStateMachine>(&mut self, now: Time, replica: &mut Keeper<M>) -> Out {
-        let agreed = replica.machine().as_ref();
+    fn expire_members<M: PolicyStateMachine>(&mut self, now: Time, replica: &mut Replica<M>) -> Ready {
+        let agreed = replica.state_machine().as_ref();
         let rules = agreed.active().rules;
         let closing = agreed.pending_change().is_some_and(|change| change.stage == Stage::Barrier);
         if rules.unreachable == UnreachableMembers::Wait && !closing {
-            return Out::default();
+            return Ready::default();
         }
         // Guards a member that has not heard of a version with a shorter lease, and counts by the one that it was told.
         let lease = rules.lease.max(if now < self.longer_lease.1 { self.longer_lease.0 } else { 0 });
@@ -431,22 +434,26 @@
             .map(|(_, key)| *key)
             .filter(|key| !self.ending.contains(key))
             .collect();
-        let mut out = Out::default();
+        let mut out = Ready::default();
         for key in over {
             self.ending.insert(key);
             self.counts.expired += 1;
-            out =
-                out.and(self.propose(now, replica, &Command::End { key, left: false }, PendingProposal::Own));
+            out = out.merge(self.propose(
+                now,
+                replica,
+                &Command::End { key, left: false },
+                PendingProposal::Own,
+            ));
         }
         out
     }
 
     /// Asks for the decision of the change under way, where it can be decided.
-    fn decide<M: PolicyStateMachine>(&mut self, now: Time, replica: &mut Keeper<M>) -> Out {
-        let Some((number, since)) = self.change.filter(|_| !self.deciding) else { return Out::default() };
-        let agreed = replica.machine().as_ref();
+    fn decide<M: PolicyStateMachine>(&mut self, now: Time, replica: &mut Replica<M>) -> Ready {
+        let Some((number, since)) = self.change.filter(|_| !self.deciding) else { return Ready::default() };
+        let agreed = replica.state_machine().as_ref();
         let Some(change) = agreed.pending_change().filter(|change| change.version.number == number) else {
-            return Out::default();
+            return Ready::default();
         };
         let (generation, members, rules) = (agreed.generation(), agreed.members(), agreed.active().rules);
         let counted = |set: &BTreeSet<MemberKey>| {
@@ -455,7 +462,7 @@
         };
         let command = match change.stage {
             Stage::Barrier if counted(&self.paused) => Command::Activate { number, generation },
-            Stage::Barrier => return Out::default(),
+            Stage::Barrier => return Ready::default(),
             Stage::Preparing => {
                 let refused = self.refused.iter().find_map(|(key, why)| Some((members.get(key)?, why)));
                 let late = now - since > rules.decision_timeout;
@@ -475,7 +482,7 @@
                     let reason = truncate(&reason, MAX_REASON_BYTES);
                     Command::Decide { number, generation, commit: false, reason }
                 } else {
-                    return Out::default();
+                    return Ready::default();
                 }
             }
         };
@@ -488,11 +495,11 @@
     fn act_on_watch<M: PolicyStateMachine>(
         &mut self,
         now: Time,
-        replica: &mut Keeper<M>,
+        replica: &mut Replica<M>,
         number: u64,
         found: WatchVerdict,
-    ) -> Out {
-        let agreed = replica.machine().as_ref();
+    ) -> Ready {
+        let agreed = replica.state_machine().as_ref();
         let (what, figures) = match &found {
             WatchVerdict::Harm(figures) => ("did harm", figures),
             WatchVerdict::NoHarm(figures) => ("did no harm", figures),
@@ -503,7 +510,7 @@
         let Some(before) =
             known.filter(|_| matches!(found, WatchVerdict::Harm(_)) && agreed.active().number == number)
         else {
-            return Out::default();
+            return Ready::default();
         };
         let version = Version {
             number: 0,
@@ -520,13 +527,13 @@
     fn complete_proposal<M: PolicyStateMachine>(
         &mut self,
         now: Time,
-        replica: &Keeper<M>,
+        replica: &Replica<M>,
         number: u64,
         outcome: Outcome,
         responses: &mut Responses<A>,
     ) {
         let Some(whose) = self.proposed.remove(&number) else { return };
-        let members = replica.machine().as_ref().members();
+        let members = replica.state_machine().as_ref().members();
         match whose {
             PendingProposal::Join { key } => {
                 self.joining.remove(&key);
@@ -568,9 +575,13 @@
     }
 
     /// Those whose round a majority has heard.
-    fn answer_confirmed<M: PolicyStateMachine>(&mut self, replica: &Keeper<M>, responses: &mut Responses<A>) {
-        let agreed = replica.machine().as_ref();
-        let (rules, confirmed) = (agreed.active().rules, replica.confirmed());
+    fn answer_confirmed<M: PolicyStateMachine>(
+        &mut self,
+        replica: &Replica<M>,
+        responses: &mut Responses<A>,
+    ) {
+        let agreed = replica.state_machine().as_ref();
+        let (rules, confirmed) = (agreed.active().rules, replica.confirmed_read_index());
         let (version, change, closing) = self.rollout_position(replica);
         while let Some((_, from, key, number)) =
             self.waiting.front().filter(|one| one.0 <= confirmed).copied()
--- a/crates/rollout/src/member.rs
+++ b/crates/rollout/src/member.rs
@@ -19,7 +19,7 @@
     Activated { number: u64 },
     /// Its lease is over: nothing is admitted until `InForce`.
     LeaseExpired { number: u64 },
-    /// Nothing is admitted for a moment: what comes is held until `InForce` or `Out`.
+    /// Nothing is admitted for a moment: what comes is held until `InForce` or `Ready`.
     Paused { change: u64 },
 }
 
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -1,4 +1,4 @@
-//! What members, operators and the keepers' desk say to each other, one in each datagram (bytes as in `quorum::letter`).
+//! What members, operators and the keepers' desk say to each other, one in each datagram (bytes as in `consensus::letter`).
 
 use crate::state::{AbortedChange, Outcome, Stage, Version};
 use crate::watch::ServiceTotals;
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// A member is here. Answered by `Held`, or by `Gone` where it is none and may join with `joins`.
+    /// A member is here. ProposalResponse by `Held`, or by `Gone` where it is none and may join with `joins`.
     Heartbeat {
         key: MemberKey,
         name: String,
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -5,7 +5,7 @@
     truncate, MemberKey, NodeId, Time, MAX_ABORTED, MAX_DOCUMENT_BYTES, MAX_HISTORY, MAX_MEMBERS,
     MAX_NAME_BYTES, MAX_REASON_BYTES, SECOND,
 };
-use cypresscleat_consensus::Machine;
+use cypresscleat_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -310,7 +310,7 @@
     }
 }
 
-impl Machine for PolicyState {
+impl StateMachine for PolicyState {
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let outcome = match command.split_first().map(|(tag, rest)| (tag, postcard::from_bytes(rest))) {
             Some((&COMMAND_TAG, Ok(Command::Join { key, name }))) => self.join(key, name),
@@ -349,10 +349,10 @@
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
     }
-    fn image(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
-    fn from_image(bytes: &[u8]) -> Option<PolicyState> {
+    fn from_snapshot(bytes: &[u8]) -> Option<PolicyState> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -7,7 +7,7 @@
 use crate::leases::wire::{learns, Wire};
 use crate::leases::{self, addresses, drawn, from, Steady};
 use crate::log;
-use cypresscleat_consensus::letter;
+use cypresscleat_consensus::message;
 use cypresscleat_rollout::member::{MemberEvent, RolloutMember};
 use cypresscleat_rollout::messages::{Request, Verdict};
 use cypresscleat_rollout::{node_id, truncate, NodeId, Time, Version, MAX_REASON_BYTES};
@@ -110,7 +110,7 @@
 
     /// Lives until the program ends.
     pub async fn run(mut self) {
-        let mut bytes = vec![0; letter::LONGEST + 1];
+        let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         let began = self.clock.now();
         let gate = self.gate.clone();
         let mut leaving = false;
@@ -143,7 +143,7 @@
                 got = self.socket.recv_from(&mut bytes) => got,
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match letter::read::<Wire>(&bytes[..size]) {
+            match message::decode::<Wire>(&bytes[..size]) {
                 // Whoever else can reach this socket is no keeper, nor a relay, by saying so. AdmissionPermit hurt where one answers from another
                 // address than the one at which it hears.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {}
