--- a/crates/scheduler/src/admission/queue.rs
+++ b/crates/scheduler/src/admission/queue.rs
@@ -66,10 +66,10 @@
 
     /// The queued request that is shed next, of those that stand in one queue with `class`.
     fn lowest_priority(&self, class: usize, reason: RejectReason) -> Option<RequestSlot> {
-        let only_callers = reason == RejectReason::CallQueueFull;
+        let only_calling_classes = reason == RejectReason::CallQueueFull;
         let is_candidate = |slot: &RequestSlot| {
             let request = self.requests.get(*slot);
-            (!only_callers || self.calls_downstream(*slot))
+            (!only_calling_classes || self.calls_downstream(*slot))
                 && request.is_some_and(|request| self.pools.is_same_pool(request.class, class))
         };
         let candidates = self.requests.queued().iter().copied().filter(is_candidate);
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -55,8 +55,8 @@
             && (self.requests.running() as f64) < places
             && ((self.requests.active().len() + 1) as f64) < survivable
         {
-            let no_callers = parked as f64 >= self.cores * MAX_PARKED_PER_CORE;
-            let Some(slot) = self.draw(now, no_callers) else { break };
+            let no_calling_classes = parked as f64 >= self.cores * MAX_PARKED_PER_CORE;
+            let Some(slot) = self.draw(now, no_calling_classes) else { break };
             self.requests.edit(slot, |request| request.has_run = true);
             self.transition(now, slot, Phase::Running);
             self.arm_timer(now, slot);
@@ -65,8 +65,8 @@
     }
 
     /// Draws one of the queued requests that may start, ranked by scaled work. Those that may not start have no rank.
-    fn draw(&mut self, now: Time, no_callers: bool) -> Option<RequestSlot> {
-        if !no_callers && self.pools.is_disabled() && self.largest_queued_fits() {
+    fn draw(&mut self, now: Time, no_calling_classes: bool) -> Option<RequestSlot> {
+        if !no_calling_classes && self.pools.is_disabled() && self.largest_queued_fits() {
             // All may start: nothing is copied.
             let rank = self.dispatcher.draw_rank(self.requests.queued().len());
             return self.requests.select_queued(rank);
@@ -76,7 +76,7 @@
             .queued()
             .iter()
             .copied()
-            .filter(|slot| self.may_start(now, *slot, no_callers))
+            .filter(|slot| self.may_start(now, *slot, no_calling_classes))
             .collect();
         if ranked.is_empty() {
             return None;
@@ -94,10 +94,11 @@
 
     /// Whether a queued request may start: its memory while running fits, it calls nothing downstream while too many are
     /// parked, and its pool has a place.
-    fn may_start(&self, now: Time, slot: RequestSlot, no_callers: bool) -> bool {
+    fn may_start(&self, now: Time, slot: RequestSlot, no_calling_classes: bool) -> bool {
         let Some(request) = self.requests.get(slot) else { return false };
-        let waits_for_parked =
-            no_callers && self.downstream.kind() != DownstreamKind::None && self.calls_downstream(slot);
+        let waits_for_parked = no_calling_classes
+            && self.downstream.kind() != DownstreamKind::None
+            && self.calls_downstream(slot);
         !waits_for_parked
             && self.memory_fits(request)
             && self.pools.can_start(now, request.class, request.within_quota)
