--- a/crates/server/src/forwarder/mod.rs
+++ b/crates/server/src/forwarder/mod.rs
@@ -1,7 +1,10 @@
-//! The forwarder's side of the two levels: what the module wants run goes to a worker. `fleet` holds the connections to workers
-//! and carries tries to their end; `talk` speaks with planners and other members. What they decide stands in the crate `tier`.
+//! The forwarder's side of the two levels: what the scheduler wants run goes to a worker. `fleet` carries attempts to their end,
+//! `connection` holds connections to workers, `health` checks workers, `talk` speaks with planners and other members. What they
+//! decide stands in the crate `cypresscleat-forwarding`.
 
+mod connection;
 pub mod fleet;
+mod health;
 pub mod talk;
 
 /// A worker as the operator's file has it.
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -136,9 +136,9 @@
             },
         )) = &heard
         {
-            let taken = fleet.held.borrow_mut().accept(now, (*epoch, *number, *answers), *lasts, grants);
+            let taken = fleet.grants.borrow_mut().accept(now, (*epoch, *number, *answers), *lasts, grants);
             if taken.is_ok() {
-                fleet.look();
+                fleet.refresh();
             }
         }
         if now < next {
@@ -147,10 +147,14 @@
         next = now + GRANT_RENEWAL_INTERVAL;
         fleet.forwarders.set(talk.members.present_with_role(Role::Forwarder).count() + 1);
         let span = (now - std::mem::replace(&mut last, now)) as f64 / 10_000.0;
-        let number = fleet.held.borrow_mut().start_report(now);
-        let epoch = fleet.held.borrow().epoch();
-        let report =
-            LoadReport { number, demands: fleet.demands(span), observations: fleet.sights(span), epoch };
+        let number = fleet.grants.borrow_mut().start_report(now);
+        let epoch = fleet.grants.borrow().epoch();
+        let report = LoadReport {
+            number,
+            demands: fleet.demands(span),
+            observations: fleet.observations(span),
+            epoch,
+        };
         for planner in &tier.planners {
             let envelope = talk.envelope(Message::Report(report.clone()));
             talk.send(vec![OutgoingMessage { to: planner.address, envelope }]);
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -322,7 +322,7 @@
             talk.gate = gate.clone();
             *retries.borrow_mut() = Some(fleet.clone());
             spawn_local(talk::forwarder(talk, fleet.clone(), tier.clone()));
-            spawn_local(fleet.clone().watch());
+            spawn_local(fleet.clone().watch_health());
             // Nothing else has to come up: workers are found as they do.
             let _ = queue.send(Note::Kernel(Notice::Booted { cold: false, age_ms: 0.0 })).await;
             Some(fleet)
