--- a/crates/forwarding/tests/slow_start.rs
+++ b/crates/forwarding/tests/slow_start.rs
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn what_is_promised_never_passes_the_budget(all in events(12), budget in 0.0..20.0f64, expected in 0usize..14) {
+    fn reservations_never_exceed_the_budget(all in events(12), budget in 0.0..20.0f64, expected in 0usize..14) {
         play(&all, 12, budget, expected)?;
     }
 }
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_sender_that_is_gone_keeps_its_promise_for_a_while_only_and_the_table_is_bounded() {
+fn reservations_of_gone_senders_expire_and_the_table_is_bounded() {
     let mut ramp = SlowStart::default();
     assert_eq!(ramp.reserve(0, 1, 0, 4.0, 1), 4);
     assert_eq!(ramp.reserve(1, 2, 0, 4.0, 1), 0, "all is promised");
