--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod sim;
 pub mod storage;
 
-pub use replica::{ProposalResponse, RaftConfig, Ready, Replica, ReplicaConfig};
+pub use replica::{ConfigError, Event, ProposalResponse, RaftConfig, Ready, Replica, ReplicaConfig};
 use serde::{Deserialize, Serialize};
 
 pub use cypresscleat_primitives::{node_id, NodeId, SeededRng, Time, MS, SECOND};
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -136,7 +136,8 @@
             seed: self.rng.next_u64(),
         };
         let kept = node.disk.read();
-        let (replica, ready) = Replica::start(self.now, config, kept, self.empty.clone());
+        let started = Replica::start(self.now, config, kept, self.empty.clone());
+        let (replica, ready) = started.expect("the configuration of the simulation is valid");
         self.nodes[at].replica = Some(replica);
         self.process_ready(at, ready);
     }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -95,7 +95,7 @@
         raft: RaftConfig::default(),
         seed: 1,
     };
-    let (replica, _) = Replica::start(0, begin, state, HashChain::default());
+    let (replica, _) = Replica::start(0, begin, state, HashChain::default()).expect("a valid configuration");
     let shown = format!(
         "disk {} term {} voted {:?} snapshot {} members {} entries {entries} hash {:016x} numbers {:?}\n",
         hard.disk,
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -57,7 +57,7 @@
             raft: options(self.broken),
             seed: at as u64,
         };
-        Replica::start(0, begin, kept, HashChain::default())
+        Replica::start(0, begin, kept, HashChain::default()).expect("a valid configuration")
     }
 
     fn carry(&self, state: &mut State, at: usize, out: Ready) {
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -288,7 +288,7 @@
         raft: RaftConfig::default(),
         seed: drawn(name),
     };
-    let (keeper, out) = Replica::start(clock.now(), begin, kept, Agreed::default());
+    let (keeper, out) = Replica::start(clock.now(), begin, kept, Agreed::default()).map_err(other)?;
     // A second handle of the same socket, so that the next life has it too.
     let shared = UdpSocket::from_std({
         use std::os::fd::AsFd;
