--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -9,7 +9,7 @@
 use crate::scale::row::{How, Row};
 use cypresscleat_demo::Place;
 use cypresscleat_fault_injection::free_port;
-use cypresscleat_forwarding::grants::{GrantTable, GRANT_RENEWAL_INTERVAL};
+use cypresscleat_forwarding::grants::{GrantHeader, GrantTable, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{
     self, Decoded, Demand, Envelope, GossipUpdate, LoadReport, MemberState, Message, Role, WorkerObservation,
@@ -305,10 +305,8 @@
             let now = self.clock.now();
             let out = self.members.handle(now, from, &envelope);
             self.posts(out);
-            if let Message::Grants { epoch, number, report: answers, duration: lasts, grants } =
-                envelope.message
-            {
-                if held.accept(now, (epoch, number, answers), lasts, &grants).is_ok() {
+            if let Message::Grants { epoch, number, report, duration, grants } = envelope.message {
+                if held.accept(now, GrantHeader { epoch, number, duration }, report, &grants).is_ok() {
                     self.books.taken.fetch_add(1, Ordering::Relaxed);
                 }
             }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -26,6 +26,17 @@
 /// Load reports whose answers are still accepted.
 const MAX_OPEN_REPORTS: usize = 8;
 
+/// What all grants of one message have in common.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct GrantHeader {
+    /// Epoch of the planner that made them.
+    pub epoch: u64,
+    /// Their number in that epoch.
+    pub number: u64,
+    /// How long they hold from when they were made.
+    pub duration: Time,
+}
+
 /// A planner's side: whether it leads, and under which epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlannerElection {
@@ -106,11 +117,11 @@
         LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
-    /// Epoch and number of the next grants, if it may grant now.
-    pub fn next_grant(&mut self, now: Time) -> Option<(u64, u64)> {
+    /// The header of the next grants, if it may grant now.
+    pub fn next_grant(&mut self, now: Time) -> Option<GrantHeader> {
         self.grants_from.filter(|from| *from <= now)?;
         self.number += 1;
-        Some((self.epoch, self.number))
+        Some(GrantHeader { epoch: self.epoch, number: self.number, duration: GRANT_DURATION })
     }
 
     /// Its epoch, the last one if it does not lead.
@@ -137,9 +148,9 @@
 const TOKEN_EPOCH_SHIFT: u32 = 20;
 
 impl LeasedGrants {
-    /// Epoch, number and duration of the next grants, while the lease with that token holds for `time_left` at the least and its
-    /// clock shows `now`.
-    pub fn next_grant(&mut self, now: Time, token: u64, time_left: Time) -> Option<(u64, u64, Time)> {
+    /// The header of the next grants, while the lease with that token holds for `time_left` at the least and its clock shows
+    /// `now`.
+    pub fn next_grant(&mut self, now: Time, token: u64, time_left: Time) -> Option<GrantHeader> {
         let duration = time_left.min(GRANT_DURATION);
         if duration < MIN_GRANT_DURATION {
             return None;
@@ -149,7 +160,7 @@
         }
         self.number += 1;
         self.last_end = self.last_end.max(now + duration);
-        Some((token << TOKEN_EPOCH_SHIFT, self.number, duration))
+        Some(GrantHeader { epoch: token << TOKEN_EPOCH_SHIFT, number: self.number, duration })
     }
 
     /// When all that it granted has ended.
@@ -196,17 +207,18 @@
         self.last_report
     }
 
-    /// Accepts the grants of an epoch and number that answer a load report, in place of those before.
+    /// Accepts the grants that answer the load report of that number, in place of those before.
     ///
     /// # Errors
     /// Says why they are not accepted.
     pub fn accept(
         &mut self,
         now: Time,
-        (epoch, number, report): (u64, u64, u32),
-        duration: Time,
+        header: GrantHeader,
+        report: u32,
         grants: &[Grant],
     ) -> Result<(), GrantRejection> {
+        let GrantHeader { epoch, number, duration } = header;
         if epoch < self.epoch {
             return Err(GrantRejection::StaleEpoch);
         }
--- a/crates/forwarding/tests/dispatch_mode.rs
+++ b/crates/forwarding/tests/dispatch_mode.rs
@@ -3,10 +3,15 @@
 use cypresscleat_forwarding::dispatch_mode::{
     DispatchMode, DispatchState, RECOVERY_STEPS, RECOVERY_STEP_DURATION,
 };
-use cypresscleat_forwarding::grants::{GrantTable, GRANT_DURATION};
+use cypresscleat_forwarding::grants::{GrantHeader, GrantTable, GRANT_DURATION};
 use cypresscleat_forwarding::messages::Grant;
 use cypresscleat_forwarding::simulation::member_id;
-use cypresscleat_forwarding::{node_id, MS, SECOND};
+use cypresscleat_forwarding::{node_id, Time, MS, SECOND};
+
+/// Header of grants of an epoch and number, which hold so long.
+fn header(epoch: u64, number: u64, duration: Time) -> GrantHeader {
+    GrantHeader { epoch, number, duration }
+}
 
 #[test]
 fn a_forwarder_falls_back_at_once_and_returns_in_steps() {
@@ -21,7 +26,7 @@
         now = step * RECOVERY_STEP_DURATION / 2;
         if step < 16 {
             let report = held.start_report(now);
-            held.accept(now, (1, step as u64 + 1, report), GRANT_DURATION, &grant).expect("taken");
+            held.accept(now, header(1, step as u64 + 1, GRANT_DURATION), report, &grant).expect("taken");
         }
         lines.extend(mode.tick(now, &held));
         seen.push(mode.places(now, &held, 9, alone));
@@ -38,7 +43,7 @@
     // Between two looks too: what has ended is not used.
     let mut held = GrantTable::default();
     let report = held.start_report(0);
-    held.accept(0, (1, 1, report), GRANT_DURATION, &grant).expect("taken");
+    held.accept(0, header(1, 1, GRANT_DURATION), report, &grant).expect("taken");
     let mut mode = DispatchMode::new(0);
     (0..6).for_each(|step| drop(mode.tick(step * RECOVERY_STEP_DURATION, &held)));
     assert_eq!(mode.places(GRANT_DURATION, &held, 9, alone), 4.0);
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
 use cypresscleat_forwarding::dispatch_mode::{DispatchMode, RECOVERY_STEP_DURATION};
-use cypresscleat_forwarding::grants::GrantTable;
+use cypresscleat_forwarding::grants::{GrantHeader, GrantTable};
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
 use cypresscleat_forwarding::membership::MembershipConfig;
 use cypresscleat_forwarding::messages::*;
@@ -17,6 +17,11 @@
 /// Grants under a version of the policy.
 const POLICY: &str = "0000001601cb89ec8ff723020008ac0206040209c0b802010503";
 
+/// Header of grants of an epoch and number, which hold so long.
+fn header(epoch: u64, number: u64, duration: Time) -> GrantHeader {
+    GrantHeader { epoch, number, duration }
+}
+
 /// FNV-1a over numbers.
 struct Digest(u64);
 
@@ -192,13 +197,13 @@
     let (mut mode, mut held, mut lines) = (DispatchMode::new(0), GrantTable::default(), Vec::new());
     let report = held.start_report(0);
     let grant = [Grant { worker: 9, places: 4 }];
-    held.accept(10, (5, 1, report), 4 * SECOND, &grant).expect("to be taken");
+    held.accept(10, header(5, 1, 4 * SECOND), report, &grant).expect("to be taken");
     let mut places = Digest::new();
     for step in 0..12 {
         let now = 10 + step * RECOVERY_STEP_DURATION;
         if step == 3 {
             let report = held.start_report(now);
-            held.accept(now, (5, 2, report), 4 * SECOND, &grant).expect("to be taken");
+            held.accept(now, header(5, 2, 4 * SECOND), report, &grant).expect("to be taken");
         }
         lines.extend(mode.tick(now, &held));
         places.add(mode.places(now, &held, 9, 1.5).to_bits());
--- a/crates/forwarding/tests/grants.rs
+++ b/crates/forwarding/tests/grants.rs
@@ -1,13 +1,18 @@
 //! Grants, model-checked over all orders of what can happen to two planners and two forwarders.
 
 use cypresscleat_forwarding::grants::{
-    GrantRejection, GrantTable, LeadershipChange, PlannerElection, GRANT_DURATION, MAX_CLOCK_SKEW,
-    MAX_GRANTED_PLACES,
+    GrantHeader, GrantRejection, GrantTable, LeadershipChange, PlannerElection, GRANT_DURATION,
+    MAX_CLOCK_SKEW, MAX_GRANTED_PLACES,
 };
 use cypresscleat_forwarding::messages::Grant;
 use cypresscleat_forwarding::Time;
 use stateright::{Checker, Model, Property};
 
+/// Header of grants of an epoch and number, which hold so long.
+fn header(epoch: u64, number: u64, duration: Time) -> GrantHeader {
+    GrantHeader { epoch, number, duration }
+}
+
 /// Two planners, two forwarders, a worker with two places. Each planner gives all of them to another forwarder, which is the
 /// worst it can do to the other's grants.
 #[derive(Clone)]
@@ -111,7 +116,7 @@
             }
             Act::Asks(forwarder) => next.asked[forwarder] = next.held[forwarder].start_report(now),
             Act::Gives(planner) => {
-                let (epoch, number) = next.leads[planner].next_grant(now)?;
+                let GrantHeader { epoch, number, .. } = next.leads[planner].next_grant(now)?;
                 let answers = state.asked[planner];
                 if number > 2 || answers == 0 {
                     return None;
@@ -122,7 +127,7 @@
             Act::Arrives(at) => {
                 let (to, epoch, number, answers) = next.mail.remove(at);
                 let grant = [Grant { worker: 9, places: PLACES }];
-                let _ = next.held[to].accept(now, (epoch, number, answers), GRANT_DURATION, &grant);
+                let _ = next.held[to].accept(now, header(epoch, number, GRANT_DURATION), answers, &grant);
             }
             Act::Lost(at) => drop(next.mail.remove(at)),
             Act::Hears(planner, forwarder) => {
@@ -177,33 +182,33 @@
     let grant = [Grant { worker: 9, places: 4 }];
     let mut held = GrantTable::default();
     let first = held.start_report(0);
-    assert_eq!(held.accept(10, (5, 1, first), GRANT_DURATION, &grant), Ok(()));
+    assert_eq!(held.accept(10, header(5, 1, GRANT_DURATION), first, &grant), Ok(()));
     assert_eq!((held.places(20, 9), held.places(20, 8), held.total_places(20)), (Some(4), Some(0), 4));
-    assert_eq!(held.accept(20, (5, 1, first), GRANT_DURATION, &grant), Err(GrantRejection::Duplicate));
-    assert_eq!(held.accept(20, (4, 9, first), GRANT_DURATION, &grant), Err(GrantRejection::StaleEpoch));
+    assert_eq!(held.accept(20, header(5, 1, GRANT_DURATION), first, &grant), Err(GrantRejection::Duplicate));
+    assert_eq!(held.accept(20, header(4, 9, GRANT_DURATION), first, &grant), Err(GrantRejection::StaleEpoch));
     assert_eq!(held.places(GRANT_DURATION, 9), None, "they end by themselves, counted from the report");
     let second = held.start_report(GRANT_DURATION);
     assert_eq!(
-        held.accept(3 * GRANT_DURATION, (5, 2, second), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, header(5, 2, GRANT_DURATION), second, &grant),
         Err(GrantRejection::Expired)
     );
     assert_eq!(
-        held.accept(3 * GRANT_DURATION, (5, 3, 99), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, header(5, 3, GRANT_DURATION), 99, &grant),
         Err(GrantRejection::UnknownReport)
     );
     let third = held.start_report(3 * GRANT_DURATION);
     let mad = [Grant { worker: 1, places: u32::MAX }, Grant { worker: 2, places: u32::MAX }];
     let mut fooled = held.clone();
-    assert_eq!(fooled.accept(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION, &mad), Ok(()));
+    assert_eq!(fooled.accept(3 * GRANT_DURATION, header(5, 4, GRANT_DURATION), third, &mad), Ok(()));
     assert_eq!(
         fooled.total_places(3 * GRANT_DURATION),
         2 * u64::from(MAX_GRANTED_PLACES),
         "figures out of proportion"
     );
-    assert_eq!(held.accept(3 * GRANT_DURATION, (5, 4, third), GRANT_DURATION * 9, &grant), Ok(()));
+    assert_eq!(held.accept(3 * GRANT_DURATION, header(5, 4, GRANT_DURATION * 9), third, &grant), Ok(()));
     assert_eq!(held.valid_until(), 4 * GRANT_DURATION, "no longer than the rule, whatever is said");
     assert_eq!(
-        held.accept(3 * GRANT_DURATION, (6, 1, 98), GRANT_DURATION, &grant),
+        held.accept(3 * GRANT_DURATION, header(6, 1, GRANT_DURATION), 98, &grant),
         Err(GrantRejection::UnknownReport)
     );
     assert!(!held.is_valid(3 * GRANT_DURATION), "a newer epoch ends the older one's");
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -5,9 +5,10 @@
 use crate::clock::Clock;
 use crate::log;
 use crate::rollout::gate::Gate;
+use cypresscleat_forwarding::grants::{GrantHeader, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{self, Decoded, Envelope, LoadReport, Message, Role};
-use cypresscleat_forwarding::{grants::GRANT_RENEWAL_INTERVAL, node_id, Time};
+use cypresscleat_forwarding::{node_id, Time};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -130,14 +131,12 @@
         let now = talk.clock.now();
         if let Some((
             _,
-            Envelope {
-                message: Message::Grants { epoch, number, report: answers, duration: lasts, grants },
-                ..
-            },
+            Envelope { message: Message::Grants { epoch, number, report, duration, grants }, .. },
         )) = &heard
         {
-            let taken = fleet.grants.borrow_mut().accept(now, (*epoch, *number, *answers), *lasts, grants);
-            if taken.is_ok() {
+            let header = GrantHeader { epoch: *epoch, number: *number, duration: *duration };
+            let accepted = fleet.grants.borrow_mut().accept(now, header, *report, grants);
+            if accepted.is_ok() {
                 fleet.refresh();
             }
         }
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -10,7 +10,7 @@
 use crate::rollout::Rollout;
 use crate::{log, rollout};
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
-use cypresscleat_forwarding::grants::{LeadershipChange, LeasedGrants, PlannerElection, GRANT_DURATION};
+use cypresscleat_forwarding::grants::{GrantHeader, LeadershipChange, LeasedGrants, PlannerElection};
 use cypresscleat_forwarding::membership::OutgoingMessage;
 use cypresscleat_forwarding::messages::{Envelope, Message, Role};
 use cypresscleat_forwarding::{node_id, Time};
@@ -36,10 +36,10 @@
 }
 
 impl By {
-    /// Epoch and number of the next grants and how long they may last, if it may give out now.
-    fn gives(&mut self, now: Time) -> Option<(u64, u64, Time)> {
+    /// The header of the next grants, if it may grant now.
+    fn next_grant(&mut self, now: Time) -> Option<GrantHeader> {
         match self {
-            By::Itself(lead) => lead.next_grant(now).map(|(epoch, number)| (epoch, number, GRANT_DURATION)),
+            By::Itself(lead) => lead.next_grant(now),
             By::Keepers(hold, owned) => {
                 let now = hold.clock.now();
                 hold.may(part()).and_then(|token| owned.next_grant(now, token, hold.until() - now))
@@ -118,9 +118,10 @@
             plan.adapt(now);
             // Out of service under a policy it gives out nothing.
             let fit = talk.gate.as_ref().is_none_or(|gate| gate.version().is_some());
-            if let Some((epoch, number, lasts)) = fit.then(|| by.gives(now)).flatten() {
+            if let Some(header) = fit.then(|| by.next_grant(now)).flatten() {
+                let GrantHeader { epoch, number, duration } = header;
                 let grants = plan.grants().remove(&forwarder).unwrap_or_default();
-                let message = Message::Grants { epoch, number, report: answers, duration: lasts, grants };
+                let message = Message::Grants { epoch, number, report: answers, duration, grants };
                 let envelope = talk.envelope(message);
                 talk.send(vec![OutgoingMessage { to: from, envelope }]);
                 said += 1;
