--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -45,7 +45,7 @@
 impl Load {
     fn of(play: &Simulation) -> Vec<Load> {
         let load =
-            |one: &Traffic| Load([one.heard, one.heard_bytes, one.said, one.said_bytes].map(|n| n as f64));
+            |one: &Traffic| Load([one.heard, one.heard_bytes, one.sent, one.sent_bytes].map(|n| n as f64));
         play.traffic.iter().map(load).collect()
     }
     /// Of the keeper with the most letters since.
--- a/crates/rollout-relay/src/sim.rs
+++ b/crates/rollout-relay/src/sim.rs
@@ -506,7 +506,7 @@
         let answers: Vec<Answered> = own.into_iter().map(|one| one.1).collect();
         let Some(keeper) = self.world.seats[at].keeper.as_mut() else { return };
         let (out, said) = self.desks[at].poll(now, keeper, answers);
-        self.desks[at].log().for_each(drop);
+        self.desks[at].events().for_each(drop);
         for news in keeper.machine_mut().take_events() {
             match news {
                 RolloutEvent::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
--- /dev/null
+++ b/crates/rollout/src/coordinator/decisions.rs
@@ -0,0 +1,157 @@
+//! When a member's lease has expired, when a change is committed, aborted or activated, and when it is undone.
+
+use super::{
+    position, CoordinatorEvent, CurrentChange, PendingProposal, PolicyStateMachine, RolloutCoordinator,
+};
+use crate::messages::Verdict;
+use crate::state::{Command, PolicyState, Stage, UnreachableMembers, Version};
+use crate::watch::WatchVerdict;
+use crate::{truncate, MemberKey, Time, MAX_REASON_BYTES};
+use cypresscleat_consensus::{Keeper, Out};
+use cypresscleat_sessions::expiry::has_expired_at_leader;
+use std::collections::BTreeSet;
+
+impl<A: Copy> RolloutCoordinator<A> {
+    /// Follows what was decided since the last step: the active version, the change, its stage.
+    pub(super) fn follow_position<M: PolicyStateMachine>(&mut self, now: Time, replica: &Keeper<M>) {
+        let agreed = replica.machine().as_ref();
+        let current = position(agreed);
+        if current != self.announced {
+            if current.active != self.announced.active {
+                let before = agreed.version(self.announced.active);
+                self.extend_former_lease(now, before.map(|version| version.rules.lease));
+                self.watch.start(now, agreed.active());
+            }
+            if current.change != self.announced.change {
+                self.prepared.clear();
+                self.paused.clear();
+                self.refused.clear();
+            }
+            self.announced = current;
+            self.is_deciding = false;
+            self.to_notify = agreed.members().keys().copied().collect();
+        }
+        let known = self.change.map_or(0, |change| change.number);
+        if known != current.change {
+            self.change =
+                (current.change != 0).then_some(CurrentChange { number: current.change, since: now });
+            self.count_earlier_heartbeats(agreed);
+        }
+    }
+
+    /// Counts what members said of a change before this coordinator knew of it.
+    fn count_earlier_heartbeats(&mut self, agreed: &PolicyState) {
+        let Some(CurrentChange { number, .. }) = self.change else { return };
+        let members = agreed.members();
+        for (key, heartbeat) in self.heartbeats.iter().filter(|(key, _)| members.contains_key(key)) {
+            match &heartbeat.verdict {
+                Some((of, Verdict::Prepared)) if *of == number => drop(self.prepared.insert(*key)),
+                Some((of, Verdict::Refused(why))) if *of == number => {
+                    self.refused.insert(*key, why.clone());
+                }
+                _ => {}
+            }
+            if heartbeat.paused == number {
+                self.paused.insert(*key);
+            }
+        }
+    }
+
+    /// Proposes the end of members whose lease has expired. Under [`UnreachableMembers::Wait`] only once a change waits for the barrier.
+    pub(super) fn expire_members<M: PolicyStateMachine>(
+        &mut self,
+        now: Time,
+        replica: &mut Keeper<M>,
+    ) -> Out {
+        let agreed = replica.machine().as_ref();
+        let rules = agreed.active().rules;
+        if rules.unreachable == UnreachableMembers::Wait && !position(agreed).at_barrier {
+            return Out::default();
+        }
+        // A member that has not heard of a version with a shorter lease counts by the one that it was told.
+        let lease = rules.lease.max(self.longest_former_lease(now));
+        let expired =
+            self.oldest.iter().take_while(|(heard_at, _)| has_expired_at_leader(now, *heard_at, lease));
+        let expired = expired.map(|(_, key)| *key).filter(|key| !self.ending.contains(key));
+        let expired: Vec<MemberKey> = expired.collect();
+        let mut out = Out::default();
+        for key in expired {
+            self.ending.insert(key);
+            self.counts.expired += 1;
+            let command = Command::End { key, left: false };
+            out = out.and(self.propose(now, replica, &command, PendingProposal::Own));
+        }
+        out
+    }
+
+    /// Proposes the decision of the change under way, where it can be decided.
+    pub(super) fn decide<M: PolicyStateMachine>(&mut self, now: Time, replica: &mut Keeper<M>) -> Out {
+        let Some(change) = self.change.filter(|_| !self.is_deciding) else { return Out::default() };
+        let Some(command) = self.decision(now, replica.machine().as_ref(), change) else {
+            return Out::default();
+        };
+        self.is_deciding = true;
+        self.counts.decisions += 1;
+        self.propose(now, replica, &command, PendingProposal::Own)
+    }
+
+    fn decision(&self, now: Time, agreed: &PolicyState, change: CurrentChange) -> Option<Command> {
+        let number = change.number;
+        let pending = agreed.pending_change().filter(|pending| pending.version.number == number)?;
+        let (generation, members) = (agreed.generation(), agreed.members());
+        let is_everybody = |set: &BTreeSet<MemberKey>| {
+            // Sets hold members only, but one may have ended since.
+            set.len() >= members.len() && members.keys().all(|key| set.contains(key))
+        };
+        if pending.stage == Stage::Barrier {
+            return is_everybody(&self.paused).then_some(Command::Activate { number, generation });
+        }
+        let abort = |reason: String| {
+            let reason = truncate(&reason, MAX_REASON_BYTES);
+            Some(Command::Decide { number, generation, commit: false, reason })
+        };
+        let refusal = self.refused.iter().find_map(|(key, why)| Some((members.get(key)?, why)));
+        if let Some((name, why)) = refusal {
+            return abort(format!("{name}: {why}"));
+        }
+        let is_late = now - change.since > agreed.active().rules.decision_timeout;
+        let is_forced = (self.safeguards.ignore_generation && !self.prepared.is_empty())
+            || (self.safeguards.commit_on_timeout && is_late);
+        if is_everybody(&self.prepared) || is_forced {
+            return Some(Command::Decide { number, generation, commit: true, reason: String::new() });
+        }
+        if !is_late {
+            return None;
+        }
+        let missing = members.iter().filter(|(key, _)| !self.prepared.contains(key));
+        let missing: Vec<&str> = missing.map(|(_, name)| name.as_str()).collect();
+        abort(format!("{} did not answer in time: {}", missing.len(), missing.join(" ")))
+    }
+
+    /// Undoes a version that did harm, once; what was made to undo another is not watched.
+    pub(super) fn act_on_watch<M: PolicyStateMachine>(
+        &mut self,
+        now: Time,
+        replica: &mut Keeper<M>,
+        number: u64,
+        verdict: WatchVerdict,
+    ) -> Out {
+        self.events.push(CoordinatorEvent::WatchEnded { number, verdict: verdict.clone() });
+        let WatchVerdict::Harm(figures) = verdict else { return Out::default() };
+        let agreed = replica.machine().as_ref();
+        let active = agreed.active();
+        let Some(parent) = agreed.version(active.parent).filter(|_| active.number == number) else {
+            return Out::default();
+        };
+        let version = Version {
+            number: 0,
+            parent: number,
+            by: "watch".into(),
+            at_ms: number,
+            why: truncate(&format!("undoes {number}: {figures}"), MAX_REASON_BYTES),
+            undoes: true,
+            ..parent.clone()
+        };
+        self.propose(now, replica, &Command::Propose(version), PendingProposal::Own)
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/coordinator/requests.rs
@@ -0,0 +1,176 @@
+//! What the leader does with each request of a member or an operator.
+
+use super::{
+    LastHeartbeat, PendingHeartbeat, PendingProposal, PolicyStateMachine, Responses, RolloutCoordinator,
+    MAX_WAITING,
+};
+use crate::messages::{MemberStatus, Request, Response, Verdict};
+use crate::state::{Command, Version};
+use crate::watch::ServiceTotals;
+use crate::{truncate, MemberKey, Time, MAX_MEMBERS_PER_MESSAGE, MAX_NAME_BYTES};
+use cypresscleat_consensus::{Keeper, Out};
+
+/// Members of one status response.
+const MAX_MEMBERS_PER_STATUS: usize = MAX_MEMBERS_PER_MESSAGE / 4;
+
+/// The fields of [`Request::Heartbeat`].
+struct Heartbeat {
+    key: MemberKey,
+    name: String,
+    joins: bool,
+    number: u32,
+    verdict: Option<(u64, Verdict)>,
+    paused: u64,
+    active: u64,
+    totals: ServiceTotals,
+}
+
+impl<A: Copy> RolloutCoordinator<A> {
+    /// Handles a request that arrived from the address `from`.
+    pub fn handle<M: PolicyStateMachine>(
+        &mut self,
+        now: Time,
+        replica: &mut Keeper<M>,
+        from: A,
+        request: Request,
+    ) -> (Out, Responses<A>) {
+        if !request.is_within_bounds() {
+            return (Out::default(), Vec::new());
+        }
+        let Some(round) = replica.asks() else {
+            let leader = replica.leader().filter(|leader| *leader != replica.own().id).unwrap_or(0);
+            return (Out::default(), vec![(from, Response::NotLeader { leader })]);
+        };
+        self.refresh_term(now, replica);
+        if self.waiting.len() + self.proposed.len() >= MAX_WAITING {
+            return (Out::default(), Vec::new());
+        }
+        let mut responses = Vec::new();
+        let out = match request {
+            Request::Heartbeat { key, name, joins, number, verdict, paused, active, totals } => {
+                let heartbeat = Heartbeat { key, name, joins, number, verdict, paused, active, totals };
+                self.handle_heartbeat(now, replica, (round, from), heartbeat, &mut responses)
+            }
+            Request::FetchDocument { number, version } => {
+                self.counts.fetched += 1;
+                let version = replica.machine().as_ref().version(version).cloned().map(Box::new);
+                responses.push((from, Response::Document { number, version }));
+                Out::default()
+            }
+            Request::Leave { key, number } => {
+                let command = Command::End { key, left: true };
+                self.propose(now, replica, &command, PendingProposal::Reply { from, number })
+            }
+            Request::Propose { number, version } => {
+                let command = Command::Propose(Version { undoes: false, ..version });
+                self.propose(now, replica, &command, PendingProposal::Reply { from, number })
+            }
+            Request::Forget { number, member } => {
+                let command = Command::Forget { member };
+                self.propose(now, replica, &command, PendingProposal::Reply { from, number })
+            }
+            Request::Status { number, from: first } => {
+                responses.push((from, self.status(now, replica, number, first)));
+                Out::default()
+            }
+            Request::History { number } => {
+                responses.push((from, history(replica, number)));
+                Out::default()
+            }
+        };
+        let (more, polled) = self.poll(now, replica, Vec::new());
+        responses.extend(polled);
+        (out.and(more), responses)
+    }
+
+    /// `round` is the round of confirmation that a heartbeat which arrives now waits for.
+    fn handle_heartbeat<M: PolicyStateMachine>(
+        &mut self,
+        now: Time,
+        replica: &mut Keeper<M>,
+        (round, from): (u64, A),
+        heartbeat: Heartbeat,
+        responses: &mut Responses<A>,
+    ) -> Out {
+        let Heartbeat { key, name, joins, number, verdict, paused, active, totals } = heartbeat;
+        if self.ending.contains(&key) {
+            return Out::default(); // it asks again once it has heard of its end
+        }
+        if replica.machine().as_ref().members().contains_key(&key) {
+            self.watch.record(now, key, totals);
+            self.renew(key, now);
+            self.count_verdict(key, verdict.as_ref(), paused);
+            self.heartbeats.insert(key, LastHeartbeat { at: now, from, verdict, paused, active });
+            self.waiting.push_back(PendingHeartbeat { round, from, key, number });
+            self.counts.waiting = self.counts.waiting.max(self.waiting.len());
+            return match self.refused.contains_key(&key) {
+                true => self.decide(now, replica),
+                false => Out::default(),
+            };
+        }
+        if !joins {
+            responses.push((from, Response::MembershipExpired { key }));
+            return Out::default();
+        }
+        if !self.joining.insert(key) {
+            return Out::default();
+        }
+        self.heartbeats.insert(key, LastHeartbeat { at: now, from, verdict, paused, active });
+        let command = Command::Join { key, name: truncate(&name, MAX_NAME_BYTES) };
+        self.propose(now, replica, &command, PendingProposal::Join { key })
+    }
+
+    /// Counts what a member says of the change under way.
+    fn count_verdict(&mut self, key: MemberKey, verdict: Option<&(u64, Verdict)>, paused: u64) {
+        let change = self.change.map_or(0, |change| change.number);
+        match verdict.filter(|(of, _)| *of == change) {
+            Some((_, Verdict::Prepared)) => drop(self.prepared.insert(key)),
+            Some((_, Verdict::Refused(why))) => drop(self.refused.insert(key, why.clone())),
+            None => {}
+        }
+        if paused == change && change != 0 {
+            self.paused.insert(key);
+        }
+    }
+
+    fn status<M: PolicyStateMachine>(
+        &self,
+        now: Time,
+        replica: &Keeper<M>,
+        number: u32,
+        first: MemberKey,
+    ) -> Response {
+        let agreed = replica.machine().as_ref();
+        let change = agreed.pending_change().map(|change| (change.version.number, change.stage));
+        let change_number = change.map_or(0, |change| change.0);
+        let from_there = agreed.members().range(first..).take(MAX_MEMBERS_PER_STATUS + 1);
+        let mut lines: Vec<MemberStatus> =
+            from_there.map(|(key, name)| self.member_status(now, *key, name, change_number)).collect();
+        let more = lines.len() > MAX_MEMBERS_PER_STATUS;
+        lines.truncate(MAX_MEMBERS_PER_STATUS);
+        let (active, generation) = (agreed.active().number, agreed.generation());
+        Response::Status { number, active, change, generation, lines, more }
+    }
+
+    fn member_status(&self, now: Time, key: MemberKey, name: &str, change: u64) -> MemberStatus {
+        let heartbeat = self.heartbeats.get(&key);
+        let verdict = heartbeat.and_then(|heartbeat| heartbeat.verdict.clone());
+        MemberStatus {
+            key,
+            name: name.to_string(),
+            active: heartbeat.map_or(0, |heartbeat| heartbeat.active),
+            verdict: verdict.and_then(|(of, verdict)| (of == change).then_some(verdict)),
+            paused: change != 0 && heartbeat.is_some_and(|heartbeat| heartbeat.paused == change),
+            silent: heartbeat.map_or(-1, |heartbeat| now - heartbeat.at),
+        }
+    }
+}
+
+/// Committed and aborted versions; documents are fetched one by one.
+fn history<M: PolicyStateMachine>(replica: &Keeper<M>, number: u32) -> Response {
+    let agreed = replica.machine().as_ref();
+    let without_document = |version: &Version| Version { document: String::new(), ..version.clone() };
+    let committed = agreed.history().map(without_document).collect();
+    let aborted = agreed.aborted().cloned().collect();
+    Response::History { number, committed, aborted }
+}
--- /dev/null
+++ b/crates/rollout/src/member/responses.rs
@@ -0,0 +1,200 @@
+//! What each response of a replica changes at a member.
+
+use super::{Fetch, MemberEvent, Outgoing, RolloutMember, CHECK_TIME};
+use crate::expiry::holder_lease_end;
+use crate::messages::Response;
+use crate::state::Version;
+use crate::{NodeId, Time};
+
+/// A heartbeat that was answered.
+#[derive(Clone, Copy)]
+struct Answered {
+    number: u32,
+    sent_at: Time,
+}
+
+/// What the leader tells in [`Response::Renewed`].
+#[derive(Clone, Copy)]
+struct Told {
+    /// `None` is for good; 0 is none on this version.
+    lease: Option<Time>,
+    /// The active version.
+    version: u64,
+    /// A change to check; 0 for none.
+    check: u64,
+    /// A change for which nothing is to be admitted; 0 for none.
+    pause: u64,
+}
+
+impl RolloutMember {
+    /// Handles a response of the replica `from`.
+    pub fn handle(&mut self, now: Time, from: NodeId, response: Response) -> Outgoing {
+        if !response.is_within_bounds() || self.has_left {
+            return Vec::new();
+        }
+        match response {
+            Response::Renewed { key, number, lease, period, version, check, pause } if key == self.key => {
+                let sent_at = self.pending_heartbeats.sent_at(number).filter(|_| !self.is_leaving);
+                let Some(sent_at) = sent_at else { return Vec::new() };
+                self.record_response(from);
+                self.wants_to_join = false;
+                self.round_trip = now - sent_at;
+                self.period = period;
+                self.next_heartbeat = sent_at.max(now - period) + period;
+                self.handle_renewed(now, Answered { number, sent_at }, Told { lease, version, check, pause })
+            }
+            Response::MembershipExpired { key } if key == self.key && !self.is_leaving => {
+                self.handle_membership_expired(now, from)
+            }
+            Response::Document { version: Some(version), .. } => self.handle_document(now, version),
+            Response::Document { version: None, .. } => {
+                self.fetch = None;
+                self.heartbeat_soon(now)
+            }
+            Response::Done { number } if self.is_leaving => {
+                // Responses to requests from before the first `Leave` do not count.
+                self.has_left = number.wrapping_sub(self.first_leave_number) < u32::MAX / 2;
+                Vec::new()
+            }
+            Response::Changed => {
+                // Whoever tells is asked: it may wait for this member, also where another was asked last.
+                if !self.older {
+                    self.record_response(from);
+                }
+                self.heartbeat_soon(now)
+            }
+            Response::NotLeader { leader } => self.handle_not_leader(now, from, leader),
+            _ => Vec::new(),
+        }
+    }
+
+    fn record_response(&mut self, from: NodeId) {
+        self.unanswered = 0;
+        self.replicas.select(from);
+    }
+
+    /// Its lease is over at the leader: what it was told before counts no more.
+    fn handle_membership_expired(&mut self, now: Time, from: NodeId) -> Outgoing {
+        self.deactivate();
+        self.lease_ends_at = Time::MIN;
+        self.wants_to_join = true;
+        self.paused = 0;
+        self.vote = None;
+        self.pending_heartbeats.clear();
+        self.record_response(from);
+        self.heartbeat_soon(now)
+    }
+
+    fn handle_document(&mut self, now: Time, version: Box<Version>) -> Outgoing {
+        let number = version.number;
+        let is_expected = self.fetch.is_some_and(|fetch| fetch.number == number);
+        if is_expected && self.verdict(number).is_none() {
+            self.fetch = Some(Fetch { number, retry_at: now + CHECK_TIME });
+            self.events.push_back(MemberEvent::Check { version });
+        }
+        Vec::new()
+    }
+
+    fn handle_not_leader(&mut self, now: Time, from: NodeId, leader: NodeId) -> Outgoing {
+        if !self.replicas.follow_redirect(from, leader) {
+            return Vec::new();
+        }
+        let redirects_followed = self.replicas.redirects_followed();
+        let requests = self.heartbeat_soon(now);
+        self.replicas.set_redirects_followed(redirects_followed);
+        requests
+    }
+
+    /// The leader tells what holds. Where that is older than what is known already, it counts for nothing.
+    fn handle_renewed(&mut self, now: Time, answered: Answered, told: Told) -> Outgoing {
+        if told.version < self.target {
+            return Vec::new();
+        }
+        self.target = told.version;
+        self.check = told.check;
+        self.has_no_lease_on_target = told.lease == Some(0);
+        self.end_pause(told);
+        self.end_vote(answered, told);
+        self.extend_lease(answered.sent_at, told);
+        let mut requests = self.begin_pause(now, told);
+        self.activate_if_ready(now);
+        requests.extend(self.fetch_missing_document(now));
+        // A vote that is ready does not wait for the next period.
+        let is_voted = self.vote.is_some_and(|vote| vote.change == told.check);
+        if told.check > told.version && !is_voted && self.is_prepared(told.check) {
+            requests.extend(self.heartbeat_soon(now));
+        }
+        requests
+    }
+
+    /// The change that stopped all members is active: the former version may not come back. Where the new one is not here, or there is no
+    /// lease on it yet, nothing is admitted.
+    fn end_pause(&mut self, told: Told) {
+        if self.paused == 0 || self.paused > told.version {
+            return;
+        }
+        self.paused = 0;
+        if !self.is_prepared(told.version) || self.has_no_lease_on_target {
+            self.deactivate();
+        }
+    }
+
+    /// A vote is over once a heartbeat that came with it or after it is answered without that change, or the change is active.
+    fn end_vote(&mut self, answered: Answered, told: Told) {
+        let Some(vote) = self.vote else { return };
+        let is_dropped = vote.change != told.check && answered.number >= vote.first_heartbeat;
+        if is_dropped || vote.change <= told.version {
+            self.vote = None;
+        }
+    }
+
+    /// The lease counts from when the heartbeat was sent.
+    ///
+    /// A relay that has voted, or has stopped, for all of its members gives one that came over from another relay no lease before that
+    /// member has done so too. Neither that response nor the member's own vote ends the lease that it holds.
+    fn extend_lease(&mut self, sent_at: Time, told: Told) {
+        if !self.has_no_lease_on_target {
+            self.lease = told.lease.unwrap_or(4 * self.period);
+        }
+        let bound = holder_lease_end(sent_at, self.lease);
+        let is_endless = told.lease.is_none() && self.vote.is_none();
+        let end = if is_endless { Time::MAX } else { bound };
+        self.lease_ends_at = match self.active {
+            // A member that started alone has no lease that anybody counts: it has an end from here on.
+            Some(_) if self.has_no_lease_on_target && self.lease_ends_at == Time::MAX => bound,
+            Some(_) if self.has_no_lease_on_target => self.lease_ends_at,
+            Some(active) if active == told.version && (is_endless || self.lease_ends_at == Time::MAX) => end,
+            Some(active) if active == told.version => self.lease_ends_at.max(end),
+            // It goes over to the new version.
+            Some(_) if self.is_prepared(told.version) => end,
+            // It goes on under the former version until that lease is over or the new version is here; not for good, whatever it had.
+            Some(_) => self.lease_ends_at.min(bound),
+            None if self.has_no_lease_on_target => sent_at,
+            None => end,
+        };
+    }
+
+    fn begin_pause(&mut self, now: Time, told: Told) -> Outgoing {
+        if told.pause <= told.version || self.paused == told.pause {
+            return Vec::new();
+        }
+        self.paused = told.pause;
+        if self.active.is_some() {
+            self.events.push_back(MemberEvent::Paused { change: told.pause });
+        }
+        self.heartbeat_soon(now)
+    }
+
+    /// Fetches the active version first, then the one that is proposed.
+    fn fetch_missing_document(&mut self, now: Time) -> Outgoing {
+        let needed = [self.target, self.check]
+            .into_iter()
+            .find(|number| *number != 0 && self.verdict(*number).is_none());
+        match needed {
+            Some(number) if self.fetch.is_none_or(|fetch| fetch.number != number) => {
+                self.fetch_document(now, number)
+            }
+            _ => Vec::new(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/simulation/faults.rs
@@ -0,0 +1,95 @@
+//! Faults of a simulation, and their end.
+
+use super::Simulation;
+use crate::state::UnreachableMembers;
+use crate::{NodeId, Time, MS, SECOND};
+
+/// Members that may join in addition to those at the start.
+const MAX_JOINED: usize = 4;
+
+impl Simulation {
+    /// Random faults of all kinds, and changes proposed among them, for so long.
+    pub fn inject_faults(&mut self, time: Time) {
+        let end = self.world.now + time;
+        let mut proposals = 0;
+        while self.world.now < end && self.violation.is_none() && self.world.wrong.is_none() {
+            let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
+            let at = self.rng.below(self.members.len() as u64) as usize;
+            let replica = self.rng.below(self.config.replicas as u64) as usize;
+            match self.rng.below(15) {
+                fault @ 0..=7 => self.inject_member_fault(fault, at),
+                8 => self.world.kill(replica),
+                9 => self.start_dead_replicas(),
+                10 => {
+                    let other = self.rng.below(self.config.replicas as u64) as NodeId + 1;
+                    self.world.cut.insert((replica as NodeId + 1, other));
+                }
+                11 => self.world.cut.clear(),
+                12 if self.members.len() < self.config.members + MAX_JOINED => drop(self.join()),
+                _ => {
+                    proposals += 1;
+                    self.propose_at_random(at, proposals);
+                }
+            }
+            self.run(until);
+        }
+    }
+
+    fn inject_member_fault(&mut self, fault: u64, at: usize) {
+        match fault {
+            0 => self.kill(at),
+            1 | 2 => self.start_if_gone(at),
+            3 => {
+                let time = self.rng.below(40) as Time * SECOND / 10;
+                self.stop(at, time);
+            }
+            4 => drop(self.cut.insert(at)),
+            5 => self.cut.clear(),
+            6 => self.lose_disk(at),
+            _ => self.drain(at),
+        }
+    }
+
+    /// A change under rules drawn at random, which the member at `at` may refuse.
+    fn propose_at_random(&mut self, at: usize, proposals: u32) {
+        let mut rules = self.config.rules;
+        rules.barrier = self.rng.one_in(2);
+        if self.rng.one_in(4) {
+            rules.unreachable = match rules.unreachable {
+                UnreachableMembers::Fence => UnreachableMembers::Wait,
+                UnreachableMembers::Wait => UnreachableMembers::Fence,
+            };
+        }
+        let is_refused = self.rng.one_in(3);
+        let next = self.proposed.keys().next_back().copied().unwrap_or(0) + 1;
+        if is_refused {
+            self.members[at].refuses.insert(next);
+        }
+        self.propose(self.active_version(), rules, &format!("text {proposals}"));
+    }
+
+    /// Mends all links; all processes run and are awake. Messages are lost and late as before.
+    pub fn heal(&mut self) {
+        self.cut.clear();
+        self.world.cut.clear();
+        self.start_dead_replicas();
+        for at in 0..self.members.len() {
+            self.members[at].stopped = self.members[at].stopped.min(self.world.now);
+            self.start_if_gone(at);
+        }
+    }
+
+    fn start_dead_replicas(&mut self) {
+        for at in 0..self.config.replicas {
+            if self.world.seats[at].keeper.is_none() {
+                self.world.start(at);
+            }
+        }
+    }
+
+    fn start_if_gone(&mut self, at: usize) {
+        if self.members[at].member.is_none() || self.members[at].drained {
+            self.start(at);
+        }
+    }
+}
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -1,5 +1,5 @@
-//! What the keepers agree on: the version in force, those before it, the change under way, and the members that count. A machine of
-//! `quorum`: the same commands give the same state at every keeper.
+//! The replicated state: the active version, those before it, the change under way, and the members that count. The same commands give the
+//! same state at every replica.
 
 use crate::{
     truncate, MemberKey, NodeId, Time, MAX_ABORTED, MAX_DOCUMENT_BYTES, MAX_HISTORY, MAX_MEMBERS,
@@ -9,39 +9,47 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// First byte of a command, by which it is told from those of other machines that share a log.
+/// First byte of a command, which tells it from those of other state machines that share a log.
 pub const COMMAND_TAG: u8 = 0x40;
+/// Members that left and are remembered: as many as may leave while a message is on its way.
+const MAX_REMEMBERED_LEAVERS: usize = 1024;
+/// Events that are kept until they are taken.
+const MAX_EVENTS: usize = 4 * MAX_MEMBERS;
 
-/// What becomes of members that are not heard.
+/// What becomes of members that the leader does not hear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnreachableMembers {
-    /// They are out of service once their lease is over, and a change goes on without them.
+    /// They stop serving once their lease is over, and a change goes on without them.
     #[default]
     Fence,
-    /// They go on under the version they have, and a change waits for them, for as long as its patience.
+    /// They go on under the version they have, and a change waits for them until its timeout.
     Wait,
 }
 
-/// A change that lets answers in time, or billed value, of each invocation asked fall by more than a share is undone.
+/// A change is undone where what succeeds in time, or what is billed, of each request falls by more than a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WatchRules {
     /// In thousandths.
     pub share: u32,
+    /// How long the change is watched.
     pub within: Time,
 }
 
-/// How changes are made while a version is in force. Part of its text.
+/// How changes are made while a version is active. Part of its document. The names of its fields are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
+    /// What becomes of members that the leader does not hear.
     #[serde(rename = "missing")]
     pub unreachable: UnreachableMembers,
+    /// Length of a lease on the version.
     pub lease: Time,
-    /// A change that is not decided for so long is dropped.
+    /// A change that is not decided by then is aborted.
     #[serde(rename = "patience")]
     pub decision_timeout: Time,
-    /// The change to this version stops everybody first.
+    /// In the change to this version all members stop before any admits under it.
     #[serde(rename = "together")]
     pub barrier: bool,
+    /// Whether the change is watched for harm.
     pub watch: Option<WatchRules>,
 }
 
@@ -52,74 +60,101 @@
     }
 }
 
+/// A version of the policy. The names of its fields are stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
+    /// Rises with each proposal; 0 is each instance's own file.
     pub number: u64,
     /// The version that it was made from.
     pub parent: u64,
-    /// Of its canonical text.
+    /// Hash of the canonical text of the document.
     pub hash: u64,
+    /// Who made it.
     pub by: String,
-    /// Unix time in milliseconds, as whoever made it had it.
+    /// When it was made: Unix time in milliseconds, by its author's clock.
     pub at_ms: u64,
+    /// Why it was made.
     pub why: String,
+    /// How changes are made while it is active, as its document has it.
     pub rules: Rules,
+    /// The text.
     #[serde(rename = "text")]
     pub document: String,
     /// Made by the watch, to undo its parent: it is not watched itself.
     pub undoes: bool,
 }
 
+/// How far a change is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Members check it.
+    /// Members check and store it.
     Preparing,
-    /// It is commit; members stop admitting, and it comes in force once all have.
+    /// It is committed; members stop admitting, and it becomes active once all have.
     Barrier,
 }
 
+/// The change under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
+    /// The version that it leads to.
     pub version: Version,
+    /// How far it is.
     pub stage: Stage,
 }
 
-/// A change that was dropped.
+/// A change that was aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AbortedChange {
+    /// Number of its version.
     pub number: u64,
+    /// Hash of its version.
     pub hash: u64,
+    /// Who made it.
     pub by: String,
+    /// Why it was aborted.
     pub reason: String,
 }
 
-/// A command. Each has its effect once, however often it is decided.
+/// A command. It has its effect once, however often it is decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
+    /// A member joins.
     Join {
+        /// The member.
         key: MemberKey,
+        /// Its name.
         name: String,
     },
-    /// Its lease is over, or it left: then it is not commit in again, as letters of it may come late.
+    /// A member's lease is over, or it left.
     End {
+        /// The member.
         key: MemberKey,
+        /// It left, and may not join again: messages of it may arrive late.
         left: bool,
     },
-    /// All lives of an instance: an operator says that it will not come back.
+    /// All incarnations of an instance end: an operator says that it will not come back.
     Forget {
+        /// The instance.
         member: NodeId,
     },
+    /// Proposes a version.
     Propose(Version),
-    /// `generation` is that of the members that were counted.
+    /// Commits or aborts the change under way.
     Decide {
+        /// Number of its version.
         number: u64,
+        /// Generation of the members that were counted.
         generation: u64,
+        /// Whether it is committed.
         commit: bool,
+        /// Why it is aborted.
         reason: String,
     },
-    /// Nobody admits under the older version any more.
+    /// Activates a committed version: nobody admits under the former one any more.
     Activate {
+        /// The version.
         number: u64,
+        /// Generation of the members that were counted.
         generation: u64,
     },
 }
@@ -127,82 +162,125 @@
 /// What a command came to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
+    /// Done.
     Done,
     /// Proposed under this number.
     Proposed(u64),
-    /// It was made from a version that is no longer in force.
+    /// It was made from a version that is no longer active.
     Stale {
+        /// The active version.
         active: u64,
     },
     /// Another change is under way.
     Busy {
+        /// Its version.
         number: u64,
     },
-    /// The members are others by now: to be counted again.
+    /// The members are others by now, and have to be counted again.
     MembersChanged,
-    /// That is decided already, or never was asked.
+    /// It is decided already, or was never proposed.
     AlreadyDecided,
-    /// Past a bound.
+    /// Nothing was done, as a limit is reached.
     LimitReached,
 }
 
 /// What changed, for logs and journals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutEvent {
-    Proposed { number: u64, by: String },
-    Committed { number: u64 },
-    Aborted { number: u64, reason: String },
-    Activated { number: u64 },
-    MemberJoined { name: String },
-    MemberEnded { name: String },
+    /// A version was proposed.
+    Proposed {
+        /// The version.
+        number: u64,
+        /// Who made it.
+        by: String,
+    },
+    /// A change was committed.
+    Committed {
+        /// The version.
+        number: u64,
+    },
+    /// A change was aborted.
+    Aborted {
+        /// The version.
+        number: u64,
+        /// Why.
+        reason: String,
+    },
+    /// A version became active.
+    Activated {
+        /// The version.
+        number: u64,
+    },
+    /// A member joined.
+    MemberJoined {
+        /// Its name.
+        name: String,
+    },
+    /// A member left, expired or was forgotten.
+    MemberEnded {
+        /// Its name.
+        name: String,
+    },
 }
 
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyState {
     active: Version,
+    /// Versions that were active before, the oldest first.
     before: VecDeque<Version>,
     change: Option<Change>,
     aborted: VecDeque<AbortedChange>,
     members: BTreeMap<MemberKey, String>,
-    /// The last that left.
+    /// The last members that left.
     left: VecDeque<MemberKey>,
+    /// Rises with each change of the members.
     generation: u64,
-    numbers: u64,
+    /// The last number that a version got.
+    last_number: u64,
+    /// Events since they were last taken; not part of the replicated state.
     #[serde(skip)]
     events: Vec<RolloutEvent>,
 }
 
-/// Lives that left and are remembered: as many as may leave while a letter is on its way.
-const MAX_REMEMBERED_LEAVERS: usize = 1024;
-/// RolloutEvent that are kept for whoever looks.
-const MAX_EVENTS: usize = 4 * MAX_MEMBERS;
-
 impl PolicyState {
-    /// The version in force; 0 is each instance's own file.
+    /// The active version.
     pub fn active(&self) -> &Version {
         &self.active
     }
+
+    /// The change under way.
     pub fn pending_change(&self) -> Option<&Change> {
         self.change.as_ref()
     }
+
+    /// Rises with each change of the members.
     pub fn generation(&self) -> u64 {
         self.generation
     }
+
+    /// The members that count, with their names.
     pub fn members(&self) -> &BTreeMap<MemberKey, String> {
         &self.members
     }
+
+    /// Changes that were aborted, the oldest first.
     pub fn aborted(&self) -> impl Iterator<Item = &AbortedChange> {
         self.aborted.iter()
     }
-    /// Those that were commit, the newest first.
+
+    /// Committed versions, the active one first.
     pub fn history(&self) -> impl Iterator<Item = &Version> {
         std::iter::once(&self.active).chain(self.before.iter().rev())
     }
-    /// A version that is in force, was, or may come to be.
+
+    /// A version that is active, was, or is proposed.
     pub fn version(&self, number: u64) -> Option<&Version> {
         let change = self.change.as_ref().map(|change| &change.version);
         self.history().chain(change).find(|version| version.number == number)
     }
+
+    /// Events since the last call.
     pub fn take_events(&mut self) -> Vec<RolloutEvent> {
         std::mem::take(&mut self.events)
     }
@@ -213,6 +291,34 @@
         }
     }
 
+    fn apply_command(&mut self, command: Command) -> Outcome {
+        match command {
+            Command::Join { key, name } => return self.join(key, name),
+            Command::End { key, left } => {
+                self.end(key);
+                if left {
+                    self.remember_leaver(key);
+                }
+            }
+            Command::Forget { member } => {
+                self.incarnations(member).into_iter().for_each(|key| self.end(key));
+            }
+            Command::Propose(version) => return self.propose(version),
+            Command::Decide { number, generation, commit, reason } => {
+                return self.decide(number, generation, commit, reason)
+            }
+            Command::Activate { number, generation } => return self.activate_committed(number, generation),
+        }
+        Outcome::Done
+    }
+
+    fn remember_leaver(&mut self, key: MemberKey) {
+        self.left.push_back(key);
+        if self.left.len() > MAX_REMEMBERED_LEAVERS {
+            self.left.pop_front();
+        }
+    }
+
     fn join(&mut self, key: MemberKey, name: String) -> Outcome {
         if self.members.contains_key(&key) || self.left.contains(&key) {
             return Outcome::Done;
@@ -221,7 +327,7 @@
             return Outcome::LimitReached;
         }
         if self.active.rules.unreachable == UnreachableMembers::Wait {
-            // Under this rule a name is one process, so its former life is over.
+            // Under this rule a name is one process: its former incarnation is over.
             let former: Vec<MemberKey> = self.incarnations(key.0);
             former.into_iter().for_each(|former| self.end(former));
         }
@@ -249,55 +355,71 @@
         {
             return Outcome::LimitReached;
         }
+        // The same proposal may come again, as a response was lost.
         if let Some(change) = &self.change {
-            // Asked again, as an answer was lost.
-            let same = (&change.version.by, change.version.at_ms, change.version.hash)
-                == (&version.by, version.at_ms, version.hash);
             let number = change.version.number;
-            return if same { Outcome::Proposed(number) } else { Outcome::Busy { number } };
+            return match is_same_proposal(&change.version, &version) {
+                true => Outcome::Proposed(number),
+                false => Outcome::Busy { number },
+            };
         }
-        if let Some(known) = self.history().chain(None).find(|known| {
-            known.number > 0
-                && (&known.by, known.at_ms, known.hash) == (&version.by, version.at_ms, version.hash)
-        }) {
+        let is_known = |known: &&Version| known.number > 0 && is_same_proposal(known, &version);
+        if let Some(known) = self.history().find(is_known) {
             return Outcome::Proposed(known.number);
         }
         if version.parent != self.active.number {
             return Outcome::Stale { active: self.active.number };
         }
-        self.numbers += 1;
-        version.number = self.numbers;
+        self.last_number += 1;
+        version.number = self.last_number;
         self.record_event(RolloutEvent::Proposed { number: version.number, by: version.by.clone() });
         self.change = Some(Change { version, stage: Stage::Preparing });
-        Outcome::Proposed(self.numbers)
+        Outcome::Proposed(self.last_number)
     }
 
     fn decide(&mut self, number: u64, generation: u64, commit: bool, reason: String) -> Outcome {
-        let asked =
+        let is_preparing =
             |change: &&mut Change| change.version.number == number && change.stage == Stage::Preparing;
-        let Some(change) = self.change.as_mut().filter(asked) else { return Outcome::AlreadyDecided };
-        if commit && generation != self.generation {
-            return Outcome::MembersChanged;
-        }
+        let Some(change) = self.change.as_mut().filter(is_preparing) else { return Outcome::AlreadyDecided };
         if !commit {
-            let Some(Change { version, .. }) = self.change.take() else { return Outcome::AlreadyDecided };
-            let reason = truncate(&reason, MAX_REASON_BYTES);
-            self.record_event(RolloutEvent::Aborted { number, reason: reason.clone() });
-            self.aborted.push_back(AbortedChange { number, hash: version.hash, by: version.by, reason });
-            if self.aborted.len() > MAX_ABORTED {
-                self.aborted.pop_front();
-            }
+            self.abort(reason);
             return Outcome::Done;
         }
-        let barrier = change.version.rules.barrier;
+        if generation != self.generation {
+            return Outcome::MembersChanged;
+        }
+        let has_barrier = change.version.rules.barrier;
         change.stage = Stage::Barrier;
         self.record_event(RolloutEvent::Committed { number });
-        if !barrier {
+        if !has_barrier {
             self.activate();
         }
         Outcome::Done
     }
 
+    fn abort(&mut self, reason: String) {
+        let Some(Change { version, .. }) = self.change.take() else { return };
+        let (number, reason) = (version.number, truncate(&reason, MAX_REASON_BYTES));
+        self.record_event(RolloutEvent::Aborted { number, reason: reason.clone() });
+        self.aborted.push_back(AbortedChange { number, hash: version.hash, by: version.by, reason });
+        if self.aborted.len() > MAX_ABORTED {
+            self.aborted.pop_front();
+        }
+    }
+
+    fn activate_committed(&mut self, number: u64, generation: u64) -> Outcome {
+        let is_committed =
+            |change: &Change| change.version.number == number && change.stage == Stage::Barrier;
+        if !self.change.as_ref().is_some_and(is_committed) {
+            return Outcome::AlreadyDecided;
+        }
+        if generation != self.generation {
+            return Outcome::MembersChanged;
+        }
+        self.activate();
+        Outcome::Done
+    }
+
     fn activate(&mut self) {
         if let Some(Change { version, .. }) = self.change.take() {
             self.record_event(RolloutEvent::Activated { number: version.number });
@@ -310,41 +432,19 @@
     }
 }
 
+/// Whether two versions are one proposal, sent twice.
+fn is_same_proposal(one: &Version, other: &Version) -> bool {
+    (&one.by, one.at_ms, one.hash) == (&other.by, other.at_ms, other.hash)
+}
+
 impl Machine for PolicyState {
-    fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
-        let outcome = match command.split_first().map(|(tag, rest)| (tag, postcard::from_bytes(rest))) {
-            Some((&COMMAND_TAG, Ok(Command::Join { key, name }))) => self.join(key, name),
-            Some((&COMMAND_TAG, Ok(Command::End { key, left }))) => {
-                self.end(key);
-                if left {
-                    self.left.push_back(key);
-                    if self.left.len() > MAX_REMEMBERED_LEAVERS {
-                        self.left.pop_front();
-                    }
-                }
-                Outcome::Done
-            }
-            Some((&COMMAND_TAG, Ok(Command::Forget { member }))) => {
-                self.incarnations(member).into_iter().for_each(|key| self.end(key));
-                Outcome::Done
-            }
-            Some((&COMMAND_TAG, Ok(Command::Propose(version)))) => self.propose(version),
-            Some((&COMMAND_TAG, Ok(Command::Decide { number, generation, commit, reason }))) => {
-                self.decide(number, generation, commit, reason)
-            }
-            Some((&COMMAND_TAG, Ok(Command::Activate { number, generation }))) => {
-                let closing =
-                    |change: &Change| change.version.number == number && change.stage == Stage::Barrier;
-                match self.change.as_ref().is_some_and(closing) {
-                    false => Outcome::AlreadyDecided,
-                    true if generation != self.generation => Outcome::MembersChanged,
-                    true => {
-                        self.activate();
-                        Outcome::Done
-                    }
-                }
-            }
-            // Of a later version: the same everywhere, nothing.
+    fn apply(&mut self, _log_index: u64, command: &[u8]) -> Vec<u8> {
+        let outcome = match command.split_first() {
+            Some((&COMMAND_TAG, rest)) => match postcard::from_bytes(rest) {
+                Ok(command) => self.apply_command(command),
+                // A command of a later version: no effect, at every replica alike.
+                Err(_) => Outcome::AlreadyDecided,
+            },
             _ => Outcome::AlreadyDecided,
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
@@ -368,7 +468,7 @@
     }
 }
 
-/// A command's bytes.
+/// The bytes of a command, as the log holds them.
 pub fn encode_command(command: &Command) -> Vec<u8> {
     postcard::to_extend(command, vec![COMMAND_TAG]).unwrap_or_default()
 }
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -47,7 +47,7 @@
     let decided = play.decided[&1];
     assert!(decided.1 && decided.0 - play.proposed[&1] < 200 * MS, "{:?}", play.proposed);
     assert!(play.mixed_until.get(&1).is_none_or(|until| until - play.first[&1] < 50 * MS));
-    play.seats[3].refuses.insert(2);
+    play.members[3].refuses.insert(2);
     play.propose(1, rules(), "second");
     runs_until(&mut play, SECOND, |play| play.decided.contains_key(&2));
     assert!(!play.decided[&2].1);
@@ -130,7 +130,7 @@
     let mut play = play(setup, 5);
     play.propose(1, wait(), "second");
     // m2 has said yes at once and is cut off; the others' checks take their time.
-    play.setup.check = 2 * SECOND;
+    play.config.check = 2 * SECOND;
     let until = play.world.now + 10 * MS;
     play.run(until);
     runs_until(&mut play, 4 * SECOND, |play| play.decided.get(&2).is_some_and(|one| one.1));
@@ -180,8 +180,8 @@
     play.propose(1, rules(), "second");
     let until = play.world.now + 200 * MS;
     play.run(until);
-    let joined = play.joins();
-    play.seats[joined].refuses.insert(2);
+    let joined = play.join();
+    play.members[joined].refuses.insert(2);
     play.drain(0);
     runs_until(&mut play, 4 * SECOND, |play| play.decided.contains_key(&2));
     assert!(!play.decided[&2].1, "the joiner counts, and refuses it");
@@ -292,7 +292,7 @@
         }
         let wrong = play.violation.clone().or(play.world.wrong.clone());
         assert_eq!(wrong, None, "seed {seed}, in peace");
-        let mays: Vec<AdmissionPermit> = (0..play.seats.len()).map(|at| play.permit(at)).collect();
+        let mays: Vec<AdmissionPermit> = (0..play.members.len()).map(|at| play.permit(at)).collect();
         assert!(
             play.settled(),
             "seed {seed}: in peace all serve under one version, {}: {mays:?}",
@@ -561,9 +561,9 @@
     for life in 0..200 {
         let key = (77, life);
         let (name, verdict, seen) = ("gone".to_string(), None, ServiceTotals::default());
-        play.asked_by_others(Request::Leave { key, number: 1 });
+        play.post_as_operator(Request::Leave { key, number: 1 });
         runs(&mut play, 20 * MS);
-        play.asked_by_others(Request::Heartbeat {
+        play.post_as_operator(Request::Heartbeat {
             key,
             name,
             joins: true,
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -172,7 +172,7 @@
             let (policies, policy_said) = self.policy.poll(now, &mut self.keeper, answers.clone());
             let (duties, duty_said) = self.manager.poll(now, &mut self.keeper, answers);
             (out, said) = (policies.and(duties), (duty_said, policy_said));
-            self.policy.log().for_each(|line| log!("{line}"));
+            self.policy.events().for_each(|event| log!("{event}"));
             let leads = self.keeper.leads();
             for event in self.keeper.machine_mut().policies.take_events() {
                 if let Some(journal) = &self.journal {
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -199,7 +199,7 @@
             let Some(got) = next(&self.above, bytes) else { return };
             let Ok((size, by)) = got else { continue };
             match letter::read::<Wire>(&bytes[..size]) {
-                // Whoever else can reach this socket is no keeper by saying so. AdmissionPermit hurt where keepers answer from another address than
+                // Whoever else can reach this socket is no keeper by saying so. May hurt where keepers answer from another address than
                 // the one at which they hear.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {
                     add(&self.counters.strangers);
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -144,7 +144,7 @@
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
             match letter::read::<Wire>(&bytes[..size]) {
-                // Whoever else can reach this socket is no keeper, nor a relay, by saying so. AdmissionPermit hurt where one answers from another
+                // Whoever else can reach this socket is no keeper, nor a relay, by saying so. May hurt where one answers from another
                 // address than the one at which it hears.
                 Ok(Wire::PolicyAnswer { from, .. }) if self.to.get(&from) != Some(&by) => {}
                 Ok(Wire::PolicyAnswer { from, answer }) => {
