--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -12,7 +12,8 @@
 use crate::{GrantPosition, NodeId, Partition, Time, NO_GRANT};
 use cypresscleat_consensus as consensus;
 use cypresscleat_consensus::{Keeper, Machine, Out};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use cypresscleat_sessions::leader::{confirmation_round, PendingProposals, UnconfirmedRequests};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Renewals and proposals that wait at once; further requests are dropped.
 const MAX_PENDING: usize = 8192;
@@ -31,8 +32,6 @@
 /// A renewal that waits until a majority has confirmed the leader.
 #[derive(Clone, Copy, Debug)]
 struct PendingRenewal<A> {
-    /// The round of confirmation that it waits for.
-    round: u64,
     from: A,
     session: u64,
     number: u32,
@@ -54,11 +53,10 @@
     /// When each session was last heard.
     heard_at: BTreeMap<u64, Time>,
     subscribers: BTreeMap<u64, Subscriber<A>>,
-    pending_renewals: VecDeque<PendingRenewal<A>>,
-    proposed: BTreeMap<u64, PendingProposal<A>>,
+    pending_renewals: UnconfirmedRequests<PendingRenewal<A>>,
+    proposals: PendingProposals<PendingProposal<A>>,
     opening: BTreeSet<Incarnation>,
     ending: BTreeSet<u64>,
-    last_proposal: u64,
     polled_at: Time,
     /// When the cursor of each partition last moved while this replica led.
     cursor_moved_at: BTreeMap<Partition, Time>,
@@ -79,11 +77,10 @@
             term: None,
             heard_at: BTreeMap::new(),
             subscribers: BTreeMap::new(),
-            pending_renewals: VecDeque::new(),
-            proposed: BTreeMap::new(),
+            pending_renewals: UnconfirmedRequests::default(),
+            proposals: PendingProposals::new(0),
             opening: BTreeSet::new(),
             ending: BTreeSet::new(),
-            last_proposal: 0,
             polled_at: 0,
             cursor_moved_at: BTreeMap::new(),
         }
@@ -121,16 +118,8 @@
         command: &Command,
         pending: PendingProposal<A>,
     ) -> Out {
-        self.last_proposal += 1;
-        self.proposed.insert(self.last_proposal, pending);
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
-        match replica.propose(now, self.last_proposal, bytes) {
-            Some(out) => out,
-            None => {
-                self.proposed.remove(&self.last_proposal);
-                Out::default()
-            }
-        }
+        self.proposals.propose(now, replica, bytes, pending).unwrap_or_default()
     }
 
     /// A leader that is new, or stood still itself, gives every session its whole lease again: none could renew with it.
@@ -140,7 +129,7 @@
         let is_new_term = self.term != Some(replica.term());
         if is_new_term {
             self.pending_renewals.clear();
-            self.proposed.clear();
+            self.proposals.clear();
             self.opening.clear();
             self.ending.clear();
             self.subscribers.clear();
@@ -183,8 +172,8 @@
         responses: &mut Responses<A>,
     ) {
         let confirmed = replica.confirmed();
-        while let Some(renewal) = self.pending_renewals.pop_front_if(|renewal| renewal.round <= confirmed) {
-            let PendingRenewal { from, session, number, .. } = renewal;
+        while let Some(renewal) = self.pending_renewals.pop_confirmed(confirmed) {
+            let PendingRenewal { from, session, number } = renewal;
             let state = replica.machine().as_ref();
             if state.instance(session).is_none() {
                 responses.push((from, Response::SessionExpired { session }));
@@ -206,7 +195,7 @@
         outcome: Outcome,
         responses: &mut Responses<A>,
     ) {
-        let Some(pending) = self.proposed.remove(&number) else { return };
+        let Some(pending) = self.proposals.complete(number) else { return };
         match (pending, outcome) {
             (PendingProposal::OpenSession { from, number, opening }, Outcome::SessionOpened(session)) => {
                 self.opening.remove(&opening);
@@ -214,8 +203,8 @@
                 let heard_at = self.heard_at.entry(session).or_insert(now);
                 *heard_at = (*heard_at).max(now);
                 self.subscribers.insert(session, Subscriber { address: from, last_seen_grant: NO_GRANT });
-                if let Some(round) = replica.asks() {
-                    self.pending_renewals.push_back(PendingRenewal { round, from, session, number });
+                if let Ok(round) = confirmation_round(replica) {
+                    self.pending_renewals.push(round, PendingRenewal { from, session, number });
                 }
             }
             (PendingProposal::OpenSession { from, number, opening }, _) => {
--- a/crates/leases/src/manager/requests.rs
+++ b/crates/leases/src/manager/requests.rs
@@ -7,6 +7,7 @@
 use crate::state::Command;
 use crate::{Claim, GrantPosition, NodeId, Partition, Time};
 use cypresscleat_consensus::{Keeper, Out};
+use cypresscleat_sessions::leader::confirmation_round;
 
 /// The fields of [`Request::Renew`].
 struct Renewal {
@@ -30,12 +31,12 @@
         if !request.is_within_bounds() {
             return (Out::default(), Vec::new());
         }
-        let Some(round) = replica.asks() else {
-            let leader = replica.leader().filter(|leader| *leader != replica.own().id).unwrap_or(0);
-            return (Out::default(), vec![(from, Response::NotLeader { leader })]);
+        let round = match confirmation_round(replica) {
+            Ok(round) => round,
+            Err(leader) => return (Out::default(), vec![(from, Response::NotLeader { leader })]),
         };
         self.refresh_term(now, replica);
-        if self.pending_renewals.len() + self.proposed.len() >= MAX_PENDING {
+        if self.pending_renewals.len() + self.proposals.len() >= MAX_PENDING {
             return (Out::default(), Vec::new());
         }
         let mut responses = Vec::new();
@@ -95,7 +96,7 @@
         } else if !self.ending.contains(&session) {
             self.heard_at.insert(session, now);
             self.subscribers.insert(session, Subscriber { address: from, last_seen_grant });
-            self.pending_renewals.push_back(PendingRenewal { round, from, session, number });
+            self.pending_renewals.push(round, PendingRenewal { from, session, number });
         }
         Out::default()
     }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -12,6 +12,7 @@
 use crate::watch::{Watch, WatchVerdict};
 use crate::{MemberKey, Time, SECOND};
 use cypresscleat_consensus::{self as consensus, Keeper, Machine, Out};
+use cypresscleat_sessions::leader::{PendingProposals, UnconfirmedRequests};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
@@ -51,8 +52,6 @@
 /// A heartbeat that waits until a majority has confirmed the leader.
 #[derive(Clone, Copy, Debug)]
 struct PendingHeartbeat<A> {
-    /// The round of confirmation that it waits for.
-    round: u64,
     from: A,
     key: MemberKey,
     number: u32,
@@ -142,8 +141,8 @@
     heard_at: BTreeMap<MemberKey, Time>,
     /// The same in the order of time, so that a step costs what has expired, not what is there.
     oldest: BTreeSet<(Time, MemberKey)>,
-    waiting: VecDeque<PendingHeartbeat<A>>,
-    proposed: BTreeMap<u64, PendingProposal<A>>,
+    waiting: UnconfirmedRequests<PendingHeartbeat<A>>,
+    proposals: PendingProposals<PendingProposal<A>>,
     joining: BTreeSet<MemberKey>,
     ending: BTreeSet<MemberKey>,
     change: Option<CurrentChange>,
@@ -159,7 +158,6 @@
     paused: BTreeSet<MemberKey>,
     /// Members that refuse the change, and why.
     refused: BTreeMap<MemberKey, String>,
-    last_proposal: u64,
     former_lease: FormerLease,
     watch: Watch,
     events: Vec<CoordinatorEvent>,
@@ -184,8 +182,8 @@
             heartbeats: BTreeMap::new(),
             heard_at: BTreeMap::new(),
             oldest: BTreeSet::new(),
-            waiting: VecDeque::new(),
-            proposed: BTreeMap::new(),
+            waiting: UnconfirmedRequests::default(),
+            proposals: PendingProposals::new(FIRST_PROPOSAL),
             joining: BTreeSet::new(),
             ending: BTreeSet::new(),
             change: None,
@@ -195,7 +193,6 @@
             prepared: BTreeSet::new(),
             paused: BTreeSet::new(),
             refused: BTreeMap::new(),
-            last_proposal: FIRST_PROPOSAL,
             former_lease: FormerLease { lease: 0, until: Time::MIN },
             watch: Watch::default(),
             events: Vec::new(),
@@ -261,18 +258,9 @@
         command: &Command,
         pending: PendingProposal<A>,
     ) -> Out {
-        self.last_proposal += 1;
-        self.proposed.insert(self.last_proposal, pending);
-        match replica.propose(now, self.last_proposal, encode_command(command)) {
-            Some(out) => {
-                self.counts.commands += 1;
-                out
-            }
-            None => {
-                self.proposed.remove(&self.last_proposal);
-                Out::default()
-            }
-        }
+        let out = self.proposals.propose(now, replica, encode_command(command), pending);
+        self.counts.commands += u64::from(out.is_some());
+        out.unwrap_or_default()
     }
 
     /// A leader that is new, or stood still itself, gives every member its whole lease again: none could renew with it.
@@ -282,11 +270,13 @@
         self.polled_at = now;
         let is_new_term = self.term != Some(replica.term());
         if is_new_term {
-            let RolloutCoordinator { last_proposal, safeguards, counts, .. } = *self;
+            let mut proposals = std::mem::replace(&mut self.proposals, PendingProposals::new(FIRST_PROPOSAL));
+            proposals.clear();
+            let RolloutCoordinator { safeguards, counts, .. } = *self;
             *self = RolloutCoordinator {
                 term: Some(replica.term()),
                 polled_at: now,
-                last_proposal,
+                proposals,
                 safeguards,
                 counts,
                 ..RolloutCoordinator::default()
@@ -338,7 +328,7 @@
         outcome: Outcome,
         responses: &mut Responses<A>,
     ) {
-        let Some(pending) = self.proposed.remove(&number) else { return };
+        let Some(pending) = self.proposals.complete(number) else { return };
         let members = replica.machine().as_ref().members();
         match pending {
             PendingProposal::Join { key } => {
@@ -391,8 +381,8 @@
         let agreed = replica.machine().as_ref();
         let (rules, confirmed) = (agreed.active().rules, replica.confirmed());
         let RolloutPosition { active, change, at_barrier } = position(agreed);
-        while let Some(waiting) = self.waiting.pop_front_if(|waiting| waiting.round <= confirmed) {
-            let PendingHeartbeat { from, key, number, .. } = waiting;
+        while let Some(waiting) = self.waiting.pop_confirmed(confirmed) {
+            let PendingHeartbeat { from, key, number } = waiting;
             if !agreed.members().contains_key(&key) {
                 responses.push((from, Response::MembershipExpired { key }));
                 continue;
--- a/crates/rollout/src/coordinator/requests.rs
+++ b/crates/rollout/src/coordinator/requests.rs
@@ -9,6 +9,7 @@
 use crate::watch::ServiceTotals;
 use crate::{truncate, MemberKey, Time, MAX_MEMBERS_PER_MESSAGE, MAX_NAME_BYTES};
 use cypresscleat_consensus::{Keeper, Out};
+use cypresscleat_sessions::leader::confirmation_round;
 
 /// Members of one status response.
 const MAX_MEMBERS_PER_STATUS: usize = MAX_MEMBERS_PER_MESSAGE / 4;
@@ -37,12 +38,12 @@
         if !request.is_within_bounds() {
             return (Out::default(), Vec::new());
         }
-        let Some(round) = replica.asks() else {
-            let leader = replica.leader().filter(|leader| *leader != replica.own().id).unwrap_or(0);
-            return (Out::default(), vec![(from, Response::NotLeader { leader })]);
+        let round = match confirmation_round(replica) {
+            Ok(round) => round,
+            Err(leader) => return (Out::default(), vec![(from, Response::NotLeader { leader })]),
         };
         self.refresh_term(now, replica);
-        if self.waiting.len() + self.proposed.len() >= MAX_WAITING {
+        if self.waiting.len() + self.proposals.len() >= MAX_WAITING {
             return (Out::default(), Vec::new());
         }
         let mut responses = Vec::new();
@@ -101,7 +102,7 @@
             self.renew(key, now);
             self.count_verdict(key, verdict.as_ref(), paused);
             self.heartbeats.insert(key, LastHeartbeat { at: now, from, verdict, paused, active });
-            self.waiting.push_back(PendingHeartbeat { round, from, key, number });
+            self.waiting.push(round, PendingHeartbeat { from, key, number });
             self.counts.waiting = self.counts.waiting.max(self.waiting.len());
             return match self.refused.contains_key(&key) {
                 true => self.decide(now, replica),
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -2,6 +2,9 @@
 //! writes fields and variants by position, so their order and types are the format; their names are free. A version is also stored as
 //! JSON, in which the names of its fields are the format.
 
+#[path = "../../leases/tests/support/golden.rs"]
+mod recorded;
+
 use cypresscleat_consensus::Machine;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
 use cypresscleat_rollout::state::{
@@ -9,39 +12,7 @@
 };
 use cypresscleat_rollout::watch::ServiceTotals;
 use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
-use serde::{de::DeserializeOwned, Serialize};
-use std::fmt::Debug;
-use std::path::Path;
-
-/// Compares lines `name hex` with the file `tests/golden/FILE`. `RECORD_GOLDEN=1` writes the file instead, which is right only with a
-/// program whose bytes are known to be those that are stored and sent.
-fn assert_recorded(file: &str, lines: &[(String, Vec<u8>)]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let found: Vec<String> = lines.iter().map(|(name, bytes)| format!("{name} {}", hex(bytes))).collect();
-    if std::env::var_os("RECORD_GOLDEN").is_some() {
-        std::fs::write(&path, found.join("\n") + "\n").expect("the golden file is written");
-    }
-    let recorded = std::fs::read_to_string(&path).expect("the golden file is there");
-    for (found, recorded) in found.iter().zip(recorded.lines()) {
-        assert_eq!(found, recorded, "{file}: the bytes changed");
-    }
-    assert_eq!(found.len(), recorded.lines().count(), "{file}: values were added or removed");
-}
-
-/// Checks that each value is written as recorded, and read back as it was.
-fn assert_golden<T>(file: &str, values: Vec<(&str, T)>)
-where
-    T: Serialize + DeserializeOwned + PartialEq + Debug,
-{
-    let mut lines = Vec::new();
-    for (name, value) in values {
-        let bytes = postcard::to_stdvec(&value).expect("the value is written");
-        assert_eq!(postcard::from_bytes::<T>(&bytes).as_ref(), Ok(&value), "{name}: read back");
-        lines.push((name.to_string(), bytes));
-    }
-    assert_recorded(file, &lines);
-}
+use recorded::{assert_golden, assert_recorded};
 
 const KEY: (u64, u64) = (0x1122_3344_5566_7788, 9);
 
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -1,6 +1,10 @@
 //! What the server's control roles send and store, as recorded from the program at commit 67fc394: datagrams, snapshots of all that is
 //! agreed, a policy's canonical text by its hash, the versions that members keep.
 
+#[path = "../../leases/tests/support/golden.rs"]
+#[allow(dead_code)]
+mod recorded;
+
 use cypresscleat_consensus::letter::{self, Body, Letter};
 use cypresscleat_consensus::{Machine, Member};
 use cypresscleat_leases::messages::{Request, Response};
@@ -12,24 +16,9 @@
 use cypresscleat_server::leases::agreed::Agreed;
 use cypresscleat_server::leases::wire::Wire;
 use cypresscleat_server::rollout::{self, texts};
+use recorded::assert_recorded;
 use std::path::{Path, PathBuf};
 
-/// Compares lines `name hex` with the file `tests/golden/FILE`. `RECORD_GOLDEN=1` writes the file instead, which is right only with a
-/// program whose bytes are known to be those that are stored and sent.
-fn assert_recorded(file: &str, lines: &[(String, Vec<u8>)]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let found: Vec<String> = lines.iter().map(|(name, bytes)| format!("{name} {}", hex(bytes))).collect();
-    if std::env::var_os("RECORD_GOLDEN").is_some() {
-        std::fs::write(&path, found.join("\n") + "\n").expect("the golden file is written");
-    }
-    let recorded = std::fs::read_to_string(&path).expect("the golden file is there");
-    for (found, recorded) in found.iter().zip(recorded.lines()) {
-        assert_eq!(found, recorded, "{file}: the bytes changed");
-    }
-    assert_eq!(found.len(), recorded.lines().count(), "{file}: values were added or removed");
-}
-
 fn golden_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -3,6 +3,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | [`expiry`] | who may act until when, by whose clock |
+//! | [`leader`] | requests that wait for a confirmation, commands that wait to be decided |
 //! | [`renewals`] | renewals that were sent and not yet answered |
 //! | [`replicas`] | which replica is asked next |
 //!
@@ -11,5 +12,6 @@
 #![warn(missing_docs)]
 
 pub mod expiry;
+pub mod leader;
 pub mod renewals;
 pub mod replicas;
