--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -26,7 +26,7 @@
     Expire,
 }
 
-/// One life of an instance.
+/// One incarnation of an instance.
 type Incarnation = (NodeId, u64);
 
 /// A renewal that waits until a majority has confirmed the leader.
--- a/crates/leases/src/simulation.rs
+++ b/crates/leases/src/simulation.rs
@@ -241,7 +241,7 @@
         let due = self.wake_queue.first().map_or(until, |first| first.0);
         let next = until.min(mail.unwrap_or(until)).min(due);
         let next = next.max(self.world.now);
-        // The replicas' own mail first, one letter or due time at a time.
+        // The replicas' own messages first, one message or deadline at a time.
         if self.world.step(next.max(self.world.now + 1)) {
             (0..self.config.replicas).for_each(|at| self.after(at));
             return;
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -77,6 +77,17 @@
     pub token: u64,
 }
 
+impl OwnerChange {
+    /// The line of a log; `owner` is the instance of the session.
+    pub fn log_line(&self, owner: Option<NodeId>) -> String {
+        let (Partition { task, index }, token) = (self.partition, self.token);
+        match owner {
+            Some(owner) => format!("duty {task:016x} part {index}: {owner:016x} owns it, token {token}"),
+            None => format!("duty {task:016x} part {index}: nobody owns it, after token {token}"),
+        }
+    }
+}
+
 /// A partition that somebody owns or owned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct PartitionState {
--- a/crates/leases/tests/golden.rs
+++ b/crates/leases/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use cypresscleat_consensus::StateMachine;
 use cypresscleat_leases::messages::{Datagram, Grant, Operation, PartitionStatus, Request, Response};
-use cypresscleat_leases::state::{Command, LeaseState, Outcome};
+use cypresscleat_leases::state::{Command, LeaseState, Outcome, OwnerChange};
 use cypresscleat_leases::{node_id, Claim, Partition};
 use recorded::{assert_golden, assert_recorded};
 
@@ -168,3 +168,14 @@
     let lines: Vec<_> = names.map(|name| (format!("{name:?}"), node_id(name).to_be_bytes().to_vec())).into();
     assert_recorded("names.hex", &lines);
 }
+
+/// Operators search logs for these lines.
+#[test]
+fn changes_of_owner_keep_their_log_lines() {
+    let change = OwnerChange { partition: Partition { task: 0xab, index: 2 }, session: 5, token: 7 };
+    assert_eq!(
+        change.log_line(Some(0xcd)),
+        "duty 00000000000000ab part 2: 00000000000000cd owns it, token 7"
+    );
+    assert_eq!(change.log_line(None), "duty 00000000000000ab part 2: nobody owns it, after token 7");
+}
--- a/crates/rollout/src/member/responses.rs
+++ b/crates/rollout/src/member/responses.rs
@@ -8,14 +8,14 @@
 
 /// A heartbeat that was answered.
 #[derive(Clone, Copy)]
-struct ProposalResponse {
+struct AnsweredHeartbeat {
     number: u32,
     sent_at: Time,
 }
 
 /// What the leader tells in [`Response::Renewed`].
 #[derive(Clone, Copy)]
-struct Told {
+struct Renewed {
     /// `None` is for good; 0 is none on this version.
     lease: Option<Time>,
     /// The active version.
@@ -43,8 +43,8 @@
                 self.next_heartbeat = sent_at.max(now - period) + period;
                 self.handle_renewed(
                     now,
-                    ProposalResponse { number, sent_at },
-                    Told { lease, version, check, pause },
+                    AnsweredHeartbeat { number, sent_at },
+                    Renewed { lease, version, check, pause },
                 )
             }
             Response::MembershipExpired { key } if key == self.key && !self.is_leaving => {
@@ -110,22 +110,22 @@
     }
 
     /// The leader tells what holds. Where that is older than what is known already, it counts for nothing.
-    fn handle_renewed(&mut self, now: Time, answered: ProposalResponse, told: Told) -> Outgoing {
-        if told.version < self.target {
+    fn handle_renewed(&mut self, now: Time, answered: AnsweredHeartbeat, renewed: Renewed) -> Outgoing {
+        if renewed.version < self.target {
             return Vec::new();
         }
-        self.target = told.version;
-        self.check = told.check;
-        self.has_no_lease_on_target = told.lease == Some(0);
-        self.end_pause(told);
-        self.end_vote(answered, told);
-        self.extend_lease(answered.sent_at, told);
-        let mut requests = self.begin_pause(now, told);
+        self.target = renewed.version;
+        self.check = renewed.check;
+        self.has_no_lease_on_target = renewed.lease == Some(0);
+        self.end_pause(renewed);
+        self.end_vote(answered, renewed);
+        self.extend_lease(answered.sent_at, renewed);
+        let mut requests = self.begin_pause(now, renewed);
         self.activate_if_ready(now);
         requests.extend(self.fetch_missing_document(now));
         // A vote that is ready does not wait for the next period.
-        let is_voted = self.vote.is_some_and(|vote| vote.change == told.check);
-        if told.check > told.version && !is_voted && self.is_prepared(told.check) {
+        let is_voted = self.vote.is_some_and(|vote| vote.change == renewed.check);
+        if renewed.check > renewed.version && !is_voted && self.is_prepared(renewed.check) {
             requests.extend(self.heartbeat_soon(now));
         }
         requests
@@ -133,21 +133,21 @@
 
     /// The change that stopped all members is active: the former version may not come back. Where the new one is not here, or there is no
     /// lease on it yet, nothing is admitted.
-    fn end_pause(&mut self, told: Told) {
-        if self.paused == 0 || self.paused > told.version {
+    fn end_pause(&mut self, renewed: Renewed) {
+        if self.paused == 0 || self.paused > renewed.version {
             return;
         }
         self.paused = 0;
-        if !self.is_prepared(told.version) || self.has_no_lease_on_target {
+        if !self.is_prepared(renewed.version) || self.has_no_lease_on_target {
             self.deactivate();
         }
     }
 
     /// A vote is over once a heartbeat that came with it or after it is answered without that change, or the change is active.
-    fn end_vote(&mut self, answered: ProposalResponse, told: Told) {
+    fn end_vote(&mut self, answered: AnsweredHeartbeat, renewed: Renewed) {
         let Some(vote) = self.vote else { return };
-        let is_dropped = vote.change != told.check && answered.number >= vote.first_heartbeat;
-        if is_dropped || vote.change <= told.version {
+        let is_dropped = vote.change != renewed.check && answered.number >= vote.first_heartbeat;
+        if is_dropped || vote.change <= renewed.version {
             self.vote = None;
         }
     }
@@ -156,21 +156,23 @@
     ///
     /// A relay that has voted, or has stopped, for all of its members gives one that came over from another relay no lease before that
     /// member has done so too. Neither that response nor the member's own vote ends the lease that it holds.
-    fn extend_lease(&mut self, sent_at: Time, told: Told) {
+    fn extend_lease(&mut self, sent_at: Time, renewed: Renewed) {
         if !self.has_no_lease_on_target {
-            self.lease = told.lease.unwrap_or(4 * self.period);
+            self.lease = renewed.lease.unwrap_or(4 * self.period);
         }
         let bound = holder_lease_end(sent_at, self.lease);
-        let is_endless = told.lease.is_none() && self.vote.is_none();
+        let is_endless = renewed.lease.is_none() && self.vote.is_none();
         let end = if is_endless { Time::MAX } else { bound };
         self.lease_ends_at = match self.active {
             // A member that started alone has no lease that anybody counts: it has an end from here on.
             Some(_) if self.has_no_lease_on_target && self.lease_ends_at == Time::MAX => bound,
             Some(_) if self.has_no_lease_on_target => self.lease_ends_at,
-            Some(active) if active == told.version && (is_endless || self.lease_ends_at == Time::MAX) => end,
-            Some(active) if active == told.version => self.lease_ends_at.max(end),
+            Some(active) if active == renewed.version && (is_endless || self.lease_ends_at == Time::MAX) => {
+                end
+            }
+            Some(active) if active == renewed.version => self.lease_ends_at.max(end),
             // It goes over to the new version.
-            Some(_) if self.is_prepared(told.version) => end,
+            Some(_) if self.is_prepared(renewed.version) => end,
             // It goes on under the former version until that lease is over or the new version is here; not for good, whatever it had.
             Some(_) => self.lease_ends_at.min(bound),
             None if self.has_no_lease_on_target => sent_at,
@@ -178,13 +180,13 @@
         };
     }
 
-    fn begin_pause(&mut self, now: Time, told: Told) -> Outgoing {
-        if told.pause <= told.version || self.paused == told.pause {
+    fn begin_pause(&mut self, now: Time, renewed: Renewed) -> Outgoing {
+        if renewed.pause <= renewed.version || self.paused == renewed.pause {
             return Vec::new();
         }
-        self.paused = told.pause;
+        self.paused = renewed.pause;
         if self.active.is_some() {
-            self.events.push_back(MemberEvent::Paused { change: told.pause });
+            self.events.push_back(MemberEvent::Paused { change: renewed.pause });
         }
         self.heartbeat_soon(now)
     }
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -305,11 +305,11 @@
         assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.world.now);
         let mail = self.mail.first_key_value().map(|(key, _)| key.0);
         let due = self.wake_queue.first().map_or(until, |first| first.0);
-        let desk = (0..self.coordinators.len())
+        let coordinator = (0..self.coordinators.len())
             .map(|at| self.coordinators[at].next_deadline())
             .min()
             .unwrap_or(until);
-        let next = until.min(mail.unwrap_or(until)).min(due).min(desk).max(self.world.now);
+        let next = until.min(mail.unwrap_or(until)).min(due).min(coordinator).max(self.world.now);
         if self.world.step(next) {
             for at in 0..self.config.replicas {
                 self.after(at);
@@ -318,7 +318,7 @@
         }
         self.world.now = self.world.now.max(next);
         let now = self.world.now;
-        if desk <= now {
+        if coordinator <= now {
             for at in 0..self.config.replicas {
                 self.after(at);
             }
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -8,6 +8,7 @@
 use cypresscleat_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 
 /// First byte of a command, which tells it from those of other state machines that share a log.
 pub const COMMAND_TAG: u8 = 0x40;
@@ -223,6 +224,24 @@
     },
 }
 
+/// The line of a log.
+impl fmt::Display for RolloutEvent {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            RolloutEvent::Proposed { number, by } => {
+                write!(formatter, "policy {number} is proposed by {by:?}")
+            }
+            RolloutEvent::Committed { number } => write!(formatter, "policy {number} is taken"),
+            RolloutEvent::Aborted { number, reason } => {
+                write!(formatter, "policy {number} is dropped: {reason}")
+            }
+            RolloutEvent::Activated { number } => write!(formatter, "policy {number} is in force"),
+            RolloutEvent::MemberJoined { name } => write!(formatter, "policy: {name} counts"),
+            RolloutEvent::MemberEnded { name } => write!(formatter, "policy: {name} counts no longer"),
+        }
+    }
+}
+
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyState {
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -6,11 +6,12 @@
 mod recorded;
 
 use cypresscleat_consensus::StateMachine;
+use cypresscleat_rollout::coordinator::CoordinatorEvent;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
 use cypresscleat_rollout::state::{
-    encode_command, AbortedChange, Change, Command, Outcome, PolicyState, Stage,
+    encode_command, AbortedChange, Change, Command, Outcome, PolicyState, RolloutEvent, Stage,
 };
-use cypresscleat_rollout::watch::ServiceTotals;
+use cypresscleat_rollout::watch::{ServiceTotals, WatchVerdict};
 use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
 use recorded::{assert_golden, assert_recorded};
 
@@ -216,3 +217,27 @@
     }
     assert_recorded("snapshots.hex", &lines);
 }
+
+/// Operators search logs for these lines.
+#[test]
+fn events_keep_their_log_lines() {
+    let event_lines = [
+        (RolloutEvent::Proposed { number: 3, by: "x".into() }, "policy 3 is proposed by \"x\""),
+        (RolloutEvent::Committed { number: 3 }, "policy 3 is taken"),
+        (RolloutEvent::Aborted { number: 3, reason: "m1: no".into() }, "policy 3 is dropped: m1: no"),
+        (RolloutEvent::Activated { number: 3 }, "policy 3 is in force"),
+        (RolloutEvent::MemberJoined { name: "m1".into() }, "policy: m1 counts"),
+        (RolloutEvent::MemberEnded { name: "m1".into() }, "policy: m1 counts no longer"),
+    ];
+    for (event, line) in event_lines {
+        assert_eq!(event.to_string(), line);
+    }
+    let verdicts = [
+        (WatchVerdict::Harm("f".into()), "policy 3 did harm: f"),
+        (WatchVerdict::NoHarm("f".into()), "policy 3 did no harm: f"),
+        (WatchVerdict::Unknown("f".into()), "policy 3 can't be judged: f"),
+    ];
+    for (verdict, line) in verdicts {
+        assert_eq!(CoordinatorEvent::WatchEnded { number: 3, verdict }.to_string(), line);
+    }
+}
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/keep.rs
@@ -9,7 +9,6 @@
 use cypresscleat_consensus::{message, storage, RaftConfig, Ready, Replica, ReplicaConfig};
 use cypresscleat_leases::manager::LeaseManager;
 use cypresscleat_leases::messages::Response;
-use cypresscleat_leases::state::OwnerChange;
 use cypresscleat_leases::{node_id, NodeId};
 use cypresscleat_rollout::state::RolloutEvent;
 use cypresscleat_rollout::{coordinator as policy, messages as policies};
@@ -178,34 +177,14 @@
                 if let Some(journal) = &self.journal {
                     journals(journal, &event);
                 }
-                match event {
-                    _ if !leads => {}
-                    RolloutEvent::Proposed { number, by } => log!("policy {number} is proposed by {by:?}"),
-                    RolloutEvent::Committed { number } => log!("policy {number} is taken"),
-                    RolloutEvent::Aborted { number, reason } => log!("policy {number} is dropped: {reason}"),
-                    RolloutEvent::Activated { number } => log!("policy {number} is in force"),
-                    RolloutEvent::MemberJoined { name } => log!("policy: {name} counts"),
-                    RolloutEvent::MemberEnded { name } => log!("policy: {name} counts no longer"),
+                if leads {
+                    log!("{event}");
                 }
             }
             for change in self.keeper.state_machine_mut().duties.take_owner_changes() {
-                let OwnerChange { partition, session, token } = change;
-                let owner = self.keeper.state_machine().duties.instance(session);
-                if self.keeper.is_leader() {
-                    match owner {
-                        Some(owner) => {
-                            log!(
-                                "duty {:016x} part {}: {owner:016x} owns it, token {token}",
-                                partition.task,
-                                partition.index
-                            )
-                        }
-                        None => log!(
-                            "duty {:016x} part {}: nobody owns it, after token {token}",
-                            partition.task,
-                            partition.index
-                        ),
-                    }
+                let owner = self.keeper.state_machine().duties.instance(change.session);
+                if leads {
+                    log!("{}", change.log_line(owner));
                 }
             }
             if out == Ready::default() && said.0.is_empty() && said.1.is_empty() {
