--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, operators and the leader, one in each datagram. Bytes are as in `consensus::letter`: postcard writes fields
+//! Messages between instances, operators and the leader, one in each datagram. Bytes are as in `consensus::message`: postcard writes fields
 //! and variants by position, so their order and types are the format.
 
 use crate::{
