--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`replica`] | the state machine: election, replication, membership change, read index, snapshots |
 //! | [`message`] | messages between replicas and their encoding |
 //! | [`storage`] | what a replica keeps on its disk, and how it is loaded |
-//! | [`sim`] | a simulated network with simulated disks |
+//! | `sim` | a simulated network with simulated disks, with the feature `simulation` |
 //!
 //! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote, check-quorum and single-server
 //! membership changes; `docs/design/owners.md` compares the alternatives. One addition: a disk has an identity. A message is
@@ -21,8 +21,11 @@
 //!
 //! Times are in tenths of a millisecond.
 
+#![warn(missing_docs)]
+
 pub mod message;
 pub mod replica;
+#[cfg(feature = "simulation")]
 pub mod sim;
 pub mod storage;
 
--- /dev/null
+++ b/crates/consensus/src/sim/disk.rs
@@ -0,0 +1,51 @@
+//! A simulated disk that keeps the order of writes.
+
+use crate::storage::{self, PersistentState, Write};
+use crate::{DiskId, SeededRng};
+use cypresscleat_store::sim::SimDisk;
+use cypresscleat_store::Store;
+use std::collections::BTreeMap;
+
+/// A disk that keeps the order of writes: after a crash any prefix of what was not synced may be there.
+#[derive(Clone, Debug, Default)]
+pub struct SimulatedDisk {
+    /// Its identity; 0 until it is first used.
+    pub id: DiskId,
+    durable: BTreeMap<Vec<u8>, Vec<u8>>,
+    unsynced: Vec<Write>,
+    /// Number of syncs that wrote something.
+    pub synced: u64,
+}
+
+impl SimulatedDisk {
+    pub(super) fn write(&mut self, writes: Vec<Write>) {
+        self.unsynced.extend(writes);
+    }
+
+    pub(super) fn sync(&mut self) {
+        self.synced += u64::from(!self.unsynced.is_empty());
+        for (key, value) in self.unsynced.drain(..) {
+            match value {
+                Some(value) => drop(self.durable.insert(key, value)),
+                None => drop(self.durable.remove(&key)),
+            }
+        }
+    }
+
+    /// Loses a part of what was not synced.
+    pub(super) fn crash(&mut self, rng: &mut SeededRng) {
+        let surviving = rng.below(self.unsynced.len() as u64 + 1) as usize;
+        self.unsynced.truncate(surviving);
+        self.sync();
+    }
+
+    /// Loads the state as a replica does when it starts, through a real store.
+    pub(super) fn load(&self) -> PersistentState {
+        let mut store = Store::open(SimDisk::default(), Default::default()).expect("an empty disk opens");
+        for (key, value) in &self.durable {
+            store.put(key, value).expect("the simulated disk has room");
+        }
+        store.commit(true).expect("the simulated disk doesn't fail");
+        storage::load(&mut store).expect("every prefix of a replica's writes is valid")
+    }
+}
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn nothing_answered_is_lost_whatever_the_order() {
+fn loses_no_acknowledged_command_in_any_order_of_events() {
     for lost_disks in [false, true] {
         let (states, found) = check(DisabledSafeguards::default(), lost_disks);
         assert_eq!(found, None);
@@ -264,13 +264,13 @@
 }
 
 #[test]
-fn an_answer_before_the_disk_is_found() {
+fn finds_the_loss_when_messages_leave_before_they_are_persisted() {
     let broken = DisabledSafeguards { persist_before_send: true, ..DisabledSafeguards::default() };
     assert!(check(broken, false).1.is_some());
 }
 
 #[test]
-fn a_vote_from_an_empty_disk_is_found() {
+fn finds_the_loss_when_an_empty_disk_has_a_vote() {
     let broken = DisabledSafeguards { empty_disk_has_no_vote: true, ..DisabledSafeguards::default() };
     assert!(check(broken, true).1.is_some());
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod fence;
 pub mod holder;
 pub mod said;
+#[cfg(feature = "simulation")]
 pub mod sim;
 
 pub use cypresscleat_consensus::{node_id, NodeId, SeededRng, Time, MS, SECOND};
--- a/crates/rollout-relay/src/lib.rs
+++ b/crates/rollout-relay/src/lib.rs
@@ -10,6 +10,7 @@
 //! that know nothing of relays stand below them, and beside them at the keepers. `docs/design/relays.md` says what was compared.
 
 pub mod relay;
+#[cfg(feature = "simulation")]
 pub mod sim;
 
 pub use relay::{Out, Relay};
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod member;
 pub mod policies;
 pub mod said;
+#[cfg(feature = "simulation")]
 pub mod sim;
 pub mod watch;
 
