--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -27,7 +27,7 @@
     let words = Command::new("demo")
         .about("One app server between stand-ins of all that it talks to, on loopback")
         .arg(Arg::new("program").default_value("target/release/cypresscleat-server"))
-        .arg(Arg::new("config").default_value("examples/config.json"))
+        .arg(Arg::new("config").default_value("crates/demo/config.json"))
         .arg(Arg::new("scgi").long("scgi").value_name("ADDRESS").value_parser(value_parser!(SocketAddr)))
         .arg(Arg::new("tier").long("tier").action(clap::ArgAction::SetTrue).conflicts_with("scgi"))
         .arg(Arg::new("kill").long("kill").value_parser(["planners"]).requires("tier"))
