--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -88,14 +88,14 @@
 
     // Alone in its configuration it would not be a majority; what it shows is what it has of its snapshot.
     let (hard, entries) = (state.hard_state, state.entries.len());
-    let begin = ReplicaConfig {
+    let config = ReplicaConfig {
         id: 1,
         configured_replicas: [1, 2, 3].into(),
         disk: hard.disk,
         raft: RaftConfig::default(),
         seed: 1,
     };
-    let (replica, _) = Replica::start(0, begin, state, HashChain::default()).expect("a valid configuration");
+    let (replica, _) = Replica::start(0, config, state, HashChain::default()).expect("a valid configuration");
     let shown = format!(
         "disk {} term {} voted {:?} snapshot {} members {} entries {entries} hash {:016x} numbers {:?}\n",
         hard.disk,
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -29,9 +29,9 @@
     Propose(usize),
     Deliver(NodeId, Vec<u8>),
     Campaign(usize),
-    /// It dies, and comes back with what was on its disk.
-    Dies(usize),
-    LosesDisk(usize),
+    /// It crashes, and starts again with what was on its disk.
+    Crash(usize),
+    LoseDisk(usize),
 }
 
 struct Small {
@@ -50,14 +50,14 @@
 impl Small {
     fn replica(&self, at: usize, disk: u64, kept: PersistentState) -> (Replica<HashChain>, Ready) {
         let named = (1..=3).collect();
-        let begin = ReplicaConfig {
+        let config = ReplicaConfig {
             id: at as NodeId + 1,
             configured_replicas: named,
             disk,
             raft: options(self.broken),
             seed: at as u64,
         };
-        Replica::start(0, begin, kept, HashChain::default()).expect("a valid configuration")
+        Replica::start(0, config, kept, HashChain::default()).expect("a valid configuration")
     }
 
     fn carry(&self, state: &mut State, at: usize, out: Ready) {
@@ -164,7 +164,7 @@
                 actions.push(Action::Campaign(at));
             }
             if state.deaths < 1 && at == 1 {
-                actions.push(if self.lost_disks { Action::LosesDisk(at) } else { Action::Dies(at) });
+                actions.push(if self.lost_disks { Action::LoseDisk(at) } else { Action::Crash(at) });
             }
         }
         actions.extend(state.messages.iter().map(|(to, bytes)| Action::Deliver(*to, bytes.clone())));
@@ -192,7 +192,7 @@
                 let out = state.replicas[at].campaign(now);
                 self.carry(&mut state, at, out);
             }
-            Action::Dies(at) => {
+            Action::Crash(at) => {
                 state.deaths += 1;
                 state.unsynced[at].clear();
                 let (replica, out) = self.replica(at, 11 + at as u64, read(&state.disks[at]));
@@ -200,7 +200,7 @@
                 // What it says at its start says nothing about this: kept out, to keep the model small.
                 sync(&mut state.disks[at], out.writes);
             }
-            Action::LosesDisk(at) => {
+            Action::LoseDisk(at) => {
                 state.deaths += 1;
                 state.disks[at].clear();
                 state.unsynced[at].clear();
--- a/crates/consensus/tests/simulated_faults.rs
+++ b/crates/consensus/tests/simulated_faults.rs
@@ -97,7 +97,7 @@
     // No storm: heartbeats both ways and proposals, with room for repetitions.
     let bound = (simulation.now / SECOND) as u64 * 400 * (nodes * nodes) as u64;
     if simulation.messages_sent > bound {
-        return Err(format!("{} letters, more than {bound}", simulation.messages_sent));
+        return Err(format!("{} messages, more than {bound}", simulation.messages_sent));
     }
     let last = history.proposed;
     if !history.responded.contains_key(&last) && !history.responded.keys().any(|number| *number + 12 > last) {
@@ -157,7 +157,7 @@
     let mut simulation = Simulation::new(3, HashChain::default(), config(), 7);
     simulation.crash(2);
     simulation.run(5 * SECOND);
-    assert_eq!(simulation.leader(), None, "two empty disks of three begin nothing");
+    assert_eq!(simulation.leader(), None, "two empty disks of three are no configuration");
     simulation.start(2);
     simulation.run(7 * SECOND);
     assert!(simulation.leader().is_some());
