--- a/crates/concurrency/src/limit.rs
+++ b/crates/concurrency/src/limit.rs
@@ -64,7 +64,7 @@
     pub running: f64,
     /// Whether requests waited for a slot.
     pub has_waiters: bool,
-    /// Dropped requests (rejected or past their deadline) over all that ended.
+    /// Dropped requests (rejected or failed by the scheduler, for whatever reason) over dropped and succeeded ones.
     pub drop_ratio: f64,
     /// Length of the window in seconds.
     pub seconds: f64,
--- a/crates/concurrency/src/pools.rs
+++ b/crates/concurrency/src/pools.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// A request was rejected or missed its deadline: the pool's slots did not suffice for it.
+    /// A request was rejected or failed, for whatever reason: the scheduler calls this for each answer of either kind that it
+    /// gives itself, while draining and after a failed downstream call too.
     pub fn record_drop(&mut self, class: usize) {
         if let Some(pool) = self.pool_of(class) {
             pool.record_drop();
--- a/crates/primitives/src/lib.rs
+++ b/crates/primitives/src/lib.rs
@@ -22,7 +22,8 @@
 pub type NodeId = u64;
 
 /// Returns the id of the node called `name`. Every process computes the same id; it is sent and stored, so the hash must not
-/// change.
+/// change. It is that of the standard library's [`DefaultHasher`] (SipHash-1-3 with zero keys today), which the library may
+/// change with a release; the golden test in `tests/golden.rs` pins it and fails if that happens.
 pub fn node_id(name: &str) -> NodeId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/scheduler/src/admission/deduplication.rs
+++ b/crates/scheduler/src/admission/deduplication.rs
@@ -1,5 +1,19 @@
-//! Deduplication: a retry of a request with an idempotency key never runs beside or after the first attempt; it gets the
-//! first one's result.
+//! Deduplication: what happens to a request that repeats an earlier attempt. The host says which attempt that is
+//! ([`EarlierAttempt`]); its state and the retry safety of the class decide:
+//!
+//! | earlier attempt | idempotency key | non-idempotent | idempotent |
+//! | --- | --- | --- | --- |
+//! | none | admit | admit | admit |
+//! | ended without having run | admit | admit | admit |
+//! | ran and ended without success | fail | fail | admit |
+//! | succeeded, is open, or released by the scheduler | replay | replay | replay |
+//!
+//! - *admit*: the request goes on to the next stage. First an entry is retained for its own retries, where the class has a
+//!   retry window (idempotency key) or fresh results of reads may be replayed (idempotent). Without memory for that entry a
+//!   request with an idempotency key is rejected; others go on without one.
+//! - *fail*: the answer is an error, since another run could have the effect twice.
+//! - *replay*: the request waits for the earlier attempt's result, which the host gives it
+//!   ([`Host::replay_result`]); it never runs beside or after that attempt.
 
 use super::AdmissionStep;
 use crate::host::Host;
--- a/crates/scheduler/src/admission/quota.rs
+++ b/crates/scheduler/src/admission/quota.rs
@@ -10,7 +10,8 @@
 
 /// Seconds of a tenant's local rate that may come at once.
 const BURST_SECONDS: f64 = 2.0;
-/// Requests that may come at once, whatever the rate: a rate of one a second comes unevenly.
+/// Requests that may come at once, whatever the rate: a rate of one a second comes unevenly. A floor of the bucket's
+/// capacity only: a bucket starts with [`BURST_SECONDS`] of its rate, which may be fewer, and fills up from there.
 const MIN_BURST_REQUESTS: f64 = 8.0;
 
 /// The local part of one tenant's quota.
--- a/crates/scheduler/src/connections.rs
+++ b/crates/scheduler/src/connections.rs
@@ -12,7 +12,8 @@
 
 /// A connection that idles this long (tenths of a millisecond) takes about as much of the cores as a new one costs.
 const BREAK_EVEN_IDLE_TIME: f64 = 50_000.0;
-/// So many connections a core may idle as long as they like: clients of a server that few know should not connect anew.
+/// While no more connections a core than this are open, they may idle for [`MAX_IDLE_TIMEOUT`]: clients of a server that few
+/// know should not connect anew.
 const FREE_CONNECTIONS_PER_CORE: f64 = 2.0;
 /// Bounds of the idle timeout, in tenths of a millisecond.
 const MIN_IDLE_TIMEOUT: f64 = 100.0;
--- a/crates/scheduler/src/reasons.rs
+++ b/crates/scheduler/src/reasons.rs
@@ -24,7 +24,8 @@
 pub enum FailReason {
     /// The client's deadline passed (`timers.rs`).
     DeadlinePassed,
-    /// The latency objective passed, a late answer is worth nothing, and others wait (`timers.rs`).
+    /// The latency objective passed and a late answer is worth nothing (`timers.rs`). A running request fails so only while
+    /// others are queued and the executor can stop work; a parked one, which waits for its call, in any case.
     ObjectivePassed,
     /// Its downstream call failed for good (`downstream/mod.rs`).
     CallFailed,
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -96,9 +96,9 @@
 pub struct Arrival {
     /// The slot assigned by the host.
     pub slot: RequestSlot,
-    /// RankIndex into [`Settings::classes`](crate::Settings::classes).
+    /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// RankIndex into [`Settings::tenant_rates`](crate::Settings::tenant_rates).
+    /// Index into [`Settings::tenant_rates`](crate::Settings::tenant_rates).
     pub tenant: Option<usize>,
     /// How long the client still waits, where it says so.
     pub remaining_timeout: Option<Time>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -4,8 +4,10 @@
 //!
 //! # What an acknowledgement guarantees
 //!
-//! [`Store::commit`] returns the number of the last write that is on the disk, synced, with the directory entry of its segment:
-//! it and all writes before it survive any crash, and nothing is read that was never written. Of the writes not yet acknowledged
+//! [`Store::commit`] with `sync` returns the number of the last write that is on the disk, synced, with the directory entry of
+//! its segment: it and all writes before it survive any crash, and nothing is read that was never written. `commit(false)`
+//! acknowledges writes that were handed to the operating system and not synced: they survive an end of the process, but
+//! neither a crash of the machine nor a loss of power. Of the writes not yet acknowledged
 //! a prefix, in their order, may survive. A sync that failed is final for its segment: what was not acknowledged in it is rolled
 //! back, and a new segment is begun.
 //!
