--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -18,7 +18,7 @@
 //! # Modules
 //!
 //! * `config`: [`PoolsConfig`] and what makes it invalid.
-//! * `pools`: the pools of a server, the events they are told of, and their change while requests run.
+//! * `pools`: the pools of a server, the events they receive, and their change while requests run.
 //! * `admission`: what may start, be queued or be evicted.
 //! * `pool`: the state of one pool; `sample_window`: its latency measurements.
 //! * [`limit`]: the adaptive limits (AIMD, gradient, Vegas, PID).
--- a/crates/concurrency/src/pools.rs
+++ b/crates/concurrency/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of one server: the events that they are told of, and their reconfiguration while requests run.
+//! The pools of one server: the events that they receive, and their reconfiguration while requests run.
 
 use crate::config::PoolsConfig;
 use crate::limit::Limiter;
@@ -39,13 +39,13 @@
 }
 
 impl Pools {
-    /// Creates the pools of a server with `class_count` request classes and room for `cap` running requests. Without configured
+    /// Creates the pools of a server with `class_count` request classes and room for `limit` running requests. Without configured
     /// pools every request may start and nothing is reserved.
-    pub fn new(config: &PoolsConfig, class_count: usize, cap: f64) -> Pools {
+    pub fn new(config: &PoolsConfig, class_count: usize, limit: f64) -> Pools {
         if config.pools.is_empty() {
             return Pools::default();
         }
-        let slots = whole_slots(cap);
+        let slots = whole_slots(limit);
         let default_pool = config.pools.len();
         let mut pool_of_class = vec![default_pool; class_count];
         for (index, pool) in config.pools.iter().enumerate() {
@@ -146,19 +146,19 @@
     }
 
     /// Advances the time, sets the number of running requests that the server has room for, and adapts the limits.
-    pub fn tick(&mut self, now: Time, cap: f64) {
+    pub fn tick(&mut self, now: Time, limit: f64) {
         self.now = now;
         if self.is_disabled() {
             return;
         }
-        self.slots = whole_slots(cap);
+        self.slots = whole_slots(limit);
         for pool in &mut self.pools {
             pool.update_limit(now, self.slots, self.limiter);
         }
     }
 }
 
-/// Slots of a server that starts a request while fewer than `cap` run.
-fn whole_slots(cap: f64) -> usize {
-    (cap.ceil() as usize).max(1)
+/// Slots of a server that starts a request while fewer than `limit` run.
+fn whole_slots(limit: f64) -> usize {
+    (limit.ceil() as usize).max(1)
 }
--- a/crates/scheduler/src/admission/queue.rs
+++ b/crates/scheduler/src/admission/queue.rs
@@ -47,21 +47,21 @@
         self.calls_downstream(slot) && self.call_queue_wait() > MAX_WAIT_PER_SLACK * slack
     }
 
-    /// Whether places are free for all that is queued, or the wait before this request fits its slack and the shortest
+    /// Whether concurrency slots are free for all that is queued, or the wait before this request fits its slack and the shortest
     /// objective.
     fn has_room(&self, now: Time, request: &RequestState) -> bool {
         let limit = self.concurrency_limit.limit();
-        let has_free_places = limit - self.requests.running() as f64 >= self.requests.queued().len() as f64;
+        let has_free_slots = limit - self.requests.running() as f64 >= self.requests.queued().len() as f64;
         let share = if request.within_quota { 1.0 } else { OVER_QUOTA_QUEUE_SHARE };
         let slack = (request.objective_at - now) as f64 - self.estimates.service_time(request);
         let max_wait = (MAX_WAIT_PER_SLACK * slack)
             .min(self.shortest_objective * MAX_WAIT_PER_SHORTEST_OBJECTIVE)
             * share;
         let common = (self.requests.queued_work(), limit);
-        let (work, places) = self.pools.queue_ahead(request.class, request.within_quota).unwrap_or(common);
+        let (work, slots) = self.pools.queue_ahead(request.class, request.within_quota).unwrap_or(common);
         let pace = self.estimates.pace();
-        let wait = work * pace / places - request.scaled_work * pace / places;
-        has_free_places || wait <= max_wait.max(0.0)
+        let wait = work * pace / slots - request.scaled_work * pace / slots;
+        has_free_slots || wait <= max_wait.max(0.0)
     }
 
     /// The queued request that is shed next, of those that stand in one queue with `class`.
--- a/crates/scheduler/src/concurrency_limit.rs
+++ b/crates/scheduler/src/concurrency_limit.rs
@@ -1,5 +1,5 @@
 //! The concurrency limit: how many requests run at once. It follows the cores, up while they idle and work waits, down
-//! while they are crowded.
+//! while they are overloaded.
 
 use crate::estimates::{decay, smooth};
 use crate::types::Gauges;
@@ -49,9 +49,9 @@
         self.limit
     }
 
-    /// The places that may be taken. Past the cores only whole places count: part of one would be taken by a whole run,
+    /// The concurrency slots that may be taken. Past the cores only whole slots count: part of one would be taken by a whole run,
     /// which slows all others while no core is free for it.
-    pub(crate) fn places(&self) -> f64 {
+    pub(crate) fn slots(&self) -> f64 {
         if self.limit > self.cores {
             self.limit.floor()
         } else {
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -18,21 +18,22 @@
 /// The survivable concurrency is taken to be above one, so that one request always runs.
 const MIN_SURVIVABLE_CONCURRENCY: f64 = 1.01;
 
-/// Owns the random numbers of the draw and the places granted by others.
+/// Owns the random numbers of the draw and the concurrency slots granted by others.
 #[derive(Default)]
 pub(crate) struct Dispatcher {
     rng: SeededRng,
-    /// Places beyond which none starts, whatever the concurrency limit; `None` where nobody grants places.
-    granted_places: Option<f64>,
+    /// Concurrency slots granted by others: no request starts beyond them, whatever the concurrency limit; `None` where nobody
+    /// grants any.
+    granted_slots: Option<f64>,
 }
 
 impl Dispatcher {
     pub(crate) fn new(seed: u64) -> Dispatcher {
-        Dispatcher { rng: SeededRng::new(seed), granted_places: None }
+        Dispatcher { rng: SeededRng::new(seed), granted_slots: None }
     }
 
-    pub(crate) fn set_granted_places(&mut self, places: f64) {
-        self.granted_places = Some(places);
+    pub(crate) fn set_granted_slots(&mut self, slots: f64) {
+        self.granted_slots = Some(slots);
     }
 
     /// Draws rank j of `count`, from 0, with chance β^j (1 − β) / (1 − β^count): the inverse of the cumulated chances.
@@ -44,15 +45,15 @@
 }
 
 impl Scheduler {
-    /// Starts queued requests while the concurrency limit, the granted places and the survivable concurrency allow.
+    /// Starts queued requests while the concurrency limit, the granted slots and the survivable concurrency allow.
     pub(crate) fn dispatch(&mut self, now: Time, host: &mut dyn Host) {
         let parked = self.requests.parked();
         let survivable = (self.slow_start.survivable_concurrency(now) * USABLE_OVERLOAD_SHARE)
             .max(MIN_SURVIVABLE_CONCURRENCY);
-        let granted = self.dispatcher.granted_places.unwrap_or(f64::INFINITY);
-        let places = self.concurrency_limit.places().min(granted);
+        let granted = self.dispatcher.granted_slots.unwrap_or(f64::INFINITY);
+        let slots = self.concurrency_limit.slots().min(granted);
         while !self.requests.queued().is_empty()
-            && (self.requests.running() as f64) < places
+            && (self.requests.running() as f64) < slots
             && ((self.requests.active().len() + 1) as f64) < survivable
         {
             let no_calling_classes = parked as f64 >= self.cores * MAX_PARKED_PER_CORE;
@@ -93,7 +94,7 @@
     }
 
     /// Whether a queued request may start: its memory while running fits, it calls nothing downstream while too many are
-    /// parked, and its pool has a place.
+    /// parked, and its pool has a free concurrency slot.
     fn may_start(&self, now: Time, slot: RequestSlot, no_calling_classes: bool) -> bool {
         let Some(request) = self.requests.get(slot) else { return false };
         let waits_for_parked = no_calling_classes
--- a/crates/scheduler/src/downstream/mod.rs
+++ b/crates/scheduler/src/downstream/mod.rs
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Time until so many owed calls have been made.
-    fn wait_for(&self, owed: usize) -> f64 {
+    /// Time until so many waiting calls have been made.
+    fn wait_for(&self, waiting_calls: usize) -> f64 {
         let limit = match self.kind {
             DownstreamKind::Shared => self.shared.limit(),
             _ => self.tier.limit(),
         };
-        owed as f64 * self.mean_call_time / limit.max(MIN_LIMIT_FOR_WAIT)
+        waiting_calls as f64 * self.mean_call_time / limit.max(MIN_LIMIT_FOR_WAIT)
     }
 
-    /// Records the end of a call that took `took`. One abandoned took at least as long: without it a jam would hide how
+    /// Records the end of a call that took `took`. One abandoned took at least as long: without it congestion would hide how
     /// slow calls are.
     fn record(&mut self, now: Time, outcome: Outcome, took: Time) {
         let took = took as f64;
@@ -170,7 +170,7 @@
         self.downstream.shared.abandon(now, sequence);
     }
 
-    /// Time until the calls owed by all that is here have been made.
+    /// Time until the calls of all queued and parked requests have been made.
     pub(crate) fn call_queue_wait(&self) -> f64 {
         let queued = self.requests.queued().iter().filter(|slot| self.calls_downstream(**slot)).count();
         self.downstream.wait_for(self.requests.awaiting_call().len() + queued)
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -76,9 +76,9 @@
         self.pace
     }
 
-    /// The work told by a client, or the default.
-    pub(crate) fn expected_work(told: Option<f64>) -> f64 {
-        told.unwrap_or(DEFAULT_EXPECTED_WORK).max(1.0)
+    /// The expected work sent by the client, or the default.
+    pub(crate) fn expected_work(sent_by_client: Option<f64>) -> f64 {
+        sent_by_client.unwrap_or(DEFAULT_EXPECTED_WORK).max(1.0)
     }
 
     /// Work scaled by the measurements of its class.
--- a/crates/scheduler/src/load_feedback.rs
+++ b/crates/scheduler/src/load_feedback.rs
@@ -7,9 +7,10 @@
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use crate::types::{LoadFeedbackKind, Time};
+use cypresscleat_primitives::MS;
 
-/// Time between two feedbacks, in tenths of a millisecond.
-pub(crate) const FEEDBACK_INTERVAL: Time = 1000;
+/// Time between two feedbacks.
+pub(crate) const FEEDBACK_INTERVAL: Time = 100 * MS;
 /// Bounds of the requests that all clients together may have outstanding, a core.
 const MIN_OUTSTANDING_PER_CORE: f64 = 1.0;
 const MAX_OUTSTANDING_PER_CORE: f64 = 3.0;
@@ -25,7 +26,7 @@
 /// Calls are slow once their mean time passes this part of any latency objective.
 const SLOW_CALL_RATIO: f64 = 0.5;
 
-/// Owns what clients are told.
+/// Owns the load feedback that is sent to clients.
 #[derive(Default)]
 pub(crate) struct LoadFeedback {
     kind: LoadFeedbackKind,
--- a/crates/scheduler/src/request_table.rs
+++ b/crates/scheduler/src/request_table.rs
@@ -8,7 +8,7 @@
 /// Where a request is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Waits for a place.
+    /// Waits for a concurrency slot.
     #[default]
     Queued,
     /// Runs.
@@ -37,13 +37,16 @@
     pub(crate) sequence: u64,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
+    /// Whether it found a token in its tenant's bucket; true for tenants without a quota.
     pub(crate) within_quota: bool,
-    /// Work told by the client, in tenths of a millisecond.
+    /// Expected work sent by the client, in tenths of a millisecond.
     pub(crate) expected_work: f64,
     /// The same, scaled by the measurements of its class: its size in the ranking.
     pub(crate) scaled_work: f64,
+    /// Memory that it takes while queued.
     pub(crate) memory_kb: f64,
-    /// Priority weight for a unit of work.
+    /// Priority weight for a unit of work: the request of the lowest is shed first, calls are made for the highest first. Lower
+    /// for marked retries, requests over quota and those that are late.
     pub(crate) priority: f64,
     pub(crate) arrived_at: Time,
     /// When its answer loses weight.
@@ -51,8 +54,11 @@
     /// When its client gives up.
     pub(crate) deadline: Time,
     pub(crate) phase: Phase,
+    /// Whether it was started, or an earlier attempt of it ran: it may have had its effect.
     pub(crate) has_run: bool,
+    /// Whether its client was answered or has disconnected: no other answer is given.
     pub(crate) is_answered: bool,
+    /// Whether its run ended with success.
     pub(crate) has_succeeded: bool,
     pub(crate) running_since: Time,
     /// Time spent running before `running_since`.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -114,9 +114,9 @@
         self.pools.tick(now, self.concurrency_limit.limit());
     }
 
-    /// Where runs go to places that others grant: so many there are now.
-    pub fn set_granted_places(&mut self, now: Time, places: f64, host: &mut impl Host) {
-        self.dispatcher.set_granted_places(places);
+    /// Sets the number of concurrency slots that others grant, where runs go to other servers.
+    pub fn set_granted_places(&mut self, now: Time, slots: f64, host: &mut impl Host) {
+        self.dispatcher.set_granted_slots(slots);
         self.dispatch(now, host);
     }
 
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::types::*;
 use cypresscleat_concurrency::{ConfigError, PoolsConfig};
 
-/// The settings of one server, told at its start.
+/// The settings of one server, passed to [`Scheduler::start`](crate::Scheduler::start).
 ///
 /// Numbers out of range are clamped by the rule that uses them; [`Settings::validate`] reports what can't be clamped.
 #[derive(Clone, Debug, Default)]
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -6,13 +6,14 @@
 use crate::request_table::Phase;
 use crate::scheduler::Scheduler;
 use crate::types::{RequestSlot, StopMode, Time};
+use cypresscleat_primitives::MS;
 use std::collections::BTreeSet;
 
 /// The tick's interval as a part of the answer slack: answers at a deadline come up to a tick late.
 const INTERVAL_PER_ANSWER_SLACK: f64 = 0.3;
-/// Bounds of the tick's interval, in tenths of a millisecond.
-const MIN_INTERVAL: Time = 10;
-const MAX_INTERVAL: Time = 200;
+/// Bounds of the tick's interval.
+const MIN_INTERVAL: Time = MS;
+const MAX_INTERVAL: Time = 20 * MS;
 /// A queued request is rejected when not even this part of its expected service time is left.
 const MIN_SERVICE_TIME_RATIO: f64 = 0.5;
 
@@ -75,7 +76,7 @@
                 request.objective_at = request.deadline;
                 request.priority *= late_share;
             }
-            // Its place serves those that wait.
+            // Its concurrency slot serves the queued requests.
             Phase::Running if is_worthless && may_stop => {
                 return self.fail(now, slot, FailReason::ObjectivePassed, host)
             }
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -2,8 +2,8 @@
 
 pub use cypresscleat_primitives::Time;
 
-/// Identifies an open request: a small index that the host assigns and may assign again after
-/// [`Host::release`](crate::Host::release).
+/// Identifies an open request: its index in the request table, a small number that the host assigns and may assign again after
+/// [`Host::release`](crate::Host::release). Not a concurrency slot: a queued request has an index too.
 pub type RequestSlot = usize;
 
 /// Whether a request may be executed more than once.
@@ -102,7 +102,7 @@
     pub tenant: Option<usize>,
     /// How long the client still waits, where it says so.
     pub remaining_timeout: Option<Time>,
-    /// The priority told by the client; no rule uses it.
+    /// The priority sent by the client; no rule uses it.
     pub client_priority: f64,
     /// The attempt that this request repeats.
     pub earlier_attempt: EarlierAttempt,
@@ -114,7 +114,7 @@
     pub is_write: bool,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Expected work in tenths of a millisecond, where told.
+    /// Expected work in tenths of a millisecond, where the client sends it.
     pub expected_work: Option<f64>,
     /// Memory that the request takes while it is queued.
     pub memory_kb: f64,
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -21,7 +21,7 @@
 ];
 
 #[derive(Clone, Copy, Default, PartialEq)]
-enum Place {
+enum RequestPhase {
     #[default]
     Free,
     Waiting,
@@ -34,7 +34,7 @@
 struct Recorder {
     digest: DefaultHasher,
     calls: usize,
-    places: Vec<Place>,
+    phases: Vec<RequestPhase>,
     timer: Time,
     stopped: Vec<usize>,
     logged: Vec<String>,
@@ -48,17 +48,17 @@
     }
 
     fn free_slot(&mut self) -> usize {
-        let free = self.places.iter().position(|place| *place == Place::Free);
-        let slot = free.unwrap_or(self.places.len());
-        if slot == self.places.len() {
-            self.places.push(Place::Free);
+        let free = self.phases.iter().position(|phase| *phase == RequestPhase::Free);
+        let slot = free.unwrap_or(self.phases.len());
+        if slot == self.phases.len() {
+            self.phases.push(RequestPhase::Free);
         }
-        self.places[slot] = Place::Waiting;
+        self.phases[slot] = RequestPhase::Waiting;
         slot
     }
 
-    fn any(&self, rng: &mut SeededRng, fits: impl Fn(Place) -> bool) -> Option<usize> {
-        let all: Vec<usize> = (0..self.places.len()).filter(|slot| fits(self.places[*slot])).collect();
+    fn any(&self, rng: &mut SeededRng, fits: impl Fn(RequestPhase) -> bool) -> Option<usize> {
+        let all: Vec<usize> = (0..self.phases.len()).filter(|slot| fits(self.phases[*slot])).collect();
         all.get(rng.index_below(all.len())).copied()
     }
 }
@@ -66,7 +66,7 @@
 impl Host for Recorder {
     fn run(&mut self, slot: RequestSlot) {
         self.record(("run", slot));
-        self.places[slot] = Place::Running;
+        self.phases[slot] = RequestPhase::Running;
     }
     fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         self.record(("reject", slot, rejection.retry_after, rejection.no_retry_elsewhere));
@@ -82,11 +82,11 @@
     }
     fn call(&mut self, slot: RequestSlot, within: Time) {
         self.record(("call", slot, within));
-        self.places[slot] = Place::Calling;
+        self.phases[slot] = RequestPhase::Calling;
     }
     fn skip_call(&mut self, slot: RequestSlot) {
         self.record(("skip", slot));
-        self.places[slot] = Place::Running;
+        self.phases[slot] = RequestPhase::Running;
     }
     fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
         self.record(("retain", slot, span));
@@ -114,7 +114,7 @@
     }
     fn release(&mut self, slot: RequestSlot) {
         self.record(("release", slot));
-        self.places[slot] = Place::Free;
+        self.phases[slot] = RequestPhase::Free;
         self.stopped.retain(|other| *other != slot);
     }
 }
@@ -188,7 +188,7 @@
     let earlier_attempt = match rng.below(6) {
         0 => EarlierAttempt::Released,
         1 => host
-            .any(rng, |place| place != Place::Free)
+            .any(rng, |phase| phase != RequestPhase::Free)
             .map_or(EarlierAttempt::Released, EarlierAttempt::Known),
         _ => EarlierAttempt::None,
     };
@@ -235,10 +235,10 @@
             connections: Some(900.0),
         };
     }
-    let told = !rng.one_in(8);
+    let has_gauges = !rng.one_in(8);
     Gauges {
-        core_utilization: told.then(|| 0.4 + rng.next_f64() * 0.6),
-        runnable_tasks: told.then(|| rng.next_f64() * 12.0),
+        core_utilization: has_gauges.then(|| 0.4 + rng.next_f64() * 0.6),
+        runnable_tasks: has_gauges.then(|| rng.next_f64() * 12.0),
         memory_share: None,
         connections: rng.one_in(2).then(|| rng.next_f64() * 40.0),
     }
@@ -252,31 +252,34 @@
             scheduler.handle_arrival(now, arrival, host);
         }
         5 | 6 => {
-            if let Some(slot) = host.any(rng, |place| place == Place::Running) {
+            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Running) {
                 let how = outcome(rng);
                 scheduler.handle_run_completed(now, slot, how, host);
             }
         }
         7 => {
-            if let Some(slot) = host.any(rng, |place| place == Place::Running) {
-                host.places[slot] = Place::Parked;
+            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Running) {
+                host.phases[slot] = RequestPhase::Parked;
                 scheduler.handle_call_needed(now, slot, host);
             }
         }
         8 | 9 => {
-            if let Some(slot) = host.any(rng, |place| place == Place::Calling) {
+            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Calling) {
                 let (how, took) = (outcome(rng), rng.below(2_500) as Time);
-                host.places[slot] = if how == Outcome::Succeeded { Place::Running } else { Place::Parked };
+                host.phases[slot] =
+                    if how == Outcome::Succeeded { RequestPhase::Running } else { RequestPhase::Parked };
                 scheduler.handle_call_completed(now, slot, how, took, host);
             }
         }
         10 => {
-            if let Some(slot) = host.any(rng, |place| place != Place::Free) {
+            if let Some(slot) = host.any(rng, |phase| phase != RequestPhase::Free) {
                 scheduler.handle_client_disconnect(now, slot, host);
             }
         }
         _ if step.is_multiple_of(5) => {
-            if let Some(slot) = host.any(rng, |place| matches!(place, Place::Parked | Place::Calling)) {
+            if let Some(slot) =
+                host.any(rng, |phase| matches!(phase, RequestPhase::Parked | RequestPhase::Calling))
+            {
                 scheduler.handle_run_completed(now, slot, Outcome::Cancelled, host);
             }
         }
@@ -290,7 +293,7 @@
     let mut scheduler = Scheduler::start(now, settings(kind, &mut rng), &mut host);
     let mut next_tick = host.timer;
     for step in 0..EVENTS {
-        // Calm and crowded spells in turn.
+        // Calm and overloaded spells in turn.
         now += rng.below(if (step / 600) % 2 == 0 { 90 } else { 300 }) as Time;
         while next_tick <= now {
             scheduler.tick(next_tick, gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -1,4 +1,10 @@
-//! Plays every file of tests/scenarios. Notation, a line each, times in milliseconds:
+//! Plays every file of tests/scenarios. File names that begin with a rule's number check that rule:
+//!   rule1  no request is lost: each gets one final answer in time
+//!   rule2  nothing has its effect twice
+//!   rule3  drains are safe
+//!   rule4  no server or downstream dependency is driven past what it survives
+//!
+//! Notation, a line each, times in milliseconds:
 //!   set NAME VALUE                     a setting, before the first event
 //!   class NAME=VALUE ...               a request class (latency_objective, timeout, priority_weight, late_share,
 //!                                      degraded_share, calls_downstream, retry_window, retry_safety)
@@ -327,7 +333,7 @@
     assert!(!files.is_empty() && failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// With one place and five held, each rank is drawn as often as the formula says (within five sigma).
+/// With one concurrency slot and five queued requests, each rank is drawn as often as the formula says (within five sigma).
 #[test]
 fn draw_follows_the_formula() {
     let (beta, held, rounds) = (0.9f64, 5, 20_000);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -126,7 +126,7 @@
     word.parse().map_err(|_| format!("{what} is {word:?}"))
 }
 
-fn place(names: &[String], word: &str, what: &str) -> Result<usize, String> {
+fn index_of(names: &[String], word: &str, what: &str) -> Result<usize, String> {
     names
         .iter()
         .position(|name| name == word)
@@ -166,7 +166,7 @@
             instance.ids.slots.get(word).map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot))
         }
     };
-    let class = place(&instance.names.classes, values.word("profile")?, "operation")?;
+    let class = index_of(&instance.names.classes, values.word("profile")?, "operation")?;
     let has_idempotency_key = values.maybe().is_some();
     let time_unread = values.span("unread_for_ns")?;
     values.maybe(); // the client's number
@@ -175,7 +175,7 @@
     let memory_kb = values.optional("kb")?.unwrap_or(0.0);
     let tenant = match values.maybe() {
         None | Some("0") => None,
-        Some(name) => Some(place(&instance.names.tenants, name, "customer")?),
+        Some(name) => Some(index_of(&instance.names.tenants, name, "customer")?),
     };
     let slot = instance.ids.open(word);
     Ok(Arrival {
@@ -254,12 +254,12 @@
         }
         "ACCEPT" => {
             let word = values.word("corr")?;
-            // Not to be understood, but an answer is owed.
-            let owed = |what| {
+            // A request that cannot be understood still gets its answer.
+            let answer_and_pass_on = |what| {
                 let _ = writeln!(out, "DROP_REQUEST {who} {word}");
                 what
             };
-            let arrival = arrival(instance, word, &mut values).map_err(owed)?;
+            let arrival = arrival(instance, word, &mut values).map_err(answer_and_pass_on)?;
             let mut host = Wire { out, who, ids: &mut instance.ids };
             instance.scheduler.handle_arrival(now, arrival, &mut host);
             Ok(())
