--- a/crates/forwarding/src/capacity_plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -51,9 +51,9 @@
     forwarder: NodeId,
     /// Its fraction of the places of each worker.
     share: f64,
-    /// Places that are due to it. What was rounded away at one worker is made up for at the next, so that small shares are not
+    /// Concurrency slots that are due to it. What was rounded away at one worker is made up for at the next, so that small shares are not
     /// always nothing.
-    owed: f64,
+    credit: f64,
 }
 
 /// What a planner knows.
@@ -149,7 +149,7 @@
             EVEN_SHARE / count + (1.0 - EVEN_SHARE) * by_worth
         };
         let claims = self.reports.keys().zip(worths);
-        claims.map(|(&forwarder, worth)| Claim { forwarder, share: share(worth), owed: 0.0 }).collect()
+        claims.map(|(&forwarder, worth)| Claim { forwarder, share: share(worth), credit: 0.0 }).collect()
     }
 }
 
@@ -176,10 +176,10 @@
 /// Divides the places of a worker among the claims, whole, by largest remainder; returns the places of each claim.
 fn divide(claims: &mut [Claim], available: u32) -> Vec<u32> {
     for claim in claims.iter_mut() {
-        claim.owed += claim.share * f64::from(available);
+        claim.credit += claim.share * f64::from(available);
     }
-    let mut places: Vec<u32> = claims.iter().map(|claim| claim.owed.max(0.0).floor() as u32).collect();
-    let remainder = |index: usize| claims[index].owed - f64::from(places[index]);
+    let mut places: Vec<u32> = claims.iter().map(|claim| claim.credit.max(0.0).floor() as u32).collect();
+    let remainder = |index: usize| claims[index].credit - f64::from(places[index]);
     let mut order: Vec<usize> = (0..places.len()).collect();
     order.sort_by(|a, b| remainder(*b).total_cmp(&remainder(*a)));
     let mut left = i64::from(available) - places.iter().map(|given| i64::from(*given)).sum::<i64>();
@@ -194,7 +194,7 @@
         }
     }
     for (claim, given) in claims.iter_mut().zip(&places) {
-        claim.owed -= f64::from(*given);
+        claim.credit -= f64::from(*given);
     }
     places
 }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -1,5 +1,5 @@
-//! Who may grant places on workers, and which grants are valid. A planner leads while it is the least of those that are here; each
-//! that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants of those before it must
+//! Who may grant concurrency slots on workers, and which grants are valid. A planner leads while its id is the least of the planners
+//! that are present; a planner that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants of earlier leaders must
 //! have ended. A forwarder accepts grants of the newest epoch that it knows only.
 //!
 //! # The bound
@@ -7,8 +7,8 @@
 //! A grant holds for `duration` from when its planner made it, and its forwarder uses it for no longer than `duration` from when it
 //! sent the load report that the grant answers, which was earlier. A planner that becomes leader waits for [`GRANT_DURATION`] and
 //! [`MAX_CLOCK_SKEW`]. So while clocks run equally fast to within that skew in that time, no two planners' grants hold at once: of
-//! each worker no more than its places is granted. Two that both believe that they lead, each for longer than that wait (the network
-//! between them partitioned), grant the places twice at the most, one for each side, and a forwarder counts one epoch only.
+//! each worker no more than its slots is granted. Two planners that both believe that they lead, each for longer than that wait (the
+//! network between them partitioned), grant the slots twice at the most, once for each side, and a forwarder counts one epoch only.
 
 use crate::messages::Grant;
 use crate::{NodeId, Time, MS, SECOND};
@@ -21,7 +21,7 @@
 /// Clocks may run apart by this much in that time.
 pub const MAX_CLOCK_SKEW: Time = 50 * MS;
 
-/// No grant counts for more places than this, whatever a planner says.
+/// No grant counts for more concurrency slots than this, whatever a planner says.
 pub const MAX_GRANTED_PLACES: u32 = 100_000;
 /// Load reports whose answers are still accepted.
 const MAX_OPEN_REPORTS: usize = 8;
@@ -31,27 +31,27 @@
 pub struct PlannerElection {
     own: NodeId,
     epoch: u64,
-    /// The newest epoch heard of.
+    /// The newest epoch that the planner has heard of.
     seen: u64,
-    /// While it leads: from when on it may grant.
+    /// While the planner leads: from when on it may grant.
     grants_from: Option<Time>,
-    /// Number of its last grants.
+    /// Number of the planner's last grants.
     number: u64,
-    /// How long it waits before it grants.
+    /// How long a new leader waits before it grants.
     wait: Time,
 }
 
 /// A change of who leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// It leads.
+    /// The planner leads.
     BecameLeader {
         /// Its epoch.
         epoch: u64,
         /// From when on it may grant.
         from: Time,
     },
-    /// It does not lead any more.
+    /// The planner does not lead any more.
     BecameFollower,
 }
 
@@ -66,12 +66,13 @@
         PlannerElection { own, wait, ..PlannerElection::default() }
     }
 
-    /// Whether it leads; it may have to wait before it grants.
+    /// Whether the planner leads; it may have to wait before it grants.
     pub fn is_leader(&self) -> bool {
         self.grants_from.is_some()
     }
 
-    /// Another member told of an epoch. One past its own shows another leader: it begins again behind it, if it leads.
+    /// Another member sent an epoch. An epoch past the planner's own shows another leader: if this planner leads, it begins again
+    /// with a later epoch.
     pub fn observe_epoch(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
         self.seen = self.seen.max(epoch);
         if self.is_leader() && self.seen > self.epoch {
@@ -80,7 +81,7 @@
         None
     }
 
-    /// The planners that are here, itself included or not.
+    /// Takes the planners that are present, this one included or not.
     pub fn update_planners(
         &mut self,
         now: Time,
@@ -106,22 +107,22 @@
         LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
-    /// Epoch and number of the next grants, if it may grant now.
+    /// Epoch and number of the next grants, if the planner may grant now.
     pub fn next_grant(&mut self, now: Time) -> Option<(u64, u64)> {
         self.grants_from.filter(|from| *from <= now)?;
         self.number += 1;
         Some((self.epoch, self.number))
     }
 
-    /// Its epoch, the last one if it does not lead.
+    /// The planner's epoch, the last one if it does not lead.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 }
 
 /// A planner's side where the control replicas say who leads: it grants under the fencing token of its lease, and nothing that would
-/// outlive the lease. Whoever holds the lease next may grant at once: all that was granted before has ended by then. So of each worker
-/// no more than its places is granted, once, also where the network between planners is partitioned, while clocks run equally fast to
+/// outlive the lease. The next holder of the lease may grant at once: all that was granted before has ended by then. So of each worker
+/// no more than its slots is granted, once, also where the network between planners is partitioned, while clocks run equally fast to
 /// within the bound of the leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeasedGrants {
@@ -131,14 +132,14 @@
     last_end: Time,
 }
 
-/// Shorter grants are not made: they would end on their way.
+/// The planner makes no shorter grants: they would end on their way.
 pub const MIN_GRANT_DURATION: Time = GRANT_DURATION / 8;
 /// Puts tokens past every epoch that planners took by themselves: those count changes of leader.
 const TOKEN_EPOCH_SHIFT: u32 = 20;
 
 impl LeasedGrants {
-    /// Epoch, number and duration of the next grants, while the lease with that token holds for `time_left` at the least and its
-    /// clock shows `now`.
+    /// Epoch, number and duration of the next grants, while the lease with that token holds for `time_left` at the least and the
+    /// planner's clock shows `now`.
     pub fn next_grant(&mut self, now: Time, token: u64, time_left: Time) -> Option<(u64, u64, Time)> {
         let duration = time_left.min(GRANT_DURATION);
         if duration < MIN_GRANT_DURATION {
@@ -152,7 +153,7 @@
         Some((token << TOKEN_EPOCH_SHIFT, self.number, duration))
     }
 
-    /// When all that it granted has ended.
+    /// When all grants of this planner have ended.
     pub fn all_ended_at(&self) -> Time {
         self.last_end
     }
@@ -164,7 +165,7 @@
     epoch: u64,
     number: u64,
     valid_until: Time,
-    /// Places by worker.
+    /// Concurrency slots by worker.
     grants: BTreeMap<NodeId, u32>,
     /// The last load reports by number, and when they were sent.
     sent_reports: VecDeque<(u32, Time)>,
@@ -175,13 +176,13 @@
 /// Why grants were not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantRejection {
-    /// They are of an epoch before one that is known.
+    /// The grants are of an epoch before one that is known.
     StaleEpoch,
-    /// They came before already, or were overtaken by later ones.
+    /// The grants came before already, or were overtaken by later ones.
     Duplicate,
-    /// They answer no load report that is remembered: their age cannot be known.
+    /// The grants answer no load report that is remembered: their age cannot be known.
     UnknownReport,
-    /// They had ended when they came.
+    /// The grants had ended when they came.
     Expired,
 }
 
@@ -213,7 +214,7 @@
         if epoch == self.epoch && number <= self.number {
             return Err(GrantRejection::Duplicate);
         }
-        // Known as the newest even where they are not accepted: what came before is not valid any more.
+        // The epoch is the newest even where its grants are not accepted: earlier grants are not valid any more.
         if epoch > self.epoch {
             self.grants.clear();
             self.valid_until = Time::MIN;
@@ -231,7 +232,7 @@
         Ok(())
     }
 
-    /// Places granted on a worker now; `None` where no grants are valid.
+    /// Concurrency slots granted on a worker now; `None` where no grants are valid.
     pub fn places(&self, now: Time, worker: NodeId) -> Option<u32> {
         self.is_valid(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
@@ -251,7 +252,7 @@
         self.epoch
     }
 
-    /// Places granted on all workers now.
+    /// Concurrency slots granted on all workers now.
     pub fn total_places(&self, now: Time) -> u64 {
         if !self.is_valid(now) {
             return 0;
--- a/crates/forwarding/src/hash_ring.rs
+++ b/crates/forwarding/src/hash_ring.rs
@@ -20,8 +20,8 @@
     pub fn insert(&mut self, id: NodeId, index: usize) {
         for number in 0..POINTS_PER_WORKER {
             let point = (hash_point(id, number), index);
-            let place = self.points.partition_point(|known| *known < point);
-            self.points.insert(place, point);
+            let position = self.points.partition_point(|known| *known < point);
+            self.points.insert(position, point);
         }
     }
 
@@ -36,7 +36,7 @@
         moved.for_each(|(_, worker)| *worker = to);
     }
 
-    /// The workers from a subject's place on, once round; one with points behind one another comes once.
+    /// The workers from the subject's position on, once round the ring; a worker with adjacent points comes once for them.
     pub fn walk(&self, subject: u64) -> impl Iterator<Item = usize> + '_ {
         let start = self.points.partition_point(|(point, _)| *point < subject);
         let mut previous = usize::MAX;
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -5,7 +5,7 @@
 //! | --- | --- |
 //! | [`messages`] | which bytes say what; versioned, bounded |
 //! | [`membership`] | who is here: joins, leaves, suspicion, death (SWIM) |
-//! | [`grants`] | who may grant places on workers, and which grants are valid |
+//! | [`grants`] | who may grant concurrency slots on workers, and which grants are valid |
 //! | [`capacity_plan`] | how much of which worker each forwarder gets |
 //! | [`dispatch_mode`] | whether a forwarder goes by its grants or by itself, and how it goes back |
 //! | [`load_balancer`] | to which worker a request goes, and which workers are ejected |
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -1,7 +1,7 @@
-//! To which worker a request goes. One with a subject goes where its subject went, while that worker is not loaded past a bound
-//! (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). One without goes to the best of a
-//! few sampled at random, hot and cold told apart by the attempts in flight there, as Prequal does (B. Wydrowski and others,
-//! "Load is not what you should balance", 2024): of the cold the fastest, of the hot the least loaded. Workers that fail or are far
+//! To which worker a request goes. A request with a subject goes where its subject went, while that worker is not loaded past a bound
+//! (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). A request without one goes to the best of a
+//! few workers sampled at random, hot and cold told apart by the attempts in flight there, as Prequal does (B. Wydrowski and others,
+//! "Load is not what you should balance", 2024): of the cold workers the fastest, of the hot ones the least loaded. Workers that fail or are far
 //! slower than the others are ejected for a while, as Envoy's outlier detection does; never so many that the rest could not carry
 //! the load: where most look bad, the measure is at fault.
 //!
@@ -43,21 +43,21 @@
 #[derive(Clone, Debug)]
 struct Worker {
     id: NodeId,
-    /// Attempts that may be in flight there.
+    /// Concurrency slots: attempts that may be in flight at the worker.
     places: f64,
     in_flight: u32,
-    /// Mean time to an answer; 0 where none is known.
+    /// Mean time to the worker's answer; 0 where none is known.
     latency: f64,
     /// Mean fraction of attempts that failed.
     failure_rate: f64,
     /// Attempts that ended since the last ejection.
     attempts: f64,
-    /// Not before then: the worker said so, or it is ejected.
+    /// The worker is not chosen before then: it sent a Retry-After, or it is ejected.
     eligible_from: Time,
-    /// Ejections behind one another.
+    /// Ejections of the worker in a row.
     ejections: u32,
     accepts_work: bool,
-    /// Its index in the list of eligible workers.
+    /// The worker's index in the list of eligible workers.
     eligible_index: Option<usize>,
 }
 
@@ -97,22 +97,22 @@
     }
 }
 
-/// How an attempt ended, for the measure of its worker.
+/// How an attempt ended, for the measures of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The worker ran it.
+    /// The worker ran the request.
     Succeeded,
-    /// The worker turned it away.
+    /// The worker rejected the request.
     Rejected,
     /// The worker failed.
     Failed,
-    /// No connection, or it broke.
+    /// No connection to the worker could be made, or it broke.
     ConnectionLost,
-    /// The client left, or the attempt was called off: it says nothing of the worker.
+    /// The client left, or the attempt was cancelled: the outcome says nothing of the worker.
     Cancelled,
 }
 
-/// Chooses workers, and keeps the measures that it chooses by.
+/// Chooses workers, and keeps the measures by which they are chosen.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     workers: Vec<Worker>,
@@ -125,14 +125,14 @@
     sampled_loads: Vec<u32>,
     next_sample: usize,
     in_flight: u64,
-    /// Places at all eligible workers.
+    /// Concurrency slots at all eligible workers.
     places: f64,
     rng: SeededRng,
     full_scans: u64,
 }
 
 impl LoadBalancer {
-    /// No workers yet.
+    /// Creates a balancer without workers.
     pub fn new(seed: u64) -> LoadBalancer {
         LoadBalancer {
             workers: Vec::new(),
@@ -163,7 +163,7 @@
         self.in_flight
     }
 
-    /// Places at all eligible workers.
+    /// Concurrency slots at all eligible workers.
     pub fn places(&self) -> f64 {
         self.places
     }
@@ -183,7 +183,7 @@
         self.full_scans
     }
 
-    /// A worker that is here, with the places that may be used there.
+    /// Adds or updates a worker, with the concurrency slots that may be used there.
     pub fn set_worker(&mut self, now: Time, id: NodeId, places: f64, accepts_work: bool) {
         let index = self.by_id.get(&id).copied().unwrap_or_else(|| self.add_worker(id));
         let worker = &mut self.workers[index];
@@ -210,23 +210,23 @@
         if index < last {
             self.by_id.insert(self.workers[index].id, index);
             self.ring.reindex(last, index);
-            if let Some(place) = self.workers[index].eligible_index {
-                self.eligible[place] = index;
+            if let Some(position) = self.workers[index].eligible_index {
+                self.eligible[position] = index;
             }
         }
     }
 
     fn remove_from_eligible(&mut self, index: usize) {
-        if let Some(place) = self.workers[index].eligible_index.take() {
+        if let Some(position) = self.workers[index].eligible_index.take() {
             self.places -= self.workers[index].places;
-            self.eligible.swap_remove(place);
-            if let Some(moved) = self.eligible.get(place).copied() {
-                self.workers[moved].eligible_index = Some(place);
+            self.eligible.swap_remove(position);
+            if let Some(moved) = self.eligible.get(position).copied() {
+                self.workers[moved].eligible_index = Some(position);
             }
         }
     }
 
-    /// Into the list of eligible workers or out of it, as the worker stands now.
+    /// Puts the worker into the list of eligible workers or takes it out, by its state now.
     fn update_eligibility(&mut self, now: Time, index: usize) {
         self.remove_from_eligible(index);
         let worker = &mut self.workers[index];
@@ -277,7 +277,7 @@
         best.or_else(|| self.choose_by_full_scan(excluded))
     }
 
-    /// The least loaded of all, from a random place on; needed only where none of those sampled has capacity.
+    /// The least loaded of all workers, from a random one on; needed only where no sampled worker has capacity.
     fn choose_by_full_scan(&mut self, excluded: &[NodeId]) -> Option<usize> {
         self.full_scans += 1;
         let start = self.rng.index_below(self.eligible.len());
@@ -289,11 +289,11 @@
         all.filter(can_take).min_by_key(|index| self.workers[*index].in_flight)
     }
 
-    /// The load at most of the workers sampled lately.
+    /// The load that most of the workers sampled lately don't exceed.
     fn hot_threshold(&self) -> u32 {
         let mut sorted = self.sampled_loads.clone();
-        let place = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
-        *sorted.select_nth_unstable(place).1
+        let position = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
+        *sorted.select_nth_unstable(position).1
     }
 
     /// An attempt starts; returns false where its worker is not known.
@@ -304,7 +304,7 @@
         true
     }
 
-    /// An attempt has ended, after `latency`; `retry_after` is what its worker said of when to come back, or 0.
+    /// An attempt has ended, after `latency`; `retry_after` is the worker's Retry-After, or 0.
     pub fn record_end(
         &mut self,
         now: Time,
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Ejects a worker for a while, unless too many are already: where most look bad, the measure is at fault.
+    /// Ejects a worker for a while, unless too many are ejected already: where most workers look bad, the measure is at fault.
     fn eject(&mut self, now: Time, index: usize) {
         let is_away = |worker: &&Worker| worker.accepts_work && worker.eligible_from > now;
         let away = self.workers.iter().filter(is_away).count();
@@ -391,7 +391,7 @@
 }
 
 impl Worker {
-    /// Adds an attempt's end to the measures.
+    /// Adds an attempt's end to the worker's measures.
     fn measure(&mut self, outcome: AttemptOutcome, latency: Time) {
         self.attempts += 1.0;
         self.failure_rate += (f64::from(outcome.is_failure()) - self.failure_rate) * EWMA_WEIGHT;
@@ -402,13 +402,13 @@
                 self.ejections = 0;
             }
         } else if outcome.is_failure() {
-            // One that fails fast must not look like the best: each failure makes it look slower.
+            // A worker that fails fast must not look like the best one: each failure makes it look slower.
             self.latency *= 1.0 + EWMA_WEIGHT;
         }
     }
 }
 
-/// The least loaded worker by a plain scan of the same table, to measure against; of equally loaded ones the fastest.
+/// The least loaded worker by a plain scan of the same table, to measure against; of equally loaded workers the fastest.
 pub fn least_loaded(balancer: &LoadBalancer) -> Option<NodeId> {
     let free = balancer.workers.iter().filter(|worker| worker.has_capacity());
     let best = free.min_by(|a, b| a.in_flight.cmp(&b.in_flight).then(a.latency.total_cmp(&b.latency)));
--- a/crates/forwarding/src/membership/failure_detector.rs
+++ b/crates/forwarding/src/membership/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector: in each period one member is pinged, directly and, if it does not answer, through others. One that
-//! answers neither is suspected, and counts as dead unless it refutes that in time.
+//! SWIM's failure detector: in each period one member is pinged, directly and, if it does not answer, through other members. A
+//! member that answers neither is suspected, and counts as dead unless it refutes the suspicion in time.
 
 use super::config::{MAX_PERIOD, MAX_PROBE_TIMEOUT, MIN_PROBE_TIMEOUT};
 use super::{Member, Membership, OutgoingMessage};
@@ -13,7 +13,7 @@
     pub target: NodeId,
     pub number: u32,
     pub sent_at: Time,
-    /// Others were asked to ping it too.
+    /// Whether other members were asked to ping the target too.
     pub is_indirect: bool,
 }
 
@@ -21,14 +21,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct RelayedPing {
     pub number: u32,
-    /// The number under which the other one waits for the answer.
+    /// The number under which the requester waits for the answer.
     pub requested_number: u32,
     pub requester: SocketAddr,
     pub expires_at: Time,
 }
 
 impl Membership {
-    /// How long an answer is waited for now.
+    /// How long a pinged member has to answer.
     pub fn probe_timeout(&self) -> Time {
         let max = MAX_PROBE_TIMEOUT.min(self.period() / 2);
         (self.round_trip.upper_bound() as Time).clamp(MIN_PROBE_TIMEOUT, max)
@@ -47,7 +47,7 @@
 
     /// When [`Membership::tick`] is due at the latest.
     pub fn next_deadline(&self) -> Time {
-        // Once others were asked there is nothing more to do about the probe before the period ends.
+        // Once other members were asked there is nothing more to do about the probe before the period ends.
         let probe = self.probe.as_ref().filter(|probe| !probe.is_indirect);
         let probe = probe.map_or(Time::MAX, |probe| probe.sent_at + self.probe_timeout());
         let verification = if self.suspects_to_verify.is_empty() { Time::MAX } else { Time::MIN };
@@ -65,7 +65,7 @@
         out
     }
 
-    /// Asks others to ping a member that has not answered: perhaps only the way is bad.
+    /// Asks other members to ping a member that has not answered: perhaps only the network path to it is bad.
     fn probe_indirectly(&mut self, now: Time) -> Vec<OutgoingMessage> {
         let timeout = self.probe_timeout();
         let is_late = |probe: &&mut Probe| !probe.is_indirect && now - probe.sent_at >= timeout;
@@ -117,7 +117,7 @@
         Some(message)
     }
 
-    /// The next to be pinged: each once a round, in an order drawn anew for each round.
+    /// The next member to be pinged: each once a round, in an order drawn anew for each round.
     fn next_target(&mut self) -> Option<(NodeId, Member)> {
         loop {
             if self.round.is_empty() {
@@ -146,7 +146,7 @@
         self.message_to(to, Message::Ping { number })
     }
 
-    /// Pings suspects that were drawn here. Nothing waits for the answer: it is the suspect's refutation that counts.
+    /// Pings the suspects that were drawn for verification. Nothing waits for the answer: the suspect's refutation counts.
     fn verify_suspects(&mut self) -> Vec<OutgoingMessage> {
         let drawn = std::mem::take(&mut self.suspects_to_verify);
         let known = drawn.into_iter().filter_map(|id| Some((id, self.members.get(&id)?.clone())));
@@ -155,7 +155,7 @@
         suspects.into_iter().map(|(id, member)| self.ping_suspect(id, member)).collect()
     }
 
-    /// A suspect hears of its suspicion from whoever pings it, and can refute it at once.
+    /// Pings a suspect with the suspicion in the message, so that it can refute it at once.
     fn ping_suspect(&mut self, id: NodeId, member: Member) -> OutgoingMessage {
         let mut message = self.ping(member.address);
         let updates = &mut message.envelope.updates;
@@ -165,7 +165,7 @@
         message
     }
 
-    /// A member did not answer. One that drains is not suspected: it is gone when it does not answer.
+    /// A member did not answer. A draining member is not suspected: it counts as dead when it does not answer.
     fn suspect(&mut self, now: Time, id: NodeId) {
         let Some(member) = self.members.get(&id) else { return };
         let state = match member.state {
--- a/crates/forwarding/src/messages.rs
+++ b/crates/forwarding/src/messages.rs
@@ -126,7 +126,7 @@
 
 /// All messages. New kinds come at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)] // fields are told with their variant
+#[allow(missing_docs)] // the fields are explained with their variant
 pub enum Message {
     /// Answered by an acknowledgement with the same number.
     Ping { number: u32 },
--- a/crates/forwarding/src/simulation.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -153,12 +153,12 @@
             self.received[to] += bytes.len() as u64;
             let (least, most) = self.network.delay;
             let delay = least + ((most - least) as f64 * self.rng.next_f64()) as Time;
-            let place = self.free.pop().unwrap_or_else(|| {
+            let message_index = self.free.pop().unwrap_or_else(|| {
                 self.in_flight.push(None);
                 self.in_flight.len() - 1
             });
-            self.in_flight[place] = Some(envelope);
-            self.push(self.now + delay.max(1), Event::Message(from, to, place));
+            self.in_flight[message_index] = Some(envelope);
+            self.push(self.now + delay.max(1), Event::Message(from, to, message_index));
         }
     }
 
@@ -182,9 +182,9 @@
                     self.send(member, out);
                     self.schedule_tick(member, due);
                 }
-                Event::Message(from, to, place) => {
-                    let Some(envelope) = self.in_flight[place].take() else { continue };
-                    self.free.push(place);
+                Event::Message(from, to, message_index) => {
+                    let Some(envelope) = self.in_flight[message_index].take() else { continue };
+                    self.free.push(message_index);
                     let Some(own) = self.members[to].as_mut() else { continue };
                     let out = own.handle(at, address(from), &envelope);
                     let due = own.next_deadline();
@@ -282,8 +282,8 @@
     let watchers = if all_to_all { others } else { 1.0 };
     // A false death at a watcher: so many lost in a row, in any of the windows of a minute.
     let wrong = loss.powi(missed) * (60.0 / period) * watchers * many as f64;
-    let told = if all_to_all { 0.0 } else { 20.0 };
-    let half = (f64::from(missed) - 0.5) * period * 1e3 + told;
+    let dissemination_ms = if all_to_all { 0.0 } else { 20.0 };
+    let half = (f64::from(missed) - 0.5) * period * 1e3 + dissemination_ms;
     let per = many as f64 / 100.0;
     let seen = if all_to_all { wrong / others.max(1.0) } else { wrong };
     MembershipCost {
--- a/crates/forwarding/src/slow_start.rs
+++ b/crates/forwarding/src/slow_start.rs
@@ -1,7 +1,7 @@
-//! What a worker that is warming up reserves for each forwarder that asks. The worker alone knows its budget, and hears of all who
-//! send to it: so it divides the budget, and no sender counts the others. A reservation is of whole places, holds for
+//! What a worker that is warming up reserves for each forwarder that asks. The worker alone knows its budget, and hears of all
+//! senders: so it divides the budget, and no sender counts the others. A reservation is of whole concurrency slots, holds for
 //! [`RESERVATION_DURATION`], and is charged in full, with what its sender has in flight already, until it ends or its sender asks
-//! again. While a sender asks it uses no earlier reservation.
+//! again. While a sender waits for the answer it uses no earlier reservation.
 //!
 //! # The bound
 //!
@@ -13,20 +13,20 @@
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
-/// How long a reservation holds: two questions may be lost.
+/// How long a reservation holds: two of the sender's messages may be lost.
 pub const RESERVATION_DURATION: Time = SECOND * 3 / 2;
-/// Senders that may hold a reservation; one more gets none.
+/// Senders that may hold a reservation; a further sender gets none.
 pub const MAX_SENDERS: usize = 1024;
-/// No budget counts for more places than this.
+/// No budget counts for more concurrency slots than this.
 const MAX_BUDGET: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Reservation {
-    /// Places charged against the budget.
+    /// Concurrency slots charged against the budget.
     charged: u32,
     ends_at: Time,
-    /// Its share of the budget that was not given out, as places are whole.
-    owed: f64,
+    /// The sender's share of the budget that was not reserved, as slots are whole; its next reservation counts it.
+    credit: f64,
 }
 
 /// A worker's side.
@@ -36,8 +36,8 @@
 }
 
 impl SlowStart {
-    /// The places that `sender` may use, which has `in_flight` here already. `budget` is what all together may have; that many
-    /// `expected_senders` are expected, and more may come.
+    /// Reserves concurrency slots for `sender`, which has `in_flight` attempts here already, and returns how many it may use.
+    /// `budget` is what all senders together may have; `expected_senders` are expected, and more may come.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -53,13 +53,13 @@
         }
         let senders = self.reservations.len() + usize::from(previous.is_none());
         let share = budget.max(0.0) / senders.max(expected_senders).max(1) as f64;
-        let owed = (previous.unwrap_or_default().owed + share).min(share + 1.0);
+        let credit = (previous.unwrap_or_default().credit + share).min(share + 1.0);
         let available = (budget.clamp(0.0, MAX_BUDGET) as u64).saturating_sub(self.charged_to_others(sender));
-        let places = (owed as u64).min(available) as u32;
+        let places = (credit as u64).min(available) as u32;
         let reservation = Reservation {
             charged: places.max(in_flight),
             ends_at: now + RESERVATION_DURATION,
-            owed: owed - f64::from(places),
+            credit: credit - f64::from(places),
         };
         self.reservations.insert(sender, reservation);
         places
@@ -70,7 +70,7 @@
         others.map(|(_, reservation)| u64::from(reservation.charged)).sum()
     }
 
-    /// Places that are charged now.
+    /// Concurrency slots that are charged now.
     pub fn charged_places(&self, now: Time) -> u64 {
         let valid = self.reservations.values().filter(|reservation| reservation.ends_at > now);
         valid.map(|reservation| u64::from(reservation.charged)).sum()
@@ -85,17 +85,17 @@
 }
 
 impl ReservedCapacity {
-    /// A question goes out: no reservation of before holds.
+    /// The sender asks the worker anew: no earlier reservation holds.
     pub fn invalidate(&mut self) {
         self.places = 0;
     }
 
-    /// The answer to a question that was asked at `asked_at`.
+    /// Takes the worker's answer to what the sender asked at `asked_at`.
     pub fn accept(&mut self, asked_at: Time, places: u32) {
         (self.places, self.ends_at) = (places, asked_at + RESERVATION_DURATION);
     }
 
-    /// Places that are reserved now.
+    /// Concurrency slots that are reserved now.
     pub fn places(&self, now: Time) -> u32 {
         if now < self.ends_at {
             self.places
--- a/crates/forwarding/tests/capacity_plan.rs
+++ b/crates/forwarding/tests/capacity_plan.rs
@@ -6,11 +6,11 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn report(rate: f32, sights: Vec<WorkerObservation>) -> LoadReport {
+fn report(rate: f32, observations: Vec<WorkerObservation>) -> LoadReport {
     LoadReport {
         number: 1,
         demands: vec![Demand { class: 0, rate, queued: 0, weight: 1.0 }],
-        observations: sights,
+        observations,
         epoch: 0,
     }
 }
@@ -41,7 +41,7 @@
         for (at, places) in workers.iter().enumerate() {
             prop_assert_eq!(sums.get(&(at as NodeId)).copied().unwrap_or(0), places.floor() as u32, "worker {}", at);
         }
-        // Small shares come to their own over the workers, to within a place and what is owed.
+        // Small shares come to their own over the workers, to within a place and its credit.
         let all: u32 = each.values().sum();
         let sum: f32 = rates.iter().sum();
         for (at, rate) in rates.iter().enumerate() {
@@ -53,25 +53,25 @@
     }
 }
 
-/// A planner that was told twice or half of what a worker can do comes to know it.
+/// A planner that was configured twice or half of what a worker can do comes to know it.
 #[test]
 fn wrong_figures_of_a_worker_are_mended_by_what_is_seen() {
-    for (told, real) in [(16.0, 8.0), (4.0, 8.0)] {
+    for (configured, real) in [(16.0, 8.0), (4.0, 8.0)] {
         let mut plan = CapacityPlan::default();
-        plan.set_worker(1, told);
+        plan.set_worker(1, configured);
         for second in 1..60 {
             let over = plan.places(1) > real;
-            let sight = WorkerObservation {
+            let observation = WorkerObservation {
                 worker: 1,
                 in_flight: 0,
                 ended: 100.0,
                 rejected: if over { 20.0 } else { 0.0 },
                 latency: 10.0,
             };
-            plan.record_report(second * SECOND, 5, report(10.0, vec![sight]));
+            plan.record_report(second * SECOND, 5, report(10.0, vec![observation]));
             plan.adapt(second * SECOND);
         }
-        assert!((plan.places(1) - real).abs() < real * 0.25, "{told}: {}", plan.places(1));
+        assert!((plan.places(1) - real).abs() < real * 0.25, "{configured}: {}", plan.places(1));
     }
     let mut plan = CapacityPlan::default();
     plan.set_worker(1, 4.0);
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -52,21 +52,21 @@
 #[test]
 fn gossip_sends_the_recorded_messages() {
     let net = |cut| NetworkConditions { loss: 0.05, delay: (2, 20), cut };
-    let mut world = Simulation::new(40, MembershipConfig::default(), net(None), 11);
-    world.run(10 * SECOND);
-    world.members[7].as_mut().expect("it is here").announce_draining();
-    world.run(14 * SECOND);
-    let out = world.members[7].as_mut().expect("it is here").announce_leaving();
-    world.send(7, out);
-    world.kill(7);
-    world.kill(8);
-    world.inject_faults(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
-    world.run(60 * SECOND);
-    world.start(8, 60 * SECOND, 1);
-    world.run(90 * SECOND);
+    let mut simulation = Simulation::new(40, MembershipConfig::default(), net(None), 11);
+    simulation.run(10 * SECOND);
+    simulation.members[7].as_mut().expect("it is here").announce_draining();
+    simulation.run(14 * SECOND);
+    let out = simulation.members[7].as_mut().expect("it is here").announce_leaving();
+    simulation.send(7, out);
+    simulation.kill(7);
+    simulation.kill(8);
+    simulation.inject_faults(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
+    simulation.run(60 * SECOND);
+    simulation.start(8, 60 * SECOND, 1);
+    simulation.run(90 * SECOND);
     let mut digest = Digest::new();
-    world.sent.iter().chain(&world.received).for_each(|bytes| digest.add(*bytes));
-    assert_eq!((world.messages, world.bytes, digest.0), (43924, 2911557, 4825590641727902959));
+    simulation.sent.iter().chain(&simulation.received).for_each(|bytes| digest.add(*bytes));
+    assert_eq!((simulation.messages, simulation.bytes, digest.0), (43924, 2911557, 4825590641727902959));
 }
 
 /// Choices with and without a subject, ends of all kinds, ejections, workers that come and go.
@@ -129,15 +129,15 @@
         weight: rng.next_f64() as f32 * 3.0,
     };
     let demands = (0..3).map(&mut demand).collect();
-    let mut sight = |worker| WorkerObservation {
+    let mut observation = |worker| WorkerObservation {
         worker,
         in_flight: rng.index_below(9) as u32,
         ended: rng.next_f64() as f32 * 50.0,
         rejected: rng.next_f64() as f32 * 4.0,
         latency: 80.0,
     };
-    let sights = (0..12).map(&mut sight).collect();
-    LoadReport { number, demands, observations: sights, epoch: 0 }
+    let observations = (0..12).map(&mut observation).collect();
+    LoadReport { number, demands, observations, epoch: 0 }
 }
 
 #[test]
--- a/crates/forwarding/tests/grants.rs
+++ b/crates/forwarding/tests/grants.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World2 {
+struct GrantsState {
     now: Time,
     steps: u8,
     /// Changes of who leads so far: epochs grow with each, so they are bounded.
@@ -48,19 +48,19 @@
 const TURNS: u8 = 2;
 
 impl Model for Grants {
-    type State = World2;
+    type State = GrantsState;
     type Action = Act;
 
-    fn init_states(&self) -> Vec<World2> {
+    fn init_states(&self) -> Vec<GrantsState> {
         let mut leads = [PlannerElection::with_wait(1, self.wait), PlannerElection::with_wait(2, self.wait)];
         // The first has led for long.
         leads[0].update_planners(-4 * GRANT_DURATION, [2].into_iter());
         let (alive, sees, held, asked, mail) =
             ([true, true], [true, true], Default::default(), [0, 0], Vec::new());
-        vec![World2 { now: 0, steps: 0, turns: 0, leads, alive, sees, held, asked, mail }]
+        vec![GrantsState { now: 0, steps: 0, turns: 0, leads, alive, sees, held, asked, mail }]
     }
 
-    fn actions(&self, state: &World2, actions: &mut Vec<Act>) {
+    fn actions(&self, state: &GrantsState, actions: &mut Vec<Act>) {
         if state.steps < self.steps {
             actions.push(Act::Time);
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn next_state(&self, state: &World2, action: Act) -> Option<World2> {
+    fn next_state(&self, state: &GrantsState, action: Act) -> Option<GrantsState> {
         let mut next = state.clone();
         let now = state.now;
         match action {
@@ -135,16 +135,18 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn out(state: &World2) -> u32 {
+        fn out(state: &GrantsState) -> u32 {
             state.held.iter().map(|held| held.places(state.now, 9).unwrap_or(0)).sum()
         }
         vec![
-            Property::always("twice the places at the most", |_, state: &World2| out(state) <= 2 * PLACES),
+            Property::always("twice the places at the most", |_, state: &GrantsState| {
+                out(state) <= 2 * PLACES
+            }),
             Property::always(
                 "the places at the most, where deaths are true",
-                |model: &Grants, state: &World2| !model.true_deaths || out(state) <= PLACES,
+                |model: &Grants, state: &GrantsState| !model.true_deaths || out(state) <= PLACES,
             ),
-            Property::sometimes("the second gives out", |_, state: &World2| {
+            Property::sometimes("the second gives out", |_, state: &GrantsState| {
                 state.held[1].places(state.now, 9) == Some(PLACES)
             }),
         ]
--- a/crates/forwarding/tests/membership.rs
+++ b/crates/forwarding/tests/membership.rs
@@ -11,69 +11,70 @@
 }
 
 /// How many hold it for one that is here, suspected or not: under loss there is always some suspicion on its way.
-fn here(world: &Simulation, at: usize) -> usize {
-    world.count_agreeing(at, MemberState::Alive) + world.count_agreeing(at, MemberState::Suspect)
+fn here(simulation: &Simulation, at: usize) -> usize {
+    simulation.count_agreeing(at, MemberState::Alive) + simulation.count_agreeing(at, MemberState::Suspect)
 }
 
 #[test]
 fn all_learn_of_all_and_of_a_death_in_time() {
     for (seed, loss) in [(1, 0.0), (2, 0.01), (3, 0.1)] {
-        let mut world = Simulation::new(60, MembershipConfig::default(), net(loss), seed);
-        world.run(12 * SECOND);
+        let mut simulation = Simulation::new(60, MembershipConfig::default(), net(loss), seed);
+        simulation.run(12 * SECOND);
         for at in 0..60 {
-            assert_eq!(here(&world, at), 59, "seed {seed}: of {at}");
+            assert_eq!(here(&simulation, at), 59, "seed {seed}: of {at}");
         }
-        world.kill(30);
-        let died = world.now;
-        world.run(died + 25 * SECOND);
-        assert_eq!(world.count_agreeing(30, MemberState::Dead), 59, "seed {seed}");
+        simulation.kill(30);
+        let died = simulation.now;
+        simulation.run(died + 25 * SECOND);
+        assert_eq!(simulation.count_agreeing(30, MemberState::Dead), 59, "seed {seed}");
         // It comes back under its old address, knowing nothing of before: told that it is dead, it says otherwise.
-        world.start(30, world.now, 1);
-        world.run(world.now + 20 * SECOND);
-        assert_eq!(here(&world, 30), 59, "seed {seed}");
+        simulation.start(30, simulation.now, 1);
+        simulation.run(simulation.now + 20 * SECOND);
+        assert_eq!(here(&simulation, 30), 59, "seed {seed}");
     }
 }
 
 #[test]
 fn draining_and_leaving_are_announced_not_detected() {
-    let mut world = Simulation::new(40, MembershipConfig::default(), net(0.05), 5);
-    world.run(10 * SECOND);
-    world.members[7].as_mut().expect("it is here").announce_draining();
-    world.run(world.now + 5 * SECOND);
-    assert_eq!(world.count_agreeing(7, MemberState::Draining), 39);
-    let out = world.members[7].as_mut().expect("it is here").announce_leaving();
-    world.send(7, out);
-    world.kill(7);
-    world.run(world.now + 5 * SECOND);
-    assert_eq!(world.count_agreeing(7, MemberState::Left), 39, "long before a failure would be found");
+    let mut simulation = Simulation::new(40, MembershipConfig::default(), net(0.05), 5);
+    simulation.run(10 * SECOND);
+    simulation.members[7].as_mut().expect("it is here").announce_draining();
+    simulation.run(simulation.now + 5 * SECOND);
+    assert_eq!(simulation.count_agreeing(7, MemberState::Draining), 39);
+    let out = simulation.members[7].as_mut().expect("it is here").announce_leaving();
+    simulation.send(7, out);
+    simulation.kill(7);
+    simulation.run(simulation.now + 5 * SECOND);
+    assert_eq!(simulation.count_agreeing(7, MemberState::Left), 39, "long before a failure would be found");
 }
 
 #[test]
 fn partitions_heal_and_one_way_loss_kills_nobody() {
     for one_way in [false, true] {
-        let mut world = Simulation::new(30, MembershipConfig::default(), net(0.01), 9);
-        world.run(10 * SECOND);
-        world.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
+        let mut simulation = Simulation::new(30, MembershipConfig::default(), net(0.01), 9);
+        simulation.run(10 * SECOND);
+        simulation.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
         // Five are cut off for 4 s: longer than one probe, shorter than a suspicion lasts.
-        let now = world.now;
-        world
+        let now = simulation.now;
+        simulation
             .inject_faults(NetworkConditions { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
-        world.run(now + 20 * SECOND);
+        simulation.run(now + 20 * SECOND);
         for at in 0..30 {
-            assert_eq!(here(&world, at), 29, "one way {one_way}: of {at}");
+            assert_eq!(here(&simulation, at), 29, "one way {one_way}: of {at}");
         }
         // For long: each side holds the other for dead, and both come back together.
-        let now = world.now;
-        world.inject_faults(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
-        world.run(now + 30 * SECOND);
+        let now = simulation.now;
+        simulation
+            .inject_faults(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
+        simulation.run(now + 30 * SECOND);
         assert!(
-            world.count_agreeing(0, MemberState::Dead) >= 20,
+            simulation.count_agreeing(0, MemberState::Dead) >= 20,
             "{}",
-            world.count_agreeing(0, MemberState::Dead)
+            simulation.count_agreeing(0, MemberState::Dead)
         );
-        world.run(world.now + 60 * SECOND);
+        simulation.run(simulation.now + 60 * SECOND);
         for at in 0..30 {
-            assert_eq!(here(&world, at), 29, "one way {one_way}: of {at} after the cut");
+            assert_eq!(here(&simulation, at), 29, "one way {one_way}: of {at} after the cut");
         }
     }
 }
@@ -84,14 +85,14 @@
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let options = MembershipConfig::default();
     let mut own = Membership::new(1, Role::Planner, address(1), vec![address(2)], options, 5);
-    let rumour = GossipUpdate {
+    let update = GossipUpdate {
         id: 2,
         role: Role::Planner,
         address: address(2),
         incarnation: 1,
         state: MemberState::Alive,
     };
-    let known = Message::MemberList { members: vec![rumour] };
+    let known = Message::MemberList { members: vec![update] };
     own.handle(0, address(2), &Envelope { from: 2, incarnation: 1, updates: vec![], message: known });
     let (mut now, mut looks) = (0, 0);
     while now < 20 * SECOND {
@@ -148,7 +149,7 @@
         let told = to.handle(0, at(9), asked);
         told.iter()
             .map(|send| match &send.envelope.message {
-                Message::MemberList { members: rumours } => rumours.len(),
+                Message::MemberList { members: updates } => updates.len(),
                 _ => 0,
             })
             .sum::<usize>()
--- a/crates/forwarding/tests/messages.rs
+++ b/crates/forwarding/tests/messages.rs
@@ -8,20 +8,26 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-fn rumour(number: u64) -> GossipUpdate {
+fn update(number: u64) -> GossipUpdate {
     let address = SocketAddr::from(([127, 0, 0, 1], number as u16));
     GossipUpdate { id: number, role: Role::Worker, address, incarnation: 3, state: MemberState::Suspect }
 }
 
 fn envelopes() -> Vec<Envelope> {
     let demand = Demand { class: 3, rate: 12.5, queued: 4, weight: 3.0 };
-    let sight = WorkerObservation { worker: 9, in_flight: 2, ended: 10.0, rejected: 0.5, latency: 120.0 };
+    let observation =
+        WorkerObservation { worker: 9, in_flight: 2, ended: 10.0, rejected: 0.5, latency: 120.0 };
     let all = [
         Message::Ping { number: 7 },
         Message::PingRequest { number: 7, target: 9, address: SocketAddr::from(([127, 0, 0, 1], 80)) },
         Message::Join,
-        Message::MemberList { members: (0..20).map(rumour).collect() },
-        Message::Report(LoadReport { number: 1, demands: vec![demand], observations: vec![sight], epoch: 5 }),
+        Message::MemberList { members: (0..20).map(update).collect() },
+        Message::Report(LoadReport {
+            number: 1,
+            demands: vec![demand],
+            observations: vec![observation],
+            epoch: 5,
+        }),
         Message::Grants {
             epoch: 5,
             number: 6,
@@ -30,7 +36,7 @@
             grants: vec![Grant { worker: 9, places: 3 }],
         },
     ];
-    let with = |message| Envelope { from: 1, incarnation: 2, updates: vec![rumour(5)], message };
+    let with = |message| Envelope { from: 1, incarnation: 2, updates: vec![update(5)], message };
     all.into_iter().map(with).collect()
 }
 
@@ -59,14 +65,14 @@
     assert_eq!(read, envelopes());
     assert!(matches!(messages::decode(&u32::MAX.to_be_bytes()), Decoded::Malformed(_)));
     assert!(matches!(messages::decode(&[0; 4]), Decoded::Malformed(_)));
-    let many = Message::MemberList { members: (0..600).map(rumour).collect() };
+    let many = Message::MemberList { members: (0..600).map(update).collect() };
     let mut bytes = Vec::new();
     assert!(messages::encode(
         &mut bytes,
         &Envelope { from: 1, incarnation: 1, updates: vec![], message: many }
     ));
     assert!(matches!(messages::decode(&bytes), Decoded::Malformed(_)));
-    let long = Message::MemberList { members: (0..20_000).map(rumour).collect() };
+    let long = Message::MemberList { members: (0..20_000).map(update).collect() };
     let mut bytes = Vec::new();
     assert!(!messages::encode(
         &mut bytes,
--- a/crates/forwarding/tests/versions.rs
+++ b/crates/forwarding/tests/versions.rs
@@ -22,19 +22,19 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-fn rumour(id: u64, state: MemberState) -> GossipUpdate {
+fn update(id: u64, state: MemberState) -> GossipUpdate {
     let address: SocketAddr = "10.1.2.3:7000".parse().expect("an address");
     GossipUpdate { id, role: Role::Worker, address, incarnation: 3, state }
 }
 
 fn envelope(message: Message) -> Envelope {
-    let rumours = vec![rumour(8, MemberState::Suspect), rumour(9, MemberState::Dead)];
-    Envelope { from: 1_234_567_890_123, incarnation: 2, updates: rumours, message }
+    let updates = vec![update(8, MemberState::Suspect), update(9, MemberState::Dead)];
+    Envelope { from: 1_234_567_890_123, incarnation: 2, updates, message }
 }
 
 fn meant() -> Vec<Message> {
     let known =
-        vec![rumour(5, MemberState::Alive), rumour(6, MemberState::Draining), rumour(7, MemberState::Left)];
+        vec![update(5, MemberState::Alive), update(6, MemberState::Draining), update(7, MemberState::Left)];
     let demands = vec![Demand { class: 1, rate: 2.5, queued: 3, weight: 4.0 }];
     let sights =
         vec![WorkerObservation { worker: 5, in_flight: 1, ended: 2.0, rejected: 0.5, latency: 30.0 }];
@@ -65,7 +65,7 @@
     Ack { number: u32 },
     PingFor { number: u32, whom: u64, at: SocketAddr },
     Join,
-    Known { rumours: Vec<GossipUpdate> },
+    Known { updates: Vec<GossipUpdate> },
     Report(LoadReport),
     Grants { epoch: u64, number: u64, answers: u32, lasts: i64, grants: Vec<Grant> },
 }
@@ -74,7 +74,7 @@
 struct EnvelopeBefore {
     from: u64,
     incarnation: u32,
-    rumours: Vec<GossipUpdate>,
+    updates: Vec<GossipUpdate>,
     message: Before,
 }
 
