--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -93,6 +93,8 @@
         self.estimates.update(now, elapsed, &self.requests);
         self.update_concurrency_limit(now, gauges, elapsed);
         self.connections.record_gauges(gauges, self.requests.running() as f64);
+        // Both looks give the same answer: only `send_load_feedback` sets the next time. It comes after the refill, so that it
+        // reports what the refill may have changed; `connections.update` reads nothing of the downstream calls.
         if self.load_feedback.is_due(now) {
             self.connections.update(gauges, host);
         }
@@ -112,9 +114,9 @@
         self.pools.tick(now, self.concurrency_limit.limit());
     }
 
-    /// Where runs go to places that others grant: so many there are now.
-    pub fn set_granted_places(&mut self, now: Time, places: f64, host: &mut impl Host) {
-        self.dispatcher.set_granted_places(places);
+    /// Sets the number of concurrency slots that others grant, where runs go to other servers.
+    pub fn set_granted_slots(&mut self, now: Time, slots: f64, host: &mut impl Host) {
+        self.dispatcher.set_granted_slots(slots);
         self.dispatch(now, host);
     }
 
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -524,7 +524,7 @@
             keeping.expire(unix);
         }
         if let Some(places) = self.side.places.as_ref().map(|places| places.granted()) {
-            self.module(|scheduler, now, side| scheduler.set_granted_places(now, places, side));
+            self.module(|scheduler, now, side| scheduler.set_granted_slots(now, places, side));
         }
         self.ramp();
         let fresh = now - self.side.gauges_at <= GAUGES_AGE;
