--- a/crates/forwarding/src/capacity_plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -1,4 +1,4 @@
-//! How much of which worker each forwarder gets. The places of a worker are given out whole, all of them, by what each forwarder's
+//! How much of which worker each forwarder gets. The slots of a worker are given out whole, all of them, by what each forwarder's
 //! demand is worth, with a floor for each, so that one that has just started is not without; and a worker that rejects has fewer
 //! to give.
 
@@ -6,29 +6,29 @@
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
-/// Fraction of all places that is shared out evenly, whatever the demand.
+/// Fraction of all slots that is shared out evenly, whatever the demand.
 const EVEN_SHARE: f64 = 0.2;
 /// A load report older than this says nothing any more.
 pub const MAX_REPORT_AGE: Time = 3 * SECOND;
-/// Places of workers are adapted so often.
+/// Concurrency slots of workers are adapted so often.
 const ADAPTATION_INTERVAL: Time = SECOND;
-/// A worker's places fall by this factor when it rejected more than [`MAX_REJECTED_FRACTION`] of its attempts.
+/// A worker's slots fall by this factor when it rejected more than [`MAX_REJECTED_FRACTION`] of its attempts.
 const DECREASE_FACTOR: f64 = 0.9;
-/// They rise by this fraction of its configured places when it did not.
+/// They rise by this fraction of its configured slots when it did not.
 const INCREASE_FRACTION: f64 = 0.05;
 const MAX_REJECTED_FRACTION: f64 = 0.05;
-/// Bounds of a worker's places, as factors of its configured ones: those may be wrong.
+/// Bounds of a worker's slots, as factors of its configured ones: those may be wrong.
 const MIN_PLACES_FACTOR: f64 = 0.25;
 /// The upper one.
 pub const MAX_PLACES_FACTOR: f64 = 2.0;
-/// Bounds of configured places.
+/// Bounds of configured slots.
 const MIN_CONFIGURED_PLACES: f64 = 1.0;
 const MAX_CONFIGURED_PLACES: f64 = 1e6;
 
 #[derive(Clone, Debug)]
 struct Worker {
     configured_places: f64,
-    /// Places that are given out.
+    /// Concurrency slots that are given out.
     places: f64,
 }
 
@@ -46,10 +46,10 @@
     report: LoadReport,
 }
 
-/// A forwarder's claim to places, while grants are computed.
+/// A forwarder's claim to slots, while grants are computed.
 struct Claim {
     forwarder: NodeId,
-    /// Its fraction of the places of each worker.
+    /// Its fraction of the slots of each worker.
     share: f64,
     /// Concurrency slots that are due to it. What was rounded away at one worker is made up for at the next, so that small shares are not
     /// always nothing.
@@ -65,7 +65,7 @@
 }
 
 impl CapacityPlan {
-    /// A worker that accepts work, with its configured places; one that is known keeps what was learnt of it.
+    /// A worker that accepts work, with its configured slots; one that is known keeps what was learnt of it.
     pub fn set_worker(&mut self, id: NodeId, configured_places: f64) {
         let places = configured_places.clamp(MIN_CONFIGURED_PLACES, MAX_CONFIGURED_PLACES);
         let new = Worker { configured_places: places, places };
@@ -95,12 +95,12 @@
         self.reports.keys().copied()
     }
 
-    /// Places of a worker that are given out.
+    /// Concurrency slots of a worker that are given out.
     pub fn places(&self, worker: NodeId) -> f64 {
         self.workers.get(&worker).map_or(0.0, |worker| worker.places)
     }
 
-    /// Drops old load reports and, once a second, adapts the places of each worker to what all forwarders saw of it.
+    /// Drops old load reports and, once a second, adapts the slots of each worker to what all forwarders saw of it.
     pub fn adapt(&mut self, now: Time) {
         self.reports.retain(|_, one| now - one.received_at <= MAX_REPORT_AGE);
         if now - self.adapted_at < ADAPTATION_INTERVAL {
@@ -124,7 +124,7 @@
         rates
     }
 
-    /// Grants for each forwarder. Of each worker all places are given out, whole, and no more.
+    /// Grants for each forwarder. Of each worker all slots are given out, whole, and no more.
     pub fn grants(&self) -> BTreeMap<NodeId, Vec<Grant>> {
         let mut claims = self.claims();
         let mut grants: BTreeMap<NodeId, Vec<Grant>> =
@@ -154,7 +154,7 @@
 }
 
 impl Worker {
-    /// Fewer places where the worker rejected much, a little more where it did not.
+    /// Fewer slots where the worker rejected much, a little more where it did not.
     fn adapt(&mut self, rates: ObservedRates) {
         if rates.rejected > rates.ended * MAX_REJECTED_FRACTION {
             self.places *= DECREASE_FACTOR;
@@ -173,7 +173,7 @@
     report.demands.iter().map(worth).sum::<f64>()
 }
 
-/// Divides the places of a worker among the claims, whole, by largest remainder; returns the places of each claim.
+/// Divides the slots of a worker among the claims, whole, by largest remainder; returns the slots of each claim.
 fn divide(claims: &mut [Claim], available: u32) -> Vec<u32> {
     for claim in claims.iter_mut() {
         claim.credit += claim.share * f64::from(available);
--- a/crates/forwarding/src/dispatch_mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Places that the forwarder may use on a worker. `local_share` is its share where it decides by itself.
+    /// Concurrency slots that the forwarder may use on a worker. `local_share` is its share where it decides by itself.
     pub fn places(&self, now: Time, grants: &GrantTable, worker: NodeId, local_share: f64) -> f64 {
         let granted = grants.places(now, worker).map(f64::from);
         match (self.state, granted) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A forwarder's share of a worker with so many places, among so many forwarders, itself included. One place at the least: a
+    /// A forwarder's share of a worker with so many slots, among so many forwarders, itself included. One slot at the least: a
     /// worker protects itself.
     pub fn local_share(places: f64, forwarders: usize) -> f64 {
         (places / forwarders.max(1) as f64).max(1.0)
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -1,6 +1,6 @@
 //! Who may grant concurrency slots on workers, and which grants are valid. A planner leads while its id is the least of the planners
-//! that are present; a planner that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants of earlier leaders must
-//! have ended. A forwarder accepts grants of the newest epoch that it knows only.
+//! that are present; a planner that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants
+//! of earlier leaders must have ended. A forwarder accepts grants of the newest epoch that it knows only.
 //!
 //! # The bound
 //!
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -1,9 +1,9 @@
-//! To which worker a request goes. A request with a subject goes where its subject went, while that worker is not loaded past a bound
-//! (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). A request without one goes to the best of a
-//! few workers sampled at random, hot and cold told apart by the attempts in flight there, as Prequal does (B. Wydrowski and others,
-//! "Load is not what you should balance", 2024): of the cold workers the fastest, of the hot ones the least loaded. Workers that fail or are far
-//! slower than the others are ejected for a while, as Envoy's outlier detection does; never so many that the rest could not carry
-//! the load: where most look bad, the measure is at fault.
+//! To which worker a request goes. A request with a subject goes where its subject went, while that worker is not loaded past a
+//! bound (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). A request without one goes to the
+//! best of a few workers sampled at random, hot and cold distinguished by the attempts in flight there, as Prequal does (B. Wydrowski
+//! and others, "Load is not what you should balance", 2024): of the cold workers the fastest, of the hot ones the least loaded.
+//! Workers that fail or are far slower than the others are ejected for a while, as Envoy's outlier detection does; never so many that
+//! the rest could not carry the load: where most look bad, the measure is at fault.
 //!
 //! The table is read for each request: a dense list of the eligible workers, and a ring of points for subjects.
 
--- a/crates/forwarding/tests/capacity_plan.rs
+++ b/crates/forwarding/tests/capacity_plan.rs
@@ -1,4 +1,4 @@
-//! Plans: all places are given out and no more; configured places that are wrong are corrected.
+//! Plans: all slots are given out and no more; configured slots that are wrong are corrected.
 
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
 use cypresscleat_forwarding::messages::{Demand, LoadReport, WorkerObservation};
@@ -41,7 +41,7 @@
         for (at, places) in workers.iter().enumerate() {
             prop_assert_eq!(sums.get(&(at as NodeId)).copied().unwrap_or(0), places.floor() as u32, "worker {}", at);
         }
-        // Small shares come to their own over the workers, to within a place and its credit.
+        // Small shares come to their own over the workers, to within a slot and the credit.
         let all: u32 = each.values().sum();
         let sum: f32 = rates.iter().sum();
         for (at, rate) in rates.iter().enumerate() {
--- a/crates/forwarding/tests/grants.rs
+++ b/crates/forwarding/tests/grants.rs
@@ -8,7 +8,7 @@
 use cypresscleat_forwarding::Time;
 use stateright::{Checker, Model, Property};
 
-/// Two planners, two forwarders, a worker with two places. Each planner gives all of them to another forwarder, which is the
+/// Two planners, two forwarders, a worker with two concurrency slots. Each planner gives all of them to another forwarder, which is the
 /// worst it can do to the other's grants.
 #[derive(Clone)]
 struct Grants {
--- a/crates/forwarding/tests/membership.rs
+++ b/crates/forwarding/tests/membership.rs
@@ -27,7 +27,7 @@
         let died = simulation.now;
         simulation.run(died + 25 * SECOND);
         assert_eq!(simulation.count_agreeing(30, MemberState::Dead), 59, "seed {seed}");
-        // It comes back under its old address, knowing nothing of before: told that it is dead, it says otherwise.
+        // It comes back under its old address, knowing nothing of before: once it hears that it is dead, it refutes that.
         simulation.start(30, simulation.now, 1);
         simulation.run(simulation.now + 20 * SECOND);
         assert_eq!(here(&simulation, 30), 59, "seed {seed}");
@@ -104,7 +104,8 @@
     assert!(looks < 200, "{looks} looks in 20 s");
 }
 
-/// What differs is told, and nothing where nothing does; one of a version that does not compare is asked for all, now and then.
+/// What differs is sent, and nothing where nothing does; a member of a version that does not compare is asked for all, now and
+/// then.
 #[test]
 fn sync_lists_only_partitions_that_differ() {
     let at = |number: u16| SocketAddr::from(([127, 0, 0, 1], number));
@@ -146,8 +147,8 @@
     learns(&mut one, 2);
     learns(&mut other, 1);
     let answers = |to: &mut Membership, asked: &Envelope| {
-        let told = to.handle(0, at(9), asked);
-        told.iter()
+        let sent = to.handle(0, at(9), asked);
+        sent.iter()
             .map(|send| match &send.envelope.message {
                 Message::MemberList { members: updates } => updates.len(),
                 _ => 0,
@@ -159,8 +160,8 @@
         asked.into_iter().find(|one| matches!(one.message, Message::Sync { .. })).expect("it compares");
     assert_eq!(answers(&mut one, &asked), 0, "they know the same");
     learns(&mut one, 500);
-    let told = answers(&mut one, &asked);
-    assert!(told > 0 && told < 30, "of 392 those of one part: {told}");
+    let listed = answers(&mut one, &asked);
+    assert!(listed > 0 && listed < 30, "of 392 those of one part: {listed}");
     assert!(
         third.tick(0).iter().any(|send| send.envelope.message == Message::Join),
         "all is asked for, now and then"
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
     pub classes: Vec<String>,
     /// The tenants.
     pub tenants: Vec<String>,
-    /// The gauges, in the order in which they are told.
+    /// The gauges, in the order in which they are reported.
     pub gauges: Vec<String>,
 }
 
