--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -93,8 +93,8 @@
         self.estimates.update(now, elapsed, &self.requests);
         self.update_concurrency_limit(now, gauges, elapsed);
         self.connections.record_gauges(gauges, self.requests.running() as f64);
-        // Both looks give the same answer: only `send_load_feedback` sets the next time. It comes after the refill, so that it
-        // reports what the refill may have changed; `connections.update` reads nothing of the downstream calls.
+        // `is_due` is looked at twice with the same result, since only `send_load_feedback` sets the next time. The refill between
+        // shares no state with either block. Only the order of the host's calls counts: the idle timeout before the feedback.
         if self.load_feedback.is_due(now) {
             self.connections.update(gauges, host);
         }
