--- a/crates/forwarding/tests/grants.rs
+++ b/crates/forwarding/tests/grants.rs
@@ -13,7 +13,7 @@
     GrantHeader { epoch, number, duration }
 }
 
-/// Two planners, two forwarders, a worker with two places. Each planner gives all of them to another forwarder, which is the
+/// Two planners, two forwarders, a worker with two concurrency slots. Each planner gives all of them to another forwarder, which is the
 /// worst it can do to the other's grants.
 #[derive(Clone)]
 struct Grants {
