--- a/crates/consensus/src/replica/config.rs
+++ b/crates/consensus/src/replica/config.rs
@@ -13,18 +13,18 @@
 pub struct RaftConfig {
     /// Time between two heartbeats of a leader. All other times derive from it.
     pub heartbeat_interval: Time,
-    /// Committed entries behind the last snapshot before the next one is taken.
+    /// Committed entries after the last snapshot before the next one is taken.
     pub snapshot_threshold: usize,
     /// Safeguards that tests switch off.
     pub disabled_safeguards: DisabledSafeguards,
 }
 
-/// Safeguards that are switched off, so that a test can show what they prevent. All are on outside tests.
+/// Safeguards that a test switches off, to show what they prevent: true is off. All are false outside tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisabledSafeguards {
-    /// A replica with an empty disk has no vote.
+    /// Off: a replica with an empty disk, or on another disk than the message names, votes and counts all the same.
     pub empty_disk_has_no_vote: bool,
-    /// Messages leave only after the writes that they rely on are on the disk.
+    /// Off: messages leave before the writes that they rely on are on the disk.
     pub persist_before_send: bool,
 }
 
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -66,7 +66,7 @@
         self.send_heartbeats(now, ready);
     }
 
-    /// Becomes a follower, where this replica was the leader; its pending proposals have an unknown outcome.
+    /// Becomes a follower. Where this replica was the leader, its pending proposals have an unknown outcome.
     pub(super) fn step_down(&mut self, now: Time, ready: &mut Ready) {
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
             let pending = leadership.pending_proposals.into_iter();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Whether a vote may be given at all. While a leader is heard nobody gets one, and a candidate that was cut off waits until
-    /// it has heard of the leader.
+    /// Whether a vote may be given at all: not on an empty disk, not soon after a restart (`vote_embargo_until`), and not while this
+    /// replica leads or has lately heard a leader, so that a replica that was cut off can't depose it.
     fn may_vote(&self, now: Time) -> bool {
         let has_state = self.is_bootstrapped || self.config.disabled_safeguards.empty_disk_has_no_vote;
         let has_leader =
--- a/crates/consensus/src/replica/log.rs
+++ b/crates/consensus/src/replica/log.rs
@@ -1,11 +1,11 @@
-//! The replicated log: the last snapshot and the entries behind it. Each change appends its disk writes.
+//! The replicated log: the last snapshot and the entries after it. Each change appends its disk writes.
 
 use crate::message::{Entry, EntryPayload, LogPosition};
 use crate::storage::{self, Snapshot, Write};
 use crate::Member;
 use std::collections::VecDeque;
 
-/// The last snapshot and the entries behind it.
+/// The last snapshot and the entries after it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RaftLog {
     pub(super) snapshot: Snapshot,
@@ -31,7 +31,7 @@
         self.snapshot.position.index
     }
 
-    /// Number of entries behind the snapshot.
+    /// Number of entries after the snapshot.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -63,7 +63,7 @@
         self.entries.iter().rev().find_map(membership_of).unwrap_or(&self.snapshot.members)
     }
 
-    /// Whether an entry behind `commit_index` changes the members.
+    /// Whether an entry after `commit_index` changes the members.
     pub(super) fn is_membership_change_pending(&self, commit_index: u64) -> bool {
         let mut uncommitted = commit_index + 1..=self.last_index();
         uncommitted.any(|index| self.entry(index).and_then(membership_of).is_some())
@@ -95,7 +95,7 @@
         self.entries.drain(..compacted);
     }
 
-    /// Takes over a snapshot of the leader. Entries behind it stay where they follow from it.
+    /// Takes over a snapshot of the leader. Entries after it stay where they follow from it.
     pub(super) fn install(&mut self, snapshot: Snapshot, bytes: Vec<u8>, writes: &mut Vec<Write>) {
         let (position, old_index) = (snapshot.position, self.snapshot_index());
         let is_consistent = self.position(position.index) == Some(position);
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -178,7 +178,7 @@
         self.leadership().map_or(self.election_deadline, |leadership| leadership.next_heartbeat)
     }
 
-    /// Number of entries behind the snapshot, and the snapshot's length in bytes.
+    /// Number of entries after the snapshot, and the snapshot's length in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.log.len(), self.log.snapshot_bytes.len())
     }
@@ -277,7 +277,7 @@
             MessageBody::JoinRequest { .. }
             | MessageBody::Bootstrap { .. }
             | MessageBody::DiskCheck { .. }
-            | MessageBody::DiskCheckResponse { .. } => {} // handled by `step`, whatever disk they name
+            | MessageBody::DiskCheckResponse { .. } => {} // handled by `step`, also where they name no disk
         }
     }
 
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! What a call to a replica asks its caller to do, in this order: persist, send, respond, log.
+//! What a call to a replica asks its caller to do: persist first; then send, respond and log, in any order.
 
 use crate::message::{LogPosition, Message};
 use crate::storage::Write;
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Appends the leader's entries behind `previous`. Returns whether the log matched there, and how far it matches now or where
+    /// Appends the leader's entries after `previous`. Returns whether the log matched there, and how far it matches now or where
     /// the leader should retry.
     pub(super) fn append_from_leader(
         &mut self,
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -17,7 +17,7 @@
 const SNAPSHOT_KEY: &[u8] = b"b";
 const SNAPSHOT_PART_PREFIX: u8 = b's';
 const ENTRY_PREFIX: u8 = b'l';
-/// Index and part number behind the prefix.
+/// Index and part number after the prefix.
 const SNAPSHOT_PART_SUFFIX_BYTES: usize = 12;
 
 /// Raft's hard state: what a replica must never take back.
@@ -51,7 +51,7 @@
     pub snapshot: Option<Snapshot>,
     /// Bytes of the snapshot.
     pub snapshot_bytes: Vec<u8>,
-    /// Entries behind the snapshot.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
     /// Removals of what a crash left of an earlier snapshot or log.
     pub stale: Vec<Write>,
@@ -137,7 +137,7 @@
         let parts = 0..snapshot_parts(old);
         writes.extend(parts.map(|part| (snapshot_part_key(old.position.index, part), None)));
     }
-    // From the end, so that what a crash leaves of the log begins right behind the snapshot.
+    // From the end, so that what a crash leaves of the log begins right after the snapshot.
     writes.extend(compacted.rev().map(remove_entry));
 }
 
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -371,6 +371,16 @@
         self.service = word("service");
         Some((word("msg"), word("call"), STANDARD.decode(word("blob")).expect("base64")))
     }
+    /// Whether the link ended without a further command. Questions for the gauges are no command and may stand in it.
+    pub fn ended_without_command(&mut self) -> bool {
+        while let Some(line) = self.link.line() {
+            let command: Value = serde_json::from_str(&line).expect("JSON");
+            if command["msg"] != "SYSINFO" {
+                return false;
+            }
+        }
+        self.link.ended()
+    }
     pub fn expect(&mut self, msg: &str, call: &str) -> Vec<u8> {
         let (heard, about, body) = self.hear().expect("a command");
         assert_eq!((heard.as_str(), about.as_str()), (msg, call));
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -41,11 +41,11 @@
         /// The partition.
         partition: Partition,
     },
-    /// The leader has decided on a cursor.
+    /// An operation has ended: decided by the leader, or given up as the lease or the session is over.
     CursorSaved {
-        /// What [`LeaseClient::save_cursor`] returned.
+        /// What [`LeaseClient::save_cursor`] returned; a release has a ticket of its own, which the caller never got.
         ticket: u64,
-        /// False where the partition had another owner by then.
+        /// Whether it took effect. False where the partition had another owner by then, or the outcome is not known.
         accepted: bool,
     },
 }
@@ -216,7 +216,7 @@
         self.tick(now)
     }
 
-    /// Whether the leader has confirmed that the session is over.
+    /// Whether it is leaving and no session is open: the leader has confirmed the end, the session had expired, or there was none.
     pub fn has_left(&self) -> bool {
         self.is_leaving && self.session == 0
     }
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -27,7 +27,7 @@
         partition: Partition,
         /// The token under which it is owned.
         token: u64,
-        /// Rises with each cursor under one token; a cursor with a lower step is ignored.
+        /// Rises with each cursor under one token; a cursor whose step is not higher is ignored.
         step: u64,
         /// Opaque; at most [`MAX_CURSOR_BYTES`].
         cursor: Vec<u8>,
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -146,7 +146,8 @@
     joining: BTreeSet<MemberKey>,
     ending: BTreeSet<MemberKey>,
     change: Option<CurrentChange>,
-    /// A decision on the change is proposed.
+    /// A decision on the change is proposed. Cleared by the outcome of any command of the coordinator's own: a decision that is proposed
+    /// twice has no second effect.
     is_deciding: bool,
     /// Members that are still to be notified of the position.
     to_notify: VecDeque<MemberKey>,
@@ -213,7 +214,8 @@
         self.heartbeats.len()
     }
 
-    /// When [`RolloutCoordinator::poll`] has something to do, whatever the replica does.
+    /// Now, where members are still to be notified; else never. Lease ends, the decision timeout and the watch are looked at in each
+    /// [`RolloutCoordinator::poll`], which a leader's heartbeats bring often enough.
     pub fn next_deadline(&self) -> Time {
         match self.to_notify.is_empty() {
             true => Time::MAX,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -18,9 +18,10 @@
 //! - It is committed only if each member that counts at that moment has prepared it: has checked the document in full and stored it.
 //!   Members are those that the replicas agreed on; whoever joins or leaves in between counts by that list, as each decision names the
 //!   generation of the list.
-//! - An instance admits under a version only while it holds a lease on it ([`UnreachableMembers::Fence`]), or, where changes wait for
-//!   everybody ([`UnreachableMembers::Wait`]), from its own vote until it hears the decision. It counts the lease from when it sent the
-//!   heartbeat, shortened by [`expiry::clock_drift_margin`]. So one that hears nothing stops before anybody goes on without it.
+//! - Under [`UnreachableMembers::Fence`] an instance admits under a version only while it holds a lease on it. Under
+//!   [`UnreachableMembers::Wait`] its lease has no end, except from its own vote until it hears the decision, and while a change waits
+//!   for the barrier. One that started alone ([`member::RolloutMember::start_alone`]) has no lease that anybody counts until a replica
+//!   answers it. It counts the lease from when it sent the heartbeat, shortened by [`expiry::clock_drift_margin`]. So one that hears nothing stops before anybody goes on without it.
 //! - After a decision no instance admits under the former version for longer than that version's lease. With [`Rules::barrier`] none
 //!   admits under it once any other admits under the new one: all stop first, then all begin.
 //!
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -44,7 +44,8 @@
     pub unreachable: UnreachableMembers,
     /// Length of a lease on the version.
     pub lease: Time,
-    /// A change that is not decided by then is aborted.
+    /// A change that is not decided within this time is aborted. The rules of the active version count, from when the present leader
+    /// first saw the change: a new leader counts anew. A committed change is never aborted.
     #[serde(rename = "patience")]
     pub decision_timeout: Time,
     /// In the change to this version all members stop before any admits under it.
@@ -72,7 +73,8 @@
     pub hash: u64,
     /// Who made it.
     pub by: String,
-    /// When it was made: Unix time in milliseconds, by its author's clock.
+    /// When it was made: Unix time in milliseconds, by its author's clock. In a version made by the watch, the number of the version
+    /// that it undoes.
     pub at_ms: u64,
     /// Why it was made.
     pub why: String,
@@ -144,7 +146,7 @@
     Decide {
         /// Number of its version.
         number: u64,
-        /// Generation of the members that were counted.
+        /// Generation of the members that were counted; compared for a commit only, an abort holds whoever the members are.
         generation: u64,
         /// Whether it is committed.
         commit: bool,
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -111,7 +111,7 @@
         self.last.retain(|key, _| keep(key));
     }
 
-    /// Watches a version that this coordinator has just activated, where its rules say so.
+    /// Watches a version that became active while this replica led, where its rules say so; a later leader does not go on with it.
     pub fn start(&mut self, now: Time, version: &Version) {
         self.watched = version.rules.watch.filter(|_| !version.undoes).map(|rules| WatchedVersion {
             number: version.number,
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -25,7 +25,8 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::Notify;
 
-/// An attempt that was sent so short a time before its worker's announced close is sent once more, as a router does by the protocol.
+/// An attempt that started at most this long before its connection ended, after the worker had announced the close, is sent once
+/// more, as a router does by the protocol.
 const MAX_CROSSING_TIME: Time = 50 * MS;
 /// Time that a retry is expected to need.
 const EXPECTED_ATTEMPT: Time = 20 * MS;
@@ -59,7 +60,7 @@
     ended: f64,
     /// Of those, attempts that it rejected.
     rejected: f64,
-    /// Mean time to an answer.
+    /// Moving mean of the time to a successful answer; 0 until there is one.
     latency: f64,
 }
 
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the members: who is here, reports, grants. The forwarder's side; the planner's is `plan`.
+//! Datagrams between members: membership, load reports, grants. This is the forwarder's side; the planner's is `crate::planner`.
 
 use super::fleet::Fleet;
 use super::Tier;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Reports to all planners that are known, takes their grants, for as long as the program lives.
+/// Reports to all planners of the operator's file and takes their grants, for as long as the program lives.
 pub async fn forwarder(mut talk: Talk, fleet: Rc<Fleet>, tier: Tier) {
     let mut next = talk.clock.now();
     let mut last = next;
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | [`expiry`] | who may act until when, by whose clock |
 //! | [`leader`] | requests that wait for a confirmation, commands that wait to be decided |
-//! | [`renewals`] | renewals that were sent and not yet answered |
+//! | [`renewals`] | the last renewals that were sent |
 //! | [`replicas`] | which replica is asked next |
 //!
 //! Times are in tenths of a millisecond.
--- a/crates/sessions/src/renewals.rs
+++ b/crates/sessions/src/renewals.rs
@@ -1,9 +1,9 @@
-//! Renewals that were sent and not yet answered.
+//! The last renewals that were sent, answered or not.
 
 use cypresscleat_primitives::Time;
 use std::collections::VecDeque;
 
-/// Renewals whose responses are still accepted; older ones are forgotten.
+/// Renewals that are remembered; a response to an older one is ignored.
 const MAX_PENDING_RENEWALS: usize = 8;
 
 /// When each pending renewal was sent, by its request number. A lease counts from then, not from the response.
@@ -21,7 +21,7 @@
         }
     }
 
-    /// When the renewal `number` was sent; `None` where it is not pending.
+    /// When the renewal `number` was sent; `None` where it is not remembered.
     pub fn sent_at(&self, number: u32) -> Option<Time> {
         self.sent.iter().find(|(pending, _)| *pending == number).map(|(_, at)| *at)
     }
