--- a/crates/concurrency/src/rank_index.rs
+++ b/crates/concurrency/src/rank_index.rs
@@ -18,14 +18,14 @@
     /// Expected work, scaled as the draw wants it.
     pub size: f64,
     /// Sequence number of the arrival.
-    pub seq: u64,
+    pub sequence: u64,
     /// Id of the request; not part of the order.
     pub request: usize,
 }
 
 impl RankKey {
     fn order(&self, other: &RankKey) -> Ordering {
-        self.size.total_cmp(&other.size).then(self.seq.cmp(&other.seq))
+        self.size.total_cmp(&other.size).then(self.sequence.cmp(&other.sequence))
     }
 
     fn is_before(&self, other: &RankKey) -> bool {
--- a/crates/concurrency/tests/limits_and_ranks.rs
+++ b/crates/concurrency/tests/limits_and_ranks.rs
@@ -81,7 +81,7 @@
 }
 
 fn by_order(a: &RankKey, b: &RankKey) -> std::cmp::Ordering {
-    a.size.total_cmp(&b.size).then(a.seq.cmp(&b.seq))
+    a.size.total_cmp(&b.size).then(a.sequence.cmp(&b.sequence))
 }
 
 proptest! {
@@ -109,10 +109,10 @@
     ) {
         let mut plain: Vec<Vec<RankKey>> = vec![Vec::new(); among];
         let mut indexes = vec![RankIndex::default(); among];
-        for (seq, (insert, size, which)) in steps.into_iter().enumerate() {
+        for (sequence, (insert, size, which)) in steps.into_iter().enumerate() {
             let at = which % among;
             if insert || plain[at].is_empty() {
-                let key = RankKey { size: f64::from(size), seq: seq as u64, request: seq };
+                let key = RankKey { size: f64::from(size), sequence: sequence as u64, request: sequence };
                 plain[at].push(key);
                 indexes[at].insert(key);
             } else {
--- a/crates/experiments/src/index.rs
+++ b/crates/experiments/src/index.rs
@@ -27,25 +27,25 @@
 }
 
 fn by_order(a: &RankKey, b: &RankKey) -> std::cmp::Ordering {
-    a.size.total_cmp(&b.size).then(a.seq.cmp(&b.seq))
+    a.size.total_cmp(&b.size).then(a.sequence.cmp(&b.sequence))
 }
 
 /// As the module has it: keys stand in records, the list holds their places.
 fn vector(held: usize) -> f64 {
     let mut chance = Pcg64Mcg::new(7);
     let mut recs: Vec<RankKey> = (0..held)
-        .map(|inv| RankKey { size: chance.random::<f64>(), seq: inv as u64, request: inv })
+        .map(|inv| RankKey { size: chance.random::<f64>(), sequence: inv as u64, request: inv })
         .collect();
-    let (mut list, mut seq): (Vec<usize>, u64) = ((0..held).collect(), held as u64);
+    let (mut list, mut sequence): (Vec<usize>, u64) = ((0..held).collect(), held as u64);
     timed(|| {
         let mut ranked: Vec<usize> = list.iter().copied().filter(|inv| recs[*inv].size >= 0.0).collect();
         let rank = rank(ranked.len(), chance.random());
         let (_, drawn, _) = ranked.select_nth_unstable_by(rank, |a, b| by_order(&recs[*a], &recs[*b]));
         let drawn = *drawn;
         list.retain(|other| *other != drawn);
-        recs[drawn] = RankKey { size: chance.random(), seq, request: drawn };
+        recs[drawn] = RankKey { size: chance.random(), sequence, request: drawn };
         list.push(drawn);
-        seq += 1;
+        sequence += 1;
     })
 }
 
@@ -53,9 +53,9 @@
     let mut chance = Pcg64Mcg::new(7);
     let mut indexes = vec![RankIndex::default(); pools];
     for inv in 0..held {
-        indexes[inv % pools].insert(RankKey { size: chance.random(), seq: inv as u64, request: inv });
+        indexes[inv % pools].insert(RankKey { size: chance.random(), sequence: inv as u64, request: inv });
     }
-    let mut seq = held as u64;
+    let mut sequence = held as u64;
     timed(|| {
         let rank = rank(held, chance.random());
         let some: Vec<&RankIndex> = indexes.iter().collect();
@@ -63,8 +63,8 @@
         let Some(drawn) = drawn else { return };
         let at = drawn.request % pools;
         indexes[at].remove(&drawn);
-        indexes[at].insert(RankKey { size: chance.random(), seq, request: drawn.request });
-        seq += 1;
+        indexes[at].insert(RankKey { size: chance.random(), sequence, request: drawn.request });
+        sequence += 1;
     })
 }
 
--- a/crates/scheduler/src/request_table.rs
+++ b/crates/scheduler/src/request_table.rs
@@ -305,7 +305,7 @@
 }
 
 fn queue_key(slot: RequestSlot, request: &RequestState) -> RankKey {
-    RankKey { size: request.scaled_work, seq: request.sequence, request: slot }
+    RankKey { size: request.scaled_work, sequence: request.sequence, request: slot }
 }
 
 /// Whether a second execution would do harm.
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -99,7 +99,7 @@
     };
     check_keys(&all["settings"])?;
     let (settings, names) =
-        settings::read(&all["settings"], seed).map_err(|what| format!("settings.{what}"))?;
+        settings::read_value(&all["settings"], seed).map_err(|what| format!("settings.{what}"))?;
     check(&settings)?;
     // What is kept of tokens stands in the memory of this process, not in that of the kernel, which the module books.
     let settings = Settings { retained_entry_kb: 0.0, ..settings };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 /// Nanoseconds in a tenth of a millisecond.
-pub const NS: i64 = 100_000;
+pub const NANOS_PER_TIME_UNIT: i64 = 100_000;
 
 /// Names by index, for the messages that carry them.
 #[derive(Clone, Debug, Default)]
@@ -61,9 +61,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error where the text is no JSON, or as [`read`] does.
-pub fn read_text(text: &str, seed: u64) -> Result<(Settings, Names), ReadError> {
-    read(&serde_json::from_str(text)?, seed)
+/// Returns an error where the text is no JSON, or as [`read_value`] does.
+pub fn parse(text: &str, seed: u64) -> Result<(Settings, Names), ReadError> {
+    read_value(&serde_json::from_str(text)?, seed)
 }
 
 /// Reads settings and the names in them.
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// Returns an error where a class or a tenant has no name, or a class an unknown retry safety.
-pub fn read(all: &Value, seed: u64) -> Result<(Settings, Names), ReadError> {
+pub fn read_value(all: &Value, seed: u64) -> Result<(Settings, Names), ReadError> {
     let (specifics, obligations, limits) = (&all["specifics"], &all["obligations"], &all["limits"]);
     let names = read_names(all)?;
     let honours_retry_after = flag(&limits["retry_after"]);
@@ -179,7 +179,7 @@
 }
 
 fn duration(value: &Value) -> Time {
-    (number(value) / NS as f64) as Time
+    (number(value) / NANOS_PER_TIME_UNIT as f64) as Time
 }
 
 fn flag(value: &Value) -> bool {
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's JSON: every key lands in its field, and what is missing reads as zero.
 
 use cypresscleat_scheduler::*;
-use cypresscleat_settings::{read_text, set_gauge};
+use cypresscleat_settings::{parse, set_gauge};
 
 const ALL_KEYS: &str = r#"{
     "categories": [
@@ -34,7 +34,7 @@
 
 #[test]
 fn every_key_lands_in_its_field() {
-    let (settings, names) = read_text(ALL_KEYS, 77).expect("good settings");
+    let (settings, names) = parse(ALL_KEYS, 77).expect("good settings");
     let look = class(10_000, 20_000, RetrySafety::Idempotent, 2.0);
     let order = class(3_000, 9_000, RetrySafety::IdempotencyKey, 5.0);
     let post = class(1, 2, RetrySafety::NonIdempotent, 1.0);
@@ -81,7 +81,7 @@
 fn platform_words_map_to_kinds() {
     let with = |key: &str, word: &str| {
         let text = format!(r#"{{"specifics": {{"{key}": "{word}"}}}}"#);
-        read_text(&text, 0).expect("good settings").0
+        parse(&text, 0).expect("good settings").0
     };
     for (word, mode) in
         [("discard", StopMode::Discard), ("freeze", StopMode::Freeze), ("other", StopMode::Unsupported)]
@@ -109,7 +109,7 @@
 #[test]
 fn retry_after_that_is_not_honoured_is_zero() {
     let text = r#"{"limits": {"retry_after": false, "max_retry_after_ns": 3000000000}}"#;
-    assert_eq!(read_text(text, 0).expect("good settings").0.max_retry_after, 0);
+    assert_eq!(parse(text, 0).expect("good settings").0.max_retry_after, 0);
 }
 
 #[test]
@@ -122,7 +122,7 @@
         ("[", "EOF while parsing a list at line 1 column 1"),
     ];
     for (text, fault) in rows {
-        assert_eq!(read_text(text, 0).expect_err(text).to_string(), fault);
+        assert_eq!(parse(text, 0).expect_err(text).to_string(), fault);
     }
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_scheduler::*;
-use cypresscleat_settings::{self as settings, Names, NS};
+use cypresscleat_settings::{self as settings, Names, NANOS_PER_TIME_UNIT};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
@@ -46,7 +46,11 @@
     }
     fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         let Rejection { retry_after, no_retry_elsewhere, .. } = rejection;
-        self.line("REJECT", slot, format_args!(" {} {}", retry_after * NS, no_retry_elsewhere as u8));
+        self.line(
+            "REJECT",
+            slot,
+            format_args!(" {} {}", retry_after * NANOS_PER_TIME_UNIT, no_retry_elsewhere as u8),
+        );
     }
     fn fail(&mut self, slot: RequestSlot, _: FailReason) {
         self.line("DROP_REQUEST", slot, format_args!(""));
@@ -55,13 +59,13 @@
         self.line("YANK", slot, format_args!(""));
     }
     fn call(&mut self, slot: RequestSlot, within: Time) {
-        self.line("REACH_OUT", slot, format_args!(" {}", within * NS));
+        self.line("REACH_OUT", slot, format_args!(" {}", within * NANOS_PER_TIME_UNIT));
     }
     fn skip_call(&mut self, slot: RequestSlot) {
         self.line("SKIP", slot, format_args!(""));
     }
     fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
-        self.line("RETAIN", slot, format_args!(" {}", span * NS));
+        self.line("RETAIN", slot, format_args!(" {}", span * NANOS_PER_TIME_UNIT));
     }
     fn replay_result(&mut self, slot: RequestSlot) {
         self.line("ANSWER_FROM", slot, format_args!(""));
@@ -73,10 +77,10 @@
         let _ = writeln!(self.out, "HINT_OUT {} {value:.4}", self.who);
     }
     fn close_idle_connections(&mut self, after: Time) {
-        let _ = writeln!(self.out, "CLOSE_IDLE {} {}", self.who, after * NS);
+        let _ = writeln!(self.out, "CLOSE_IDLE {} {}", self.who, after * NANOS_PER_TIME_UNIT);
     }
     fn set_timer(&mut self, after: Time) {
-        let _ = writeln!(self.out, "SET_TIMER {} {} 1", self.who, after * NS);
+        let _ = writeln!(self.out, "SET_TIMER {} {} 1", self.who, after * NANOS_PER_TIME_UNIT);
     }
     fn log(&mut self, event: &SchedulerEvent) {
         let _ = writeln!(self.out, "EMIT {} {event}", self.who);
@@ -111,7 +115,7 @@
         self.maybe().map(|word| parse(word, what)).transpose()
     }
     fn span(&mut self, what: &str) -> Result<Time, String> {
-        Ok(self.optional::<i64>(what)?.unwrap_or(0) / NS)
+        Ok(self.optional::<i64>(what)?.unwrap_or(0) / NANOS_PER_TIME_UNIT)
     }
     fn flag(&mut self, what: &str) -> Result<bool, String> {
         match self.maybe() {
@@ -158,7 +162,8 @@
 
 fn arrival(instance: &mut Instance, word: &str, values: &mut Values) -> Result<Arrival, String> {
     let is_retry = values.flag("resent")?;
-    let remaining_timeout = values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NS);
+    let remaining_timeout =
+        values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NANOS_PER_TIME_UNIT);
     let client_priority = values.optional("prio")?.unwrap_or(0.0);
     let earlier_attempt = match values.maybe().filter(|word| *word != "0") {
         None => EarlierAttempt::None,
@@ -171,7 +176,8 @@
     let time_unread = values.span("unread_for_ns")?;
     values.maybe(); // the client's number
     let is_write = values.flag("write")?;
-    let expected_work = values.optional::<f64>("cost_ns")?.filter(|ns| *ns > 0.0).map(|ns| ns / NS as f64);
+    let expected_work =
+        values.optional::<f64>("cost_ns")?.filter(|ns| *ns > 0.0).map(|ns| ns / NANOS_PER_TIME_UNIT as f64);
     let memory_kb = values.optional("kb")?.unwrap_or(0.0);
     let tenant = match values.maybe() {
         None | Some("0") => None,
@@ -204,7 +210,7 @@
 ) -> Result<Instance, String> {
     let wrong = |what: &dyn std::fmt::Display| format!("boot_info: {what}");
     let start = line.find('{').ok_or("boot_info is missing")?;
-    let (mut settings, names) = settings::read_text(&line[start..], seed).map_err(|what| wrong(&what))?;
+    let (mut settings, names) = settings::parse(&line[start..], seed).map_err(|what| wrong(&what))?;
     if pooled {
         let classes = &settings.classes;
         let objectives: Vec<Time> = classes.iter().map(|class| class.latency_objective).collect();
@@ -311,7 +317,9 @@
         let wrong = |what: String| format!("line {count}: {what}");
         let line = line.map_err(|error| wrong(error.to_string()))?;
         match (line.strip_prefix("TURN "), now) {
-            (Some(clock), None) => now = Some(parse::<i64>(clock, "clock").map_err(wrong)? / NS),
+            (Some(clock), None) => {
+                now = Some(parse::<i64>(clock, "clock").map_err(wrong)? / NANOS_PER_TIME_UNIT)
+            }
             (Some(_), Some(_)) => return Err(wrong("TURN inside a batch".into())),
             (None, None) if line.is_empty() => {}
             (None, None) => return Err(wrong(format!("expected TURN, found {line:?}"))),
