--- a/crates/consensus/src/sim/disk.rs
+++ b/crates/consensus/src/sim/disk.rs
@@ -14,7 +14,7 @@
     durable: BTreeMap<Vec<u8>, Vec<u8>>,
     unsynced: Vec<Write>,
     /// Number of syncs that wrote something.
-    pub synced: u64,
+    pub sync_count: u64,
 }
 
 impl SimulatedDisk {
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn sync(&mut self) {
-        self.synced += u64::from(!self.unsynced.is_empty());
+        self.sync_count += u64::from(!self.unsynced.is_empty());
         for (key, value) in self.unsynced.drain(..) {
             match value {
                 Some(value) => drop(self.durable.insert(key, value)),
--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -28,13 +28,13 @@
     // Anywhere in the period of its renewals.
     play.run(4 * SECOND + (seed as Time * 137) % (setup.lease / 4));
     let Some(owner) = play.owner(PARTITION) else { return 20 * SECOND };
-    let began = play.world.now;
+    let began = play.cluster.now;
     what(&mut play, owner);
-    while play.owner(PARTITION).is_none_or(|now| now == owner) && play.world.now < began + 20 * SECOND {
-        let now = play.world.now;
+    while play.owner(PARTITION).is_none_or(|now| now == owner) && play.cluster.now < began + 20 * SECOND {
+        let now = play.cluster.now;
         play.run(now + MS / 2);
     }
-    play.world.now - began
+    play.cluster.now - began
 }
 
 /// The same for planners that think for themselves: from the death of the one that leads until another may give out.
@@ -110,19 +110,20 @@
          | what | lease, s | p50 | p99 | most |\n| --- | --- | --- | --- | --- |\n"
     );
     for lease in [1, 2, 5] {
-        let setup = SimulationConfig { lease: lease * SECOND, act: 0, ..SimulationConfig::default() };
+        let setup =
+            SimulationConfig { lease: lease * SECOND, act_interval: 0, ..SimulationConfig::default() };
         let rows: [(&str, Done); 3] = [
             ("told handover", Simulation::drain),
             ("the owner dies", Simulation::kill),
-            ("the owner stands still for 30 s", |play, at| play.stop(at, 30 * SECOND)),
+            ("the owner stands still for 30 s", |play, at| play.pause(at, 30 * SECOND)),
         ];
         for (name, what) in rows {
             let all = (1..=seeds).map(|seed| without(seed, setup, what)).collect();
             out += &format!("| {name} | {lease} | {} |\n", spread(all));
         }
         let both: Done = |play, at| {
-            let leader = play.world.leader().unwrap_or(0);
-            play.world.crash(leader);
+            let leader = play.cluster.leader().unwrap_or(0);
+            play.cluster.crash(leader);
             play.kill(at);
         };
         let all = (1..=seeds).map(|seed| without(seed, setup, both)).collect();
@@ -144,28 +145,28 @@
                 replicas: keepers,
                 instances,
                 partitions: parts,
-                act: 0,
+                act_interval: 0,
                 ..SimulationConfig::default()
             },
             3,
         );
         play.run(8 * SECOND);
         let writes =
-            |play: &Simulation| play.world.nodes.iter().map(|seat| seat.disk.synced).max().unwrap_or(0);
+            |play: &Simulation| play.cluster.nodes.iter().map(|seat| seat.disk.sync_count).max().unwrap_or(0);
         let (asks, bytes, letters, wrote) =
-            (play.messages_sent, play.message_bytes, play.world.messages_sent, writes(&play));
+            (play.messages_sent, play.message_bytes, play.cluster.messages_sent, writes(&play));
         play.run(28 * SECOND);
         let a_second = |now: u64, then: u64| (now - then) as f64 / 20.0;
         let owned: usize =
             play.instances.iter().filter_map(|one| one.client.as_ref()).map(|one| one.owned().count()).sum();
-        let leader = play.world.leader().and_then(|at| play.world.nodes[at].replica.as_ref());
+        let leader = play.cluster.leader().and_then(|at| play.cluster.nodes[at].replica.as_ref());
         let image = leader
             .map_or(0, |keeper| cypresscleat_consensus::StateMachine::snapshot(keeper.state_machine()).len());
         out += &format!(
             "| {keepers} | {instances} | {owned} of {parts} | {:.0} | {:.0} | {:.0} | {:.1} | {image} |\n",
             a_second(play.messages_sent, asks),
             a_second(play.message_bytes, bytes),
-            a_second(play.world.messages_sent, letters),
+            a_second(play.cluster.messages_sent, letters),
             a_second(writes(&play), wrote)
         );
     }
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -7,8 +7,8 @@
 use cypresscleat_leases::{node_id, Claim, NodeId};
 use cypresscleat_rollout::member::{MemberEvent, RolloutMember};
 use cypresscleat_rollout::messages::{Response, Verdict};
-use cypresscleat_server::leases::wire::Wire;
-use cypresscleat_server::leases::{drawn, Keepers, Steady};
+use cypresscleat_server::leases::wire::ControlMessage;
+use cypresscleat_server::leases::{random_id, ControlReplicas, MonotonicClock};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -51,8 +51,8 @@
 }
 
 impl Books {
-    fn new(set: &Keepers) -> Books {
-        let seen = set.all.iter().map(|(_, address)| (*address, Seen::default())).collect();
+    fn new(set: &ControlReplicas) -> Books {
+        let seen = set.replicas.iter().map(|(_, address)| (*address, Seen::default())).collect();
         Books {
             began: Instant::now(),
             seen,
@@ -137,7 +137,7 @@
 }
 
 impl Crowd {
-    pub fn start(what: What, many: u64, set: &Keepers) -> Result<Crowd, String> {
+    pub fn start(what: What, many: u64, set: &ControlReplicas) -> Result<Crowd, String> {
         let books = Arc::new(Books::new(set));
         let mut threads = Vec::new();
         for thread in 0..THREADS {
@@ -172,14 +172,15 @@
 async fn lives(
     what: What,
     own: impl Iterator<Item = usize>,
-    set: Keepers,
+    set: ControlReplicas,
     books: Arc<Books>,
 ) -> Result<(), String> {
-    let clock = Steady::start();
+    let clock = MonotonicClock::start();
     let set = Rc::new(set);
     let bytes = Rc::new(RefCell::new(vec![0; message::MAX_DATAGRAM_BYTES + 1]));
     for at in own {
-        let socket = UdpSocket::bind(set.from()).await.map_err(|error| format!("instance {at}: {error}"))?;
+        let socket =
+            UdpSocket::bind(set.local_address()).await.map_err(|error| format!("instance {at}: {error}"))?;
         let end = End { at, socket, to: set.addresses(), clock, books: books.clone(), bytes: bytes.clone() };
         match what {
             What::Members => spawn_local(end.member()),
@@ -197,14 +198,14 @@
     at: usize,
     socket: UdpSocket,
     to: HashMap<NodeId, SocketAddr>,
-    clock: Steady,
+    clock: MonotonicClock,
     books: Arc<Books>,
     /// One for all of a thread: none is held over a wait.
     bytes: Rc<RefCell<Vec<u8>>>,
 }
 
 impl End {
-    fn posts(&self, to: NodeId, wire: &Wire) {
+    fn posts(&self, to: NodeId, wire: &ControlMessage) {
         let Some(to) = self.to.get(&to) else { return };
         if let Some(bytes) = message::encode(wire) {
             if self.socket.try_send_to(&bytes, *to).is_ok() {
@@ -214,7 +215,7 @@
     }
 
     /// The next datagram that is understood, or `None` once it is time.
-    async fn hears(&self, due: cypresscleat_rollout::Time) -> Option<(SocketAddr, Wire)> {
+    async fn hears(&self, due: cypresscleat_rollout::Time) -> Option<(SocketAddr, ControlMessage)> {
         tokio::select! {
             () = sleep_until(self.clock.instant(due)) => return None,
             ready = self.socket.readable() => ready.ok()?,
@@ -223,18 +224,19 @@
         // Word of an earlier datagram that found nobody is an error here, and is passed over.
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
         self.books.notes(from, size, false);
-        Some((from, message::decode::<Wire>(&bytes[..size]).ok()?))
+        Some((from, message::decode::<ControlMessage>(&bytes[..size]).ok()?))
     }
 
     async fn member(self) {
         let name = format!("h{}", self.at);
         let keepers = self.to.keys().copied().collect();
-        let mut member = RolloutMember::new(self.clock.now(), &name, (node_id(&name), drawn(&name)), keepers);
+        let mut member =
+            RolloutMember::new(self.clock.now(), &name, (node_id(&name), random_id(&name)), keepers);
         loop {
             let now = self.clock.now();
             let mut asks = if now >= member.next_deadline() { member.tick(now) } else { Vec::new() };
             loop {
-                asks.drain(..).for_each(|(to, ask)| self.posts(to, &Wire::PolicyAsk(ask)));
+                asks.drain(..).for_each(|(to, ask)| self.posts(to, &ControlMessage::RolloutRequest(ask)));
                 let events: Vec<MemberEvent> = member.events().collect();
                 if events.is_empty() {
                     break;
@@ -260,12 +262,12 @@
                 }
             }
             let Some((by, wire)) = self.hears(member.next_deadline()).await else { continue };
-            if let Wire::PolicyAnswer { from, answer } = wire {
-                if matches!(answer, Response::Renewed { .. }) {
+            if let ControlMessage::RolloutResponse { from, response } = wire {
+                if matches!(response, Response::Renewed { .. }) {
                     *self.books.leader.lock().expect("the leader") = Some(by);
                 }
-                let asks = member.handle(self.clock.now(), from, answer);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::PolicyAsk(ask)));
+                let asks = member.handle(self.clock.now(), from, response);
+                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::RolloutRequest(ask)));
             }
         }
     }
@@ -274,22 +276,23 @@
         let name = format!("o{}", self.at);
         let keepers = self.to.keys().copied().collect();
         let claims = vec![Claim { task: node_id("scale"), partitions: 1, rank: 0 }];
-        let mut client = LeaseClient::new(self.clock.now(), node_id(&name), drawn(&name), claims, keepers);
+        let mut client =
+            LeaseClient::new(self.clock.now(), node_id(&name), random_id(&name), claims, keepers);
         let mut known = false;
         loop {
             let now = self.clock.now();
             if now >= client.next_deadline() {
                 let asks = client.tick(now);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::Ask(ask)));
+                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::LeaseRequest(ask)));
             }
             client.events().for_each(drop);
             let Some((by, wire)) = self.hears(client.next_deadline()).await else { continue };
-            if let Wire::Answer { from, answer } = wire {
-                if matches!(answer, cypresscleat_leases::messages::Response::Renewed { .. }) {
+            if let ControlMessage::LeaseResponse { from, response } = wire {
+                if matches!(response, cypresscleat_leases::messages::Response::Renewed { .. }) {
                     *self.books.leader.lock().expect("the leader") = Some(by);
                 }
-                let asks = client.handle(self.clock.now(), from, answer);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &Wire::Ask(ask)));
+                let asks = client.handle(self.clock.now(), from, response);
+                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::LeaseRequest(ask)));
                 if !known && client.session() != 0 {
                     known = true;
                     self.books.sessions.fetch_add(1, Ordering::Relaxed);
--- a/crates/experiments/src/scale/hollow/relays.rs
+++ b/crates/experiments/src/scale/hollow/relays.rs
@@ -8,7 +8,7 @@
 use crate::scale::row::{How, Row};
 use crate::scale::targets::TARGETS;
 use cypresscleat_fault_injection::{free_port, Process};
-use cypresscleat_server::leases::Keepers;
+use cypresscleat_server::leases::ControlReplicas;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
@@ -41,7 +41,7 @@
 struct Zone {
     relays: Vec<Process>,
     /// The relays, where members have the keepers.
-    set: Keepers,
+    set: ControlReplicas,
     crowd: Crowd,
 }
 
@@ -59,9 +59,9 @@
         let mut zones = Vec::new();
         for zone in 0..many {
             let names = (0..2).map(|at| format!("z{zone}r{at}"));
-            let all: Vec<_> = names.map(|name| (name, free_port())).collect();
+            let replicas: Vec<_> = names.map(|name| (name, free_port())).collect();
             let mut relays = Vec::new();
-            for (name, listen) in &all {
+            for (name, listen) in &replicas {
                 let folder = quorum.folder.0.join(name);
                 let set = format!("{{listen: \"{listen}\", folder: \"{}\", most: 2s}}", folder.display());
                 let text = format!("keepers: {{{}}}\nrelay: {set}\n", quorum.listed());
@@ -71,7 +71,7 @@
                 relay.start();
                 relays.push(relay);
             }
-            let set = Keepers { lease: quorum.set.lease, all, folder: None };
+            let set = ControlReplicas { lease: quorum.set.lease, replicas, folder: None };
             // What does not go into the zones evenly is in the first ones.
             let members = size / many + u64::from(zone < size % many);
             let crowd = Crowd::start(What::Members, members, &set)?;
@@ -109,7 +109,7 @@
     /// Of each relay, what went between it and its members.
     fn counts(&self) -> Vec<Count> {
         let of = |zone: &Zone| -> Vec<Count> {
-            zone.set.all.iter().map(|one| zone.crowd.books.count(Some(one.1))).collect()
+            zone.set.replicas.iter().map(|one| zone.crowd.books.count(Some(one.1))).collect()
         };
         self.zones.iter().flat_map(of).collect()
     }
@@ -185,7 +185,7 @@
         let spent = busiest(&relays, &fleet.relays(), second) * 1e3;
         put(rows, "relay", size, &format!("{name}: processor time"), spent, "ms");
         let peaks = fleet.zones.iter().flat_map(|zone| {
-            zone.set.all.iter().map(|one| zone.crowd.books.peak(one.1, began)).collect::<Vec<_>>()
+            zone.set.replicas.iter().map(|one| zone.crowd.books.peak(one.1, began)).collect::<Vec<_>>()
         });
         let peak = peaks.max().unwrap_or(0) as f64;
         put(
--- a/crates/experiments/src/scale/hollow/rig.rs
+++ b/crates/experiments/src/scale/hollow/rig.rs
@@ -1,7 +1,7 @@
 //! Real processes for hollow instances to speak to, what such a process spends, and the bounds that the machine sets.
 
 use cypresscleat_fault_injection::{free_port, Process};
-use cypresscleat_server::leases::Keepers;
+use cypresscleat_server::leases::ControlReplicas;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -134,7 +134,7 @@
 /// Three keepers, each a process of its own; they end with this.
 pub struct Quorum {
     pub keepers: Vec<Process>,
-    pub set: Keepers,
+    pub set: ControlReplicas,
     pub folder: Folder,
     program: PathBuf,
 }
@@ -142,10 +142,10 @@
 impl Quorum {
     pub fn start(program: &Program) -> Result<Quorum, String> {
         let folder = Folder::new()?;
-        let all: Vec<(String, SocketAddr)> = (0..3).map(|at| (format!("k{at}"), free_port())).collect();
-        let set = Keepers { lease: 2 * cypresscleat_leases::SECOND, all, folder: None };
+        let replicas: Vec<(String, SocketAddr)> = (0..3).map(|at| (format!("k{at}"), free_port())).collect();
+        let set = ControlReplicas { lease: 2 * cypresscleat_leases::SECOND, replicas, folder: None };
         let mut quorum = Quorum { keepers: Vec::new(), set, folder, program: program.path.clone() };
-        for at in 0..quorum.set.all.len() {
+        for at in 0..quorum.set.replicas.len() {
             let name = format!("k{at}");
             let disk = quorum.folder.0.join(&name);
             let text = format!("keepers: {{{}, folder: \"{}\"}}\n", quorum.listed(), disk.display());
@@ -163,18 +163,18 @@
     pub fn listed(&self) -> String {
         let one =
             |(name, address): &(String, SocketAddr)| format!("{{name: \"{name}\", address: \"{address}\"}}");
-        let all: Vec<String> = self.set.all.iter().map(one).collect();
+        let all: Vec<String> = self.set.replicas.iter().map(one).collect();
         format!("lease: 2s, all: [{}]", all.join(", "))
     }
 
     pub fn keeper(&mut self, address: SocketAddr) -> Option<&mut Process> {
-        let at = self.set.all.iter().position(|one| one.1 == address)?;
+        let at = self.set.replicas.iter().position(|one| one.1 == address)?;
         self.keepers.get_mut(at)
     }
 
     /// Where each keeper hears, and the number of its process.
     pub fn processes(&self) -> Vec<(SocketAddr, u32)> {
-        let all = self.set.all.iter().zip(&self.keepers);
+        let all = self.set.replicas.iter().zip(&self.keepers);
         all.filter_map(|(one, process)| Some((one.1, process.id()?))).collect()
     }
 
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -157,12 +157,13 @@
 
 /// Sessions at rest, each of an instance that waits for the one part: messages, bytes and writes at the keepers.
 pub fn sessions(instances: usize, seed: u64) -> [f64; 6] {
-    let setup = owning::SimulationConfig { instances, act: 0, ..owning::SimulationConfig::default() };
+    let setup =
+        owning::SimulationConfig { instances, act_interval: 0, ..owning::SimulationConfig::default() };
     let mut play = owning::Simulation::new(setup, seed);
     play.run(8 * SECOND);
     let counted = |play: &owning::Simulation| {
-        let writes = play.world.nodes.iter().map(|seat| seat.disk.synced).max().unwrap_or(0);
-        [play.messages_sent, play.message_bytes, play.world.messages_sent, play.world.bytes_sent, writes]
+        let writes = play.cluster.nodes.iter().map(|seat| seat.disk.sync_count).max().unwrap_or(0);
+        [play.messages_sent, play.message_bytes, play.cluster.messages_sent, play.cluster.bytes_sent, writes]
     };
     let (then, began) = (counted(&play), Instant::now());
     play.run((8 + REST) * SECOND);
--- a/crates/leases/src/simulation.rs
+++ b/crates/leases/src/simulation.rs
@@ -41,7 +41,7 @@
     /// Length of a lease.
     pub lease: Time,
     /// Time from an instance to the resource and back, and between acts of an owner on a partition; 0 for no acts.
-    pub act: Time,
+    pub act_interval: Time,
     /// Safeguards that are disabled.
     pub safeguards: DisabledSafeguards,
 }
@@ -49,7 +49,14 @@
 impl Default for SimulationConfig {
     fn default() -> SimulationConfig {
         let safeguards = DisabledSafeguards::default();
-        SimulationConfig { replicas: 3, instances: 4, partitions: 1, lease: 20_000, act: 20 * MS, safeguards }
+        SimulationConfig {
+            replicas: 3,
+            instances: 4,
+            partitions: 1,
+            lease: 20_000,
+            act_interval: 20 * MS,
+            safeguards,
+        }
     }
 }
 
@@ -85,7 +92,7 @@
     /// What it was made with.
     pub config: SimulationConfig,
     /// The replicas and their network.
-    pub world: Cluster<LeaseState>,
+    pub cluster: Cluster<LeaseState>,
     /// The lease manager of each replica.
     pub managers: Vec<LeaseManager<usize>>,
     /// The instances.
@@ -124,10 +131,10 @@
 impl Simulation {
     /// A cluster whose faults and delays are drawn from `seed`.
     pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
-        let world = Cluster::new(config.replicas, LeaseState::default(), RaftConfig::default(), seed);
+        let cluster = Cluster::new(config.replicas, LeaseState::default(), RaftConfig::default(), seed);
         let mut simulation = Simulation {
             config,
-            world,
+            cluster,
             managers: (0..config.replicas).map(|_| LeaseManager::new(config.lease)).collect(),
             instances: Vec::new(),
             mail: BTreeMap::new(),
@@ -156,27 +163,27 @@
 
     /// The instance that owns a partition, as the leader has it.
     pub fn owner(&self, partition: Partition) -> Option<usize> {
-        let leader = self.world.leader()?;
-        let (owner, _) = self.world.nodes[leader].replica.as_ref()?.state_machine().owner(partition)?;
+        let leader = self.cluster.leader()?;
+        let (owner, _) = self.cluster.nodes[leader].replica.as_ref()?.state_machine().owner(partition)?;
         self.instances.iter().position(|one| one.id == owner)
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
         let spread = self.rng.below(delay.max(1) as u64) as Time;
-        let lost = self.world.network.loss_one_in > 0 && self.rng.one_in(self.world.network.loss_one_in);
+        let lost = self.cluster.network.loss_one_in > 0 && self.rng.one_in(self.cluster.network.loss_one_in);
         // Acts go over a connection: late, but not lost by themselves.
         if lost && matches!(mail, Mail::Request { .. } | Mail::Response { .. }) {
             return;
         }
-        let twice =
-            self.world.network.duplicate_one_in > 0 && self.rng.one_in(self.world.network.duplicate_one_in);
+        let twice = self.cluster.network.duplicate_one_in > 0
+            && self.rng.one_in(self.cluster.network.duplicate_one_in);
         let mut late = 0;
-        if self.world.network.max_extra_delay > 0 && self.rng.one_in(20) {
-            late = self.rng.below(self.world.network.max_extra_delay as u64) as Time;
+        if self.cluster.network.max_extra_delay > 0 && self.rng.one_in(20) {
+            late = self.rng.below(self.cluster.network.max_extra_delay as u64) as Time;
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
-            self.mail.insert((self.world.now + delay + spread + late, self.posted), mail.clone());
+            self.mail.insert((self.cluster.now + delay + spread + late, self.posted), mail.clone());
         }
     }
 
@@ -185,19 +192,19 @@
             self.messages_sent += 1;
             self.message_bytes += message::encode(&request).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_from_replicas.contains(&from) {
-                self.post(self.world.network.delay, Mail::Request { to: to as usize - 1, from, request });
+                self.post(self.cluster.network.delay, Mail::Request { to: to as usize - 1, from, request });
             }
         }
     }
 
     /// Carries out what a replica's step asks for, and what its manager adds.
     fn after(&mut self, at: usize) {
-        let now = self.world.now;
-        let answers = std::mem::take(&mut self.world.responses).into_iter();
+        let now = self.cluster.now;
+        let answers = std::mem::take(&mut self.cluster.responses).into_iter();
         let (own, others): (Vec<_>, Vec<_>) = answers.partition(|(replica, _)| *replica == at);
-        self.world.responses = others;
+        self.cluster.responses = others;
         let answers = own.into_iter().map(|one| one.1).collect();
-        let Some(replica) = self.world.nodes[at].replica.as_mut() else { return };
+        let Some(replica) = self.cluster.nodes[at].replica.as_mut() else { return };
         let (out, responses) = self.managers[at].poll(now, replica, answers);
         for change in replica.state_machine_mut().take_owner_changes() {
             // Each change once, from whichever replica has it first.
@@ -210,16 +217,16 @@
 
     fn carry(&mut self, at: usize, out: cypresscleat_consensus::Ready, responses: Vec<(usize, Response)>) {
         let more = !out.responses.is_empty() || !out.messages.is_empty() || !out.writes.is_empty();
-        self.world.process_ready(at, out);
+        self.cluster.process_ready(at, out);
         for (to, response) in responses {
             self.messages_sent += 1;
             self.message_bytes += message::encode(&response).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_from_replicas.contains(&to) {
                 let from = at as NodeId + 1;
-                self.post(self.world.network.delay, Mail::Response { to, from, response });
+                self.post(self.cluster.network.delay, Mail::Response { to, from, response });
             }
         }
-        if more && self.world.responses.iter().any(|one| one.0 == at) {
+        if more && self.cluster.responses.iter().any(|one| one.0 == at) {
             self.after(at);
         }
     }
@@ -228,25 +235,25 @@
     pub fn run(&mut self, until: Time) {
         self.wake_at.resize(self.instances.len(), Time::MAX);
         (0..self.instances.len()).for_each(|at| self.schedule(at));
-        while self.world.now < until {
+        while self.cluster.now < until {
             self.step(until);
         }
     }
 
     fn step(&mut self, until: Time) {
-        let steps = if self.steps_at.0 == self.world.now { self.steps_at.1 + 1 } else { 0 };
-        self.steps_at = (self.world.now, steps);
-        assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.world.now);
+        let steps = if self.steps_at.0 == self.cluster.now { self.steps_at.1 + 1 } else { 0 };
+        self.steps_at = (self.cluster.now, steps);
+        assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.cluster.now);
         let mail = self.mail.first_key_value().map(|(key, _)| key.0);
         let due = self.wake_queue.first().map_or(until, |first| first.0);
         let next = until.min(mail.unwrap_or(until)).min(due);
-        let next = next.max(self.world.now);
+        let next = next.max(self.cluster.now);
         // The replicas' own messages first, one message or deadline at a time.
-        if self.world.step(next.max(self.world.now + 1)) {
+        if self.cluster.step(next.max(self.cluster.now + 1)) {
             (0..self.config.replicas).for_each(|at| self.after(at));
             return;
         }
-        self.world.now = next;
+        self.cluster.now = next;
         if let Some(entry) = self.mail.first_entry().filter(|entry| entry.key().0 <= next) {
             let mail = entry.remove();
             return self.deliver(mail);
@@ -260,10 +267,10 @@
     }
 
     fn deliver(&mut self, mail: Mail) {
-        let now = self.world.now;
+        let now = self.cluster.now;
         match mail {
             Mail::Request { to, from, request } => {
-                let Some(replica) = self.world.nodes[to].replica.as_mut() else { return };
+                let Some(replica) = self.cluster.nodes[to].replica.as_mut() else { return };
                 let (out, responses) = self.managers[to].handle(now, replica, from, request);
                 self.carry(to, out, responses);
             }
@@ -282,7 +289,10 @@
                 let by = self.instances[from].id;
                 let done_before = accepted && !fresh;
                 self.journal.push(Act { at: now, partition, token, item, by, accepted, done_before });
-                self.post(self.config.act / 2, Mail::Acted { to: from, partition, token, item, accepted });
+                self.post(
+                    self.config.act_interval / 2,
+                    Mail::Acted { to: from, partition, token, item, accepted },
+                );
             }
             Mail::Acted { to, partition, token, item, accepted } => {
                 if self.instances[to].client.is_some() {
--- a/crates/leases/src/simulation/faults.rs
+++ b/crates/leases/src/simulation/faults.rs
@@ -37,7 +37,7 @@
         let replicas = (0..self.config.replicas).map(|replica| replica as NodeId + 1).collect();
         let mut client = LeaseClient::new(now, one.id, one.incarnations, claims, replicas);
         client.ignore_lease_end = self.config.safeguards.ignore_lease_end;
-        (one.client, one.stopped) = (Some(client), 0);
+        (one.client, one.paused_until) = (Some(client), 0);
         one.work.clear();
         one.inbox.clear();
     }
@@ -51,10 +51,10 @@
     }
 
     /// Stops the process of an instance for so long, in the middle of its acts; messages wait for it.
-    pub fn stop(&mut self, at: usize, time: Time) {
+    pub fn pause(&mut self, at: usize, time: Time) {
         let now = self.clock(at);
         let one = &mut self.instances[at];
-        one.stopped = self.world.now + time;
+        one.paused_until = self.cluster.now + time;
         let Some(client) = &one.client else { return };
         for (partition, work) in one.work.iter().filter(|(_, work)| work.ticket.is_none()) {
             if client.valid_token(now, *partition) == Some(work.token) {
@@ -78,15 +78,15 @@
         let replica = rng.below(self.config.replicas as u64) as usize;
         match rng.below(14) {
             0 => self.kill(at),
-            1 => self.stop(at, [SECOND, 3 * SECOND, 9 * SECOND][rng.below(3) as usize]),
+            1 => self.pause(at, [SECOND, 3 * SECOND, 9 * SECOND][rng.below(3) as usize]),
             2 => self.drain(at),
             3 => drop(self.cut_from_replicas.insert(at)),
             4 => drop(self.cut_from_resource.insert(at)),
-            5 => self.world.crash(replica),
+            5 => self.cluster.crash(replica),
             6 => self.cut_off_replica(replica as NodeId + 1, rng),
             7 => self.cut_from_replicas.clear(),
             8 => self.cut_from_resource.clear(),
-            9 => self.world.blocked_links.clear(),
+            9 => self.cluster.blocked_links.clear(),
             _ => {}
         }
         for at in 0..self.config.instances {
@@ -96,8 +96,8 @@
             }
         }
         for at in 0..self.config.replicas {
-            if self.world.nodes[at].replica.is_none() && rng.one_in(3) {
-                self.world.start(at);
+            if self.cluster.nodes[at].replica.is_none() && rng.one_in(3) {
+                self.cluster.start(at);
             }
         }
     }
@@ -105,9 +105,9 @@
     /// Cuts a replica off from the others, of each link one direction or both.
     fn cut_off_replica(&mut self, replica: NodeId, rng: &mut SeededRng) {
         for other in (1..=self.config.replicas as NodeId).filter(|other| *other != replica) {
-            self.world.blocked_links.insert((replica, other));
+            self.cluster.blocked_links.insert((replica, other));
             if rng.one_in(2) {
-                self.world.blocked_links.insert((other, replica));
+                self.cluster.blocked_links.insert((other, replica));
             }
         }
     }
@@ -120,15 +120,15 @@
     pub fn heal(&mut self) {
         self.cut_from_replicas.clear();
         self.cut_from_resource.clear();
-        self.world.blocked_links.clear();
-        self.world.network = NetworkConditions::default();
+        self.cluster.blocked_links.clear();
+        self.cluster.network = NetworkConditions::default();
         for at in 0..self.config.replicas {
-            if self.world.nodes[at].replica.is_none() {
-                self.world.start(at);
+            if self.cluster.nodes[at].replica.is_none() {
+                self.cluster.start(at);
             }
         }
         for at in 0..self.config.instances {
-            self.instances[at].stopped = 0;
+            self.instances[at].paused_until = 0;
             if self.is_gone(at) {
                 self.kill(at);
                 self.start(at);
@@ -159,7 +159,7 @@
             }
             *due += 1;
         }
-        match &self.world.violation {
+        match &self.cluster.violation {
             Some(wrong) => Err(InvariantViolation::Consensus(wrong.clone())),
             None => Ok(()),
         }
--- a/crates/leases/src/simulation/instance.rs
+++ b/crates/leases/src/simulation/instance.rs
@@ -16,11 +16,11 @@
     pub(super) id: NodeId,
     pub(super) incarnations: u64,
     /// The process stands still until then.
-    pub stopped: Time,
+    pub paused_until: Time,
     /// Thousandths by which its clock runs fast or, where negative, slow.
-    pub rate: i64,
+    pub clock_drift_permille: i64,
     /// How far its clock is ahead.
-    pub ahead: Time,
+    pub clock_offset: Time,
     pub(super) work: BTreeMap<Partition, Work>,
     /// Messages that wait for the process.
     pub(super) inbox: Vec<InboxMessage>,
@@ -54,9 +54,9 @@
             client: None,
             id: FIRST_INSTANCE_ID + at as NodeId,
             incarnations: 0,
-            stopped: 0,
-            rate: 0,
-            ahead: 0,
+            paused_until: 0,
+            clock_drift_permille: 0,
+            clock_offset: 0,
             work: BTreeMap::new(),
             inbox: Vec::new(),
             under_way: Vec::new(),
@@ -135,7 +135,7 @@
     /// What an instance's clock shows now.
     pub(super) fn clock(&self, at: usize) -> Time {
         let one = &self.instances[at];
-        self.world.now + self.world.now * one.rate / 1000 + one.ahead
+        self.cluster.now + self.cluster.now * one.clock_drift_permille / 1000 + one.clock_offset
     }
 
     /// When its clock shows `time`.
@@ -144,8 +144,8 @@
         if time >= Time::MAX / 4 {
             return Time::MAX;
         }
-        let mut when = (time - one.ahead) * 1000 / (1000 + one.rate);
-        while when + when * one.rate / 1000 + one.ahead < time {
+        let mut when = (time - one.clock_offset) * 1000 / (1000 + one.clock_drift_permille);
+        while when + when * one.clock_drift_permille / 1000 + one.clock_offset < time {
             when += 1;
         }
         when
@@ -158,7 +158,7 @@
             let acts = one.work.values().filter(|work| work.ticket.is_none()).map(|work| work.next);
             let due = acts.min().unwrap_or(Time::MAX).min(client.next_deadline());
             let message = if one.inbox.is_empty() { Time::MAX } else { 0 };
-            self.time_when_clock_shows(at, due).min(message).max(one.stopped)
+            self.time_when_clock_shows(at, due).min(message).max(one.paused_until)
         });
         let had = std::mem::replace(&mut self.wake_at[at], next);
         self.wake_queue.remove(&(had, at));
@@ -172,11 +172,11 @@
     }
 
     fn run_due_work(&mut self, at: usize) {
-        if self.instances[at].stopped > self.world.now || self.instances[at].client.is_none() {
+        if self.instances[at].paused_until > self.cluster.now || self.instances[at].client.is_none() {
             return;
         }
         let now = self.clock(at);
-        let act = self.config.act;
+        let act = self.config.act_interval;
         let under_way = std::mem::take(&mut self.instances[at].under_way);
         under_way.into_iter().for_each(|mail| self.post(act / 2, mail));
         let requests = self.instances[at].process(now, act);
@@ -204,17 +204,17 @@
         for mail in acts {
             if let Mail::Act { partition, .. } = mail {
                 let acting = |(other, one): (usize, &Instance)| {
-                    let runs = other != at && one.stopped <= self.world.now;
+                    let runs = other != at && one.paused_until <= self.cluster.now;
                     runs && one
                         .client
                         .as_ref()
                         .is_some_and(|client| client.valid_token(self.clock(other), partition).is_some())
                 };
                 if self.instances.iter().enumerate().any(acting) {
-                    self.double_owner.get_or_insert((self.world.now, partition));
+                    self.double_owner.get_or_insert((self.cluster.now, partition));
                 }
             }
-            self.post(self.config.act / 2, mail);
+            self.post(self.config.act_interval / 2, mail);
         }
     }
 }
--- a/crates/leases/tests/simulation.rs
+++ b/crates/leases/tests/simulation.rs
@@ -34,19 +34,19 @@
     let mut play = Simulation::new(setup, seed);
     let mut rng = SeededRng::new(seed ^ 0xfa17);
     for at in 0..setup.instances {
-        play.instances[at].rate = rng.below(2 * drift as u64 + 1) as i64 - drift;
-        play.instances[at].ahead = [0, 3600 * SECOND][rng.below(2) as usize];
+        play.instances[at].clock_drift_permille = rng.below(2 * drift as u64 + 1) as i64 - drift;
+        play.instances[at].clock_offset = [0, 3600 * SECOND][rng.below(2) as usize];
     }
-    play.world.network = NetworkConditions {
+    play.cluster.network = NetworkConditions {
         delay: [MS / 2, 3 * MS][rng.below(2) as usize],
         loss_one_in: [0, 20, 6][rng.below(3) as usize],
         duplicate_one_in: [0, 8][rng.below(2) as usize],
         max_extra_delay: [0, 500 * MS, 3 * SECOND][rng.below(3) as usize],
     };
     let end = seconds * SECOND;
-    while play.world.now < end {
+    while play.cluster.now < end {
         play.inject_faults(&mut rng);
-        let now = play.world.now;
+        let now = play.cluster.now;
         play.run(now + 300 * MS);
         play.check_invariants()?;
         let must_be_alone = drift <= BOUND && !setup.safeguards.ignore_lease_end;
@@ -56,7 +56,7 @@
     }
     // All goes on once the faults are over.
     play.heal();
-    let (before, now) = (play.items_done(), play.world.now);
+    let (before, now) = (play.items_done(), play.cluster.now);
     play.run(now + 4 * setup.lease + 4 * SECOND);
     play.check_invariants()?;
     if play.items_done() <= before {
@@ -94,7 +94,7 @@
         let mut play = Simulation::new(SimulationConfig::default(), *seed);
         play.run(4 * SECOND);
         let owner = play.owner(PART).expect("an owner");
-        play.instances[owner].rate = -500;
+        play.instances[owner].clock_drift_permille = -500;
         play.cut_from_replicas.insert(owner);
         play.run(10 * SECOND);
         play.check_invariants().expect("tokens hold");
@@ -146,14 +146,14 @@
     let mut play = Simulation::new(SimulationConfig::default(), seed);
     play.run(4 * SECOND);
     let owner = play.owner(PART).expect("an owner");
-    let began = play.world.now;
+    let began = play.cluster.now;
     what(&mut play, owner);
     while play.owner(PART).is_none_or(|now| now == owner) {
-        let now = play.world.now;
+        let now = play.cluster.now;
         assert!(now < began + 20 * SECOND, "nobody took it over");
         play.run(now + 5 * MS);
     }
-    play.world.now - began
+    play.cluster.now - began
 }
 
 #[test]
@@ -163,7 +163,7 @@
         assert!(without_owner(seed, Simulation::drain) <= 50 * MS, "seed {seed}");
         let death = without_owner(seed, Simulation::kill);
         assert!(death <= lease + 100 * MS, "seed {seed}: {death}");
-        let stop = without_owner(seed, |play, at| play.stop(at, 30 * SECOND));
+        let stop = without_owner(seed, |play, at| play.pause(at, 30 * SECOND));
         assert!(stop <= lease + 100 * MS, "seed {seed}: {stop}");
     }
 }
@@ -190,7 +190,7 @@
     let mut play = Simulation::new(SimulationConfig { instances: 50, ..SimulationConfig::default() }, 6);
     play.run(4 * SECOND);
     for at in 0..2 {
-        play.world.crash(at);
+        play.cluster.crash(at);
     }
     let before = play.messages_sent;
     play.run(34 * SECOND);
@@ -202,7 +202,7 @@
         play.messages_sent - before
     );
     for at in 0..2 {
-        play.world.start(at);
+        play.cluster.start(at);
     }
     play.run(40 * SECOND);
     assert!(play.owner(PART).is_some());
@@ -213,16 +213,16 @@
 fn renewals_write_nothing_however_many_parts_there_are() {
     let writes = |partitions: u32| {
         let mut play = Simulation::new(
-            SimulationConfig { partitions, instances: 3, act: 0, ..SimulationConfig::default() },
+            SimulationConfig { partitions, instances: 3, act_interval: 0, ..SimulationConfig::default() },
             7,
         );
         play.run(6 * SECOND);
-        let before: Vec<u64> = play.world.nodes.iter().map(|seat| seat.disk.synced).collect();
+        let before: Vec<u64> = play.cluster.nodes.iter().map(|seat| seat.disk.sync_count).collect();
         let owned: usize =
             play.instances.iter().filter_map(|one| one.client.as_ref()).map(|one| one.owned().count()).sum();
         assert_eq!(owned, partitions as usize, "all are owned, and their owners know it");
         play.run(26 * SECOND);
-        play.world.nodes.iter().zip(before).map(|(seat, before)| seat.disk.synced - before).max()
+        play.cluster.nodes.iter().zip(before).map(|(seat, before)| seat.disk.sync_count - before).max()
     };
     assert_eq!(writes(1), Some(0));
     assert_eq!(writes(10_000), Some(0));
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
-use crate::leases::ask::What;
-use crate::leases::Job;
+use crate::leases::owners_command::OwnersCommand;
+use crate::leases::Subcommand;
 use crate::rollout::ask::{What as Policy, Words};
 use clap::{Arg, ArgMatches, Command};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     Owning {
         operator: PathBuf,
         name: String,
-        job: Job,
+        job: Subcommand,
     },
 }
 
@@ -190,19 +190,19 @@
         Some(("plan", own)) => Task::Plan { operator: operator(own).unwrap_or_default() },
         Some((job @ ("control" | "counter-demo" | "reconcile" | "usage-report" | "owners"), own)) => {
             let text = |name: &str| own.get_one::<String>(name).cloned();
-            let word = |duty: Option<String>, barred: bool| {
+            let word = |task: Option<String>, excluded: bool| {
                 let instance = text("instance").unwrap_or_default();
-                duty.map(|duty| What::Bar { duty, instance, barred })
+                task.map(|task| OwnersCommand::Exclude { task, instance, excluded })
             };
             let job = match job {
-                "control" => Job::Keep,
-                "counter-demo" => Job::Tally,
-                "reconcile" => Job::Settle,
-                "usage-report" => Job::Sums,
+                "control" => Subcommand::ControlReplica,
+                "counter-demo" => Subcommand::CounterDemo,
+                "reconcile" => Subcommand::Reconcile,
+                "usage-report" => Subcommand::UsageReport,
                 _ => {
-                    let release = text("release").map(|duty| What::Release { duty });
+                    let release = text("release").map(|task| OwnersCommand::Release { task });
                     let word = release.or(word(text("bar"), true)).or(word(text("unbar"), false));
-                    Job::Ask(word.unwrap_or(What::List { json: own.get_flag("json") }))
+                    Subcommand::Owners(word.unwrap_or(OwnersCommand::List { json: own.get_flag("json") }))
                 }
             };
             let name = text("name").unwrap_or_default();
--- a/crates/server/src/leases/keep.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -1,9 +1,9 @@
 //! A keeper: its datagrams, its disk, its time. What it promises is on its disk before a word of it leaves; a disk that fails ends it.
 
-use super::agreed::Agreed;
 use super::known_replicas::KnownReplicas;
-use super::wire::Wire;
-use super::{drawn, Keepers, Steady};
+use super::replicated_state::ReplicatedState;
+use super::wire::ControlMessage;
+use super::{random_id, ControlReplicas, MonotonicClock};
 use crate::journal::{monotonic, Journal};
 use crate::sockets::tried;
 use crate::{log, operator};
@@ -61,7 +61,7 @@
         }
         let _ = std::fs::remove_file(&identity);
         std::fs::create_dir_all(&log)?;
-        std::fs::write(&identity, format!("{:016x}\n", drawn(name)))?;
+        std::fs::write(&identity, format!("{:016x}\n", random_id(name)))?;
         std::fs::write(&marked, marks(folder)?)?;
         for file in [&identity, &marked] {
             std::fs::File::open(file)?.sync_all()?;
@@ -129,7 +129,7 @@
     socket: UdpSocket,
     replicas: KnownReplicas,
     own: NodeId,
-    keeper: Replica<Agreed>,
+    keeper: Replica<ReplicatedState>,
     manager: LeaseManager<SocketAddr>,
     /// Of changes of policy.
     policy: policy::RolloutCoordinator<SocketAddr>,
@@ -145,7 +145,7 @@
             out.events.drain(..).for_each(|line| log!("{line}"));
             for (to, letter) in out.messages.drain(..) {
                 if let Some(to) = self.replicas.address(to) {
-                    super::send(&self.socket, to, &Wire::Letter(letter));
+                    super::send(&self.socket, to, &ControlMessage::Consensus(letter));
                 }
             }
             let from = self.own;
@@ -157,16 +157,16 @@
                 policies::Response::NotLeader { leader } => Some((*to, *leader)),
                 _ => None,
             });
-            for (to, keeper) in elsewhere.chain(also) {
-                if let Some(address) = self.replicas.address(keeper) {
-                    super::send(&self.socket, to, &Wire::At { keeper, address });
+            for (to, replica) in elsewhere.chain(also) {
+                if let Some(address) = self.replicas.address(replica) {
+                    super::send(&self.socket, to, &ControlMessage::ReplicaAddress { replica, address });
                 }
             }
-            for (to, answer) in said.0.drain(..) {
-                super::send(&self.socket, to, &Wire::Answer { from, answer });
+            for (to, response) in said.0.drain(..) {
+                super::send(&self.socket, to, &ControlMessage::LeaseResponse { from, response });
             }
-            for (to, answer) in said.1.drain(..) {
-                super::send(&self.socket, to, &Wire::PolicyAnswer { from, answer });
+            for (to, response) in said.1.drain(..) {
+                super::send(&self.socket, to, &ControlMessage::RolloutResponse { from, response });
             }
             let answers = std::mem::take(&mut out.responses);
             let (policies, policy_said) = self.policy.poll(now, &mut self.keeper, answers.clone());
@@ -182,8 +182,8 @@
                     log!("{event}");
                 }
             }
-            for change in self.keeper.state_machine_mut().duties.take_owner_changes() {
-                let owner = self.keeper.state_machine().duties.instance(change.session);
+            for change in self.keeper.state_machine_mut().leases.take_owner_changes() {
+                let owner = self.keeper.state_machine().leases.instance(change.session);
                 if leads {
                     log!("{}", change.log_line(owner));
                 }
@@ -199,7 +199,7 @@
 ///
 /// With `path`, SIGHUP reads the operator's file again: keepers that it names from then on come and go, one at a time, each change
 /// decided by the others.
-pub async fn run(name: &str, set: &Keepers, path: Option<&Path>) -> io::Result<()> {
+pub async fn run(name: &str, set: &ControlReplicas, path: Option<&Path>) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
     let mut hup = signal(SignalKind::hangup()).map_err(tried("signals"))?;
     let mut set = set.clone();
@@ -224,7 +224,7 @@
 }
 
 /// The keepers as the file has them now, where it is good and names others.
-fn follows(name: &str, set: &Keepers, path: &Path) -> Option<Keepers> {
+fn follows(name: &str, set: &ControlReplicas, path: &Path) -> Option<ControlReplicas> {
     let read = operator::read(path, None).map_err(|wrong| wrong.lines);
     let new = match read {
         Ok((operator, _)) => operator.keepers?,
@@ -236,23 +236,23 @@
     if (new.lease, &new.folder) != (set.lease, &set.folder) {
         log!("keepers.lease and keepers.folder change with a start only");
     }
-    if new.all == set.all {
+    if new.replicas == set.replicas {
         return None;
     }
-    let names: Vec<&str> = new.all.iter().map(|one| one.0.as_str()).collect();
+    let names: Vec<&str> = new.replicas.iter().map(|one| one.0.as_str()).collect();
     log!("keeper {name}: the keepers are {} from now on, one change at a time", names.join(", "));
-    Some(Keepers { all: new.all, ..set.clone() })
+    Some(ControlReplicas { replicas: new.replicas, ..set.clone() })
 }
 
 /// One life on one disk; comes back where the disk has forgotten what it said.
 async fn lives(
     name: &str,
-    set: &mut Keepers,
+    set: &mut ControlReplicas,
     folder: &Path,
     socket: &UdpSocket,
     (hup, path): (&mut Signal, Option<&Path>),
 ) -> io::Result<String> {
-    let clock = Steady::start();
+    let clock = MonotonicClock::start();
     let to = set.addresses();
     let (disk, mut store) = open(name, folder)?;
     let kept: PersistentState = storage::load(&mut store).map_err(other)?;
@@ -267,9 +267,10 @@
         configured_replicas: named,
         disk,
         raft: RaftConfig::default(),
-        seed: drawn(name),
+        seed: random_id(name),
     };
-    let (keeper, out) = Replica::start(clock.now(), begin, kept, Agreed::default()).map_err(other)?;
+    let (keeper, out) =
+        Replica::start(clock.now(), begin, kept, ReplicatedState::default()).map_err(other)?;
     // A second handle of the same socket, so that the next life has it too.
     let shared = UdpSocket::from_std({
         use std::os::fd::AsFd;
@@ -310,23 +311,27 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => continue, // word of an earlier datagram that found nobody
             };
-            match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::Letter(letter)) => {
+            match message::decode::<ControlMessage>(&bytes[..size]) {
+                Ok(ControlMessage::Consensus(letter)) => {
                     if all.replicas.accepts(letter.from.id, from) {
                         out = out.merge(all.keeper.step(now, &letter));
                     }
                 }
-                Ok(Wire::PolicyAsk(ask)) => {
+                Ok(ControlMessage::RolloutRequest(ask)) => {
                     let (more, answers) = all.policy.handle(now, &mut all.keeper, from, ask);
                     out = out.merge(more);
                     said.1.extend(answers);
                 }
-                Ok(Wire::Ask(ask)) => {
+                Ok(ControlMessage::LeaseRequest(ask)) => {
                     let (more, answers) = all.manager.handle(now, &mut all.keeper, from, ask);
                     out = out.merge(more);
                     said.0.extend(answers);
                 }
-                Ok(Wire::Answer { .. } | Wire::PolicyAnswer { .. } | Wire::At { .. }) => {}
+                Ok(
+                    ControlMessage::LeaseResponse { .. }
+                    | ControlMessage::RolloutResponse { .. }
+                    | ControlMessage::ReplicaAddress { .. },
+                ) => {}
                 Err(_) => garbled += 1,
             }
         }
--- a/crates/server/src/leases/tally.rs
+++ b/crates/server/src/leases/counter_demo.rs
@@ -1,19 +1,19 @@
 //! A duty that counts: of each part one number after the other. It is what the rigs watch, and shows what any duty keeps.
 
-use super::work::{self, Item, Source};
-use super::Keepers;
+use super::task_worker::{self, Item, Source};
+use super::ControlReplicas;
 use cypresscleat_leases::Time;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tally {
-    pub duty: String,
-    pub parts: u32,
+pub struct CounterDemoConfig {
+    pub task: String,
+    pub partitions: u32,
     pub ledger: SocketAddr,
     /// Between two items of a part.
-    pub every: Time,
+    pub interval: Time,
 }
 
 struct Numbers {
@@ -38,7 +38,7 @@
     }
 }
 
-pub async fn run(name: &str, keepers: &Keepers, set: &Tally) -> io::Result<()> {
-    let numbers = Numbers { every: set.every, at: HashMap::new() };
-    work::run(name, keepers, &set.duty, set.parts, set.ledger, numbers).await
+pub async fn run(name: &str, keepers: &ControlReplicas, set: &CounterDemoConfig) -> io::Result<()> {
+    let numbers = Numbers { every: set.interval, at: HashMap::new() };
+    task_worker::run(name, keepers, &set.task, set.partitions, set.ledger, numbers).await
 }
--- a/crates/server/src/leases/known_replicas.rs
+++ b/crates/server/src/leases/known_replicas.rs
@@ -2,7 +2,7 @@
 //!
 //! Members of a rollout apply the same rule to the relays that they ask.
 
-use super::wire::learns;
+use super::wire::learn_address;
 use crate::log;
 use cypresscleat_leases::NodeId;
 use std::collections::HashMap;
@@ -102,7 +102,7 @@
 
     /// Takes over where a replica receives, told by one that is known. True where it was not known.
     pub fn learn(&mut self, by: SocketAddr, replica: NodeId, address: SocketAddr) -> bool {
-        if learns(&mut self.addresses, by, replica, address) {
+        if learn_address(&mut self.addresses, by, replica, address) {
             return true;
         }
         let is_told_by_known = self.addresses.values().any(|known| *known == by);
--- a/crates/server/src/leases/hold.rs
+++ b/crates/server/src/leases/lease_holder.rs
@@ -1,8 +1,8 @@
 //! An instance's end: its session with the keepers, on a socket of its own.
 
 use super::known_replicas::KnownReplicas;
-use super::wire::Wire;
-use super::{drawn, Keepers, Steady};
+use super::wire::ControlMessage;
+use super::{random_id, ControlReplicas, MonotonicClock};
 use crate::sockets::tried;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::client::{LeaseClient, LeaseEvent};
@@ -13,30 +13,30 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, timeout};
 
-pub struct Hold {
+pub struct LeaseHolder {
     socket: UdpSocket,
     replicas: KnownReplicas,
-    pub clock: Steady,
+    pub clock: MonotonicClock,
     client: LeaseClient,
     events: VecDeque<LeaseEvent>,
     bytes: Vec<u8>,
 }
 
-impl Hold {
-    pub async fn new(name: &str, set: &Keepers, claims: Vec<Claim>) -> io::Result<Hold> {
-        let socket = UdpSocket::bind(set.from()).await.map_err(tried("the leases' socket"))?;
-        let clock = Steady::start();
-        let keepers = set.all.iter().map(|(name, _)| node_id(name)).collect();
-        let client = LeaseClient::new(clock.now(), node_id(name), drawn(name), claims, keepers);
+impl LeaseHolder {
+    pub async fn new(name: &str, set: &ControlReplicas, claims: Vec<Claim>) -> io::Result<LeaseHolder> {
+        let socket = UdpSocket::bind(set.local_address()).await.map_err(tried("the leases' socket"))?;
+        let clock = MonotonicClock::start();
+        let keepers = set.replicas.iter().map(|(name, _)| node_id(name)).collect();
+        let client = LeaseClient::new(clock.now(), node_id(name), random_id(name), claims, keepers);
         let bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         let replicas = KnownReplicas::new(name, set.addresses());
-        Ok(Hold { socket, replicas, clock, client, events: VecDeque::new(), bytes })
+        Ok(LeaseHolder { socket, replicas, clock, client, events: VecDeque::new(), bytes })
     }
 
     fn post(&mut self, requests: Vec<(NodeId, Request)>) {
         for (to, request) in requests {
             if let Some(to) = self.replicas.next_address(to) {
-                super::send(&self.socket, to, &Wire::Ask(request));
+                super::send(&self.socket, to, &ControlMessage::LeaseRequest(request));
             }
         }
         self.events.extend(self.client.events());
@@ -63,7 +63,7 @@
     }
 
     /// What changed next, or `None` at `until`. May be dropped and called again at any time.
-    pub async fn next(&mut self, until: Time) -> Option<LeaseEvent> {
+    pub async fn next_event(&mut self, until: Time) -> Option<LeaseEvent> {
         loop {
             let now = self.clock.now();
             if now >= self.client.next_deadline() {
@@ -82,14 +82,16 @@
                 got = self.socket.recv_from(&mut self.bytes) => got,
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match message::decode::<Wire>(&self.bytes[..size]) {
-                Ok(Wire::Answer { from, answer }) if self.replicas.accepts(from, by) => {
+            match message::decode::<ControlMessage>(&self.bytes[..size]) {
+                Ok(ControlMessage::LeaseResponse { from, response }) if self.replicas.accepts(from, by) => {
                     let now = self.clock.now();
-                    let requests = self.client.handle(now, from, answer);
+                    let requests = self.client.handle(now, from, response);
                     self.post(requests);
                 }
-                Ok(Wire::At { keeper, address }) if self.replicas.learn(by, keeper, address) => {
-                    self.client.add_replica(keeper);
+                Ok(ControlMessage::ReplicaAddress { replica, address })
+                    if self.replicas.learn(by, replica, address) =>
+                {
+                    self.client.add_replica(replica);
                 }
                 _ => {}
             }
@@ -97,13 +99,13 @@
     }
 
     /// Gives all back, so that the next is ready at once; not for longer than a lease, as it ends by itself then.
-    pub async fn leaves(mut self) {
+    pub async fn leave(mut self) {
         let requests = self.client.leave(self.clock.now());
         self.post(requests);
         let told = async {
             while !self.client.has_left() {
                 let soon = self.clock.now() + 100;
-                self.next(soon).await;
+                self.next_event(soon).await;
             }
         };
         let _ = timeout(std::time::Duration::from_secs(1), told).await;
--- a/crates/server/src/leases/ask.rs
+++ b/crates/server/src/leases/owners_command.rs
@@ -1,7 +1,7 @@
 //! The command `owners`: who owns what, and an operator's word on it.
 
-use super::wire::{Asker, Heard, Wire};
-use super::Keepers;
+use super::wire::{ControlMessage, LeaderClient, ResponseKind};
+use super::ControlReplicas;
 use cypresscleat_leases::messages::{PartitionStatus, Request, Response};
 use cypresscleat_leases::{node_id, NodeId, Partition};
 use serde_json::json;
@@ -10,37 +10,37 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum OwnersCommand {
     List {
         json: bool,
     },
     /// Take the parts of a duty from whoever owns them.
     Release {
-        duty: String,
+        task: String,
     },
     /// Keep an instance from a duty, or no longer.
-    Bar {
-        duty: String,
+    Exclude {
+        task: String,
         instance: String,
-        barred: bool,
+        excluded: bool,
     },
 }
 
 /// The exit code, and what to print. Names are those of the file; one that is not there is told by its number.
-pub fn run(keepers: &Keepers, what: &What, names: &[String]) -> io::Result<(u8, String)> {
-    let mut asker = Asker::new(keepers)?;
+pub fn run(keepers: &ControlReplicas, what: &OwnersCommand, names: &[String]) -> io::Result<(u8, String)> {
+    let mut asker = LeaderClient::new(keepers)?;
     let none = (4, "no quorum of keepers answers\n".to_string());
     let number = std::process::id();
     let request = match what {
-        What::List { json } => return Ok(list(&mut asker, *json, names)?.unwrap_or(none)),
-        What::Release { duty } => {
-            Request::Exclude { number, task: node_id(duty), instance: None, excluded: true }
+        OwnersCommand::List { json } => return Ok(list(&mut asker, *json, names)?.unwrap_or(none)),
+        OwnersCommand::Release { task } => {
+            Request::Exclude { number, task: node_id(task), instance: None, excluded: true }
         }
-        What::Bar { duty, instance, barred } => Request::Exclude {
+        OwnersCommand::Exclude { task, instance, excluded } => Request::Exclude {
             number,
-            task: node_id(duty),
+            task: node_id(task),
             instance: Some(node_id(instance)),
-            excluded: *barred,
+            excluded: *excluded,
         },
     };
     let done = |answer: &Response| matches!(answer, Response::Done { number: one, .. } if *one == number);
@@ -48,18 +48,20 @@
 }
 
 fn asks(
-    asker: &mut Asker,
+    asker: &mut LeaderClient,
     request: Request,
     fits: impl Fn(&Response) -> bool,
 ) -> io::Result<Option<Response>> {
-    asker.ask(&Wire::Ask(request), |wire| match wire {
-        Wire::Answer { answer: Response::NotLeader { leader }, .. } => Heard::Elsewhere(leader),
-        Wire::Answer { answer, .. } if fits(&answer) => Heard::Fits(answer),
-        _ => Heard::Other,
+    asker.request(&ControlMessage::LeaseRequest(request), |wire| match wire {
+        ControlMessage::LeaseResponse { response: Response::NotLeader { leader }, .. } => {
+            ResponseKind::NotLeader(leader)
+        }
+        ControlMessage::LeaseResponse { response, .. } if fits(&response) => ResponseKind::Matching(response),
+        _ => ResponseKind::Unrelated,
     })
 }
 
-fn list(asker: &mut Asker, as_json: bool, names: &[String]) -> io::Result<Option<(u8, String)>> {
+fn list(asker: &mut LeaderClient, as_json: bool, names: &[String]) -> io::Result<Option<(u8, String)>> {
     let named: HashMap<NodeId, &String> = names.iter().map(|name| (node_id(name), name)).collect();
     let name = |number: NodeId| match (number, named.get(&number)) {
         (0, _) => "nobody".to_string(),
--- a/crates/server/src/leases/settle.rs
+++ b/crates/server/src/leases/reconcile.rs
@@ -10,8 +10,8 @@
 //! {"part":0,"item":8813…,"taken":true}      or taken false, where it has seen a later token
 //! ```
 
-use super::work::{self, Item, Source};
-use super::Keepers;
+use super::task_worker::{self, Item, Source};
+use super::ControlReplicas;
 use crate::core::keeping::{Loaded, Ran};
 use crate::log;
 use cypresscleat_leases::{node_id, Time};
@@ -24,14 +24,14 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settle {
+pub struct ReconcileConfig {
     pub ledger: SocketAddr,
     pub folders: Vec<PathBuf>,
     /// Between two looks at a folder.
-    pub every: Time,
+    pub interval: Time,
 }
 
-pub const DUTY: &str = "settle";
+pub const TASK_NAME: &str = "settle";
 /// Rows of a folder that are told in one look; the next look goes on with the rest, as what was told is known.
 const ROWS: usize = 10_000;
 
@@ -111,7 +111,7 @@
     }
 }
 
-pub async fn run(name: &str, keepers: &Keepers, set: &Settle) -> io::Result<()> {
-    let rows = Rows { folders: set.folders.clone(), every: set.every, parts: HashMap::new() };
-    work::run(name, keepers, DUTY, set.folders.len() as u32, set.ledger, rows).await
+pub async fn run(name: &str, keepers: &ControlReplicas, set: &ReconcileConfig) -> io::Result<()> {
+    let rows = Rows { folders: set.folders.clone(), every: set.interval, parts: HashMap::new() };
+    task_worker::run(name, keepers, TASK_NAME, set.folders.len() as u32, set.ledger, rows).await
 }
--- a/crates/server/src/leases/agreed.rs
+++ b/crates/server/src/leases/replicated_state.rs
@@ -6,59 +6,59 @@
 use cypresscleat_rollout::state::{PolicyState, COMMAND_TAG};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Agreed {
-    pub duties: LeaseState,
+pub struct ReplicatedState {
+    pub leases: LeaseState,
     pub policies: PolicyState,
 }
 
 /// In front of an image of both; one without it is of duties alone, as earlier versions of this program wrote it.
 const BOTH: &[u8; 8] = b"CCLEATA2";
 
-impl StateMachine for Agreed {
+impl StateMachine for ReplicatedState {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         match command.first() {
             Some(&COMMAND_TAG) => self.policies.apply(index, command),
-            _ => self.duties.apply(index, command),
+            _ => self.leases.apply(index, command),
         }
     }
     fn snapshot(&self) -> Vec<u8> {
-        let duties = self.duties.snapshot();
-        let length = (duties.len() as u64).to_le_bytes();
-        [&BOTH[..], &length, &duties, &self.policies.snapshot()].concat()
+        let leases = self.leases.snapshot();
+        let length = (leases.len() as u64).to_le_bytes();
+        [&BOTH[..], &length, &leases, &self.policies.snapshot()].concat()
     }
-    fn from_snapshot(bytes: &[u8]) -> Option<Agreed> {
+    fn from_snapshot(bytes: &[u8]) -> Option<ReplicatedState> {
         let Some(rest) = bytes.strip_prefix(BOTH) else {
-            return Some(Agreed {
-                duties: LeaseState::from_snapshot(bytes)?,
+            return Some(ReplicatedState {
+                leases: LeaseState::from_snapshot(bytes)?,
                 policies: PolicyState::default(),
             });
         };
         let (length, rest) = rest.split_at_checked(8)?;
         let length = u64::from_le_bytes(length.try_into().ok()?);
-        let (duties, policies) = rest.split_at_checked(usize::try_from(length).ok()?)?;
-        Some(Agreed {
-            duties: LeaseState::from_snapshot(duties)?,
+        let (leases, policies) = rest.split_at_checked(usize::try_from(length).ok()?)?;
+        Some(ReplicatedState {
+            leases: LeaseState::from_snapshot(leases)?,
             policies: PolicyState::from_snapshot(policies)?,
         })
     }
 }
 
-impl AsRef<LeaseState> for Agreed {
+impl AsRef<LeaseState> for ReplicatedState {
     fn as_ref(&self) -> &LeaseState {
-        &self.duties
+        &self.leases
     }
 }
-impl AsMut<LeaseState> for Agreed {
+impl AsMut<LeaseState> for ReplicatedState {
     fn as_mut(&mut self) -> &mut LeaseState {
-        &mut self.duties
+        &mut self.leases
     }
 }
-impl AsRef<PolicyState> for Agreed {
+impl AsRef<PolicyState> for ReplicatedState {
     fn as_ref(&self) -> &PolicyState {
         &self.policies
     }
 }
-impl AsMut<PolicyState> for Agreed {
+impl AsMut<PolicyState> for ReplicatedState {
     fn as_mut(&mut self) -> &mut PolicyState {
         &mut self.policies
     }
--- a/crates/server/src/leases/work.rs
+++ b/crates/server/src/leases/task_worker.rs
@@ -8,8 +8,8 @@
 //!
 //! An item that it has done before is taken and changes nothing: that closes the gap between its doing and our cursor.
 
-use super::hold::Hold;
-use super::Keepers;
+use super::lease_holder::LeaseHolder;
+use super::ControlReplicas;
 use crate::log;
 use cypresscleat_leases::client::LeaseEvent;
 use cypresscleat_leases::{node_id, Claim, Partition, Time};
@@ -101,7 +101,7 @@
 /// Owns what it is given of a duty's parts, and works on them until it is told to stop.
 pub async fn run(
     name: &str,
-    keepers: &Keepers,
+    keepers: &ControlReplicas,
     duty: &str,
     parts: u32,
     ledger: SocketAddr,
@@ -109,7 +109,8 @@
 ) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let number = node_id(duty);
-    let mut hold = Hold::new(name, keepers, vec![Claim { task: number, partitions: parts, rank: 0 }]).await?;
+    let mut hold =
+        LeaseHolder::new(name, keepers, vec![Claim { task: number, partitions: parts, rank: 0 }]).await?;
     log!("{name} is ready for {duty:?} in {parts} parts");
     let (to, acts) = channel(256);
     let (from, mut answers) = channel(256);
@@ -120,7 +121,7 @@
         let next = work.values().filter(|one| one.ticket.is_none()).map(|one| one.next).min();
         let until = next.unwrap_or(NEVER).min(hold.clock.now() + 10_000);
         tokio::select! {
-            event = hold.next(until) => match event {
+            event = hold.next_event(until) => match event {
                 Some(LeaseEvent::Acquired { partition, token, cursor }) => {
                     log!("owns {duty} part {} under token {token}", partition.index);
                     source.begins(partition.index, &cursor);
@@ -204,7 +205,7 @@
     for (partition, one) in work.drain() {
         log!("released {duty} part {}, token {}", partition.index, one.token);
     }
-    hold.leaves().await;
+    hold.leave().await;
     log!("stopped: {done} items done");
     Ok(())
 }
--- a/crates/server/src/leases/sums.rs
+++ b/crates/server/src/leases/usage_report.rs
@@ -5,8 +5,8 @@
 //! {"duty":"sums","part":0,"item":489123,"rows":311,"billed_milli":933000,"token":57,"by":"n1"}
 //! ```
 
-use super::work::{self, Item, Source};
-use super::Keepers;
+use super::task_worker::{self, Item, Source};
+use super::ControlReplicas;
 use crate::hours::{self, Sum};
 use crate::{clock, log};
 use cypresscleat_leases::Time;
@@ -17,16 +17,16 @@
 use std::path::PathBuf;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sums {
+pub struct UsageReportConfig {
     pub ledger: SocketAddr,
     pub folders: Vec<PathBuf>,
     /// Of an hour; as the instances' `store.hours` has it.
-    pub span: Time,
+    pub hour_length: Time,
     /// Between two looks at a folder.
-    pub every: Time,
+    pub interval: Time,
 }
 
-pub const DUTY: &str = "sums";
+pub const TASK_NAME: &str = "sums";
 
 #[derive(Default)]
 struct Told {
@@ -37,7 +37,7 @@
 }
 
 struct Folders {
-    set: Sums,
+    set: UsageReportConfig,
     parts: HashMap<u32, Told>,
 }
 
@@ -50,11 +50,11 @@
         self.parts.remove(&part);
     }
     fn next(&mut self, part: u32) -> Result<Item, Time> {
-        let every = self.set.every;
+        let every = self.set.interval;
         let folder = self.set.folders.get(part as usize).filter(|folder| folder.is_dir()).ok_or(every)?;
         let one = self.parts.get_mut(&part).ok_or(every)?;
         if one.left.is_empty() {
-            let (span, now) = ((self.set.span / 10).max(1) as u64, (clock::unix() / 10) as u64);
+            let (span, now) = ((self.set.hour_length / 10).max(1) as u64, (clock::unix() / 10) as u64);
             match hours::read(folder, span, one.from, now) {
                 Ok(found) => one.left = found.into(),
                 Err(wrong) if wrong != one.wrong => {
@@ -78,7 +78,7 @@
     }
 }
 
-pub async fn run(name: &str, keepers: &Keepers, set: &Sums) -> io::Result<()> {
+pub async fn run(name: &str, keepers: &ControlReplicas, set: &UsageReportConfig) -> io::Result<()> {
     let folders = Folders { set: set.clone(), parts: HashMap::new() };
-    work::run(name, keepers, DUTY, set.folders.len() as u32, set.ledger, folders).await
+    task_worker::run(name, keepers, TASK_NAME, set.folders.len() as u32, set.ledger, folders).await
 }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -1,7 +1,7 @@
 //! What a datagram to or from a keeper holds, and a question asked of whichever keeper leads.
 
 use super::known_replicas::KnownReplicas;
-use super::Keepers;
+use super::ControlReplicas;
 use crate::sockets::tried;
 use cypresscleat_consensus::message::{self, Message};
 use cypresscleat_leases::{messages, node_id, NodeId};
@@ -14,43 +14,43 @@
 
 /// The first three are as `leases::messages::Datagram` has them; what is later comes behind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wire {
+pub enum ControlMessage {
     /// Between keepers.
-    Letter(Message),
+    Consensus(Message),
     /// To a keeper.
-    Ask(messages::Request),
+    LeaseRequest(messages::Request),
     /// From a keeper, whose number goes with it.
-    Answer {
+    LeaseResponse {
         from: NodeId,
-        answer: messages::Response,
+        response: messages::Response,
     },
-    PolicyAsk(policies::Request),
-    PolicyAnswer {
+    RolloutRequest(policies::Request),
+    RolloutResponse {
         from: NodeId,
-        answer: policies::Response,
+        response: policies::Response,
     },
     /// Where a keeper hears, said ahead of the word that it leads: it may have come since whoever asks was started.
-    At {
-        keeper: NodeId,
+    ReplicaAddress {
+        replica: NodeId,
         address: SocketAddr,
     },
 }
 
-/// Keepers that an instance knows, at the most: those of its own file, and those that came later.
+/// ControlReplicas that an instance knows, at the most: those of its own file, and those that came later.
 const KNOWN: usize = 32;
 
 /// Takes over where a keeper hears, said by one that is known. True where it was not known.
-pub fn learns(
+pub fn learn_address(
     known: &mut HashMap<NodeId, SocketAddr>,
     said_by: SocketAddr,
-    keeper: NodeId,
+    replica: NodeId,
     at: SocketAddr,
 ) -> bool {
     let trusted = known.values().any(|address| *address == said_by);
-    if !trusted || known.contains_key(&keeper) || known.len() >= KNOWN {
+    if !trusted || known.contains_key(&replica) || known.len() >= KNOWN {
         return false;
     }
-    known.insert(keeper, at);
+    known.insert(replica, at);
     true
 }
 
@@ -62,15 +62,15 @@
 const ASKER: &str = "command";
 
 /// What an answer is to whoever asked.
-pub enum Heard<T> {
-    Fits(T),
+pub enum ResponseKind<T> {
+    Matching(T),
     /// Another keeper leads, as far as that one knows.
-    Elsewhere(NodeId),
-    Other,
+    NotLeader(NodeId),
+    Unrelated,
 }
 
 /// Asks the keeper that leads, for a command of an operator.
-pub struct Asker {
+pub struct LeaderClient {
     socket: UdpSocket,
     /// Those of the file, and those that came later.
     replicas: KnownReplicas,
@@ -79,29 +79,39 @@
     until: Instant,
 }
 
-impl Asker {
-    pub fn new(keepers: &Keepers) -> io::Result<Asker> {
-        let socket = UdpSocket::bind(keepers.from()).map_err(tried("the command's socket"))?;
-        let order = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
+impl LeaderClient {
+    pub fn new(keepers: &ControlReplicas) -> io::Result<LeaderClient> {
+        let socket = UdpSocket::bind(keepers.local_address()).map_err(tried("the command's socket"))?;
+        let order = keepers.replicas.iter().map(|(name, _)| node_id(name)).collect();
         let until = Instant::now() + PATIENCE;
-        Ok(Asker { socket, replicas: KnownReplicas::new(ASKER, keepers.addresses()), order, at: 0, until })
+        Ok(LeaderClient {
+            socket,
+            replicas: KnownReplicas::new(ASKER, keepers.addresses()),
+            order,
+            at: 0,
+            until,
+        })
     }
 
     /// Asks whoever receives at this address, under whatever name.
-    pub fn at_address(address: SocketAddr) -> io::Result<Asker> {
-        let named = Keepers { all: vec![(String::new(), address)], lease: 0, folder: None };
-        Ok(Asker { replicas: KnownReplicas::at_address(ASKER, address), ..Asker::new(&named)? })
+    pub fn at_address(address: SocketAddr) -> io::Result<LeaderClient> {
+        let named = ControlReplicas { replicas: vec![(String::new(), address)], lease: 0, folder: None };
+        Ok(LeaderClient { replicas: KnownReplicas::at_address(ASKER, address), ..LeaderClient::new(&named)? })
     }
 
     /// Its patience begins anew: for a command that looks again and again.
-    pub fn again(&mut self) {
+    pub fn restart_timeout(&mut self) {
         self.until = Instant::now() + PATIENCE;
     }
 
     /// The answer that fits, from the keeper that leads.
-    pub fn ask<T>(&mut self, ask: &Wire, read: impl Fn(Wire) -> Heard<T>) -> io::Result<Option<T>> {
+    pub fn request<T>(
+        &mut self,
+        request: &ControlMessage,
+        read: impl Fn(ControlMessage) -> ResponseKind<T>,
+    ) -> io::Result<Option<T>> {
         let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
-        let Some(datagram) = message::encode(ask) else { return Ok(None) };
+        let Some(datagram) = message::encode(request) else { return Ok(None) };
         while Instant::now() < self.until {
             let id = self.order.get(self.at % self.order.len().max(1)).copied();
             let to = id.and_then(|id| self.replicas.next_address(id));
@@ -113,31 +123,29 @@
                 self.at += 1;
                 continue;
             };
-            let wire = match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::At { keeper, address }) => {
-                    if self.replicas.learn(by, keeper, address) {
-                        self.order.push(keeper);
+            let wire = match message::decode::<ControlMessage>(&bytes[..size]) {
+                Ok(ControlMessage::ReplicaAddress { replica, address }) => {
+                    if self.replicas.learn(by, replica, address) {
+                        self.order.push(replica);
                     }
                     continue;
                 }
-                Ok(Wire::Answer { from, .. } | Wire::PolicyAnswer { from, .. })
-                    if !self.replicas.accepts(from, by) =>
-                {
-                    continue
-                }
+                Ok(
+                    ControlMessage::LeaseResponse { from, .. } | ControlMessage::RolloutResponse { from, .. },
+                ) if !self.replicas.accepts(from, by) => continue,
                 Ok(wire) => wire,
                 Err(_) => continue,
             };
             match read(wire) {
-                Heard::Fits(answer) => return Ok(Some(answer)),
-                Heard::Elsewhere(leader) => {
+                ResponseKind::Matching(response) => return Ok(Some(response)),
+                ResponseKind::NotLeader(leader) => {
                     let led = self.order.iter().position(|one| *one == leader);
                     if led.is_none() {
                         std::thread::sleep(TRY / 6);
                     }
                     self.at = led.unwrap_or(self.at + 1);
                 }
-                Heard::Other => {}
+                ResponseKind::Unrelated => {}
             }
         }
         Ok(None)
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -67,7 +67,7 @@
     let (operator, role) = match task {
         Task::Check { operator, show } => return check(&operator, show),
         Task::Policy { operator, words } => return rollout::ask::start(&operator, &words),
-        Task::Owning { operator, name, job } => return leases::start(&operator, &name, &job),
+        Task::Owning { operator, name, job } => return leases::run_subcommand(&operator, &name, &job),
         Task::Relay { operator, name } => return relay::start(&operator, &name),
         Task::Serve { operator } => (operator, Role::Worker),
         Task::Forward { operator } => (Some(operator), Role::Forwarder),
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -3,10 +3,10 @@
 use crate::clock::MS;
 use crate::downstream::scgi::Backend;
 use crate::forwarder::{PlannerSet, Tier, WorkerSet};
-use crate::leases::settle::Settle;
-use crate::leases::sums::Sums;
-use crate::leases::tally::Tally;
-use crate::leases::Keepers;
+use crate::leases::counter_demo::CounterDemoConfig;
+use crate::leases::reconcile::ReconcileConfig;
+use crate::leases::usage_report::UsageReportConfig;
+use crate::leases::ControlReplicas;
 use crate::listeners::routes::{From, Route, Routes};
 use crate::recovery::Durability;
 use crate::relay::Relay;
@@ -36,10 +36,10 @@
     pub pools: PoolsConfig,
     pub store: Option<Kept>,
     pub tier: Option<Tier>,
-    pub keepers: Option<Keepers>,
-    pub tally: Option<Tally>,
-    pub settle: Option<Settle>,
-    pub sums: Option<Sums>,
+    pub keepers: Option<ControlReplicas>,
+    pub tally: Option<CounterDemoConfig>,
+    pub settle: Option<ReconcileConfig>,
+    pub sums: Option<UsageReportConfig>,
     pub rollout: Option<Rollout>,
     pub relay: Option<Relay>,
 }
@@ -304,7 +304,7 @@
             return;
         };
         for (_, address) in &rollout.relays {
-            if let Some((keeper, _)) = keepers.all.iter().find(|(_, known)| known == address) {
+            if let Some((keeper, _)) = keepers.replicas.iter().find(|(_, known)| known == address) {
                 let what = format!("{address} is the address of keeper {keeper}");
                 self.fault(node.get("relays"), "rollout.relays", what);
             }
@@ -333,17 +333,17 @@
         })
     }
 
-    fn keepers(&mut self, node: &Node) -> Option<Keepers> {
-        let all = self.peers(node.get("all"), "keepers.all");
-        if all.len() != 3 && all.len() != 5 {
+    fn keepers(&mut self, node: &Node) -> Option<ControlReplicas> {
+        let replicas = self.peers(node.get("all"), "keepers.all");
+        if replicas.len() != 3 && replicas.len() != 5 {
             self.fault(
                 node.get("all"),
                 "keepers.all",
-                format!("{} keepers; three or five can agree", all.len()),
+                format!("{} keepers; three or five can agree", replicas.len()),
             );
         }
         let folder = node.find("folder").map(|folder| folder.text().into());
-        Some(Keepers { lease: time(node.get("lease").duration()), all, folder })
+        Some(ControlReplicas { lease: time(node.get("lease").duration()), replicas, folder })
     }
 
     fn folders(&mut self, node: &Node, path: &str) -> Vec<PathBuf> {
@@ -354,27 +354,27 @@
         folders
     }
 
-    fn settle(&mut self, node: &Node) -> Option<Settle> {
+    fn settle(&mut self, node: &Node) -> Option<ReconcileConfig> {
         let folders = self.folders(node, "settle.folders");
-        Some(Settle {
+        Some(ReconcileConfig {
             ledger: node.get("ledger").address()?,
             folders,
-            every: time(node.get("every").duration()),
+            interval: time(node.get("every").duration()),
         })
     }
 
-    fn sums(&mut self, node: &Node) -> Option<Sums> {
+    fn sums(&mut self, node: &Node) -> Option<UsageReportConfig> {
         let folders = self.folders(node, "sums.folders");
-        let (span, every) = (time(node.get("span").duration()), time(node.get("every").duration()));
-        Some(Sums { ledger: node.get("ledger").address()?, folders, span, every })
+        let (hour_length, interval) = (time(node.get("span").duration()), time(node.get("every").duration()));
+        Some(UsageReportConfig { ledger: node.get("ledger").address()?, folders, hour_length, interval })
     }
 
-    fn tally(&mut self, node: &Node) -> Option<Tally> {
-        Some(Tally {
-            duty: node.get("duty").text().to_string(),
-            parts: node.get("parts").int() as u32,
+    fn tally(&mut self, node: &Node) -> Option<CounterDemoConfig> {
+        Some(CounterDemoConfig {
+            task: node.get("duty").text().to_string(),
+            partitions: node.get("parts").int() as u32,
             ledger: node.get("ledger").address()?,
-            every: time(node.get("every").duration()),
+            interval: time(node.get("every").duration()),
         })
     }
 
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -4,8 +4,8 @@
 use crate::clock::Clock;
 use crate::forwarder::talk::Talk;
 use crate::forwarder::Tier;
-use crate::leases::hold::Hold;
-use crate::leases::{self, Keepers, PLANNERS};
+use crate::leases::lease_holder::LeaseHolder;
+use crate::leases::{self, ControlReplicas, PLANNERS_TASK};
 use crate::rollout::member::Task;
 use crate::rollout::Rollout;
 use crate::sockets::tried;
@@ -27,13 +27,13 @@
 
 /// The duty of leading the planners.
 fn part() -> Partition {
-    Partition { task: cypresscleat_leases::node_id(PLANNERS), index: 0 }
+    Partition { task: cypresscleat_leases::node_id(PLANNERS_TASK), index: 0 }
 }
 
 /// Who leads: by the planner's own word, or by the keepers'.
 enum By {
     Itself(PlannerElection),
-    Keepers(Box<Hold>, LeasedGrants),
+    Keepers(Box<LeaseHolder>, LeasedGrants),
 }
 
 impl By {
@@ -57,7 +57,7 @@
         let far = hold.clock.now() + LOOK;
         tokio::select! {
             heard = talk.hear(until) => return heard,
-            event = hold.next(far) => match event {
+            event = hold.next_event(far) => match event {
                 Some(LeaseEvent::Acquired { token, .. }) => log!("leads the planners under token {token}, and gives out at once"),
                 Some(LeaseEvent::Lost { token, .. }) => log!("leads the planners no longer, token {token}"),
                 // Nothing is under way here between two looks.
@@ -71,7 +71,7 @@
 pub async fn run(
     name: &str,
     tier: &Tier,
-    keepers: Option<&Keepers>,
+    keepers: Option<&ControlReplicas>,
     rollout: Option<&Rollout>,
     seed: u64,
 ) -> io::Result<()> {
@@ -87,11 +87,11 @@
         None => By::Itself(PlannerElection::new(node_id(name))),
         Some(keepers) => {
             if keepers.folder.is_some() {
-                leases::keeps_beside(name, keepers)?;
+                leases::spawn_control_replica(name, keepers)?;
             }
             let rank = tier.planners.iter().position(|planner| planner.name == name).unwrap_or(255) as u8;
             let claims = vec![Claim { task: part().task, partitions: 1, rank }];
-            By::Keepers(Box::new(Hold::new(name, keepers, claims).await?), LeasedGrants::default())
+            By::Keepers(Box::new(LeaseHolder::new(name, keepers, claims).await?), LeasedGrants::default())
         }
     };
     let mut plan = CapacityPlan::default();
@@ -147,7 +147,7 @@
     if let By::Keepers(hold, owned) = by {
         // What it gave out has to end before the next may give the same out again.
         tokio::time::sleep_until(hold.clock.instant(owned.all_ended_at())).await;
-        hold.leaves().await;
+        hold.leave().await;
     }
     log!("stopped: {said} grants given, {} forwarders known", plan.forwarders().count());
     Ok(())
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -3,8 +3,8 @@
 
 use crate::counters::{add, counters};
 use crate::leases::known_replicas::KnownReplicas;
-use crate::leases::wire::Wire;
-use crate::leases::{self, block_on, drawn, Keepers, Steady};
+use crate::leases::wire::ControlMessage;
+use crate::leases::{self, block_on, random_id, ControlReplicas, MonotonicClock};
 use crate::log;
 use crate::operator;
 use crate::rollout::disk::{VersionDisk, Written};
@@ -80,7 +80,7 @@
     below: UdpSocket,
     above: UdpSocket,
     replicas: KnownReplicas,
-    clock: Steady,
+    clock: MonotonicClock,
     relay: Decider<SocketAddr>,
     disk: VersionDisk,
     /// Texts that the disk's thread had no room for, and that the relay is still to hear of.
@@ -91,20 +91,20 @@
 }
 
 /// Until it is told to stop, and has left or waited long enough for that.
-async fn run(name: &str, keepers: &Keepers, set: &Relay) -> io::Result<()> {
+async fn run(name: &str, keepers: &ControlReplicas, set: &Relay) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
     let named = tried(format!("relay {name} on {}", set.listen));
     let below = UdpSocket::bind(set.listen).await.map_err(named)?;
-    let above = UdpSocket::bind(keepers.from()).await.map_err(tried("the socket to the keepers"))?;
+    let above = UdpSocket::bind(keepers.local_address()).await.map_err(tried("the socket to the keepers"))?;
     // Guards against the loss of the first words: a socket takes none before it is known to.
     for socket in [&below, &above] {
         socket.writable().await?;
     }
     log!("relay {name} hears members at {}", below.local_addr()?);
-    let clock = Steady::start();
-    let key = (node_id(name), drawn(name));
-    let all = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
+    let clock = MonotonicClock::start();
+    let key = (node_id(name), random_id(name));
+    let all = keepers.replicas.iter().map(|(name, _)| node_id(name)).collect();
     let mut relay = Decider::new(clock.now(), name, key, all, set.most);
     for version in load(&set.folder) {
         // What a disk garbled is not handed out: members would refuse it under its number.
@@ -178,19 +178,21 @@
         for _ in 0..BATCH {
             let Some(got) = next(&self.above, bytes) else { return };
             let Ok((size, by)) = got else { continue };
-            match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::PolicyAnswer { from, .. }) if !self.replicas.accepts(from, by) => {
+            match message::decode::<ControlMessage>(&bytes[..size]) {
+                Ok(ControlMessage::RolloutResponse { from, .. }) if !self.replicas.accepts(from, by) => {
                     add(&self.counters.strangers);
                 }
-                Ok(Wire::PolicyAnswer { from, answer }) => {
+                Ok(ControlMessage::RolloutResponse { from, response }) => {
                     add(&self.counters.heard);
-                    let out = self.relay.from_above(self.clock.now(), from, answer);
+                    let out = self.relay.from_above(self.clock.now(), from, response);
                     self.carry(out);
                 }
-                Ok(Wire::At { keeper, address }) if self.replicas.learn(by, keeper, address) => {
-                    self.relay.learns(keeper);
+                Ok(ControlMessage::ReplicaAddress { replica, address })
+                    if self.replicas.learn(by, replica, address) =>
+                {
+                    self.relay.learns(replica);
                 }
-                Ok(Wire::At { .. }) => {}
+                Ok(ControlMessage::ReplicaAddress { .. }) => {}
                 _ => add(&self.counters.garbled),
             }
         }
@@ -200,8 +202,8 @@
         for _ in 0..BATCH {
             let Some(got) = next(&self.below, bytes) else { return };
             let Ok((size, by)) = got else { continue };
-            match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::PolicyAsk(ask)) if ask.is_within_bounds() => {
+            match message::decode::<ControlMessage>(&bytes[..size]) {
+                Ok(ControlMessage::RolloutRequest(ask)) if ask.is_within_bounds() => {
                     add(&self.counters.asks);
                     let out = self.relay.from_below(self.clock.now(), by, ask);
                     self.carry(out);
@@ -216,8 +218,8 @@
         for (to, ask) in out.up {
             self.says_up(to, ask);
         }
-        for (to, answer) in out.down {
-            self.says_down(to, answer);
+        for (to, response) in out.down {
+            self.says_down(to, response);
         }
         for version in out.keep {
             let number = version.number;
@@ -230,19 +232,19 @@
     fn says_up(&mut self, to: NodeId, ask: Request) {
         if let Some(to) = self.replicas.next_address(to) {
             add(&self.counters.up);
-            self.sends(&self.above, to, &Wire::PolicyAsk(ask));
+            self.sends(&self.above, to, &ControlMessage::RolloutRequest(ask));
         }
     }
 
-    fn says_down(&self, to: SocketAddr, answer: Response) {
+    fn says_down(&self, to: SocketAddr, response: Response) {
         add(&self.counters.told);
-        if matches!(answer, Response::Document { version: Some(_), .. }) {
+        if matches!(response, Response::Document { version: Some(_), .. }) {
             add(&self.counters.texts);
         }
-        self.sends(&self.below, to, &Wire::PolicyAnswer { from: self.own, answer });
+        self.sends(&self.below, to, &ControlMessage::RolloutResponse { from: self.own, response });
     }
 
-    fn sends(&self, socket: &UdpSocket, to: SocketAddr, datagram: &Wire) {
+    fn sends(&self, socket: &UdpSocket, to: SocketAddr, datagram: &ControlMessage) {
         if !leases::send(socket, to, datagram) {
             add(&self.counters.unsent);
         }
--- a/crates/server/src/rollout/ask.rs
+++ b/crates/server/src/rollout/ask.rs
@@ -1,7 +1,7 @@
 //! The command `policy`: a text checked, proposed and watched until it is decided; how all stands; what was; an undoing, which is a
 //! change like any other.
 
-use crate::leases::wire::{Asker, Heard, Wire};
+use crate::leases::wire::{ControlMessage, LeaderClient, ResponseKind};
 use crate::operator::{self, Operator};
 use crate::rollout::read;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
@@ -88,14 +88,14 @@
         if words.what != What::Status {
             return Ok(Err((BAD, "--relay goes with status only".into())));
         }
-        let found = status(&mut Asker::at_address(relay)?)?;
+        let found = status(&mut LeaderClient::at_address(relay)?)?;
         let silent = || (NO_QUORUM, format!("no relay answers at {relay}"));
         return Ok(found.map(|found| found.shown(words.json)).ok_or_else(silent));
     }
     let Some(keepers) = &operator.keepers else {
         return Ok(Err((BAD, "no keepers in the operator's file".into())));
     };
-    let mut asker = Asker::new(keepers)?;
+    let mut asker = LeaderClient::new(keepers)?;
     match words.what {
         What::Check => Ok(Ok(String::new())),
         What::Propose => match text(words) {
@@ -140,12 +140,20 @@
     (std::process::id() << 8) ^ NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-fn asks<T>(asker: &mut Asker, ask: Request, read: impl Fn(Response) -> Option<T>) -> io::Result<Option<T>> {
-    asker.again();
-    asker.ask(&Wire::PolicyAsk(ask), |wire| match wire {
-        Wire::PolicyAnswer { answer: Response::NotLeader { leader }, .. } => Heard::Elsewhere(leader),
-        Wire::PolicyAnswer { answer, .. } => read(answer).map_or(Heard::Other, Heard::Fits),
-        _ => Heard::Other,
+fn asks<T>(
+    asker: &mut LeaderClient,
+    ask: Request,
+    read: impl Fn(Response) -> Option<T>,
+) -> io::Result<Option<T>> {
+    asker.restart_timeout();
+    asker.request(&ControlMessage::RolloutRequest(ask), |wire| match wire {
+        ControlMessage::RolloutResponse { response: Response::NotLeader { leader }, .. } => {
+            ResponseKind::NotLeader(leader)
+        }
+        ControlMessage::RolloutResponse { response, .. } => {
+            read(response).map_or(ResponseKind::Unrelated, ResponseKind::Matching)
+        }
+        _ => ResponseKind::Unrelated,
     })
 }
 
@@ -209,7 +217,7 @@
     }
 }
 
-fn status(asker: &mut Asker) -> io::Result<Option<Stands>> {
+fn status(asker: &mut LeaderClient) -> io::Result<Option<Stands>> {
     let (mut from, mut all): (MemberKey, Vec<MemberStatus>) = ((0, 0), Vec::new());
     loop {
         let number = number();
@@ -229,7 +237,7 @@
     }
 }
 
-fn fetch(asker: &mut Asker, version: u64) -> io::Result<Option<Option<Box<Version>>>> {
+fn fetch(asker: &mut LeaderClient, version: u64) -> io::Result<Option<Option<Box<Version>>>> {
     let number = number();
     asks(asker, Request::FetchDocument { number, version }, |answer| match answer {
         Response::Document { number: one, version } if one == number => Some(version),
@@ -238,7 +246,7 @@
 }
 
 fn past(
-    asker: &mut Asker,
+    asker: &mut LeaderClient,
 ) -> io::Result<Option<(Vec<Version>, Vec<cypresscleat_rollout::state::AbortedChange>)>> {
     let number = number();
     asks(asker, Request::History { number }, |answer| match answer {
@@ -266,7 +274,7 @@
     all
 }
 
-fn history(asker: &mut Asker, words: &Words) -> io::Result<Result<String, End>> {
+fn history(asker: &mut LeaderClient, words: &Words) -> io::Result<Result<String, End>> {
     let Some((taken, dropped)) = past(asker)? else { return Ok(Err(none())) };
     let mut all: Vec<(u64, String)> = Vec::new();
     for (at, version) in taken.iter().enumerate().filter(|(_, version)| version.number > 0) {
@@ -318,7 +326,7 @@
     text
 }
 
-fn undoes(asker: &mut Asker, words: &Words) -> io::Result<Result<String, End>> {
+fn undoes(asker: &mut LeaderClient, words: &Words) -> io::Result<Result<String, End>> {
     let Some(found) = status(asker)? else { return Ok(Err(none())) };
     let Some(Some(now)) = fetch(asker, found.now)? else { return Ok(Err(none())) };
     let back = words.version.unwrap_or(now.parent);
@@ -338,7 +346,11 @@
     follows(asker, version, words)
 }
 
-fn proposes(asker: &mut Asker, mut version: Version, words: &Words) -> io::Result<Result<String, End>> {
+fn proposes(
+    asker: &mut LeaderClient,
+    mut version: Version,
+    words: &Words,
+) -> io::Result<Result<String, End>> {
     version.parent = match words.from {
         Some(from) => from,
         None => match status(asker)? {
@@ -350,7 +362,7 @@
 }
 
 /// Proposes, and watches until it is decided.
-fn follows(asker: &mut Asker, version: Version, words: &Words) -> io::Result<Result<String, End>> {
+fn follows(asker: &mut LeaderClient, version: Version, words: &Words) -> io::Result<Result<String, End>> {
     let asked = number();
     let ask = Request::Propose { number: asked, version: version.clone() };
     let outcome = asks(asker, ask, |answer| match answer {
--- a/crates/server/src/rollout/gate.rs
+++ b/crates/server/src/rollout/gate.rs
@@ -2,7 +2,7 @@
 //! the clock is read there, so one that stood still admits nothing more when it wakes.
 
 use crate::journal::{monotonic, Journal};
-use crate::leases::Steady;
+use crate::leases::MonotonicClock;
 use cypresscleat_rollout::member::{AdmissionPermit, RolloutMember};
 use cypresscleat_rollout::watch::ServiceTotals;
 use cypresscleat_rollout::Time;
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 pub struct Gate {
-    clock: Steady,
+    clock: MonotonicClock,
     name: String,
     /// What the member may admit under, until when, and whether it is to hold.
     granted: Cell<Option<u64>>,
@@ -27,7 +27,7 @@
 }
 
 impl Gate {
-    pub fn new(clock: Steady, name: &str) -> Gate {
+    pub fn new(clock: MonotonicClock, name: &str) -> Gate {
         Gate {
             clock,
             name: name.to_string(),
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -6,8 +6,8 @@
 use super::{check, Policy, Rollout};
 use crate::core::Note;
 use crate::leases::known_replicas::KnownReplicas;
-use crate::leases::wire::Wire;
-use crate::leases::{self, addresses, drawn, from, Steady};
+use crate::leases::wire::ControlMessage;
+use crate::leases::{self, addresses_by_id, local_address, random_id, MonotonicClock};
 use crate::log;
 use crate::sockets::tried;
 use cypresscleat_consensus::message;
@@ -44,7 +44,7 @@
     socket: UdpSocket,
     /// Whom it asks: control replicas, or relays.
     replicas: KnownReplicas,
-    clock: Steady,
+    clock: MonotonicClock,
     member: RolloutMember,
     policies: BTreeMap<u64, Policy>,
     /// Checked, and on their way to the disk.
@@ -63,10 +63,10 @@
         queue: Option<Sender<Note>>,
         apply: Apply,
     ) -> io::Result<Task> {
-        let socket = UdpSocket::bind(from(above)).await.map_err(tried("the rollout's socket"))?;
-        let clock = Steady::start();
+        let socket = UdpSocket::bind(local_address(above)).await.map_err(tried("the rollout's socket"))?;
+        let clock = MonotonicClock::start();
         let all = above.iter().map(|(name, _)| node_id(name)).collect();
-        let member = RolloutMember::new(clock.now(), name, (node_id(name), drawn(name)), all);
+        let member = RolloutMember::new(clock.now(), name, (node_id(name), random_id(name)), all);
         let gate = Rc::new(Gate::new(clock, name));
         let mut task = Task {
             name: name.to_string(),
@@ -76,7 +76,7 @@
             queue,
             apply,
             socket,
-            replicas: KnownReplicas::new(name, addresses(above)),
+            replicas: KnownReplicas::new(name, addresses_by_id(above)),
             clock,
             member,
             policies: BTreeMap::from([(0, Policy::default())]),
@@ -112,7 +112,7 @@
     fn post(&mut self, asks: Vec<(NodeId, Request)>) {
         for (to, ask) in asks {
             if let Some(to) = self.replicas.next_address(to) {
-                leases::send(&self.socket, to, &Wire::PolicyAsk(ask));
+                leases::send(&self.socket, to, &ControlMessage::RolloutRequest(ask));
             }
         }
     }
@@ -156,16 +156,18 @@
                 got = self.socket.recv_from(&mut bytes) => got,
             };
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::PolicyAnswer { from, answer }) if self.replicas.accepts(from, by) => {
+            match message::decode::<ControlMessage>(&bytes[..size]) {
+                Ok(ControlMessage::RolloutResponse { from, response }) if self.replicas.accepts(from, by) => {
                     self.member.totals = gate.seen.get();
-                    let asks = self.member.handle(self.clock.now(), from, answer);
+                    let asks = self.member.handle(self.clock.now(), from, response);
                     self.gate.follow(&self.member);
                     self.post(asks);
                     self.events().await;
                 }
-                Ok(Wire::At { keeper, address }) if self.replicas.learn(by, keeper, address) => {
-                    self.member.add_replica(keeper);
+                Ok(ControlMessage::ReplicaAddress { replica, address })
+                    if self.replicas.learn(by, replica, address) =>
+                {
+                    self.member.add_replica(replica);
                 }
                 _ => {}
             }
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -8,7 +8,7 @@
 pub mod member;
 pub mod texts;
 
-use crate::leases::Keepers;
+use crate::leases::ControlReplicas;
 use crate::operator::{self, Wrong};
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::{Rules, Version};
@@ -35,10 +35,10 @@
 
 impl Rollout {
     /// Whom a member asks: its zone's relays where it has any, else the keepers. Nobody where there is neither.
-    pub fn above<'a>(&'a self, keepers: Option<&'a Keepers>) -> Option<&'a [(String, SocketAddr)]> {
+    pub fn above<'a>(&'a self, keepers: Option<&'a ControlReplicas>) -> Option<&'a [(String, SocketAddr)]> {
         match keepers {
             _ if !self.relays.is_empty() => Some(&self.relays),
-            keepers => keepers.map(|keepers| &keepers.all[..]),
+            keepers => keepers.map(|keepers| &keepers.replicas[..]),
         }
     }
 }
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -13,8 +13,8 @@
 use cypresscleat_rollout::messages as policy;
 use cypresscleat_rollout::state::{self as policies, PolicyState};
 use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
-use cypresscleat_server::leases::agreed::Agreed;
-use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::leases::replicated_state::ReplicatedState;
+use cypresscleat_server::leases::wire::ControlMessage;
 use cypresscleat_server::rollout::{self, texts};
 use recorded::assert_recorded;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-fn wires() -> Vec<(&'static str, Wire)> {
+fn wires() -> Vec<(&'static str, ControlMessage)> {
     let key = (7, 8);
     let letter = Message {
         from: Member { id: 1, disk: 2 },
@@ -44,10 +44,10 @@
         pause: 0,
     };
     vec![
-        ("consensus", Wire::Letter(letter)),
+        ("consensus", ControlMessage::Consensus(letter)),
         (
             "lease_request",
-            Wire::Ask(Request::Renew {
+            ControlMessage::LeaseRequest(Request::Renew {
                 instance: 1,
                 incarnation: 2,
                 session: 3,
@@ -56,11 +56,14 @@
                 claims,
             }),
         ),
-        ("lease_response", Wire::Answer { from: 300, answer: Response::SessionExpired { session: 9 } }),
-        ("rollout_request", Wire::PolicyAsk(policy::Request::Leave { key, number: 2 })),
-        ("rollout_response", Wire::PolicyAnswer { from: 300, answer: held }),
-        ("address_v4", Wire::At { keeper: 300, address: address("127.0.0.1:8080") }),
-        ("address_v6", Wire::At { keeper: 300, address: address("[::1]:8080") }),
+        (
+            "lease_response",
+            ControlMessage::LeaseResponse { from: 300, response: Response::SessionExpired { session: 9 } },
+        ),
+        ("rollout_request", ControlMessage::RolloutRequest(policy::Request::Leave { key, number: 2 })),
+        ("rollout_response", ControlMessage::RolloutResponse { from: 300, response: held }),
+        ("address_v4", ControlMessage::ReplicaAddress { replica: 300, address: address("127.0.0.1:8080") }),
+        ("address_v6", ControlMessage::ReplicaAddress { replica: 300, address: address("[::1]:8080") }),
     ]
 }
 
@@ -69,7 +72,7 @@
     let mut lines = Vec::new();
     for (name, wire) in wires() {
         let bytes = message::encode(&wire).expect("it is short");
-        assert_eq!(message::decode::<Wire>(&bytes), Ok(wire), "{name}: read back");
+        assert_eq!(message::decode::<ControlMessage>(&bytes), Ok(wire), "{name}: read back");
         lines.push((name.to_string(), bytes));
     }
     assert_recorded("datagrams.hex", &lines);
@@ -82,7 +85,7 @@
     let open = postcard::to_stdvec(&state::Command::OpenSession { instance: 1, incarnation: 2, claims })
         .expect("a command");
     let propose = policies::encode_command(&policies::Command::Propose(Version { parent: 0, ..version() }));
-    let (mut agreed, mut alone) = (Agreed::default(), LeaseState::default());
+    let (mut agreed, mut alone) = (ReplicatedState::default(), LeaseState::default());
     let mut lines = vec![("empty".to_string(), agreed.snapshot())];
     for (index, command) in [(5, &open), (6, &propose)] {
         lines.push((format!("outcome_{index}"), agreed.apply(index, command)));
@@ -91,8 +94,8 @@
     alone.apply(5, &open);
     lines.push(("partitions_alone".to_string(), alone.snapshot()));
     for (name, bytes) in lines.iter().filter(|(name, _)| !name.starts_with("outcome")) {
-        let again = Agreed::from_snapshot(bytes).expect("a snapshot is read");
-        let written = if name == "partitions_alone" { again.duties.snapshot() } else { again.snapshot() };
+        let again = ReplicatedState::from_snapshot(bytes).expect("a snapshot is read");
+        let written = if name == "partitions_alone" { again.leases.snapshot() } else { again.snapshot() };
         assert_eq!(&written, bytes, "{name}: written again");
         assert_eq!(again.policies == PolicyState::default(), name != "snapshot_6", "{name}");
     }
--- a/crates/server/tests/member_disk.rs
+++ b/crates/server/tests/member_disk.rs
@@ -4,7 +4,7 @@
 use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_rollout::messages::{Request, Response, Verdict};
 use cypresscleat_rollout::{node_id, Time, Version, MAX_DOCUMENT_BYTES, SECOND};
-use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::leases::wire::ControlMessage;
 use cypresscleat_server::rollout::member::Task;
 use cypresscleat_server::rollout::Rollout;
 use std::net::SocketAddr;
@@ -25,7 +25,10 @@
     let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES];
     loop {
         let (size, member) = socket.recv_from(&mut bytes).await.expect("a request");
-        let Ok(Wire::PolicyAsk(request)) = message::decode::<Wire>(&bytes[..size]) else { continue };
+        let Ok(ControlMessage::RolloutRequest(request)) = message::decode::<ControlMessage>(&bytes[..size])
+        else {
+            continue;
+        };
         let response = match request {
             Request::Heartbeat { verdict: Some((PROPOSED, verdict)), .. } => return verdict,
             Request::Heartbeat { key, number, .. } => Response::Renewed {
@@ -47,8 +50,9 @@
     }
 }
 
-async fn answers(socket: &UdpSocket, member: SocketAddr, answer: Response) {
-    let bytes = message::encode(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
+async fn answers(socket: &UdpSocket, member: SocketAddr, response: Response) {
+    let bytes = message::encode(&ControlMessage::RolloutResponse { from: node_id("k"), response })
+        .expect("it is short");
     socket.send_to(&bytes, member).await.expect("it goes");
 }
 
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -5,7 +5,7 @@
 use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::messages::{Request, Response};
-use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::leases::wire::ControlMessage;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
@@ -416,9 +416,10 @@
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
     let at = SocketAddr::from(([127, 0, 0, 1], above[0]));
     let nobody = Response::NotLeader { leader: 0 };
-    let said = Wire::PolicyAnswer { from: cypresscleat_rollout::node_id("k0"), answer: nobody };
+    let said =
+        ControlMessage::RolloutResponse { from: cypresscleat_rollout::node_id("k0"), response: nobody };
     let stranger = socket.local_addr().expect("an address");
-    let led = Wire::At { keeper: 7, address: stranger };
+    let led = ControlMessage::ReplicaAddress { replica: 7, address: stranger };
     for word in [said, led] {
         let bytes = message::encode(&word).expect("a datagram");
         for _ in 0..20 {
@@ -442,7 +443,7 @@
     let version = std::thread::scope(|scope| {
         scope.spawn(|| {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
-            let ask = Wire::PolicyAsk(Request::Status { number: 1, from: (0, 0) });
+            let ask = ControlMessage::RolloutRequest(Request::Status { number: 1, from: (0, 0) });
             let ask = message::encode(&ask).expect("a datagram");
             let mut bytes = [0xC5u8; 1400];
             for count in 0u32.. {
--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -7,9 +7,9 @@
 use cypresscleat_leases::messages::{Grant, Request, Response};
 use cypresscleat_leases::{node_id, Claim, Partition, NO_GRANT, SECOND};
 use cypresscleat_rollout::messages as policy;
-use cypresscleat_server::leases::hold::Hold;
-use cypresscleat_server::leases::wire::{Asker, Heard, Wire};
-use cypresscleat_server::leases::Keepers;
+use cypresscleat_server::leases::lease_holder::LeaseHolder;
+use cypresscleat_server::leases::wire::{ControlMessage, LeaderClient, ResponseKind};
+use cypresscleat_server::leases::ControlReplicas;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::thread::sleep;
@@ -122,7 +122,7 @@
                 let is_new = matches!(body, MessageBody::JoinRequest { .. });
                 let from = Member { disk: from.disk ^ u64::from(is_new), ..*from };
                 let message = Message { from, to_disk: to.disk, term: LATER_TERM, body: body.clone() };
-                let bytes = message::encode(&Wire::Letter(message)).expect("a datagram");
+                let bytes = message::encode(&ControlMessage::Consensus(message)).expect("a datagram");
                 stranger.send_to(&bytes, address(&stage, name)).expect("it goes");
             }
         }
@@ -161,7 +161,7 @@
         for (term, pre_vote) in (1..40).flat_map(|term| [(term, true), (term, false)]) {
             let body = MessageBody::RequestVoteResponse { pre_vote, granted: true };
             let message = Message { from: members[1], to_disk: members[0].disk, term, body };
-            let bytes = message::encode(&Wire::Letter(message)).expect("a datagram");
+            let bytes = message::encode(&ControlMessage::Consensus(message)).expect("a datagram");
             stranger.send_to(&bytes, to).expect("it goes");
         }
         sleep(ms(20));
@@ -210,21 +210,21 @@
     assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
 }
 
-fn says(by: &UdpSocket, to: SocketAddr, word: &Wire) {
+fn says(by: &UdpSocket, to: SocketAddr, word: &ControlMessage) {
     by.send_to(&message::encode(word).expect("it is short"), to).expect("it goes");
 }
 
 /// A replica under a name, a stranger, and the replicas as a file would name them.
-fn replica_and_stranger() -> (UdpSocket, UdpSocket, Keepers) {
+fn replica_and_stranger() -> (UdpSocket, UdpSocket, ControlReplicas) {
     let bind = || UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
     let (replica, stranger) = (bind(), bind());
     replica.set_read_timeout(Some(PATIENCE)).expect("a socket");
-    let all = vec![("k0".to_string(), replica.local_addr().expect("an address"))];
-    (replica, stranger, Keepers { lease: SECOND, all, folder: None })
+    let replicas = vec![("k0".to_string(), replica.local_addr().expect("an address"))];
+    (replica, stranger, ControlReplicas { lease: SECOND, replicas, folder: None })
 }
 
 /// The next datagram of a client, and where it hears.
-fn heard(replica: &UdpSocket) -> (Wire, SocketAddr) {
+fn heard(replica: &UdpSocket) -> (ControlMessage, SocketAddr) {
     let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES];
     let (size, by) = replica.recv_from(&mut bytes).expect("a datagram");
     (message::decode(&bytes[..size]).expect("a message"), by)
@@ -240,11 +240,13 @@
     let plays = std::thread::spawn(move || {
         let (mut instance, mut number) = (None, 0);
         for (by, token) in [(&stranger, 99), (&replica, 1)] {
-            if let (Wire::Ask(Request::Renew { number: asked, .. }), from) = heard(&replica) {
+            if let (ControlMessage::LeaseRequest(Request::Renew { number: asked, .. }), from) =
+                heard(&replica)
+            {
                 (instance, number) = (Some(from), asked);
             }
             let to = instance.expect("a renewal");
-            let answer = Response::Renewed {
+            let response = Response::Renewed {
                 session: 5,
                 number,
                 lease: 30 * SECOND,
@@ -252,22 +254,23 @@
                 grants: vec![grant(token)],
                 more: false,
             };
-            says(by, to, &Wire::Answer { from: node_id("k0"), answer });
+            says(by, to, &ControlMessage::LeaseResponse { from: node_id("k0"), response });
         }
         let to = instance.expect("a renewal");
         let granted = Response::Granted { session: 5, after: NO_GRANT, grants: vec![grant(100)] };
-        for answer in [granted, Response::SessionExpired { session: 5 }, Response::NotLeader { leader: 9 }] {
-            says(&stranger, to, &Wire::Answer { from: node_id("k0"), answer });
+        for response in [granted, Response::SessionExpired { session: 5 }, Response::NotLeader { leader: 9 }]
+        {
+            says(&stranger, to, &ControlMessage::LeaseResponse { from: node_id("k0"), response });
         }
         (replica, stranger)
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let claims = vec![Claim { task: TASK, partitions: 1, rank: 0 }];
-        let mut hold = Hold::new("n0", &keepers, claims).await.expect("a socket");
+        let mut hold = LeaseHolder::new("n0", &keepers, claims).await.expect("a socket");
         let end = hold.clock.now() + 2 * SECOND;
         let mut events = Vec::new();
-        while let Some(event) = hold.next(end).await {
+        while let Some(event) = hold.next_event(end).await {
             events.push(event);
         }
         assert_eq!(hold.valid_token(partition), Some(1), "{events:?}");
@@ -282,30 +285,32 @@
     let (follower, leader, mut keepers) = replica_and_stranger();
     leader.set_read_timeout(Some(PATIENCE)).expect("a socket");
     // Nobody receives there any more.
-    keepers.all.push(("k1".to_string(), free_port()));
+    keepers.replicas.push(("k1".to_string(), free_port()));
     let (address, partition) = (leader.local_addr().expect("an address"), Partition { task: TASK, index: 0 });
     std::thread::spawn(move || loop {
         let (_, client) = heard(&follower);
-        says(&follower, client, &Wire::At { keeper: node_id("k1"), address });
-        let answer = Response::NotLeader { leader: node_id("k1") };
-        says(&follower, client, &Wire::Answer { from: node_id("k0"), answer });
+        says(&follower, client, &ControlMessage::ReplicaAddress { replica: node_id("k1"), address });
+        let response = Response::NotLeader { leader: node_id("k1") };
+        says(&follower, client, &ControlMessage::LeaseResponse { from: node_id("k0"), response });
     });
     std::thread::spawn(move || loop {
-        let (Wire::Ask(Request::Renew { number, .. }), client) = heard(&leader) else { continue };
+        let (ControlMessage::LeaseRequest(Request::Renew { number, .. }), client) = heard(&leader) else {
+            continue;
+        };
         let grants = vec![Grant { partition, token: 1, cursor: Vec::new(), release_requested: false }];
         let (session, lease, after) = (5, 4 * SECOND, NO_GRANT);
-        let answer = Response::Renewed { session, number, lease, after, grants, more: false };
-        says(&leader, client, &Wire::Answer { from: node_id("k1"), answer });
+        let response = Response::Renewed { session, number, lease, after, grants, more: false };
+        says(&leader, client, &ControlMessage::LeaseResponse { from: node_id("k1"), response });
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let claims = vec![Claim { task: TASK, partitions: 1, rank: 0 }];
-        let mut hold = Hold::new("n0", &keepers, claims).await.expect("a socket");
+        let mut hold = LeaseHolder::new("n0", &keepers, claims).await.expect("a socket");
         let end = hold.clock.now() + 20 * SECOND;
-        assert!(hold.next(end).await.is_some(), "it never found the leader");
+        assert!(hold.next_event(end).await.is_some(), "it never found the leader");
         // Past the lease: it renews there.
         let later = hold.clock.now() + 6 * SECOND;
-        assert_eq!(hold.next(later).await, None);
+        assert_eq!(hold.next_event(later).await, None);
         assert_eq!(hold.valid_token(partition), Some(1));
     });
 }
@@ -313,10 +318,15 @@
 /// Guards against an operator who is told by a stranger that a command was decided.
 #[test]
 fn an_operators_command_takes_no_response_from_a_stranger() {
-    let done = |number| Wire::Answer { from: node_id("k0"), answer: Response::Done { number, applied: 1 } };
-    let policy_done =
-        |number| Wire::PolicyAnswer { from: node_id("k0"), answer: policy::Response::Done { number } };
-    for answer in [&done as &dyn Fn(u32) -> Wire, &policy_done] {
+    let done = |number| ControlMessage::LeaseResponse {
+        from: node_id("k0"),
+        response: Response::Done { number, applied: 1 },
+    };
+    let policy_done = |number| ControlMessage::RolloutResponse {
+        from: node_id("k0"),
+        response: policy::Response::Done { number },
+    };
+    for answer in [&done as &dyn Fn(u32) -> ControlMessage, &policy_done] {
         let (replica, stranger, keepers) = replica_and_stranger();
         let (forged, true_one) = (answer(1), answer(2));
         let plays = std::thread::spawn(move || {
@@ -325,12 +335,19 @@
             sleep(ms(50));
             says(&replica, asker, &true_one);
         });
-        let mut asker = Asker::new(&keepers).expect("a socket");
-        let found = asker.ask(&Wire::PolicyAsk(policy::Request::History { number: 1 }), |wire| match wire {
-            Wire::Answer { answer: Response::Done { number, .. }, .. } => Heard::Fits(number),
-            Wire::PolicyAnswer { answer: policy::Response::Done { number }, .. } => Heard::Fits(number),
-            _ => Heard::Other,
-        });
+        let mut asker = LeaderClient::new(&keepers).expect("a socket");
+        let found =
+            asker.request(&ControlMessage::RolloutRequest(policy::Request::History { number: 1 }), |wire| {
+                match wire {
+                    ControlMessage::LeaseResponse { response: Response::Done { number, .. }, .. } => {
+                        ResponseKind::Matching(number)
+                    }
+                    ControlMessage::RolloutResponse {
+                        response: policy::Response::Done { number }, ..
+                    } => ResponseKind::Matching(number),
+                    _ => ResponseKind::Unrelated,
+                }
+            });
         assert_eq!(found.expect("a socket"), Some(2));
         plays.join().expect("the replica's part");
     }
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -9,8 +9,8 @@
 use cypresscleat_rollout::messages as policy;
 use cypresscleat_rollout::state::{self as policies, PolicyState, Version};
 use cypresscleat_rollout::{node_id, MemberKey, MAX_DOCUMENT_BYTES, SECOND};
-use cypresscleat_server::leases::agreed::Agreed;
-use cypresscleat_server::leases::wire::Wire;
+use cypresscleat_server::leases::replicated_state::ReplicatedState;
+use cypresscleat_server::leases::wire::ControlMessage;
 use cypresscleat_server::rollout::member::Task;
 use cypresscleat_server::rollout::{texts, Rollout};
 use tokio::net::UdpSocket;
@@ -31,20 +31,23 @@
         last_seen_grant: (5, Partition { task: 6, index: 7 }),
         claims: vec![Claim { task: 6, partitions: 8, rank: 0 }],
     };
-    let answer = Response::SessionExpired { session: 9 };
+    let response = Response::SessionExpired { session: 9 };
     let pairs = [
-        (Datagram::Consensus(letter_of.clone()), Wire::Letter(letter_of)),
-        (Datagram::Request(ask.clone()), Wire::Ask(ask)),
-        (Datagram::Response { from: 1, response: answer.clone() }, Wire::Answer { from: 1, answer }),
+        (Datagram::Consensus(letter_of.clone()), ControlMessage::Consensus(letter_of)),
+        (Datagram::Request(ask.clone()), ControlMessage::LeaseRequest(ask)),
+        (
+            Datagram::Response { from: 1, response: response.clone() },
+            ControlMessage::LeaseResponse { from: 1, response },
+        ),
     ];
     for (before, now) in pairs {
         let bytes = message::encode(&before).expect("it is short");
         assert_eq!(message::encode(&now).as_ref(), Some(&bytes));
-        assert_eq!(message::decode::<Wire>(&bytes), Ok(now));
+        assert_eq!(message::decode::<ControlMessage>(&bytes), Ok(now));
     }
     let new = [
-        Wire::PolicyAsk(policy::Request::History { number: 1 }),
-        Wire::PolicyAnswer { from: 1, answer: policy::Response::Changed },
+        ControlMessage::RolloutRequest(policy::Request::History { number: 1 }),
+        ControlMessage::RolloutResponse { from: 1, response: policy::Response::Changed },
     ];
     for new in new {
         let bytes = message::encode(&new).expect("it is short");
@@ -66,10 +69,10 @@
     let open = postcard::to_stdvec(&open).expect("a command");
     let mut duties = LeaseState::default();
     duties.apply(5, &open);
-    let before = Agreed::from_snapshot(&duties.snapshot()).expect("an image of before");
-    assert_eq!(before.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
+    let before = ReplicatedState::from_snapshot(&duties.snapshot()).expect("an image of before");
+    assert_eq!(before.leases.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     assert_eq!(before.policies, PolicyState::default());
-    let mut both = Agreed::default();
+    let mut both = ReplicatedState::default();
     both.apply(5, &open);
     let propose = policies::Command::Propose(Version {
         by: "x".into(),
@@ -77,32 +80,32 @@
         ..Version::default()
     });
     both.apply(6, &policies::encode_command(&propose));
-    assert_eq!(both.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
+    assert_eq!(both.leases.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     assert!(both.policies.pending_change().is_some());
-    let mut again = Agreed::from_snapshot(&both.snapshot()).expect("an image");
+    let mut again = ReplicatedState::from_snapshot(&both.snapshot()).expect("an image");
     again.policies.take_events();
     both.policies.take_events();
     assert_eq!(again.policies, both.policies);
-    assert_eq!(again.duties.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
+    assert_eq!(again.leases.owner(Partition { task: 6, index: 0 }), Some((1, 5)));
     for cut in 0..both.snapshot().len() {
-        let _ = Agreed::from_snapshot(&both.snapshot()[..cut]); // nothing panics
+        let _ = ReplicatedState::from_snapshot(&both.snapshot()[..cut]); // nothing panics
     }
 }
 
 /// Where a keeper hears is believed of one that is known only, and no list grows without end.
 #[test]
 fn where_a_keeper_hears_is_learnt_from_known_ones_only() {
-    use cypresscleat_server::leases::wire::learns;
+    use cypresscleat_server::leases::wire::learn_address;
     use std::collections::HashMap;
     use std::net::SocketAddr;
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let mut known = HashMap::from([(1, at(1))]);
-    assert!(!learns(&mut known, at(9), 2, at(2)), "said by a stranger");
-    assert!(learns(&mut known, at(1), 2, at(2)));
-    assert!(!learns(&mut known, at(1), 2, at(3)), "one that is known stays where the file says");
+    assert!(!learn_address(&mut known, at(9), 2, at(2)), "said by a stranger");
+    assert!(learn_address(&mut known, at(1), 2, at(2)));
+    assert!(!learn_address(&mut known, at(1), 2, at(3)), "one that is known stays where the file says");
     assert_eq!(known[&2], at(2));
     for keeper in 3..100 {
-        learns(&mut known, at(1), keeper, at(keeper as u16));
+        learn_address(&mut known, at(1), keeper, at(keeper as u16));
     }
     assert_eq!(known.len(), 32);
 }
@@ -156,16 +159,17 @@
 async fn asking(keeper: &UdpSocket) -> (MemberKey, u32, std::net::SocketAddr, bool) {
     let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES];
     let (size, by) = keeper.recv_from(&mut bytes).await.expect("an asking");
-    match message::decode::<Wire>(&bytes[..size]) {
-        Ok(Wire::PolicyAsk(policy::Request::Heartbeat { key, number, joins, .. })) => {
+    match message::decode::<ControlMessage>(&bytes[..size]) {
+        Ok(ControlMessage::RolloutRequest(policy::Request::Heartbeat { key, number, joins, .. })) => {
             (key, number, by, joins)
         }
         other => panic!("{other:?}"),
     }
 }
 
-async fn says(by: &UdpSocket, to: std::net::SocketAddr, answer: policy::Response) {
-    let bytes = message::encode(&Wire::PolicyAnswer { from: node_id("k"), answer }).expect("it is short");
+async fn says(by: &UdpSocket, to: std::net::SocketAddr, response: policy::Response) {
+    let bytes = message::encode(&ControlMessage::RolloutResponse { from: node_id("k"), response })
+        .expect("it is short");
     by.send_to(&bytes, to).await.expect("it goes");
 }
 
@@ -184,12 +188,12 @@
             let (mut check, mut gone, mut bytes) = (0, false, vec![0; message::MAX_DATAGRAM_BYTES]);
             loop {
                 let (size, member) = keeper.recv_from(&mut bytes).await.expect("an asking");
-                match message::decode::<Wire>(&bytes[..size]) {
-                    Ok(Wire::PolicyAsk(policy::Request::FetchDocument { number, version })) => {
+                match message::decode::<ControlMessage>(&bytes[..size]) {
+                    Ok(ControlMessage::RolloutRequest(policy::Request::FetchDocument { number, version })) => {
                         let version = Some(Box::new(Version { number: version, ..Version::default() }));
                         says(&keeper, member, policy::Response::Document { number, version }).await;
                     }
-                    Ok(Wire::PolicyAsk(policy::Request::Heartbeat { key, number, joins, verdict, active: has, .. })) => {
+                    Ok(ControlMessage::RolloutRequest(policy::Request::Heartbeat { key, number, joins, verdict, active: has, .. })) => {
                         if gone && has == 1 {
                             break;
                         }
