--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -44,8 +44,9 @@
 
 impl Load {
     fn of(play: &Simulation) -> Vec<Load> {
-        let load =
-            |one: &Traffic| Load([one.heard, one.heard_bytes, one.sent, one.sent_bytes].map(|n| n as f64));
+        let load = |one: &Traffic| {
+            Load([one.received, one.received_bytes, one.sent, one.sent_bytes].map(|n| n as f64))
+        };
         play.traffic.iter().map(load).collect()
     }
     /// Of the keeper with the most letters since.
@@ -73,9 +74,9 @@
     let gone = if down { members * DOWN / 10 } else { 0 };
     // Just before it: their leases have to end first.
     (0..gone).for_each(|at| play.kill(at));
-    play.world.network.loss_one_in = lost;
-    let (asks, bytes, began) = (play.messages_sent, play.message_bytes, play.world.now);
-    let (before, between) = (Load::of(&play), play.world.bytes_sent);
+    play.consensus.network.loss_one_in = lost;
+    let (asks, bytes, began) = (play.messages_sent, play.message_bytes, play.consensus.now);
+    let (before, between) = (Load::of(&play), play.consensus.bytes_sent);
     play.propose(0, rules, "first");
     let end = began + 60 * SECOND;
     // All at one moment, which is more than that each has gone over: one that is out of service for a moment counts as not there.
@@ -91,27 +92,27 @@
         }
         figures.out = figures.out.max(out);
         if over.is_none() && had[gone..].iter().all(|had| *had) {
-            over = Some(play.world.now);
+            over = Some(play.consensus.now);
         }
-        if have == members - gone || play.world.now >= end {
+        if have == members - gone || play.consensus.now >= end {
             break;
         }
-        let until = play.world.now + 5 * MS;
+        let until = play.consensus.now + 5 * MS;
         play.run(until);
     }
     figures.gone_over.push(over.map_or(60 * SECOND, |at| at - began));
     figures.during.add(Load::busiest(&play, &before));
-    figures.seconds += (play.world.now - began) as f64 / SECOND as f64;
-    figures.between += (play.world.bytes_sent - between) as f64;
+    figures.seconds += (play.consensus.now - began) as f64 / SECOND as f64;
+    figures.between += (play.consensus.bytes_sent - between) as f64;
     figures.decided.push(play.decided.get(&1).map_or(60 * SECOND, |one| one.0 - began));
-    figures.everywhere.push(play.world.now - began);
-    let first = play.first.get(&1).copied().unwrap_or(began);
+    figures.everywhere.push(play.consensus.now - began);
+    let first = play.first_active.get(&1).copied().unwrap_or(began);
     figures.mixed.push(play.mixed_until.get(&1).map_or(0, |until| until - first));
     let live = (members - gone).max(1) as f64;
     figures.messages += (play.messages_sent - asks) as f64 / live;
     figures.bytes += (play.message_bytes - bytes) as f64 / live;
     (0..gone).for_each(|at| play.start(at));
-    let until = play.world.now + 6 * SECOND;
+    let until = play.consensus.now + 6 * SECOND;
     play.run(until);
     // Some may be out of service for a moment where letters are lost; none may serve under another version.
     let others =
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -20,7 +20,7 @@
 
 /// What was counted since the beginning: letters between members and keepers, and between keepers.
 fn counted(play: &Simulation) -> [u64; 4] {
-    [play.messages_sent, play.message_bytes, play.world.messages_sent, play.world.bytes_sent]
+    [play.messages_sent, play.message_bytes, play.consensus.messages_sent, play.consensus.bytes_sent]
 }
 
 /// Their differences.
@@ -49,29 +49,30 @@
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
     let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
     play.run(4 * SECOND);
-    play.world.network.loss_one_in = lost;
+    play.consensus.network.loss_one_in = lost;
     let (then, began) = (counted(&play), Instant::now());
     play.run((4 + REST) * SECOND);
     let wall = began.elapsed().as_secs_f64() / REST as f64;
     let rest = since(&play, then).map(|count| count / REST as f64);
-    let (then, began) = (counted(&play), play.world.now);
+    let (then, began) = (counted(&play), play.consensus.now);
     play.propose(0, rules, &"x".repeat(text));
     let mut without: Vec<usize> = (0..members).collect();
     let (mut took, mut first) = (Vec::new(), None);
     // The first second is counted whole, also where all have it before.
-    while play.world.now < began + SECOND || !without.is_empty() && play.world.now < began + LONGEST * SECOND
+    while play.consensus.now < began + SECOND
+        || !without.is_empty() && play.consensus.now < began + LONGEST * SECOND
     {
-        let until = play.world.now + 5 * MS;
+        let until = play.consensus.now + 5 * MS;
         play.run(until);
-        let after = (play.world.now - began) as f64 / MS as f64;
+        let after = (play.consensus.now - began) as f64 / MS as f64;
         let had = without.len();
         without.retain(|at| play.permit(*at) != AdmissionPermit::Admit(1));
         took.resize(took.len() + had - without.len(), after);
-        if play.world.now >= began + SECOND {
+        if play.consensus.now >= began + SECOND {
             first.get_or_insert(since(&play, then));
         }
     }
-    let span = (play.world.now - began) as f64 / SECOND as f64;
+    let span = (play.consensus.now - began) as f64 / SECOND as f64;
     let change = since(&play, then);
     Change { rest, first: first.unwrap_or(change), change, span, took, all: without.is_empty(), wall }
 }
--- a/crates/rollout-relay/src/relay.rs
+++ b/crates/rollout-relay/src/relay.rs
@@ -141,7 +141,7 @@
     /// `most` is the longest lease that it gives, in any of its lives: to be raised by a restart, and lowered only after a wait.
     pub fn new(now: Time, name: &str, key: MemberKey, keepers: Vec<NodeId>, most: Time) -> Relay<A> {
         let mut up = RolloutMember::new(now, name, key, keepers);
-        up.speak_for_others();
+        up.represent_others();
         Relay {
             up,
             started: now,
@@ -217,7 +217,7 @@
 
     /// From when on it may speak for all below.
     fn ready_at(&self) -> Time {
-        let (wanted, ..) = self.up.told();
+        let (wanted, ..) = self.up.last_reported();
         let known = self.heard && (wanted == 0 || self.texts.contains_key(&wanted));
         let fence = known && self.rules(wanted).unreachable == UnreachableMembers::Fence;
         if fence || self.broken.no_wait {
@@ -268,7 +268,7 @@
             (_, Err(why)) => {
                 self.says(format!("policy {number} can't be kept: {why}"));
                 // What is in force can't be refused any more: it is fetched again after a while.
-                if number > self.up.told().0 {
+                if number > self.up.last_reported().0 {
                     asks = self.up.record_verdict(
                         now,
                         number,
@@ -488,7 +488,7 @@
                 MemberEvent::Paused { change } => self.says(format!("all stop for policy {change}")),
             }
         }
-        let (wanted, check, pause) = self.up.told();
+        let (wanted, check, pause) = self.up.last_reported();
         // What is in force has been checked by whoever had to, and one that refuses it now has no lease: only the text has to be here.
         let has = self.up.verdict(wanted) == Some(Verdict::Prepared);
         if wanted != 0 && !has && self.texts.contains_key(&wanted) {
@@ -589,14 +589,14 @@
         }
         if stops && (still || self.broken.stops_alone) {
             self.stopped = pause;
-            asks.extend(self.up.all_stopped(now, pause));
+            asks.extend(self.up.record_all_paused(now, pause));
         }
         asks
     }
 
     /// Drops the oldest texts that nobody can ask for any more.
     fn cuts_texts(&mut self) {
-        let (wanted, check, _) = self.up.told();
+        let (wanted, check, _) = self.up.last_reported();
         let keep = [wanted, check, self.up.active().unwrap_or(0)];
         while self.texts.len() > TEXTS {
             let Some(first) = self.texts.keys().copied().find(|number| !keep.contains(number)) else {
--- a/crates/rollout-relay/src/sim.rs
+++ b/crates/rollout-relay/src/sim.rs
@@ -319,7 +319,7 @@
             Process::RolloutMember(process) => {
                 let mut new = Box::new(RolloutMember::new(now, &one.name, key, above));
                 new.safeguards = member;
-                new.older = self.setup.older && (at / 2) % 2 == 1;
+                new.imitates_earlier_version = self.setup.older && (at / 2) % 2 == 1;
                 one.kept.keys().for_each(|number| new.restore(*number));
                 *process = Some(new);
             }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -98,7 +98,7 @@
     /// Decisions and activations that were proposed.
     pub decisions: u64,
     /// Those of them that found other members than were counted.
-    pub again: u64,
+    pub members_changed: u64,
     /// Documents that were fetched.
     pub fetched: u64,
     /// Commands given to the replicas' log.
@@ -358,7 +358,7 @@
             // Where members changed, they are counted again in this step.
             PendingProposal::Own => {
                 self.is_deciding = false;
-                self.counts.again += u64::from(outcome == Outcome::MembersChanged);
+                self.counts.members_changed += u64::from(outcome == Outcome::MembersChanged);
             }
         }
         if self.heard_at.len() > members.len() {
--- a/crates/rollout/src/member.rs
+++ b/crates/rollout/src/member.rs
@@ -122,7 +122,7 @@
     has_no_lease_on_target: bool,
     events: VecDeque<MemberEvent>,
     /// It asks the same replica as before, whichever tells it of a change: as earlier versions did, which tests run beside this one.
-    pub older: bool,
+    pub imitates_earlier_version: bool,
     /// Safeguards that are disabled.
     pub safeguards: DisabledSafeguards,
 }
@@ -160,7 +160,7 @@
             lease: SECOND,
             has_no_lease_on_target: false,
             events: VecDeque::new(),
-            older: false,
+            imitates_earlier_version: false,
             safeguards: DisabledSafeguards::default(),
         }
     }
@@ -179,13 +179,13 @@
         }
     }
 
-    /// It speaks for others too: that it admits nothing is not said before [`RolloutMember::all_stopped`].
-    pub fn speak_for_others(&mut self) {
+    /// It speaks for others too: that it admits nothing is not said before [`RolloutMember::record_all_paused`].
+    pub fn represent_others(&mut self) {
         self.others_stopped = Some(0);
     }
 
     /// All for whom it speaks have stopped for this change.
-    pub fn all_stopped(&mut self, now: Time, change: u64) -> Outgoing {
+    pub fn record_all_paused(&mut self, now: Time, change: u64) -> Outgoing {
         self.others_stopped = Some(change);
         self.heartbeat_soon(now)
     }
@@ -196,7 +196,7 @@
     }
 
     /// What the leader told last: the active version, a change to check, and one for which nothing is admitted; 0 for none.
-    pub fn told(&self) -> (u64, u64, u64) {
+    pub fn last_reported(&self) -> (u64, u64, u64) {
         (self.target, self.check, self.paused)
     }
 
--- a/crates/rollout/src/member/responses.rs
+++ b/crates/rollout/src/member/responses.rs
@@ -64,7 +64,7 @@
             }
             Response::Changed => {
                 // Whoever tells is asked: it may wait for this member, also where another was asked last.
-                if !self.older {
+                if !self.imitates_earlier_version {
                     self.record_response(from);
                 }
                 self.heartbeat_soon(now)
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Messages that arrived.
-    pub heard: u64,
+    pub received: u64,
     /// Their bytes.
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
     /// Messages that were sent.
     pub sent: u64,
     /// Their bytes.
@@ -73,7 +73,7 @@
     /// What it was made with.
     pub config: SimulationConfig,
     /// The replicas and their network.
-    pub world: ConsensusSimulation<PolicyState>,
+    pub consensus: ConsensusSimulation<PolicyState>,
     /// The coordinator of each replica.
     pub coordinators: Vec<RolloutCoordinator<usize>>,
     /// The members.
@@ -82,7 +82,7 @@
     posted: u64,
     rng: SeededRng,
     /// Members that reach no replica.
-    pub cut: BTreeSet<usize>,
+    pub isolated: BTreeSet<usize>,
     /// Messages between members and replicas.
     pub messages_sent: u64,
     /// Their bytes.
@@ -92,15 +92,15 @@
     /// Members under an older version than the newest that was active anywhere.
     behind: BTreeSet<usize>,
     /// What the operator was answered.
-    pub answers: Vec<Response>,
+    pub operator_responses: Vec<Response>,
     /// When each version was proposed.
     pub proposed: BTreeMap<u64, Time>,
     /// When each version was decided, and whether it was committed.
     pub decided: BTreeMap<u64, (Time, bool)>,
     /// Why versions were aborted.
-    pub reasons: BTreeMap<u64, String>,
+    pub abort_reasons: BTreeMap<u64, String>,
     /// When each version was first active anywhere.
-    pub first: BTreeMap<u64, Time>,
+    pub first_active: BTreeMap<u64, Time>,
     /// The last moment at which a member might still admit under a version older than this one, after this was first active.
     pub mixed_until: BTreeMap<u64, Time>,
     /// When each member has something to do next.
@@ -120,7 +120,7 @@
 impl Simulation {
     /// A cluster whose faults and delays are drawn from `seed`.
     pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
-        let world =
+        let consensus =
             ConsensusSimulation::new(config.replicas, PolicyState::default(), RaftConfig::default(), seed);
         let coordinator = || {
             let mut coordinator = RolloutCoordinator::default();
@@ -129,22 +129,22 @@
         };
         let mut simulation = Simulation {
             config,
-            world,
+            consensus,
             coordinators: (0..config.replicas).map(|_| coordinator()).collect(),
             members: Vec::new(),
             mail: BTreeMap::new(),
             posted: 0,
             rng: SeededRng::new(seed ^ 0x7011),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             messages_sent: 0,
             message_bytes: 0,
             traffic: vec![Traffic::default(); config.replicas],
             behind: BTreeSet::new(),
-            answers: Vec::new(),
+            operator_responses: Vec::new(),
             proposed: BTreeMap::new(),
             decided: BTreeMap::new(),
-            reasons: BTreeMap::new(),
-            first: BTreeMap::new(),
+            abort_reasons: BTreeMap::new(),
+            first_active: BTreeMap::new(),
             mixed_until: BTreeMap::new(),
             wake_at: Vec::new(),
             scheduled_with: Vec::new(),
@@ -174,8 +174,8 @@
 
     /// An operator proposes a version, made from `parent`, to the leader; to any replica where none leads.
     pub fn propose(&mut self, parent: u64, rules: Rules, text: &str) {
-        let to = self.world.leader().unwrap_or(0);
-        let at_ms = self.world.now as u64;
+        let to = self.consensus.leader().unwrap_or(0);
+        let at_ms = self.consensus.now as u64;
         let version = Version {
             parent,
             rules,
@@ -186,7 +186,7 @@
             ..Version::default()
         };
         let request = Request::Propose { number: 1, version };
-        self.post(self.world.network.delay, Mail::Request { to, from: OPERATOR, request });
+        self.post(self.consensus.network.delay, Mail::Request { to, from: OPERATOR, request });
     }
 
     /// An operator says that a member will not come back.
@@ -196,13 +196,13 @@
 
     /// Somebody who is no member of the simulation requests the replica that leads.
     pub fn post_as_operator(&mut self, request: Request) {
-        let to = self.world.leader().unwrap_or(0);
-        self.post(self.world.network.delay, Mail::Request { to, from: OPERATOR, request });
+        let to = self.consensus.leader().unwrap_or(0);
+        self.post(self.consensus.network.delay, Mail::Request { to, from: OPERATOR, request });
     }
 
     /// The active version, as the leader has it.
     pub fn active_version(&self) -> u64 {
-        let leader = self.world.leader().and_then(|at| self.world.nodes[at].replica.as_ref());
+        let leader = self.consensus.leader().and_then(|at| self.consensus.nodes[at].replica.as_ref());
         leader.map_or(0, |replica| replica.state_machine().active().number)
     }
 
@@ -213,7 +213,7 @@
     }
 
     fn post(&mut self, delay: Time, mail: Mail) {
-        let weather = self.world.network;
+        let weather = self.consensus.network;
         let lost = weather.loss_one_in > 0 && self.rng.one_in(weather.loss_one_in);
         let by_operator = matches!(mail, Mail::Request { from: OPERATOR, .. });
         if lost && !by_operator {
@@ -226,7 +226,7 @@
         }
         for _ in 0..1 + u64::from(twice) {
             self.posted += 1;
-            self.mail.insert((self.world.now + delay + late, self.posted), mail.clone());
+            self.mail.insert((self.consensus.now + delay + late, self.posted), mail.clone());
         }
     }
 
@@ -234,20 +234,20 @@
         for (to, request) in requests {
             self.messages_sent += 1;
             self.message_bytes += message::encode(&request).map_or(0, |bytes| bytes.len() as u64);
-            if !self.cut.contains(&from) {
-                self.post(self.world.network.delay, Mail::Request { to: to as usize - 1, from, request });
+            if !self.isolated.contains(&from) {
+                self.post(self.consensus.network.delay, Mail::Request { to: to as usize - 1, from, request });
             }
         }
     }
 
     /// Carries out what a replica's step asks for, and what its coordinator adds.
     fn after(&mut self, at: usize) {
-        let now = self.world.now;
+        let now = self.consensus.now;
         let (own, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.world.responses).into_iter().partition(|one| one.0 == at);
-        self.world.responses = others;
+            std::mem::take(&mut self.consensus.responses).into_iter().partition(|one| one.0 == at);
+        self.consensus.responses = others;
         let answers: Vec<ProposalResponse> = own.into_iter().map(|one| one.1).collect();
-        let Some(replica) = self.world.nodes[at].replica.as_mut() else { return };
+        let Some(replica) = self.consensus.nodes[at].replica.as_mut() else { return };
         let (out, responses) = self.coordinators[at].poll(now, replica, answers);
         self.coordinators[at].events().for_each(drop);
         for event in replica.state_machine_mut().take_events() {
@@ -256,12 +256,12 @@
                 RolloutEvent::Committed { number } => self.record_decision(number, true),
                 RolloutEvent::Aborted { number, reason } => {
                     self.record_decision(number, false);
-                    self.reasons.insert(number, reason);
+                    self.abort_reasons.insert(number, reason);
                 }
                 _ => {}
             }
         }
-        let replica = self.world.nodes[at].replica.as_ref();
+        let replica = self.consensus.nodes[at].replica.as_ref();
         if let Some(version) = replica.map(|replica| replica.state_machine().active()) {
             self.rules.insert(version.number, version.rules);
         }
@@ -269,10 +269,10 @@
     }
 
     fn carry(&mut self, at: usize, out: cypresscleat_consensus::Ready, responses: Vec<(usize, Response)>) {
-        self.world.process_ready(at, out);
+        self.consensus.process_ready(at, out);
         for (to, response) in responses {
             if to == OPERATOR {
-                self.answers.push(response);
+                self.operator_responses.push(response);
                 continue;
             }
             self.messages_sent += 1;
@@ -280,12 +280,12 @@
             self.message_bytes += bytes;
             self.traffic[at].sent += 1;
             self.traffic[at].sent_bytes += bytes;
-            if !self.cut.contains(&to) {
+            if !self.isolated.contains(&to) {
                 let (from, incarnation) = (at as NodeId + 1, self.members[to].incarnations);
-                self.post(self.world.network.delay, Mail::Response { to, incarnation, from, response });
+                self.post(self.consensus.network.delay, Mail::Response { to, incarnation, from, response });
             }
         }
-        if self.world.responses.iter().any(|one| one.0 == at) {
+        if self.consensus.responses.iter().any(|one| one.0 == at) {
             self.after(at);
         }
     }
@@ -293,31 +293,31 @@
     /// Runs until the given moment.
     pub fn run(&mut self, until: Time) {
         self.schedule_changed();
-        while self.world.now < until {
+        while self.consensus.now < until {
             self.step(until);
         }
         self.check_invariants(until);
     }
 
     fn step(&mut self, until: Time) {
-        let steps = if self.steps_at.0 == self.world.now { self.steps_at.1 + 1 } else { 0 };
-        self.steps_at = (self.world.now, steps);
-        assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.world.now);
+        let steps = if self.steps_at.0 == self.consensus.now { self.steps_at.1 + 1 } else { 0 };
+        self.steps_at = (self.consensus.now, steps);
+        assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.consensus.now);
         let mail = self.mail.first_key_value().map(|(key, _)| key.0);
         let due = self.wake_queue.first().map_or(until, |first| first.0);
         let coordinator = (0..self.coordinators.len())
             .map(|at| self.coordinators[at].next_deadline())
             .min()
             .unwrap_or(until);
-        let next = until.min(mail.unwrap_or(until)).min(due).min(coordinator).max(self.world.now);
-        if self.world.step(next) {
+        let next = until.min(mail.unwrap_or(until)).min(due).min(coordinator).max(self.consensus.now);
+        if self.consensus.step(next) {
             for at in 0..self.config.replicas {
                 self.after(at);
             }
             return;
         }
-        self.world.now = self.world.now.max(next);
-        let now = self.world.now;
+        self.consensus.now = self.consensus.now.max(next);
+        let now = self.consensus.now;
         if coordinator <= now {
             for at in 0..self.config.replicas {
                 self.after(at);
@@ -339,10 +339,10 @@
     fn deliver(&mut self, now: Time, mail: Mail) {
         match mail {
             Mail::Request { to, from, request } => {
-                let Some(replica) = self.world.nodes[to].replica.as_mut() else { return };
+                let Some(replica) = self.consensus.nodes[to].replica.as_mut() else { return };
                 if from != OPERATOR {
-                    self.traffic[to].heard += 1;
-                    self.traffic[to].heard_bytes +=
+                    self.traffic[to].received += 1;
+                    self.traffic[to].received_bytes +=
                         message::encode(&request).map_or(0, |bytes| bytes.len() as u64);
                 }
                 let (out, responses) = self.coordinators[to].handle(now, replica, from, request);
@@ -350,7 +350,7 @@
                 self.after(to);
             }
             Mail::Response { to, incarnation, from, response } => {
-                if self.cut.contains(&to) || self.members[to].incarnations != incarnation {
+                if self.isolated.contains(&to) || self.members[to].incarnations != incarnation {
                     return;
                 }
                 self.members[to].inbox.push((from, response));
--- a/crates/rollout/src/simulation/faults.rs
+++ b/crates/rollout/src/simulation/faults.rs
@@ -10,21 +10,21 @@
 impl Simulation {
     /// Random faults of all kinds, and changes proposed among them, for so long.
     pub fn inject_faults(&mut self, time: Time) {
-        let end = self.world.now + time;
+        let end = self.consensus.now + time;
         let mut proposals = 0;
-        while self.world.now < end && self.violation.is_none() && self.world.violation.is_none() {
-            let until = self.world.now + 50 * MS + self.rng.below(500) as Time * MS;
+        while self.consensus.now < end && self.violation.is_none() && self.consensus.violation.is_none() {
+            let until = self.consensus.now + 50 * MS + self.rng.below(500) as Time * MS;
             let at = self.rng.below(self.members.len() as u64) as usize;
             let replica = self.rng.below(self.config.replicas as u64) as usize;
             match self.rng.below(15) {
                 fault @ 0..=7 => self.inject_member_fault(fault, at),
-                8 => self.world.crash(replica),
+                8 => self.consensus.crash(replica),
                 9 => self.start_dead_replicas(),
                 10 => {
                     let other = self.rng.below(self.config.replicas as u64) as NodeId + 1;
-                    self.world.blocked_links.insert((replica as NodeId + 1, other));
+                    self.consensus.blocked_links.insert((replica as NodeId + 1, other));
                 }
-                11 => self.world.blocked_links.clear(),
+                11 => self.consensus.blocked_links.clear(),
                 12 if self.members.len() < self.config.members + MAX_JOINED => drop(self.join()),
                 _ => {
                     proposals += 1;
@@ -43,8 +43,8 @@
                 let time = self.rng.below(40) as Time * SECOND / 10;
                 self.stop(at, time);
             }
-            4 => drop(self.cut.insert(at)),
-            5 => self.cut.clear(),
+            4 => drop(self.isolated.insert(at)),
+            5 => self.isolated.clear(),
             6 => self.lose_disk(at),
             _ => self.drain(at),
         }
@@ -70,19 +70,19 @@
 
     /// Mends all links; all processes run and are awake. Messages are lost and late as before.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.world.blocked_links.clear();
+        self.isolated.clear();
+        self.consensus.blocked_links.clear();
         self.start_dead_replicas();
         for at in 0..self.members.len() {
-            self.members[at].stopped = self.members[at].stopped.min(self.world.now);
+            self.members[at].stopped = self.members[at].stopped.min(self.consensus.now);
             self.start_if_gone(at);
         }
     }
 
     fn start_dead_replicas(&mut self) {
         for at in 0..self.config.replicas {
-            if self.world.nodes[at].replica.is_none() {
-                self.world.start(at);
+            if self.consensus.nodes[at].replica.is_none() {
+                self.consensus.start(at);
             }
         }
     }
--- a/crates/rollout/src/simulation/invariants.rs
+++ b/crates/rollout/src/simulation/invariants.rs
@@ -7,7 +7,7 @@
 impl Simulation {
     /// A version was decided, as some replica has it.
     pub(super) fn record_decision(&mut self, number: u64, committed: bool) {
-        let known = *self.decided.entry(number).or_insert((self.world.now, committed));
+        let known = *self.decided.entry(number).or_insert((self.consensus.now, committed));
         if known.1 != committed {
             self.violation.get_or_insert(format!("version {number} was decided both ways"));
         }
@@ -15,12 +15,12 @@
 
     /// A member goes over to a version.
     pub(super) fn record_activation(&mut self, at: usize, number: u64) {
-        let now = self.world.now;
+        let now = self.consensus.now;
         if number != 0 && !self.decided.get(&number).is_some_and(|decided| decided.1) {
             self.violation.get_or_insert(format!("m{at} goes by version {number}, which was not taken"));
         }
         let newest = self.newest();
-        self.first.entry(number).or_insert(now);
+        self.first_active.entry(number).or_insert(now);
         match number > newest {
             true => (0..self.members.len()).for_each(|at| self.update_behind(at)),
             false => self.update_behind(at),
@@ -30,7 +30,7 @@
 
     /// The newest version that was active anywhere.
     pub(super) fn newest(&self) -> u64 {
-        self.first.last_key_value().map_or(0, |(number, _)| *number)
+        self.first_active.last_key_value().map_or(0, |(number, _)| *number)
     }
 
     /// Records whether the member is under an older version than the newest. To be called whenever either may have changed.
@@ -72,7 +72,7 @@
     }
 
     /// Whether all members admit under the active version, but for those that refuse it.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         let now = self.active_version();
         (0..self.members.len()).all(|at| match self.members[at].refuses.contains(&now) {
             false => self.permit(at) == AdmissionPermit::Admit(now),
--- a/crates/rollout/src/simulation/member_process.rs
+++ b/crates/rollout/src/simulation/member_process.rs
@@ -53,7 +53,7 @@
     /// What a member's clock shows now.
     pub(super) fn clock(&self, at: usize) -> Time {
         let one = &self.members[at];
-        self.world.now + self.world.now * one.rate / 1000 + one.ahead
+        self.consensus.now + self.consensus.now * one.rate / 1000 + one.ahead
     }
 
     /// When its clock shows `time`.
@@ -122,7 +122,7 @@
 
     /// Stops a member's process for so long; messages wait for it.
     pub fn stop(&mut self, at: usize, time: Time) {
-        self.members[at].stopped = self.world.now + time;
+        self.members[at].stopped = self.consensus.now + time;
         self.schedule(at);
     }
 
@@ -137,7 +137,7 @@
 
     /// Follows the events of a member's step.
     pub(super) fn after_member(&mut self, at: usize) {
-        let now = self.world.now;
+        let now = self.consensus.now;
         let check = self.config.check;
         let Some(member) = self.members[at].member.as_mut() else { return self.schedule(at) };
         let events: Vec<MemberEvent> = member.events().collect();
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -21,24 +21,24 @@
 fn play(setup: SimulationConfig, seed: u64) -> Simulation {
     let mut play = Simulation::new(setup, seed);
     play.run(3 * SECOND);
-    assert!(play.settled(), "all serve under their own file");
+    assert!(play.is_settled(), "all serve under their own file");
     play.propose(0, setup.rules, "first");
-    runs_until(&mut play, 5 * SECOND, |play| play.active_version() == 1 && play.settled());
+    runs_until(&mut play, 5 * SECOND, |play| play.active_version() == 1 && play.is_settled());
     play
 }
 
 fn runs_until(play: &mut Simulation, most: Time, done: impl Fn(&Simulation) -> bool) {
-    let end = play.world.now + most;
+    let end = play.consensus.now + most;
     while !done(play) {
-        assert!(play.world.now < end, "it never came: {:?} {:?}", play.decided, play.reasons);
-        let until = play.world.now + 5 * MS;
+        assert!(play.consensus.now < end, "it never came: {:?} {:?}", play.decided, play.abort_reasons);
+        let until = play.consensus.now + 5 * MS;
         play.run(until);
         good(play);
     }
 }
 
 fn good(play: &Simulation) {
-    assert_eq!(play.violation.as_deref().or(play.world.violation.as_deref()), None);
+    assert_eq!(play.violation.as_deref().or(play.consensus.violation.as_deref()), None);
 }
 
 #[test]
@@ -46,33 +46,33 @@
     let mut play = play(SimulationConfig::default(), 1);
     let decided = play.decided[&1];
     assert!(decided.1 && decided.0 - play.proposed[&1] < 200 * MS, "{:?}", play.proposed);
-    assert!(play.mixed_until.get(&1).is_none_or(|until| until - play.first[&1] < 50 * MS));
+    assert!(play.mixed_until.get(&1).is_none_or(|until| until - play.first_active[&1] < 50 * MS));
     play.members[3].refuses.insert(2);
     play.propose(1, rules(), "second");
     runs_until(&mut play, SECOND, |play| play.decided.contains_key(&2));
     assert!(!play.decided[&2].1);
-    assert_eq!(play.reasons[&2], "m3: line 1: no such thing");
-    let soon = play.world.now + SECOND;
+    assert_eq!(play.abort_reasons[&2], "m3: line 1: no such thing");
+    let soon = play.consensus.now + SECOND;
     play.run(soon);
-    assert!(play.settled() && play.active_version() == 1);
+    assert!(play.is_settled() && play.active_version() == 1);
 }
 
 #[test]
 fn made_from_an_old_version_or_beside_another_it_is_refused() {
     let mut play = play(SimulationConfig::default(), 2);
-    play.answers.clear();
-    play.cut.insert(0);
+    play.operator_responses.clear();
+    play.isolated.insert(0);
     play.propose(0, rules(), "from the old one");
-    let until = play.world.now + 20 * MS;
+    let until = play.consensus.now + 20 * MS;
     play.run(until);
     play.propose(1, rules(), "good");
-    let until = play.world.now + 20 * MS;
+    let until = play.consensus.now + 20 * MS;
     play.run(until);
     play.propose(1, rules(), "beside it");
-    let until = play.world.now + 20 * MS;
+    let until = play.consensus.now + 20 * MS;
     play.run(until);
     let outcomes: Vec<Outcome> = play
-        .answers
+        .operator_responses
         .iter()
         .filter_map(|answer| match answer {
             Response::Proposed { outcome, .. } => Some(outcome.clone()),
@@ -85,16 +85,16 @@
 #[test]
 fn one_that_is_cut_off_stops_before_a_change_goes_on_without_it() {
     let mut play = play(SimulationConfig::default(), 3);
-    play.cut.insert(2);
-    let cut = play.world.now;
+    play.isolated.insert(2);
+    let cut = play.consensus.now;
     play.propose(1, rules(), "second");
     runs_until(&mut play, 3 * SECOND, |play| play.decided.contains_key(&2));
     assert!(play.decided[&2].1 && play.decided[&2].0 - cut >= rules().lease / 2);
     assert_eq!(play.permit(2), AdmissionPermit::Deny, "its lease was over before the others went on");
-    let until = play.world.now + 2 * SECOND;
+    let until = play.consensus.now + 2 * SECOND;
     play.run(until);
     assert_eq!(play.permit(2), AdmissionPermit::Deny);
-    play.cut.clear();
+    play.isolated.clear();
     runs_until(&mut play, 3 * SECOND, |play| play.permit(2) == AdmissionPermit::Admit(2));
 }
 
@@ -102,20 +102,20 @@
 fn where_changes_wait_one_that_is_cut_off_serves_on_and_the_change_waits_or_is_dropped() {
     let setup = SimulationConfig { rules: wait(), ..SimulationConfig::default() };
     let mut play = play(setup, 4);
-    play.cut.insert(2);
+    play.isolated.insert(2);
     play.propose(1, wait(), "second");
-    let until = play.world.now + 3 * SECOND;
+    let until = play.consensus.now + 3 * SECOND;
     play.run(until);
     assert!(!play.decided.contains_key(&2));
     assert_eq!(play.permit(2), AdmissionPermit::Admit(1), "nobody goes on without it");
-    play.cut.clear();
-    runs_until(&mut play, 3 * SECOND, |play| play.active_version() == 2 && play.settled());
-    play.cut.insert(2);
+    play.isolated.clear();
+    runs_until(&mut play, 3 * SECOND, |play| play.active_version() == 2 && play.is_settled());
+    play.isolated.insert(2);
     play.propose(2, wait(), "third");
     runs_until(&mut play, 8 * SECOND, |play| play.decided.contains_key(&3));
-    assert!(!play.decided[&3].1 && play.reasons[&3].contains("m2"), "{:?}", play.reasons);
+    assert!(!play.decided[&3].1 && play.abort_reasons[&3].contains("m2"), "{:?}", play.abort_reasons);
     // The others said yes, and may serve for good again once they know that it was dropped.
-    let until = play.world.now + 3 * SECOND;
+    let until = play.consensus.now + 3 * SECOND;
     play.run(until);
     assert!((0..5).all(|at| play.permit(at) == AdmissionPermit::Admit(2)));
     // One that will not come back is forgotten by the operator, and nobody waits for it.
@@ -131,11 +131,11 @@
     play.propose(1, wait(), "second");
     // m2 has said yes at once and is cut off; the others' checks take their time.
     play.config.check = 2 * SECOND;
-    let until = play.world.now + 10 * MS;
+    let until = play.consensus.now + 10 * MS;
     play.run(until);
     runs_until(&mut play, 4 * SECOND, |play| play.decided.get(&2).is_some_and(|one| one.1));
     let late = play.decided[&2].0;
-    play.cut.insert(2);
+    play.isolated.insert(2);
     let until = late + rules().lease + SECOND;
     play.run(until);
     assert_ne!(play.permit(2), AdmissionPermit::Admit(1));
@@ -146,17 +146,17 @@
     for (seed, at) in (0..12).zip([0, 1, 2, 5, 8, 12, 16, 20, 30, 40, 60, 80]) {
         let mut play = play(SimulationConfig::default(), 100 + seed);
         play.propose(1, rules(), "second");
-        let until = play.world.now + at * MS;
+        let until = play.consensus.now + at * MS;
         play.run(until);
-        let leader = play.world.leader().expect("a leader");
-        play.world.crash(leader);
-        if play.world.nodes.iter().any(|seat| {
+        let leader = play.consensus.leader().expect("a leader");
+        play.consensus.crash(leader);
+        if play.consensus.nodes.iter().any(|seat| {
             seat.replica.as_ref().is_some_and(|keeper| {
                 keeper.state_machine().pending_change().is_some()
                     || keeper.state_machine().active().number == 2
             })
         }) {
-            runs_until(&mut play, 5 * SECOND, |play| play.active_version() == 2 && play.settled());
+            runs_until(&mut play, 5 * SECOND, |play| play.active_version() == 2 && play.is_settled());
         }
     }
 }
@@ -165,12 +165,12 @@
 fn together_nobody_admits_under_the_old_one_beside_the_new_one() {
     for seed in 0..10 {
         let mut play = play(SimulationConfig { check: 300 * MS, ..SimulationConfig::default() }, 200 + seed);
-        play.world.network.max_extra_delay = 400 * MS;
-        play.cut.insert(4);
+        play.consensus.network.max_extra_delay = 400 * MS;
+        play.isolated.insert(4);
         play.propose(1, Rules { barrier: true, ..rules() }, "second");
         runs_until(&mut play, 8 * SECOND, |play| play.active_version() == 2);
-        play.cut.clear();
-        runs_until(&mut play, 5 * SECOND, Simulation::settled);
+        play.isolated.clear();
+        runs_until(&mut play, 5 * SECOND, Simulation::is_settled);
         assert!(!play.mixed_until.contains_key(&2), "seed {seed}: {:?}", play.mixed_until);
     }
 }
@@ -179,14 +179,14 @@
 fn joiners_and_leavers_in_the_middle_count_once() {
     let mut play = play(SimulationConfig { check: 500 * MS, ..SimulationConfig::default() }, 6);
     play.propose(1, rules(), "second");
-    let until = play.world.now + 200 * MS;
+    let until = play.consensus.now + 200 * MS;
     play.run(until);
     let joined = play.join();
     play.members[joined].refuses.insert(2);
     play.drain(0);
     runs_until(&mut play, 4 * SECOND, |play| play.decided.contains_key(&2));
     assert!(!play.decided[&2].1, "the joiner counts, and refuses it");
-    assert!(play.reasons[&2].starts_with(&format!("m{joined}:")), "{:?}", play.reasons);
+    assert!(play.abort_reasons[&2].starts_with(&format!("m{joined}:")), "{:?}", play.abort_reasons);
     runs_until(&mut play, 4 * SECOND, |play| play.permit(joined) == AdmissionPermit::Admit(1));
     assert_eq!(play.permit(0), AdmissionPermit::Deny);
 }
@@ -195,7 +195,7 @@
 fn one_that_stood_still_past_its_lease_admits_nothing_when_it_wakes() {
     let mut play = play(SimulationConfig::default(), 7);
     play.stop(1, 4 * SECOND);
-    let woken = play.world.now + 4 * SECOND;
+    let woken = play.consensus.now + 4 * SECOND;
     play.propose(1, rules(), "second");
     play.run(woken);
     assert_eq!(play.active_version(), 2);
@@ -217,13 +217,13 @@
 #[test]
 fn without_a_majority_nothing_is_decided_and_all_stop_then_all_goes_on() {
     let mut play = play(SimulationConfig::default(), 9);
-    play.world.crash(0);
-    play.world.crash(1);
-    let until = play.world.now + 3 * SECOND;
+    play.consensus.crash(0);
+    play.consensus.crash(1);
+    let until = play.consensus.now + 3 * SECOND;
     play.run(until);
     assert!((0..5).all(|at| play.permit(at) == AdmissionPermit::Deny));
-    play.world.start(0);
-    runs_until(&mut play, 5 * SECOND, Simulation::settled);
+    play.consensus.start(0);
+    runs_until(&mut play, 5 * SECOND, Simulation::is_settled);
     good(&play);
 }
 
@@ -238,10 +238,10 @@
             play.lose_disk(at);
         }
         play.start(at);
-        let until = play.world.now + 10 * MS;
+        let until = play.consensus.now + 10 * MS;
         play.run(until);
     }
-    runs_until(&mut play, 5 * SECOND, Simulation::settled);
+    runs_until(&mut play, 5 * SECOND, Simulation::is_settled);
 }
 
 #[test]
@@ -249,19 +249,19 @@
     let mut play = play(SimulationConfig { members: 20, ..SimulationConfig::default() }, 11);
     for number in 2..62 {
         play.propose(number - 1, rules(), &format!("text {number}"));
-        let until = play.world.now + SECOND;
+        let until = play.consensus.now + SECOND;
         play.run(until);
         good(&play);
         assert_eq!(play.active_version(), number);
     }
-    assert!(play.settled());
+    assert!(play.is_settled());
 }
 
 fn faults(setup: SimulationConfig, seed: u64, time: Time) -> Simulation {
     let mut play = Simulation::new(setup, seed);
-    play.world.network.loss_one_in = 12;
-    play.world.network.duplicate_one_in = 20;
-    play.world.network.max_extra_delay = 800 * MS;
+    play.consensus.network.loss_one_in = 12;
+    play.consensus.network.duplicate_one_in = 20;
+    play.consensus.network.max_extra_delay = 800 * MS;
     play.run(2 * SECOND);
     play.inject_faults(time);
     play
@@ -280,22 +280,22 @@
             ..SimulationConfig::default()
         };
         let mut play = faults(setup, seed, 20 * SECOND);
-        let wrong = play.violation.clone().or(play.world.violation.clone());
+        let wrong = play.violation.clone().or(play.consensus.violation.clone());
         assert_eq!(wrong, None, "seed {seed}");
         play.heal();
-        let end = play.world.now + 20 * SECOND;
-        while play.world.now < end {
-            let until = play.world.now + 100 * MS;
+        let end = play.consensus.now + 20 * SECOND;
+        while play.consensus.now < end {
+            let until = play.consensus.now + 100 * MS;
             play.run(until);
-            if play.settled() && play.proposed.keys().all(|number| play.decided.contains_key(number)) {
+            if play.is_settled() && play.proposed.keys().all(|number| play.decided.contains_key(number)) {
                 break;
             }
         }
-        let wrong = play.violation.clone().or(play.world.violation.clone());
+        let wrong = play.violation.clone().or(play.consensus.violation.clone());
         assert_eq!(wrong, None, "seed {seed}, in peace");
         let mays: Vec<AdmissionPermit> = (0..play.members.len()).map(|at| play.permit(at)).collect();
         assert!(
-            play.settled(),
+            play.is_settled(),
             "seed {seed}: in peace all serve under one version, {}: {mays:?}",
             play.active_version()
         );
@@ -319,7 +319,7 @@
         };
         let mut play = faults(setup, seed, 20 * SECOND);
         play.heal();
-        let until = play.world.now + 5 * SECOND;
+        let until = play.consensus.now + 5 * SECOND;
         play.run(until);
         good(&play);
     }
@@ -329,7 +329,7 @@
 fn found(setup: SimulationConfig, words: &str) {
     let some = (0..300).any(|seed| {
         let play = faults(setup, seed, 20 * SECOND);
-        play.violation.or(play.world.violation).is_some_and(|wrong| wrong.contains(words))
+        play.violation.or(play.consensus.violation).is_some_and(|wrong| wrong.contains(words))
     });
     assert!(some, "a play without that guard broke no rule");
 }
@@ -351,9 +351,9 @@
         },
         12,
     );
-    play.cut.insert(2);
+    play.isolated.insert(2);
     play.propose(1, wait(), "second");
-    let until = play.world.now + 12 * SECOND;
+    let until = play.consensus.now + 12 * SECOND;
     play.run(until);
     assert!(play.violation.is_some_and(|wrong| wrong.contains("m2 admits under 1")));
 }
@@ -553,10 +553,10 @@
 #[test]
 fn words_of_lives_that_are_not_taken_in_are_not_kept() {
     let mut play = play(SimulationConfig::default(), 1);
-    let leader = play.world.leader().expect("one leads");
+    let leader = play.consensus.leader().expect("one leads");
     let before = play.coordinators[leader].remembered();
     let runs = |play: &mut Simulation, time: Time| {
-        let until = play.world.now + time;
+        let until = play.consensus.now + time;
         play.run(until);
     };
     for life in 0..200 {
--- a/crates/rollout/tests/size.rs
+++ b/crates/rollout/tests/size.rs
@@ -11,20 +11,20 @@
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
     let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
     play.run(3 * SECOND);
-    assert!(play.settled(), "all serve under their own file");
-    play.world.network.loss_one_in = 10;
+    assert!(play.is_settled(), "all serve under their own file");
+    play.consensus.network.loss_one_in = 10;
     play.propose(0, rules, "first");
-    let (began, mut out) = (play.world.now, 0);
-    while play.world.now < began + 20 * SECOND {
-        let until = play.world.now + 5 * MS;
+    let (began, mut out) = (play.consensus.now, 0);
+    while play.consensus.now < began + 20 * SECOND {
+        let until = play.consensus.now + 5 * MS;
         play.run(until);
         out = out.max((0..members).filter(|at| play.permit(*at) == AdmissionPermit::Deny).count());
         if (0..members).all(|at| play.permit(at) == AdmissionPermit::Admit(1)) {
             break;
         }
     }
-    assert_eq!(play.violation.as_deref().or(play.world.violation.as_deref()), None);
-    let took = play.world.now - began;
+    assert_eq!(play.violation.as_deref().or(play.consensus.violation.as_deref()), None);
+    let took = play.consensus.now - began;
     (play, took, out)
 }
 
@@ -49,7 +49,7 @@
             play.messages_sent,
             play.message_bytes,
             play.decided,
-            play.first,
+            play.first_active,
             play.mixed_until,
             play.traffic,
         )
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -2,7 +2,7 @@
 
 use crate::leases::ask::What;
 use crate::leases::Job;
-use crate::rollout::ask::{What as Policy, Words};
+use crate::rollout::policy_command::{PolicyAction as Policy, PolicyArgs};
 use clap::{Arg, ArgMatches, Command};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
     /// A change of policy: asked, made, looked at.
     Policy {
         operator: PathBuf,
-        words: Words,
+        words: PolicyArgs,
     },
     /// Stand between the keepers and a zone's members, under this name.
     Relay {
@@ -159,7 +159,7 @@
         }
         Some(("policy", own)) => {
             let text = |name: &str| own.get_one::<String>(name).cloned().unwrap_or_default();
-            let what = match text("what").as_str() {
+            let action = match text("what").as_str() {
                 "check" => Policy::Check,
                 "propose" => Policy::Propose,
                 "history" => Policy::History,
@@ -168,15 +168,15 @@
                 "forget" => Policy::Forget,
                 _ => Policy::Status,
             };
-            let words = Words {
-                what,
-                text: own.get_one::<PathBuf>("text").cloned(),
+            let words = PolicyArgs {
+                action,
+                file: own.get_one::<PathBuf>("text").cloned(),
                 why: text("why"),
                 by: text("by"),
                 version: own.get_one::<u64>("version").copied(),
-                from: own.get_one::<u64>("from").copied(),
+                parent: own.get_one::<u64>("from").copied(),
                 instance: text("instance"),
-                wait: own.get_one::<u64>("wait").copied().unwrap_or(60),
+                wait_s: own.get_one::<u64>("wait").copied().unwrap_or(60),
                 relay: own.get_one::<SocketAddr>("relay").copied(),
                 json: own.get_flag("json"),
             };
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::pool::{Buf, Outbox, Pool};
 use crate::ready::Ready;
-use crate::rollout::gate::Gate;
+use crate::rollout::admission_gate::AdmissionGate;
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_scheduler::*;
@@ -252,7 +252,7 @@
     /// Answered by a result that was kept: the module is told that nobody waits.
     reused: Vec<RequestSlot>,
     /// Whether something may be admitted, where a policy of the fleet says so.
-    gate: Option<Rc<Gate>>,
+    gate: Option<Rc<AdmissionGate>>,
     /// A drain is under way: what is owed is in the store.
     leaving: bool,
     /// What the settings say of billed value: each operation's, its objective, what is left of it behind that.
@@ -371,7 +371,7 @@
     }
 
     /// A policy of the fleet says whether anything may be admitted; to be said before the first message.
-    pub fn gated(&mut self, gate: Rc<Gate>) {
+    pub fn gated(&mut self, gate: Rc<AdmissionGate>) {
         self.side.gate = Some(gate);
         self.side.voice.fit.set(false);
     }
@@ -461,7 +461,7 @@
 
     /// The gate stands otherwise: the roster and health checks are told, and what is held is looked at again.
     fn gate(&mut self, unix: Time) {
-        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
+        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.permit() != AdmissionPermit::Deny);
         self.side.voice.fit.set(fit);
         self.admits_held(unix);
     }
@@ -647,8 +647,8 @@
             return peer.malformed(&counters, stream, Fault::NotReady, what);
         };
         if let Some(gate) = &side.gate {
-            match gate.admits(&txn) {
-                AdmissionPermit::Admit(_) => gate.asked(),
+            match gate.admit(&txn) {
+                AdmissionPermit::Admit(_) => gate.count_request(),
                 AdmissionPermit::Hold if self.held.len() < HELD => {
                     add(&side.counters.policy_held);
                     peer.queued.set(peer.queued.get() + 1); // it counts as on its way, so its connection stays
@@ -976,7 +976,7 @@
             (&self.gate, how, self.billed.get(op).copied())
         {
             let in_time = self.unix - came <= objective;
-            gate.succeeded(in_time, if in_time { billed } else { billed * late });
+            gate.count_success(in_time, if in_time { billed } else { billed * late });
         }
         if matches!(how, How::Throttled { .. }) {
             peer.refused.set(Some(txn));
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -4,7 +4,7 @@
 use super::Tier;
 use crate::clock::Clock;
 use crate::log;
-use crate::rollout::gate::Gate;
+use crate::rollout::admission_gate::AdmissionGate;
 use crate::sockets::tried;
 use cypresscleat_forwarding::grants::{GrantHeader, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
@@ -23,7 +23,7 @@
     clock: Clock,
     bytes: Vec<u8>,
     /// Where a policy of the fleet is in force: what is said names its version, and what is heard has to.
-    pub gate: Option<Rc<Gate>>,
+    pub gate: Option<Rc<AdmissionGate>>,
     /// The unlike version that was last told of.
     unlike: Option<(u64, u64)>,
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -66,7 +66,7 @@
     };
     let (operator, role) = match task {
         Task::Check { operator, show } => return check(&operator, show),
-        Task::Policy { operator, words } => return rollout::ask::start(&operator, &words),
+        Task::Policy { operator, words } => return rollout::policy_command::start(&operator, &words),
         Task::Owning { operator, name, job } => return leases::start(&operator, &name, &job),
         Task::Relay { operator, name } => return relay::start(&operator, &name),
         Task::Serve { operator } => (operator, Role::Worker),
@@ -237,7 +237,7 @@
     door: Option<Rc<Door>>,
     fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
     patience: Option<Time>,
-) -> member::Apply {
+) -> member::ActivationHook {
     Box::new(move |policy: &Policy| {
         if let (Some(door), Some(patience)) = (&door, policy.patience.or(patience)) {
             door.waits(patience);
@@ -308,13 +308,14 @@
     settings.validate().map_err(io::Error::other)?;
     // Set once the fleet is there: a policy says how many further tries may be.
     let retries: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
-    let above = operator.rollout.as_ref().and_then(|set| set.above(operator.keepers.as_ref()));
+    let above = operator.rollout.as_ref().and_then(|set| set.request_targets(operator.keepers.as_ref()));
     let gate = match (&operator.rollout, above) {
         (Some(set), Some(above)) => {
             let apply =
                 applies(door.clone(), retries.clone(), operator.scgi.as_ref().map(|scgi| scgi.patience));
             let queue = Some(queue.clone());
-            let task = member::Task::new(&config.name, above, set, Some(names.clone()), queue, apply).await?;
+            let task =
+                member::MemberTask::new(&config.name, above, set, Some(names.clone()), queue, apply).await?;
             let gate = task.gate();
             spawn_local(task.run());
             Some(gate)
@@ -404,8 +405,8 @@
         }
     }
     if let Some(gate) = gate {
-        gate.leaves.notify_one();
-        let _ = tokio::time::timeout(rollout::LEAVES, gate.left.notified()).await;
+        gate.leave_requested.notify_one();
+        let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
     core.abort(); // with it goes whoever sends to the store
     recovery::ends(store.take()).await;
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -10,7 +10,7 @@
 use crate::listeners::routes::{From, Route, Routes};
 use crate::recovery::Durability;
 use crate::relay::Relay;
-use crate::rollout::{Policy, Rollout};
+use crate::rollout::{Policy, RolloutSettings};
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
@@ -40,7 +40,7 @@
     pub tally: Option<Tally>,
     pub settle: Option<Settle>,
     pub sums: Option<Sums>,
-    pub rollout: Option<Rollout>,
+    pub rollout: Option<RolloutSettings>,
     pub relay: Option<Relay>,
 }
 
@@ -311,16 +311,16 @@
         }
     }
 
-    fn rollout(&mut self, node: &Node) -> Rollout {
+    fn rollout(&mut self, node: &Node) -> RolloutSettings {
         let relays = self.peers(node.get("relays"), "rollout.relays");
         if relays.len() > RELAYS {
             let what = format!("{} relays; a member asks {RELAYS} at the most", relays.len());
             self.fault(node.get("relays"), "rollout.relays", what);
         }
-        Rollout {
+        RolloutSettings {
             folder: node.get("folder").text().into(),
-            alone: node.find("alone").map(|alone| time(alone.duration())),
-            room: node.get("room").size() as usize,
+            start_alone_after: node.find("alone").map(|alone| time(alone.duration())),
+            max_document_bytes: node.get("room").size() as usize,
             relays,
         }
     }
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -6,8 +6,8 @@
 use crate::forwarder::Tier;
 use crate::leases::hold::Hold;
 use crate::leases::{self, Keepers, PLANNERS};
-use crate::rollout::member::Task;
-use crate::rollout::Rollout;
+use crate::rollout::member::MemberTask;
+use crate::rollout::RolloutSettings;
 use crate::sockets::tried;
 use crate::{log, rollout};
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
@@ -72,14 +72,14 @@
     name: &str,
     tier: &Tier,
     keepers: Option<&Keepers>,
-    rollout: Option<&Rollout>,
+    rollout: Option<&RolloutSettings>,
     seed: u64,
 ) -> io::Result<()> {
     let clock = Clock::start();
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
     let mut talk = Talk::new(name, Role::Planner, tier, clock, seed).await?;
-    if let Some((set, above)) = rollout.and_then(|set| Some((set, set.above(keepers)?))) {
-        let task = Task::new(name, above, set, None, None, Box::new(|_| {})).await?;
+    if let Some((set, above)) = rollout.and_then(|set| Some((set, set.request_targets(keepers)?))) {
+        let task = MemberTask::new(name, above, set, None, None, Box::new(|_| {})).await?;
         talk.gate = Some(task.gate());
         spawn_local(task.run());
     }
@@ -139,8 +139,8 @@
         }
     }
     if let Some(gate) = &talk.gate {
-        gate.leaves.notify_one();
-        let _ = tokio::time::timeout(rollout::LEAVES, gate.left.notified()).await;
+        gate.leave_requested.notify_one();
+        let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
     let out = talk.members.announce_leaving();
     talk.send(out);
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -8,8 +8,8 @@
 use crate::log;
 use crate::operator;
 use crate::rollout::disk::{VersionDisk, Written};
-use crate::rollout::texts::load;
-use crate::rollout::{check, LEAVES};
+use crate::rollout::document_store::load_versions;
+use crate::rollout::{check_version, LEAVE_TIMEOUT};
 use crate::sockets::tried;
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::messages::{Request, Response};
@@ -106,9 +106,9 @@
     let key = (node_id(name), drawn(name));
     let all = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
     let mut relay = Decider::new(clock.now(), name, key, all, set.most);
-    for version in load(&set.folder) {
+    for version in load_versions(&set.folder) {
         // What a disk garbled is not handed out: members would refuse it under its number.
-        match check(&version, MAX_DOCUMENT_BYTES, None) {
+        match check_version(&version, MAX_DOCUMENT_BYTES, None) {
             Ok(_) => relay.knows(version),
             Err(what) => log!("policy {} was kept and is not handed out: {what}", version.number),
         }
@@ -152,7 +152,7 @@
             _ = term.recv(), if ends.is_none() => {
                 log!("relay {name} leaves");
                 // Its members hold leases of it for so long at the most.
-                ends = Some(clock.now() + set.most + LEAVES.as_millis() as Time * 10);
+                ends = Some(clock.now() + set.most + LEAVE_TIMEOUT.as_millis() as Time * 10);
                 let out = task.relay.leaves(clock.now());
                 task.carry(out);
             }
--- a/crates/server/src/rollout/disk.rs
+++ b/crates/server/src/rollout/disk.rs
@@ -1,6 +1,6 @@
 //! A thread for a disk with versions, which may take its time or never answer: nothing that renews a lease waits for it.
 
-use super::texts::{keep, put, KEPT};
+use super::document_store::{store_version, write_file, MAX_STORED_VERSIONS};
 use crate::log;
 use cypresscleat_rollout::Version;
 use std::io;
@@ -41,11 +41,11 @@
     /// The system's, where it gives no thread.
     pub fn start(folder: &Path) -> io::Result<VersionDisk> {
         let folder = folder.to_path_buf();
-        let (writes, queue) = sync_channel::<Write>(KEPT);
-        let (done, written) = channel(KEPT);
+        let (writes, queue) = sync_channel::<Write>(MAX_STORED_VERSIONS);
+        let (done, written) = channel(MAX_STORED_VERSIONS);
         std::thread::Builder::new().name("texts".into()).spawn(move || {
             for write in queue {
-                let Some(result) = carry_out(&folder, write) else { continue };
+                let Some(result) = perform_write(&folder, write) else { continue };
                 if done.blocking_send(result).is_err() {
                     return;
                 }
@@ -79,14 +79,14 @@
     }
 }
 
-fn carry_out(folder: &Path, write: Write) -> Option<Written> {
+fn perform_write(folder: &Path, write: Write) -> Option<Written> {
     match write {
         Write::Version { version, spared } => {
-            let result = keep(folder, &version, spared).map_err(|error| error.to_string());
+            let result = store_version(folder, &version, spared).map_err(|error| error.to_string());
             Some(Written { number: version.number, result })
         }
         Write::Active(number) => {
-            let _ = put(folder, &folder.join("in_force"), format!("{number}\n").as_bytes());
+            let _ = write_file(folder, &folder.join("in_force"), format!("{number}\n").as_bytes());
             None
         }
     }
--- a/crates/server/src/rollout/texts.rs
+++ b/crates/server/src/rollout/document_store.rs
@@ -5,14 +5,14 @@
 use std::path::{Path, PathBuf};
 
 /// Versions kept on the disk.
-pub const KEPT: usize = 4;
+pub const MAX_STORED_VERSIONS: usize = 4;
 
-fn path(folder: &Path, number: u64) -> PathBuf {
+fn version_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{number:012}.json"))
 }
 
 /// The whole of a file under its name, or nothing of it, whatever happens in between.
-pub fn put(folder: &Path, path: &Path, text: &[u8]) -> io::Result<()> {
+pub fn write_file(folder: &Path, path: &Path, text: &[u8]) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let new = path.with_extension("new");
     let mut file = std::fs::File::create(&new)?;
@@ -23,19 +23,22 @@
 }
 
 /// Keeps a version on the disk, before anybody is told so. `spared` is not removed however many come after it, as all may be dropped.
-pub fn keep(folder: &Path, version: &Version, spared: Option<u64>) -> io::Result<()> {
+pub fn store_version(folder: &Path, version: &Version, spared: Option<u64>) -> io::Result<()> {
     let text = serde_json::to_vec(version).map_err(io::Error::other)?;
-    put(folder, &path(folder, version.number), &text)?;
-    for old in
-        kept(folder).into_iter().rev().skip(KEPT).filter(|old| *old != version.number && Some(*old) != spared)
+    write_file(folder, &version_path(folder, version.number), &text)?;
+    for old in stored_versions(folder)
+        .into_iter()
+        .rev()
+        .skip(MAX_STORED_VERSIONS)
+        .filter(|old| *old != version.number && Some(*old) != spared)
     {
-        let _ = std::fs::remove_file(path(folder, old));
+        let _ = std::fs::remove_file(version_path(folder, old));
     }
     Ok(())
 }
 
 /// Numbers of the versions that are kept, in their order.
-pub fn kept(folder: &Path) -> Vec<u64> {
+pub fn stored_versions(folder: &Path) -> Vec<u64> {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
     let number =
         |entry: std::fs::DirEntry| entry.file_name().to_str()?.strip_suffix(".json")?.parse::<u64>().ok();
@@ -45,9 +48,9 @@
 }
 
 /// Versions that an earlier life kept, in their order; a file that can't be read, or is not what it was, counts as none.
-pub fn load(folder: &Path) -> impl Iterator<Item = Version> + '_ {
-    kept(folder).into_iter().filter_map(|number| {
-        let bytes = std::fs::read(path(folder, number)).ok()?;
+pub fn load_versions(folder: &Path) -> impl Iterator<Item = Version> + '_ {
+    stored_versions(folder).into_iter().filter_map(|number| {
+        let bytes = std::fs::read(version_path(folder, number)).ok()?;
         let version = serde_json::from_slice::<Version>(&bytes).ok()?;
         (version.number == number).then_some(version)
     })
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -1,9 +1,9 @@
 //! The member's task: its socket, its texts on the disk, what is to be done when a version comes in force.
 
+use super::admission_gate::AdmissionGate;
 use super::disk::{VersionDisk, Written};
-use super::gate::Gate;
-use super::texts::{load, KEPT};
-use super::{check, Policy, Rollout};
+use super::document_store::{load_versions, MAX_STORED_VERSIONS};
+use super::{check_version, Policy, RolloutSettings};
 use crate::core::Note;
 use crate::leases::known_replicas::KnownReplicas;
 use crate::leases::wire::Wire;
@@ -24,80 +24,80 @@
 use tokio::time::sleep_until;
 
 /// `CLEAT_TEST_DIES=STEP`, for tests only: the process ends there, at once, in its first change.
-fn dies(step: &str) {
+fn abort_at(step: &str) {
     if std::env::var("CLEAT_TEST_DIES").is_ok_and(|at| at == step) {
         std::process::abort();
     }
 }
 
 /// What is done when a version comes in force, beside what the core does.
-pub type Apply = Box<dyn Fn(&Policy)>;
+pub type ActivationHook = Box<dyn Fn(&Policy)>;
 
-pub struct Task {
+pub struct MemberTask {
     name: String,
-    set: Rollout,
+    settings: RolloutSettings,
     names: Option<Rc<Names>>,
-    gate: Rc<Gate>,
+    gate: Rc<AdmissionGate>,
     /// Where there is a core; a planner goes by the gate alone.
-    queue: Option<Sender<Note>>,
-    apply: Apply,
+    core_queue: Option<Sender<Note>>,
+    apply: ActivationHook,
     socket: UdpSocket,
-    /// Whom it asks: control replicas, or relays.
+    /// The peers that receive the requests: control replicas, or relays.
     replicas: KnownReplicas,
     clock: Steady,
     member: RolloutMember,
     policies: BTreeMap<u64, Policy>,
     /// Checked, and on their way to the disk.
-    checked: BTreeMap<u64, Policy>,
+    pending_writes: BTreeMap<u64, Policy>,
     disk: VersionDisk,
-    last: Option<u64>,
+    last_active: Option<u64>,
 }
 
-impl Task {
-    /// `above` is whom it asks: keepers, or relays.
+impl MemberTask {
+    /// `targets` are the peers that receive the requests: control replicas or relays.
     pub async fn new(
         name: &str,
-        above: &[(String, SocketAddr)],
-        set: &Rollout,
+        targets: &[(String, SocketAddr)],
+        settings: &RolloutSettings,
         names: Option<Rc<Names>>,
-        queue: Option<Sender<Note>>,
-        apply: Apply,
-    ) -> io::Result<Task> {
-        let socket = UdpSocket::bind(from(above)).await.map_err(tried("the rollout's socket"))?;
+        core_queue: Option<Sender<Note>>,
+        apply: ActivationHook,
+    ) -> io::Result<MemberTask> {
+        let socket = UdpSocket::bind(from(targets)).await.map_err(tried("the rollout's socket"))?;
         let clock = Steady::start();
-        let all = above.iter().map(|(name, _)| node_id(name)).collect();
+        let all = targets.iter().map(|(name, _)| node_id(name)).collect();
         let member = RolloutMember::new(clock.now(), name, (node_id(name), drawn(name)), all);
-        let gate = Rc::new(Gate::new(clock, name));
-        let mut task = Task {
+        let gate = Rc::new(AdmissionGate::new(clock, name));
+        let mut task = MemberTask {
             name: name.to_string(),
-            set: set.clone(),
+            settings: settings.clone(),
             names,
             gate,
-            queue,
+            core_queue,
             apply,
             socket,
-            replicas: KnownReplicas::new(name, addresses(above)),
+            replicas: KnownReplicas::new(name, addresses(targets)),
             clock,
             member,
             policies: BTreeMap::from([(0, Policy::default())]),
-            checked: BTreeMap::new(),
-            disk: VersionDisk::start(&set.folder)?,
-            last: None,
+            pending_writes: BTreeMap::new(),
+            disk: VersionDisk::start(&settings.folder)?,
+            last_active: None,
         };
-        task.loads();
-        task.gate.tell("started", 0);
+        task.load_stored_versions();
+        task.gate.record_event("started", 0);
         Ok(task)
     }
 
-    pub fn gate(&self) -> Rc<Gate> {
+    pub fn gate(&self) -> Rc<AdmissionGate> {
         self.gate.clone()
     }
 
     /// What an earlier life kept.
-    fn loads(&mut self) {
-        for version in load(&self.set.folder) {
+    fn load_stored_versions(&mut self) {
+        for version in load_versions(&self.settings.folder) {
             let number = version.number;
-            match check(&version, self.set.room, self.names.as_deref()) {
+            match check_version(&version, self.settings.max_document_bytes, self.names.as_deref()) {
                 Ok(policy) => {
                     self.policies.insert(number, policy);
                     self.member.restore(number);
@@ -105,14 +105,14 @@
                 Err(what) => log!("policy {number} was kept and can't be carried out: {what}"),
             }
         }
-        let text = std::fs::read_to_string(self.set.folder.join("in_force")).unwrap_or_default();
-        self.last = text.trim().parse().ok().filter(|number| self.policies.contains_key(number));
+        let text = std::fs::read_to_string(self.settings.folder.join("in_force")).unwrap_or_default();
+        self.last_active = text.trim().parse().ok().filter(|number| self.policies.contains_key(number));
     }
 
-    fn post(&mut self, asks: Vec<(NodeId, Request)>) {
-        for (to, ask) in asks {
+    fn send_requests(&mut self, requests: Vec<(NodeId, Request)>) {
+        for (to, request) in requests {
             if let Some(to) = self.replicas.next_address(to) {
-                leases::send(&self.socket, to, &Wire::PolicyAsk(ask));
+                leases::send(&self.socket, to, &Wire::PolicyAsk(request));
             }
         }
     }
@@ -122,35 +122,39 @@
         let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         let began = self.clock.now();
         let gate = self.gate.clone();
-        let mut leaving = false;
+        let mut is_leaving = false;
         while !self.member.has_left() {
             let now = self.clock.now();
             if now >= self.member.next_deadline() {
-                self.member.totals = gate.seen.get();
-                let asks = self.member.tick(now);
-                self.post(asks);
+                self.member.totals = gate.totals.get();
+                let requests = self.member.tick(now);
+                self.send_requests(requests);
             }
-            let alone = self.set.alone.map(|alone| began + alone).filter(|_| self.member.active().is_none());
-            if alone.is_some_and(|at| now >= at) && !leaving {
-                let number = self.last.unwrap_or(0);
-                self.set.alone = None;
+            let start_alone_at = self
+                .settings
+                .start_alone_after
+                .map(|delay| began + delay)
+                .filter(|_| self.member.active().is_none());
+            if start_alone_at.is_some_and(|at| now >= at) && !is_leaving {
+                let number = self.last_active.unwrap_or(0);
+                self.settings.start_alone_after = None;
                 log!("no keeper answers: {} begins under policy {number}, which it had last", self.name);
                 self.member.start_alone(number);
             }
-            self.gate.follow(&self.member);
-            self.events().await;
-            let due = self.member.next_deadline().min(alone.unwrap_or(Time::MAX)).min(now + 10_000);
+            self.gate.update(&self.member);
+            self.handle_events().await;
+            let due = self.member.next_deadline().min(start_alone_at.unwrap_or(Time::MAX)).min(now + 10_000);
             let got = tokio::select! {
                 () = sleep_until(self.clock.instant(due)) => continue,
-                () = gate.leaves.notified(), if !leaving => {
-                    leaving = true;
-                    let asks = self.member.leave(self.clock.now());
-                    self.gate.follow(&self.member);
-                    self.post(asks);
+                () = gate.leave_requested.notified(), if !is_leaving => {
+                    is_leaving = true;
+                    let requests = self.member.leave(self.clock.now());
+                    self.gate.update(&self.member);
+                    self.send_requests(requests);
                     continue;
                 }
                 Some(written) = self.disk.next() => {
-                    self.written(written);
+                    self.handle_written(written);
                     continue;
                 }
                 got = self.socket.recv_from(&mut bytes) => got,
@@ -158,11 +162,11 @@
             let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
             match message::decode::<Wire>(&bytes[..size]) {
                 Ok(Wire::PolicyAnswer { from, answer }) if self.replicas.accepts(from, by) => {
-                    self.member.totals = gate.seen.get();
-                    let asks = self.member.handle(self.clock.now(), from, answer);
-                    self.gate.follow(&self.member);
-                    self.post(asks);
-                    self.events().await;
+                    self.member.totals = gate.totals.get();
+                    let requests = self.member.handle(self.clock.now(), from, answer);
+                    self.gate.update(&self.member);
+                    self.send_requests(requests);
+                    self.handle_events().await;
                 }
                 Ok(Wire::At { keeper, address }) if self.replicas.learn(by, keeper, address) => {
                     self.member.add_replica(keeper);
@@ -171,10 +175,10 @@
             }
         }
         self.disk.finish().await;
-        gate.left.notify_one();
+        gate.leave_done.notify_one();
     }
 
-    async fn events(&mut self) {
+    async fn handle_events(&mut self) {
         loop {
             let events: Vec<MemberEvent> = self.member.events().collect();
             if events.is_empty() {
@@ -182,12 +186,12 @@
             }
             for event in events {
                 match event {
-                    MemberEvent::Check { version, .. } => self.checks(*version),
-                    MemberEvent::Activated { number } => self.in_force(number).await,
+                    MemberEvent::Check { version, .. } => self.check_proposed(*version),
+                    MemberEvent::Activated { number } => self.activate(number).await,
                     MemberEvent::LeaseExpired { number } => {
                         log!("out of service: no keeper has renewed the lease on policy {number}");
-                        self.gate.out(number);
-                        self.says(Note::Gate).await;
+                        self.gate.close(number);
+                        self.notify_core(Note::Gate).await;
                     }
                     MemberEvent::Paused { change } => {
                         log!("holds what comes until policy {change} is in force")
@@ -197,49 +201,49 @@
         }
     }
 
-    async fn says(&self, note: Note) {
-        if let Some(queue) = &self.queue {
-            let _ = queue.send(note).await;
+    async fn notify_core(&self, note: Note) {
+        if let Some(core_queue) = &self.core_queue {
+            let _ = core_queue.send(note).await;
         }
     }
 
     /// Checks a version in full. One that can be carried out is put on the disk before a word of that leaves.
-    fn checks(&mut self, version: Version) {
+    fn check_proposed(&mut self, version: Version) {
         let number = version.number;
         // It came again, as its check takes long.
-        if self.checked.contains_key(&number) {
+        if self.pending_writes.contains_key(&number) {
             return;
         }
-        dies("before_check");
-        let refused = match check(&version, self.set.room, self.names.as_deref()) {
+        abort_at("before_check");
+        let refused = match check_version(&version, self.settings.max_document_bytes, self.names.as_deref()) {
             // The last one is spared: changes that are dropped may be many.
-            Ok(policy) if self.disk.write_version(version, self.last) => {
-                self.checked.insert(number, policy);
+            Ok(policy) if self.disk.write_version(version, self.last_active) => {
+                self.pending_writes.insert(number, policy);
                 return;
             }
             Ok(_) => "it can't be kept: the disk is behind".to_string(),
             Err(what) => what,
         };
-        self.tells_verdict(number, Verdict::Refused(truncate(&refused, MAX_REASON_BYTES)));
+        self.report_verdict(number, Verdict::Refused(truncate(&refused, MAX_REASON_BYTES)));
     }
 
     /// A version is on the disk, or can't be.
-    fn written(&mut self, Written { number, result }: Written) {
-        let Some(policy) = self.checked.remove(&number) else { return };
+    fn handle_written(&mut self, Written { number, result }: Written) {
+        let Some(policy) = self.pending_writes.remove(&number) else { return };
         let verdict = match result {
             Ok(()) => {
                 self.policies.insert(number, policy);
-                self.forgets_old_policies();
+                self.remove_old_policies();
                 Verdict::Prepared
             }
             Err(error) => Verdict::Refused(truncate(&format!("it can't be kept: {error}"), MAX_REASON_BYTES)),
         };
-        self.tells_verdict(number, verdict);
+        self.report_verdict(number, verdict);
     }
 
-    fn forgets_old_policies(&mut self) {
-        let spared = [Some(0), self.last, Some(self.member.told().0)];
-        while self.policies.len() > KEPT + 2 {
+    fn remove_old_policies(&mut self) {
+        let spared = [Some(0), self.last_active, Some(self.member.last_reported().0)];
+        while self.policies.len() > MAX_STORED_VERSIONS + 2 {
             let mut old = self.policies.keys().copied();
             let Some(old) = old.find(|known| !spared.contains(&Some(*known))) else {
                 break;
@@ -248,21 +252,21 @@
         }
     }
 
-    fn tells_verdict(&mut self, number: u64, verdict: Verdict) {
+    fn report_verdict(&mut self, number: u64, verdict: Verdict) {
         if let Verdict::Refused(what) = &verdict {
             log!("policy {number} can't be carried out here: {what}");
         }
-        dies("kept");
-        let asks = self.member.record_verdict(self.clock.now(), number, verdict);
-        self.gate.follow(&self.member);
-        self.post(asks);
-        dies("said_yes");
+        abort_at("kept");
+        let requests = self.member.record_verdict(self.clock.now(), number, verdict);
+        self.gate.update(&self.member);
+        self.send_requests(requests);
+        abort_at("said_yes");
     }
 
-    async fn in_force(&mut self, number: u64) {
+    async fn activate(&mut self, number: u64) {
         let Some(policy) = self.policies.get(&number).cloned() else { return };
         if number > 0 {
-            dies("heard");
+            abort_at("heard");
         }
         let rules = policy.rules;
         log!(
@@ -271,15 +275,15 @@
             rules.lease / 10
         );
         (self.apply)(&policy);
-        match self.queue {
-            Some(_) => self.says(Note::Policy { number, pools: policy.pools }).await,
+        match self.core_queue {
+            Some(_) => self.notify_core(Note::Policy { number, pools: policy.pools }).await,
             None => self.gate.apply(number),
         }
         if number > 0 {
-            dies("in_force");
+            abort_at("in_force");
         }
-        if self.last != Some(number) {
-            self.last = Some(number);
+        if self.last_active != Some(number) {
+            self.last_active = Some(number);
             self.disk.write_active(number);
         }
     }
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -2,11 +2,11 @@
 //! socket, and the gate by which the core goes. No invocation ever waits for a keeper, but for the moment in which a change that stops
 //! all goes through.
 
-pub mod ask;
+pub mod admission_gate;
 pub mod disk;
-pub mod gate;
+pub mod document_store;
 pub mod member;
-pub mod texts;
+pub mod policy_command;
 
 use crate::leases::Keepers;
 use crate::operator::{self, Wrong};
@@ -18,24 +18,24 @@
 use std::path::PathBuf;
 
 /// What leaving may take: the keepers' lease ends by itself.
-pub const LEAVES: std::time::Duration = std::time::Duration::from_millis(500);
+pub const LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// The member, as the operator's file has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rollout {
+pub struct RolloutSettings {
     /// Where it keeps versions.
     pub folder: PathBuf,
     /// Without a keeper's word for so long it begins under the version that it had in force last.
-    pub alone: Option<Time>,
+    pub start_alone_after: Option<Time>,
     /// Longest text that it has room for, in bytes.
-    pub room: usize,
+    pub max_document_bytes: usize,
     /// Whom it asks in place of the keepers; none: the keepers.
     pub relays: Vec<(String, SocketAddr)>,
 }
 
-impl Rollout {
+impl RolloutSettings {
     /// Whom a member asks: its zone's relays where it has any, else the keepers. Nobody where there is neither.
-    pub fn above<'a>(&'a self, keepers: Option<&'a Keepers>) -> Option<&'a [(String, SocketAddr)]> {
+    pub fn request_targets<'a>(&'a self, keepers: Option<&'a Keepers>) -> Option<&'a [(String, SocketAddr)]> {
         match keepers {
             _ if !self.relays.is_empty() => Some(&self.relays),
             keepers => keepers.map(|keepers| &keepers.all[..]),
@@ -55,17 +55,21 @@
 }
 
 /// Without `names` operations are taken as they stand. An empty text is each instance's own file.
-pub fn read(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
+pub fn parse_policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
     operator::policy(name, text, names)
 }
 
 /// Whether this instance can carry it out, in full: its room, the text against its own settings, and that the rules which the keepers
 /// go by are those of the text.
-pub fn check(version: &Version, room: usize, names: Option<&Names>) -> Result<Policy, String> {
-    if version.document.len() > room {
-        return Err(format!("a text of {} bytes, room for {room}", version.document.len()));
+pub fn check_version(
+    version: &Version,
+    max_document_bytes: usize,
+    names: Option<&Names>,
+) -> Result<Policy, String> {
+    if version.document.len() > max_document_bytes {
+        return Err(format!("a text of {} bytes, room for {max_document_bytes}", version.document.len()));
     }
-    let policy = read("policy", &version.document, names)
+    let policy = parse_policy("policy", &version.document, names)
         .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.shown))?;
     if policy.rules != version.rules || policy.hash != version.hash {
         return Err("its rules or its hash are not those of its text".into());
--- a/crates/server/src/rollout/ask.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -3,7 +3,7 @@
 
 use crate::leases::wire::{Asker, Heard, Wire};
 use crate::operator::{self, Operator};
-use crate::rollout::read;
+use crate::rollout::parse_policy;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
 use cypresscleat_rollout::state::{Outcome, Stage, Version};
 use cypresscleat_rollout::{node_id, truncate, MemberKey, MAX_NAME_BYTES, MAX_REASON_BYTES};
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum PolicyAction {
     Check,
     Propose,
     Status,
@@ -26,16 +26,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Words {
-    pub what: What,
-    pub text: Option<PathBuf>,
+pub struct PolicyArgs {
+    pub action: PolicyAction,
+    pub file: Option<PathBuf>,
     pub why: String,
     pub by: String,
     pub version: Option<u64>,
-    pub from: Option<u64>,
+    pub parent: Option<u64>,
     pub instance: String,
     /// Seconds for which a change is watched.
-    pub wait: u64,
+    pub wait_s: u64,
     /// How things stand at the relay that hears there, in place of the keepers.
     pub relay: Option<SocketAddr>,
     pub json: bool,
@@ -49,16 +49,16 @@
 const UNDECIDED: u8 = 5;
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Why it ends: a code, and words.
+/// Why it ends: an exit code and a message.
 type End = (u8, String);
 
 fn none() -> End {
     (NO_QUORUM, "no quorum of keepers answers".into())
 }
 
-pub fn start(path: &Path, words: &Words) -> ExitCode {
+pub fn start(path: &Path, args: &PolicyArgs) -> ExitCode {
     let done = operator::read(path, None).map_err(|wrong| (BAD, wrong.shown)).and_then(|(operator, _)| {
-        let found = run(&operator, words).map_err(|error| (1, error.to_string()));
+        let found = run(&operator, args).map_err(|error| (1, error.to_string()));
         found.and_then(|found| found)
     });
     let code = match done {
@@ -66,7 +66,7 @@
             let _ = io::stdout().write_all(text.as_bytes());
             GOOD
         }
-        Err((code, what)) if words.json => {
+        Err((code, what)) if args.json => {
             let number =
                 what.strip_prefix("policy ").and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
             println!("{}", json!({"error": what, "code": code, "version": number}));
@@ -80,35 +80,35 @@
     ExitCode::from(code)
 }
 
-fn run(operator: &Operator, words: &Words) -> io::Result<Result<String, End>> {
-    if words.what == What::Check {
-        return Ok(text(words).map(|(_, version)| format!("good, {:016x}\n", version.hash)));
+fn run(operator: &Operator, args: &PolicyArgs) -> io::Result<Result<String, End>> {
+    if args.action == PolicyAction::Check {
+        return Ok(text(args).map(|(_, version)| format!("good, {:016x}\n", version.hash)));
     }
-    if let Some(relay) = words.relay {
-        if words.what != What::Status {
+    if let Some(relay) = args.relay {
+        if args.action != PolicyAction::Status {
             return Ok(Err((BAD, "--relay goes with status only".into())));
         }
         let found = status(&mut Asker::at_address(relay)?)?;
         let silent = || (NO_QUORUM, format!("no relay answers at {relay}"));
-        return Ok(found.map(|found| found.shown(words.json)).ok_or_else(silent));
+        return Ok(found.map(|found| found.shown(args.json)).ok_or_else(silent));
     }
     let Some(keepers) = &operator.keepers else {
         return Ok(Err((BAD, "no keepers in the operator's file".into())));
     };
     let mut asker = Asker::new(keepers)?;
-    match words.what {
-        What::Check => Ok(Ok(String::new())),
-        What::Propose => match text(words) {
-            Ok((_, version)) => proposes(&mut asker, version, words),
+    match args.action {
+        PolicyAction::Check => Ok(Ok(String::new())),
+        PolicyAction::Propose => match text(args) {
+            Ok((_, version)) => proposes(&mut asker, version, args),
             Err(end) => Ok(Err(end)),
         },
-        What::Undo => undoes(&mut asker, words),
-        What::Status => {
-            status(&mut asker).map(|found| found.map(|found| found.shown(words.json)).ok_or_else(none))
+        PolicyAction::Undo => undoes(&mut asker, args),
+        PolicyAction::Status => {
+            status(&mut asker).map(|found| found.map(|found| found.shown(args.json)).ok_or_else(none))
         }
-        What::History => history(&mut asker, words),
-        What::Show => {
-            let number = match words.version {
+        PolicyAction::History => history(&mut asker, args),
+        PolicyAction::Show => {
+            let number = match args.version {
                 Some(number) => number,
                 None => match status(&mut asker)? {
                     Some(found) => found.now,
@@ -118,15 +118,15 @@
             Ok(match fetch(&mut asker, number)? {
                 None => Err(none()),
                 Some(None) => Err((BAD, format!("there is no version {number}, or it is no longer known"))),
-                Some(Some(version)) if words.json => Ok(format!("{}\n", shown(&version, true))),
+                Some(Some(version)) if args.json => Ok(format!("{}\n", shown(&version, true))),
                 Some(Some(version)) => Ok(format!("{}\n{}", head(&version), version.document)),
             })
         }
-        What::Forget => {
-            if words.instance.is_empty() {
+        PolicyAction::Forget => {
+            if args.instance.is_empty() {
                 return Ok(Err((BAD, "--instance says which".into())));
             }
-            let ask = Request::Forget { number: number(), member: node_id(&words.instance) };
+            let ask = Request::Forget { number: number(), member: node_id(&args.instance) };
             let done = asks(&mut asker, ask, |answer| matches!(answer, Response::Done { .. }).then_some(()))?;
             Ok(done.map(|()| "decided\n".into()).ok_or_else(none))
         }
@@ -150,16 +150,16 @@
 }
 
 /// The text of the file, checked as far as it can be here, as a version that is to be proposed.
-fn text(words: &Words) -> Result<(String, Version), End> {
-    let Some(path) = &words.text else { return Err((BAD, "--text names the file of the policy".into())) };
+fn text(args: &PolicyArgs) -> Result<(String, Version), End> {
+    let Some(path) = &args.file else { return Err((BAD, "--text names the file of the policy".into())) };
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| (BAD, format!("{name}: {error}")))?;
-    let policy = read(&name, &text, None).map_err(|wrong| (BAD, wrong.shown))?;
+    let policy = parse_policy(&name, &text, None).map_err(|wrong| (BAD, wrong.shown))?;
     let version = Version {
         hash: policy.hash,
-        by: truncate(&words.by, MAX_NAME_BYTES),
+        by: truncate(&args.by, MAX_NAME_BYTES),
         at_ms: (crate::clock::unix() / 10) as u64,
-        why: truncate(&words.why, MAX_REASON_BYTES),
+        why: truncate(&args.why, MAX_REASON_BYTES),
         rules: policy.rules,
         document: text,
         ..Version::default()
@@ -266,19 +266,19 @@
     all
 }
 
-fn history(asker: &mut Asker, words: &Words) -> io::Result<Result<String, End>> {
+fn history(asker: &mut Asker, args: &PolicyArgs) -> io::Result<Result<String, End>> {
     let Some((taken, dropped)) = past(asker)? else { return Ok(Err(none())) };
     let mut all: Vec<(u64, String)> = Vec::new();
     for (at, version) in taken.iter().enumerate().filter(|(_, version)| version.number > 0) {
         let how = if at == 0 { "in force" } else { "taken" };
-        let line = match words.json {
+        let line = match args.json {
             true => json!({"taken": true, "in_force": at == 0, "of": shown(version, false)}).to_string(),
             false => format!("{how}  {}", head(version).trim_start_matches("// ")),
         };
         all.push((version.number, line));
     }
     for one in dropped {
-        let line = match words.json {
+        let line = match args.json {
             true => {
                 json!({"taken": false, "version": one.number, "by": one.by, "reason": one.reason}).to_string()
             }
@@ -318,39 +318,39 @@
     text
 }
 
-fn undoes(asker: &mut Asker, words: &Words) -> io::Result<Result<String, End>> {
+fn undoes(asker: &mut Asker, args: &PolicyArgs) -> io::Result<Result<String, End>> {
     let Some(found) = status(asker)? else { return Ok(Err(none())) };
     let Some(Some(now)) = fetch(asker, found.now)? else { return Ok(Err(none())) };
-    let back = words.version.unwrap_or(now.parent);
+    let back = args.version.unwrap_or(now.parent);
     let Some(old) = fetch(asker, back)? else { return Ok(Err(none())) };
     let Some(old) = old.filter(|_| now.number != 0) else {
         return Ok(Err((BAD, format!("there is no version {back} to go back to"))));
     };
-    let why = if words.why.is_empty() { format!("back to {back}") } else { words.why.clone() };
+    let why = if args.why.is_empty() { format!("back to {back}") } else { args.why.clone() };
     let version = Version {
         parent: found.now,
-        by: truncate(&words.by, MAX_NAME_BYTES),
+        by: truncate(&args.by, MAX_NAME_BYTES),
         at_ms: (crate::clock::unix() / 10) as u64,
         why: truncate(&why, MAX_REASON_BYTES),
         undoes: false,
         ..*old
     };
-    follows(asker, version, words)
+    follows(asker, version, args)
 }
 
-fn proposes(asker: &mut Asker, mut version: Version, words: &Words) -> io::Result<Result<String, End>> {
-    version.parent = match words.from {
+fn proposes(asker: &mut Asker, mut version: Version, args: &PolicyArgs) -> io::Result<Result<String, End>> {
+    version.parent = match args.parent {
         Some(from) => from,
         None => match status(asker)? {
             Some(found) => found.now,
             None => return Ok(Err(none())),
         },
     };
-    follows(asker, version, words)
+    follows(asker, version, args)
 }
 
 /// Proposes, and watches until it is decided.
-fn follows(asker: &mut Asker, version: Version, words: &Words) -> io::Result<Result<String, End>> {
+fn follows(asker: &mut Asker, version: Version, args: &PolicyArgs) -> io::Result<Result<String, End>> {
     let asked = number();
     let ask = Request::Propose { number: asked, version: version.clone() };
     let outcome = asks(asker, ask, |answer| match answer {
@@ -374,12 +374,12 @@
         }
         Some(_) => return Ok(Err((BAD, "past a bound: a text of 16 KiB at most".into()))),
     };
-    let until = Instant::now() + Duration::from_secs(words.wait);
-    let live = io::stderr().is_terminal() && !words.json;
+    let until = Instant::now() + Duration::from_secs(args.wait_s);
+    let live = io::stderr().is_terminal() && !args.json;
     loop {
         let Some((taken, dropped)) = past(asker)? else { return Ok(Err(none())) };
         if taken.iter().any(|one| one.number == number) {
-            let text = match words.json {
+            let text = match args.json {
                 true => format!("{}\n", json!({"version": number, "taken": true})),
                 false => format!("policy {number} is in force\n"),
             };
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -15,7 +15,7 @@
 use cypresscleat_rollout::{Rules, UnreachableMembers, Version, WatchRules};
 use cypresscleat_server::leases::agreed::Agreed;
 use cypresscleat_server::leases::wire::Wire;
-use cypresscleat_server::rollout::{self, texts};
+use cypresscleat_server::rollout::{self, document_store};
 use recorded::assert_recorded;
 use std::path::{Path, PathBuf};
 
@@ -112,7 +112,7 @@
 fn policies_keep_their_hash_and_rules() {
     let mut lines = Vec::new();
     for (name, document) in DOCUMENTS {
-        let policy = rollout::read("policy", document, None).expect("a policy");
+        let policy = rollout::parse_policy("policy", document, None).expect("a policy");
         let rules = postcard::to_stdvec(&policy.rules).expect("rules");
         lines.push((format!("{name}_hash"), policy.hash.to_be_bytes().to_vec()));
         lines.push((format!("{name}_rules"), rules));
@@ -152,13 +152,15 @@
 fn a_member_reads_and_writes_the_folder_of_an_earlier_version() {
     let golden = golden_folder().join("member");
     if std::env::var_os("RECORD_GOLDEN").is_some() {
-        versions().iter().for_each(|version| texts::keep(&golden, version, None).expect("it is kept"));
+        versions()
+            .iter()
+            .for_each(|version| document_store::store_version(&golden, version, None).expect("it is kept"));
     }
-    assert_eq!(texts::kept(&golden), [3, 12]);
-    assert_eq!(texts::load(&golden).collect::<Vec<_>>(), versions());
+    assert_eq!(document_store::stored_versions(&golden), [3, 12]);
+    assert_eq!(document_store::load_versions(&golden).collect::<Vec<_>>(), versions());
     let folder = std::env::temp_dir().join(format!("golden-member-{}", std::process::id()));
     for version in versions() {
-        texts::keep(&folder, &version, None).expect("it is kept");
+        document_store::store_version(&folder, &version, None).expect("it is kept");
     }
     for entry in std::fs::read_dir(&golden).expect("the golden folder").flatten() {
         let bytes = |folder: &Path| std::fs::read(folder.join(entry.file_name())).expect("a file");
--- a/crates/server/tests/member_disk.rs
+++ b/crates/server/tests/member_disk.rs
@@ -5,8 +5,8 @@
 use cypresscleat_rollout::messages::{Request, Response, Verdict};
 use cypresscleat_rollout::{node_id, Time, Version, MAX_DOCUMENT_BYTES, SECOND};
 use cypresscleat_server::leases::wire::Wire;
-use cypresscleat_server::rollout::member::Task;
-use cypresscleat_server::rollout::Rollout;
+use cypresscleat_server::rollout::member::MemberTask;
+use cypresscleat_server::rollout::RolloutSettings;
 use std::net::SocketAddr;
 use std::process::Command;
 use std::time::Duration;
@@ -67,17 +67,21 @@
     let (denied, verdict) = runtime.block_on(async {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let above = [("k".to_string(), socket.local_addr().expect("an address"))];
-        let set =
-            Rollout { folder: folder.clone(), alone: None, room: MAX_DOCUMENT_BYTES, relays: Vec::new() };
-        let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
+        let set = RolloutSettings {
+            folder: folder.clone(),
+            start_alone_after: None,
+            max_document_bytes: MAX_DOCUMENT_BYTES,
+            relays: Vec::new(),
+        };
+        let task = MemberTask::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let looks = async {
-            while gate.may() == AdmissionPermit::Deny {
+            while gate.permit() == AdmissionPermit::Deny {
                 sleep(Duration::from_millis(5)).await;
             }
             let (until, mut denied) = (Instant::now() + STALL, 0);
             while Instant::now() < until {
-                denied += u32::from(gate.may() != AdmissionPermit::Admit(0));
+                denied += u32::from(gate.permit() != AdmissionPermit::Admit(0));
                 sleep(Duration::from_millis(20)).await;
             }
             denied
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -11,8 +11,8 @@
 use cypresscleat_rollout::{node_id, MemberKey, MAX_DOCUMENT_BYTES, SECOND};
 use cypresscleat_server::leases::agreed::Agreed;
 use cypresscleat_server::leases::wire::Wire;
-use cypresscleat_server::rollout::member::Task;
-use cypresscleat_server::rollout::{texts, Rollout};
+use cypresscleat_server::rollout::member::MemberTask;
+use cypresscleat_server::rollout::{document_store, RolloutSettings};
 use tokio::net::UdpSocket;
 
 #[test]
@@ -116,9 +116,13 @@
         let keeper = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let above = [("k".to_string(), keeper.local_addr().expect("an address"))];
-        let set =
-            Rollout { folder: folder.clone(), alone: None, room: MAX_DOCUMENT_BYTES, relays: Vec::new() };
-        let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
+        let set = RolloutSettings {
+            folder: folder.clone(),
+            start_alone_after: None,
+            max_document_bytes: MAX_DOCUMENT_BYTES,
+            relays: Vec::new(),
+        };
+        let task = MemberTask::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let plays = async {
             for (socket, may) in [(&stranger, AdmissionPermit::Deny), (&keeper, AdmissionPermit::Admit(0))] {
@@ -142,7 +146,7 @@
                 while may != AdmissionPermit::Deny && joins {
                     joins = asking(&keeper).await.3;
                 }
-                assert_eq!((joins, gate.may()), (may == AdmissionPermit::Deny, may));
+                assert_eq!((joins, gate.permit()), (may == AdmissionPermit::Deny, may));
             }
         };
         tokio::select! {
@@ -177,8 +181,8 @@
     runtime.block_on(async {
         let keeper = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let above = [("k".to_string(), keeper.local_addr().expect("an address"))];
-        let set = Rollout { folder: folder.clone(), alone: None, room: MAX_DOCUMENT_BYTES, relays: Vec::new() };
-        let task = Task::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
+        let set = RolloutSettings { folder: folder.clone(), start_alone_after: None, max_document_bytes: MAX_DOCUMENT_BYTES, relays: Vec::new() };
+        let task = MemberTask::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
         let plays = async {
             let (mut check, mut gone, mut bytes) = (0, false, vec![0; message::MAX_DATAGRAM_BYTES]);
@@ -209,8 +213,8 @@
                     other => panic!("{other:?}"),
                 }
             }
-            assert_eq!(gate.may(), AdmissionPermit::Admit(1), "taken in anew");
-            assert!(texts::kept(&folder).contains(&1), "{:?}", texts::kept(&folder));
+            assert_eq!(gate.permit(), AdmissionPermit::Admit(1), "taken in anew");
+            assert!(document_store::stored_versions(&folder).contains(&1), "{:?}", document_store::stored_versions(&folder));
         };
         tokio::select! {
             () = task.run() => panic!("it ended"),
