--- a/crates/experiments/src/relays.rs
+++ b/crates/experiments/src/relays.rs
@@ -4,7 +4,7 @@
 
 use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_rollout::{Rules, Time, MS, SECOND};
-use cypresscleat_rollout_relay::sim::{Play, Setup, Traffic};
+use cypresscleat_rollout_relay::simulation::{Simulation, SimulationConfig, Traffic};
 
 const ZONES: usize = 17;
 const REGIONS: usize = 8;
@@ -29,14 +29,14 @@
         for one in all {
             sum.sent += one.sent;
             sum.sent_bytes += one.sent_bytes;
-            sum.heard += one.heard;
-            sum.heard_bytes += one.heard_bytes;
+            sum.received += one.received;
+            sum.received_bytes += one.received_bytes;
             many += 1;
         }
         let each = |sum: u64| sum as f64 / many.max(1) as f64 * SECOND as f64 / time.max(1) as f64;
         Rate {
-            heard: each(sum.heard),
-            heard_bytes: each(sum.heard_bytes),
+            heard: each(sum.received),
+            heard_bytes: each(sum.received_bytes),
             sent: each(sum.sent),
             sent_bytes: each(sum.sent_bytes),
         }
@@ -68,39 +68,45 @@
     wrong: usize,
 }
 
-fn setup(members: usize, relays: usize) -> Setup {
+fn setup(members: usize, relays: usize) -> SimulationConfig {
     let rules = Rules { lease: 2 * SECOND, ..Rules::default() };
-    let near = Setup { zones: ZONES, regions: REGIONS, far: 40 * MS, between: 5 * MS, ..Setup::default() };
-    Setup { members, relays, direct: 0, rules, most: 2 * SECOND, ..near }
+    let near = SimulationConfig {
+        zones: ZONES,
+        regions: REGIONS,
+        inter_region_delay: 40 * MS,
+        replica_delay: 5 * MS,
+        ..SimulationConfig::default()
+    };
+    SimulationConfig { members, relays, direct_members: 0, rules, max_lease: 2 * SECOND, ..near }
 }
 
 /// All joined and settled; None where that never came.
-fn begins(members: usize, relays: usize, seed: u64) -> Option<Play> {
-    let mut play = Play::new(setup(members, relays), seed);
-    while play.admitting(0) < members {
-        if play.world.now >= END {
+fn begins(members: usize, relays: usize, seed: u64) -> Option<Simulation> {
+    let mut play = Simulation::new(setup(members, relays), seed);
+    while play.admitting_members(0) < members {
+        if play.consensus.now >= END {
             return None;
         }
-        let until = play.world.now + 100 * MS;
+        let until = play.consensus.now + 100 * MS;
         play.run(until);
     }
     Some(play)
 }
 
-fn clear(play: &mut Play) {
-    play.places.iter_mut().for_each(|one| one.traffic = Traffic::default());
-    play.keepers.iter_mut().for_each(|one| *one = Traffic::default());
+fn clear(play: &mut Simulation) {
+    play.processes.iter_mut().for_each(|one| one.traffic = Traffic::default());
+    play.replica_traffic.iter_mut().for_each(|one| *one = Traffic::default());
 }
 
-fn runs(play: &mut Play, time: Time) {
-    let until = play.world.now + time;
+fn runs(play: &mut Simulation, time: Time) {
+    let until = play.consensus.now + time;
     play.run(until);
 }
 
 /// The traffic of all members, all relays and the keeper that heard most.
-fn parts(play: &Play) -> [Vec<&Traffic>; 3] {
-    let (relays, members) = play.places.split_at(play.first_member);
-    let leader = play.keepers.iter().max_by_key(|one| one.heard);
+fn parts(play: &Simulation) -> [Vec<&Traffic>; 3] {
+    let (relays, members) = play.processes.split_at(play.first_member);
+    let leader = play.replica_traffic.iter().max_by_key(|one| one.received);
     [
         members.iter().map(|one| &one.traffic).collect(),
         relays.iter().map(|one| &one.traffic).collect(),
@@ -108,10 +114,10 @@
     ]
 }
 
-fn peaks(play: &Play) -> [(u64, u64); 3] {
+fn peaks(play: &Simulation) -> [(u64, u64); 3] {
     parts(play).map(|all| {
         let of = |figure: fn(&Traffic) -> u64| all.iter().map(|one| figure(one)).max().unwrap_or(0);
-        (of(|one| one.peak), of(|one| one.peak_bytes))
+        (of(|one| one.peak_messages), of(|one| one.peak_bytes))
     })
 }
 
@@ -128,7 +134,7 @@
         figures.never += members;
         return;
     };
-    play.world.network.loss_one_in = lost;
+    play.consensus.network.loss_one_in = lost;
     runs(&mut play, 2 * SECOND);
     clear(&mut play);
     runs(&mut play, 8 * SECOND);
@@ -139,21 +145,23 @@
     let gone = |at: usize| {
         down && if at < first { at.is_multiple_of(2) && at % 5 < 3 } else { (at - first) % 10 < 3 }
     };
-    let all = 0..play.places.len();
+    let all = 0..play.processes.len();
     all.clone().filter(|at| gone(*at)).for_each(|at| play.kill(at));
     clear(&mut play);
-    let began = play.world.now;
+    let began = play.consensus.now;
     let text: String = "x".repeat(DOCUMENT_BYTES);
-    play.propose(0, Rules { barrier: together, ..play.setup.rules }, &text);
+    play.propose(0, Rules { barrier: together, ..play.config.rules }, &text);
     let there: Vec<usize> = all.filter(|at| *at >= first && !gone(*at)).collect();
     // Until each has had it once: where letters are lost one or the other is without a lease for a moment.
-    while play.world.now < began + END && !there.iter().all(|at| play.places[*at].began.0 == 1) {
-        let until = play.world.now + 20 * MS;
+    while play.consensus.now < began + END
+        && !there.iter().all(|at| play.processes[*at].last_activation.0 == 1)
+    {
+        let until = play.consensus.now + 20 * MS;
         play.run(until);
     }
     figures.decided.push(play.decided.get(&1).map_or(END, |one| one.0 - began));
     for at in &there {
-        let (number, time) = play.places[*at].began;
+        let (number, time) = play.processes[*at].last_activation;
         figures.in_force.push(if number == 1 { time - began } else { END });
         figures.never += usize::from(number != 1);
     }
@@ -162,8 +170,8 @@
         *sum = (sum.0.max(peak.0), sum.1.max(peak.1));
     }
     let others =
-        there.iter().any(|at| !matches!(play.may(*at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
-    figures.wrong += usize::from(play.wrong.is_some() || play.world.violation.is_some() || others);
+        there.iter().any(|at| !matches!(play.permit(*at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
+    figures.wrong += usize::from(play.violation.is_some() || play.consensus.violation.is_some() || others);
 }
 
 /// Ms until decided; until in force as p50, p99, most.
@@ -182,29 +190,30 @@
     let Some(mut play) = begins(members, relays, 1) else { return "never settled | | | | | |".into() };
     let region = REGIONS - 1;
     let of: Vec<usize> =
-        (play.first_member..play.places.len()).filter(|at| play.places[*at].region == region).collect();
-    play.parts(region);
+        (play.first_member..play.processes.len()).filter(|at| play.processes[*at].region == region).collect();
+    play.isolate_region(region);
     runs(&mut play, 4 * SECOND);
-    let began = play.world.now;
-    play.propose(0, play.setup.rules, &"x".repeat(DOCUMENT_BYTES));
-    while play.now() != 1 && play.world.now < began + END {
+    let began = play.consensus.now;
+    play.propose(0, play.config.rules, &"x".repeat(DOCUMENT_BYTES));
+    while play.active_version() != 1 && play.consensus.now < began + END {
         runs(&mut play, 20 * MS);
     }
-    let decided = (play.world.now - began) / MS;
+    let decided = (play.consensus.now - began) / MS;
     runs(&mut play, APART);
     clear(&mut play);
     runs(&mut play, 8 * SECOND);
     let rest = Rate::of(parts(&play)[2].iter().copied(), 8 * SECOND);
     clear(&mut play);
-    let back = play.world.now;
-    play.joined();
-    while of.iter().any(|at| play.may(*at) != AdmissionPermit::Admit(1)) && play.world.now < back + END {
+    let back = play.consensus.now;
+    play.reconnect_regions();
+    while of.iter().any(|at| play.permit(*at) != AdmissionPermit::Admit(1)) && play.consensus.now < back + END
+    {
         runs(&mut play, 20 * MS);
     }
-    let took = (play.world.now - back) / MS;
+    let took = (play.consensus.now - back) / MS;
     runs(&mut play, SECOND);
     let peak = peaks(&play)[2];
-    let wrong = if play.wrong.is_some() { "yes" } else { "no" };
+    let wrong = if play.violation.is_some() { "yes" } else { "no" };
     format!(
         "{} | {decided} | {took} | {:.0} / {:.0} | {} / {} | {wrong}",
         of.len(),
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -9,7 +9,7 @@
 use crate::leases::Keepers;
 use crate::listeners::routes::{From, Route, Routes};
 use crate::recovery::Durability;
-use crate::relay::Relay;
+use crate::relay::RelayConfig;
 use crate::rollout::{Policy, Rollout};
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
@@ -41,7 +41,7 @@
     pub settle: Option<Settle>,
     pub sums: Option<Sums>,
     pub rollout: Option<Rollout>,
-    pub relay: Option<Relay>,
+    pub relay: Option<RelayConfig>,
 }
 
 /// The store, as configured.
@@ -325,11 +325,11 @@
         }
     }
 
-    fn relay(&mut self, node: &Node) -> Option<Relay> {
-        Some(Relay {
+    fn relay(&mut self, node: &Node) -> Option<RelayConfig> {
+        Some(RelayConfig {
             listen: node.get("listen").address()?,
             folder: node.get("folder").text().into(),
-            most: time(node.get("most").duration()),
+            max_lease: time(node.get("most").duration()),
         })
     }
 
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -14,7 +14,7 @@
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::messages::{Request, Response};
 use cypresscleat_rollout::{node_id, NodeId, MAX_DOCUMENT_BYTES};
-use cypresscleat_rollout_relay::{Out, Relay as Decider};
+use cypresscleat_rollout_relay::{Out, Relay};
 use cypresscleat_scheduler::Time;
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -32,13 +32,13 @@
 
 /// A relay, as the operator's file has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Relay {
+pub struct RelayConfig {
     /// Where members find it.
     pub listen: SocketAddr,
     /// Where it keeps versions.
     pub folder: PathBuf,
     /// The longest lease that it gives.
-    pub most: Time,
+    pub max_lease: Time,
 }
 
 counters! { Counters;
@@ -81,7 +81,7 @@
     above: UdpSocket,
     replicas: KnownReplicas,
     clock: Steady,
-    relay: Decider<SocketAddr>,
+    relay: Relay<SocketAddr>,
     disk: VersionDisk,
     /// Texts that the disk's thread had no room for, and that the relay is still to hear of.
     unkept: VecDeque<Written>,
@@ -91,7 +91,7 @@
 }
 
 /// Until it is told to stop, and has left or waited long enough for that.
-async fn run(name: &str, keepers: &Keepers, set: &Relay) -> io::Result<()> {
+async fn run(name: &str, keepers: &Keepers, set: &RelayConfig) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
     let named = tried(format!("relay {name} on {}", set.listen));
@@ -105,7 +105,7 @@
     let clock = Steady::start();
     let key = (node_id(name), drawn(name));
     let all = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
-    let mut relay = Decider::new(clock.now(), name, key, all, set.most);
+    let mut relay = Relay::new(clock.now(), name, key, all, set.max_lease);
     for version in load(&set.folder) {
         // What a disk garbled is not handed out: members would refuse it under its number.
         match check(&version, MAX_DOCUMENT_BYTES, None) {
@@ -152,7 +152,7 @@
             _ = term.recv(), if ends.is_none() => {
                 log!("relay {name} leaves");
                 // Its members hold leases of it for so long at the most.
-                ends = Some(clock.now() + set.most + LEAVES.as_millis() as Time * 10);
+                ends = Some(clock.now() + set.max_lease + LEAVES.as_millis() as Time * 10);
                 let out = task.relay.leaves(clock.now());
                 task.carry(out);
             }
