--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -9,7 +9,7 @@
 use crate::leases::ControlReplicas;
 use crate::listeners::routes::{From, Route, Routes};
 use crate::recovery::Durability;
-use crate::relay::Relay;
+use crate::relay::RelayConfig;
 use crate::rollout::{Policy, RolloutSettings};
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
@@ -41,7 +41,7 @@
     pub settle: Option<ReconcileConfig>,
     pub sums: Option<UsageReportConfig>,
     pub rollout: Option<RolloutSettings>,
-    pub relay: Option<Relay>,
+    pub relay: Option<RelayConfig>,
 }
 
 /// The store, as configured.
@@ -325,11 +325,11 @@
         }
     }
 
-    fn relay(&mut self, node: &Node) -> Option<Relay> {
-        Some(Relay {
+    fn relay(&mut self, node: &Node) -> Option<RelayConfig> {
+        Some(RelayConfig {
             listen: node.get("listen").address()?,
             folder: node.get("folder").text().into(),
-            most: time(node.get("most").duration()),
+            max_lease: time(node.get("most").duration()),
         })
     }
 
