--- a/crates/experiments/src/scale/tenants.rs
+++ b/crates/experiments/src/scale/tenants.rs
@@ -4,8 +4,8 @@
 use super::{heap, timed};
 use cypresscleat_scgi::request::{self, Reader};
 use cypresscleat_scheduler::*;
-use cypresscleat_server::listeners::routes::{From, Route, Routes};
-use cypresscleat_server::pool::Pool;
+use cypresscleat_server::listeners::routes::{HeaderOr, Route, Routes};
+use cypresscleat_server::pool::BufferPool;
 use std::time::Instant;
 
 const ROLE: &str = "app-server";
@@ -116,24 +116,24 @@
     rows
 }
 
-fn route(path: String, customer: From<Option<usize>>) -> Route {
+fn route(path: String, tenant: HeaderOr<Option<usize>>) -> Route {
     Route {
         path,
         methods: vec!["GET".into(), "POST".into()],
-        op: 0,
-        customer,
-        rank: From { header: None, otherwise: 0.5 },
-        within: From { header: None, otherwise: None },
-        hint: From { header: None, otherwise: None },
-        kb: 1.0,
+        class: 0,
+        tenant,
+        client_priority: HeaderOr { header: None, default_value: 0.5 },
+        timeout: HeaderOr { header: None, default_value: None },
+        expected_work: HeaderOr { header: None, default_value: None },
+        memory_kb: 1.0,
         content_type: "application/json".into(),
-        token: None,
+        idempotency_key_header: None,
     }
 }
 
 /// Microseconds of reading a gateway's request that names the last of all tenants.
 fn named_last(tenants: u64, names: &[String]) -> f64 {
-    let customer = From { header: Some("HTTP_X_TENANT".into()), otherwise: None };
+    let customer = HeaderOr { header: Some("HTTP_X_TENANT".into()), default_value: None };
     let routes = Routes::new(vec![route("/".into(), customer)], names);
     let tenant = name(tenants.saturating_sub(1));
     let fields: [(&str, &[u8]); 3] =
@@ -142,16 +142,16 @@
     if request::write(&mut bytes, &fields, b"").is_err() {
         return f64::NAN;
     }
-    let pool = Pool::new(16);
+    let pool = BufferPool::new(16);
     let mut buffer = pool.take();
     buffer.push(&bytes);
     let mut reader = Reader::new(Default::default());
     let Ok(Some(read)) = reader.read(&buffer) else { return f64::NAN };
-    if routes.invocation([0; 16], 0, &buffer, &read).is_err() {
+    if routes.parse_request([0; 16], 0, &buffer, &read).is_err() {
         return f64::NAN;
     }
     timed(|| {
-        std::hint::black_box(routes.invocation([0; 16], 0, &buffer, &read).is_ok());
+        std::hint::black_box(routes.parse_request([0; 16], 0, &buffer, &read).is_ok());
     })
 }
 
@@ -165,7 +165,7 @@
         let path = |at: u64| format!("/service-{:04}/operation-{at:05}", at % 5_200);
         let began = Instant::now();
         let (routes, held) = heap::of(|| {
-            let all = (0..size).map(|at| route(path(at), From { header: None, otherwise: None }));
+            let all = (0..size).map(|at| route(path(at), HeaderOr { header: None, default_value: None }));
             Routes::new(all.collect(), &[])
         });
         add("routes, table made", began.elapsed().as_secs_f64() * 1e3, "ms");
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -7,15 +7,18 @@
 use crate::frames;
 use crate::lines::{self, Notice};
 use crate::log;
-use crate::pool::{Buf, Outbox, Pool};
-use crate::ready::Ready;
+use crate::pool::{Buf, BufferPool, Outbox};
+use crate::ready::Readiness;
 use crate::rollout::gate::Gate;
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::member::AdmissionPermit;
 use cypresscleat_scheduler::*;
 use cypresscleat_settings::{set_gauge, Names};
-use door::{Cause, Fault, How, Invocation, Peer, Places, Txn, Wanted};
-use keeping::{Keeping, Ran, Row, Token, Waits};
+use incoming::{
+    Dispatcher, FailureCause, ForwardedRequest, IncomingRequest, Peer, RequestError, RequestId,
+    ResponseStatus,
+};
+use persistence::{BillingRow, DeferredAction, IdempotencyRecord, KeyState, Persistence};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -23,808 +26,887 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-pub mod door;
-pub mod keeping;
+pub mod incoming;
+pub mod persistence;
 
 /// Invocations a connection may have open.
-const STREAMS: usize = 32;
+const MAX_OPEN_STREAMS: usize = 32;
 /// The module's timer waits this long for the gauges asked for when it came due, and then goes on with the last
 /// ones, or, where these are older than that, without.
-const GAUGES_WAIT: Time = 3 * MS;
-const GAUGES_AGE: Time = 200 * MS;
+const GAUGES_TIMEOUT: Time = 3 * MS;
+const MAX_GAUGES_AGE: Time = 200 * MS;
 /// A call is given up from here when its reply is this late: the ledger tells of its end by itself.
-const CALL_MARGIN: Time = 50 * MS;
+const CALL_REPLY_MARGIN: Time = 50 * MS;
 /// Answers sent into a closing connection are kept this long, and so many with their bodies: the invocation may come again. Of
 /// more, so many in all, it is known that they were answered.
-const RESENT_WITHIN: Time = 1000 * MS;
-const RESENT_MOST: usize = 64;
-const RESENT_KNOWN: usize = 4096;
+const RESEND_WINDOW: Time = 1000 * MS;
+const MAX_SAVED_BODIES: usize = 64;
+const MAX_SAVED_RESPONSES: usize = 4096;
 /// While the store can't keep anything and nothing may be served without, callers are to come back after this long.
-const STORE_BACK: Time = 1000 * MS;
+const STORE_FAILURE_RETRY_AFTER: Time = 1000 * MS;
 /// While this instance is out of service, or has no room for what it holds, callers are to come back after this long.
-const OUT_BACK: Time = 1000 * MS;
+const OUT_OF_SERVICE_RETRY_AFTER: Time = 1000 * MS;
 /// Invocations held while a change of policy stops all for a moment.
-const HELD: usize = 256;
+const MAX_HELD_REQUESTS: usize = 256;
 /// What is held is turned away so long before its client's time is over.
-const OUT_MARGIN: Time = 50 * MS;
+const HELD_REJECT_MARGIN: Time = 50 * MS;
 /// No gauges are asked for while more than this waits for the kernel to read.
-const KERNEL_BEHIND: usize = 65_536;
+const MAX_EXECUTOR_BACKLOG_BYTES: usize = 65_536;
 
 /// What the module says of itself: set by the core, sent along by the front.
-pub struct Voice {
-    pub good: Cell<bool>,
-    pub feedback: Cell<Option<f64>>,
+pub struct ServerStatus {
+    pub is_healthy: Cell<bool>,
+    pub load_feedback: Cell<Option<f64>>,
     /// Connections idle for longer are to be closed.
-    pub idle: Cell<Option<Time>>,
+    pub idle_timeout: Cell<Option<Time>>,
     /// What the roster is told, where it is fit as well.
-    pub on: Cell<bool>,
+    pub accepts_work: Cell<bool>,
     /// A policy of the fleet lets it serve, or there is none.
-    pub fit: Cell<bool>,
+    pub is_in_service: Cell<bool>,
     /// The grace of a drain is over: connections without an open invocation are to go.
-    pub closing: Cell<bool>,
+    pub is_closing: Cell<bool>,
     /// What all callers together may have here, while that is less than what the module's limits let in.
-    pub ramp: Cell<Option<f64>>,
+    pub slow_start_limit: Cell<Option<f64>>,
 }
 
 /// What the core wants of the tier below.
-pub enum Command {
+pub enum DownstreamCommand {
     /// A call is to be made, and given up after `within`.
-    Post {
-        txn: Txn,
+    Call {
+        request_id: RequestId,
         number: u64,
-        op: usize,
-        within: Time,
+        class: usize,
+        timeout: Time,
         body: Buf,
     },
-    Abandon {
-        txn: Txn,
+    Cancel {
+        request_id: RequestId,
     },
 }
 
 #[derive(Default)]
-pub struct Commands {
-    pub queue: RefCell<VecDeque<Command>>,
+pub struct DownstreamCommands {
+    pub queue: RefCell<VecDeque<DownstreamCommand>>,
     pub wake: Notify,
 }
 
-impl Commands {
-    fn push(&self, command: Command) {
+impl DownstreamCommands {
+    fn push(&self, command: DownstreamCommand) {
         self.queue.borrow_mut().push_back(command);
         self.wake.notify_one();
     }
 }
 
 /// The messages read from sockets, in the order of the one queue.
-pub enum Note {
-    Arrived {
+pub enum CoreEvent {
+    RequestArrived {
         peer: Rc<Peer>,
         stream: u32,
         /// Or what can't be carried out about it.
-        read: Result<Invocation, String>,
+        request: Result<IncomingRequest, String>,
     },
-    Left {
+    ClientLeft {
         peer: Rc<Peer>,
         stream: u32,
     },
-    Closed {
+    ConnectionClosed {
         peer: Rc<Peer>,
     },
-    Kernel(Notice),
+    ExecutorNotice(Notice),
     /// A new link has told all notices that were missed; commands go here now.
-    KernelUp(Rc<Outbox>),
-    KernelDown,
-    Called {
-        txn: Txn,
+    ExecutorConnected(Rc<Outbox>),
+    ExecutorDisconnected,
+    CallCompleted {
+        request_id: RequestId,
         number: u64,
-        how: Outcome,
+        outcome: Outcome,
         reply: Option<Buf>,
     },
-    Leave {
+    Drain {
         within: Time,
     },
     /// Other pools of the instance's own from now on.
-    Pools(PoolsConfig),
+    PoolsChanged(PoolsConfig),
     /// A policy is in force, with its pools, or the instance's own.
-    Policy {
+    PolicyActivated {
         number: u64,
         pools: Option<PoolsConfig>,
     },
     /// The gate stands otherwise: what is held is looked at again.
-    Gate,
+    GateChanged,
     /// A run at a worker is over; `said` is what its worker said of one that it turned away: when to come back, and whether not to
     /// try elsewhere.
-    Ran {
-        txn: Txn,
-        how: Outcome,
+    RunCompleted {
+        request_id: RequestId,
+        outcome: Outcome,
         body: Buf,
-        said: Option<(Time, bool)>,
+        retry_after: Option<(Time, bool)>,
     },
     /// All jobs for the store up to this one are done with; why some of them failed.
-    Kept {
-        upto: u64,
-        failed: Option<String>,
+    Persisted {
+        acknowledged_through: u64,
+        failure: Option<String>,
     },
 }
 
 /// What the kernel was last asked to do with an invocation.
 #[derive(Clone, Copy, PartialEq)]
-enum Asked {
-    Nothing,
+enum RunState {
+    Idle,
     Run,
     /// It waits for a call: the next word is ours.
-    Waits,
-    GoOn,
+    AwaitingCall,
+    Resume,
 }
 
-struct Open {
-    txn: Txn,
+struct OpenRequest {
+    request_id: RequestId,
     /// Whom the answer is owed.
-    to: Option<(Rc<Peer>, u32)>,
-    op: usize,
+    client: Option<(Rc<Peer>, u32)>,
+    class: usize,
     payload: Buf,
     body: Range<usize>,
-    said: u64,
-    asked: Asked,
-    stopped: bool,
+    fingerprint: u64,
+    run_state: RunState,
+    stop_requested: bool,
     /// The number of the last command about it.
-    command: u64,
+    command_number: u64,
     /// The body of the call it waits for, then the reply.
-    blob: Option<Buf>,
+    call_body: Option<Buf>,
     call: Option<(u64, Time)>,
     /// Its last call failed, and not for want of time.
-    failed: bool,
-    customer: Option<usize>,
+    call_failed: bool,
+    tenant: Option<usize>,
     /// Unix time at which it came, in tenths of a millisecond.
-    came: Time,
-    token: Option<Box<str>>,
+    arrived_at: Time,
+    idempotency_key: Option<Box<str>>,
     /// Its run was asked for, and waits for word of the store.
-    starting: bool,
-    ran: bool,
+    is_starting: bool,
+    has_run: bool,
     /// Its bytes are a frame's payload.
-    raw: bool,
-    due: Time,
+    is_frame_payload: bool,
+    deadline: Time,
     subject: Option<u64>,
     /// What the worker that turned it away said.
-    said_back: Option<(Time, bool)>,
-    rank: f64,
-    hint: Option<f64>,
-    kb: f64,
+    retry_after: Option<(Time, bool)>,
+    client_priority: f64,
+    expected_work: Option<f64>,
+    memory_kb: f64,
 }
 
-struct Kernel {
-    out: Option<Rc<Outbox>>,
+struct Executor {
+    outbox: Option<Rc<Outbox>>,
     /// Commands told, and those known to have been read.
-    told: u64,
-    read: u64,
+    sent_commands: u64,
+    read_commands: u64,
 }
 
-struct Answered {
-    txn: Txn,
-    said: u64,
+struct SentResponse {
+    request_id: RequestId,
+    fingerprint: u64,
     peer: Rc<Peer>,
-    until: Time,
-    how: How,
+    expires_at: Time,
+    status: ResponseStatus,
     body: Buf,
 }
 
 /// Whether an invocation's id was seen before: on the same invocation, or on another that is open.
-enum Again {
-    No,
-    Same,
-    Other,
+enum DuplicateCheck {
+    New,
+    SameRequest,
+    Conflict,
 }
 
 /// What makes two invocations of one id the same.
-fn said(op: usize, body: &[u8]) -> u64 {
+fn fingerprint(class: usize, body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (op, body).hash(&mut hasher);
+    (class, body).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Nothing lies unread for longer and is still worth an answer.
-fn unread(settings: &Settings) -> Time {
-    settings.classes.iter().map(|op| op.timeout).max().unwrap_or(0)
+fn max_unread_time(settings: &Settings) -> Time {
+    settings.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
 }
 
 /// All but the `Scheduler`: what its `Host` needs.
-struct Side {
+struct CoreHost {
     names: Rc<Names>,
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
     counters: Rc<Counters>,
-    voice: Rc<Voice>,
-    ready: Rc<Ready>,
-    calls_to: Rc<Commands>,
-    kernel: Kernel,
-    index: HashMap<Txn, RequestSlot>,
-    open: Vec<Option<Open>>,
-    free: Vec<RequestSlot>,
+    server_status: Rc<ServerStatus>,
+    readiness: Rc<Readiness>,
+    downstream_commands: Rc<DownstreamCommands>,
+    executor: Executor,
+    slots_by_id: HashMap<RequestId, RequestSlot>,
+    requests: Vec<Option<OpenRequest>>,
+    free_slots: Vec<RequestSlot>,
     /// Calls that are out, by the time they are given up from here.
-    calls: BTreeSet<(Time, u64, RequestSlot)>,
+    pending_calls: BTreeSet<(Time, u64, RequestSlot)>,
     call_number: u64,
-    answered: VecDeque<Answered>,
-    owed: usize,
+    sent_responses: VecDeque<SentResponse>,
+    pending_responses: usize,
     gauges: Gauges,
     gauges_at: Time,
     now: Time,
-    unix: Time,
-    keeping: Option<Keeping>,
-    places: Option<Rc<dyn Places>>,
+    unix_time: Time,
+    persistence: Option<Persistence>,
+    dispatcher: Option<Rc<dyn Dispatcher>>,
     /// Answered by a result that was kept: the module is told that nobody waits.
-    reused: Vec<RequestSlot>,
+    replayed: Vec<RequestSlot>,
     /// Whether something may be admitted, where a policy of the fleet says so.
     gate: Option<Rc<Gate>>,
     /// A drain is under way: what is owed is in the store.
-    leaving: bool,
+    is_draining: bool,
     /// What the settings say of billed value: each operation's, its objective, what is left of it behind that.
-    billed: Vec<(f64, Time, f64)>,
+    class_values: Vec<(f64, Time, f64)>,
     /// When the module's timer is due, and when it goes on at the latest once the gauges were asked for.
     wake_at: Time,
-    waits_until: Option<Time>,
+    gauges_deadline: Option<Time>,
 }
 
 pub struct Core {
     scheduler: Option<Scheduler>,
     settings: Settings,
     /// When the notice to leave came, and how long after it the process is stopped.
-    leaves: Option<(Time, Time)>,
+    drain_notice: Option<(Time, Time)>,
     /// When a drain's grace is over.
     closes_at: Time,
     /// Read and not admitted yet, while a change of policy stops all for a moment.
-    held: VecDeque<(Time, Rc<Peer>, u32, Invocation)>,
+    held_requests: VecDeque<(Time, Rc<Peer>, u32, IncomingRequest)>,
     /// The policy's pools, in place of the instance's own.
-    policy: Option<PoolsConfig>,
-    own: PoolsConfig,
-    side: Side,
+    policy_pools: Option<PoolsConfig>,
+    own_pools: PoolsConfig,
+    host: CoreHost,
 }
 
 /// What the core shares with the tasks round it.
 #[derive(Clone)]
 pub struct Shared {
-    pub pool: Rc<Pool>,
+    pub pool: Rc<BufferPool>,
     pub counters: Rc<Counters>,
-    pub voice: Rc<Voice>,
-    pub calls: Rc<Commands>,
-    pub ready: Rc<Ready>,
+    pub server_status: Rc<ServerStatus>,
+    pub downstream: Rc<DownstreamCommands>,
+    pub readiness: Rc<Readiness>,
 }
 
 impl Shared {
     pub fn new(buffers: usize) -> Shared {
         Shared {
-            ready: Ready::new(std::time::Instant::now()),
-            pool: Pool::new(buffers),
+            readiness: Readiness::new(std::time::Instant::now()),
+            pool: BufferPool::new(buffers),
             counters: Rc::default(),
-            voice: Rc::new(Voice {
-                good: Cell::new(true),
-                feedback: Cell::new(None),
-                idle: Cell::new(None),
-                on: Cell::new(true),
-                fit: Cell::new(true),
-                closing: Cell::new(false),
-                ramp: Cell::new(Some(0.0)), // nothing before the kernel is up
+            server_status: Rc::new(ServerStatus {
+                is_healthy: Cell::new(true),
+                load_feedback: Cell::new(None),
+                idle_timeout: Cell::new(None),
+                accepts_work: Cell::new(true),
+                is_in_service: Cell::new(true),
+                is_closing: Cell::new(false),
+                slow_start_limit: Cell::new(Some(0.0)), // nothing before the kernel is up
             }),
-            calls: Rc::default(),
+            downstream: Rc::default(),
         }
     }
 }
 
 impl Core {
     pub fn new(settings: Settings, names: Rc<Names>, shared: &Shared) -> Core {
-        let Shared { pool, counters, voice, calls: calls_to, ready } = shared.clone();
-        let mut side = Side {
+        let Shared { pool, counters, server_status, downstream: downstream_commands, readiness } =
+            shared.clone();
+        let mut host = CoreHost {
             names,
             pool,
             counters,
-            voice,
-            ready,
-            calls_to,
-            kernel: Kernel { out: None, told: 0, read: 0 },
-            index: HashMap::new(),
-            open: Vec::new(),
-            free: Vec::new(),
-            calls: BTreeSet::new(),
+            server_status,
+            readiness,
+            downstream_commands,
+            executor: Executor { outbox: None, sent_commands: 0, read_commands: 0 },
+            slots_by_id: HashMap::new(),
+            requests: Vec::new(),
+            free_slots: Vec::new(),
+            pending_calls: BTreeSet::new(),
             call_number: 0,
-            answered: VecDeque::new(),
-            owed: 0,
+            sent_responses: VecDeque::new(),
+            pending_responses: 0,
             gauges: Gauges::default(),
             gauges_at: Time::MIN / 2,
             now: 0,
-            unix: 0,
-            keeping: None,
-            places: None,
-            reused: Vec::new(),
+            unix_time: 0,
+            persistence: None,
+            dispatcher: None,
+            replayed: Vec::new(),
             gate: None,
-            leaving: false,
-            billed: settings
+            is_draining: false,
+            class_values: settings
                 .classes
                 .iter()
-                .map(|op| (op.priority_weight, op.latency_objective, op.late_share))
+                .map(|class| (class.priority_weight, class.latency_objective, class.late_share))
                 .collect(),
             wake_at: Time::MAX,
-            waits_until: None,
+            gauges_deadline: None,
         };
         // Without a store to keep them in, tokens are known in this life.
-        if settings.classes.iter().any(|op| op.retry_safety == RetrySafety::IdempotencyKey) {
-            side.keeping.insert(Keeping::in_memory()).unread = unread(&settings);
+        if settings.classes.iter().any(|class| class.retry_safety == RetrySafety::IdempotencyKey) {
+            host.persistence.insert(Persistence::in_memory()).max_unread_time = max_unread_time(&settings);
         }
-        let own = settings.pools.clone();
+        let own_pools = settings.pools.clone();
         Core {
             scheduler: None,
             settings,
-            leaves: None,
+            drain_notice: None,
             closes_at: Time::MAX,
-            held: VecDeque::new(),
-            policy: None,
-            own,
-            side,
+            held_requests: VecDeque::new(),
+            policy_pools: None,
+            own_pools,
+            host,
         }
     }
 
     /// Runs go to workers; to be said before the first message.
-    pub fn forward(&mut self, places: Rc<dyn Places>) {
-        self.side.places = Some(places);
+    pub fn set_dispatcher(&mut self, dispatcher: Rc<dyn Dispatcher>) {
+        self.host.dispatcher = Some(dispatcher);
     }
 
     /// Rows are kept from now on; to be said before the first message.
-    pub fn keep(&mut self, keeping: Keeping) {
-        let unread = unread(&self.settings);
-        self.side.keeping.insert(keeping).unread = unread;
+    pub fn set_persistence(&mut self, persistence: Persistence) {
+        let max_unread_time = max_unread_time(&self.settings);
+        self.host.persistence.insert(persistence).max_unread_time = max_unread_time;
     }
 
     /// A policy of the fleet says whether anything may be admitted; to be said before the first message.
-    pub fn gated(&mut self, gate: Rc<Gate>) {
-        self.side.gate = Some(gate);
-        self.side.voice.fit.set(false);
+    pub fn set_gate(&mut self, gate: Rc<Gate>) {
+        self.host.gate = Some(gate);
+        self.host.server_status.is_in_service.set(false);
     }
 
     /// When `tick` is due.
     pub fn wake_at(&self) -> Time {
-        let held = self.held.iter().map(|held| held.0).min().unwrap_or(Time::MAX);
-        self.side.waits_until.unwrap_or(self.side.wake_at).min(held)
+        let held = self.held_requests.iter().map(|held| held.0).min().unwrap_or(Time::MAX);
+        self.host.gauges_deadline.unwrap_or(self.host.wake_at).min(held)
     }
     /// Nothing is run any more, and nobody waits.
     pub fn is_done(&self) -> bool {
-        self.side.voice.closing.get() && self.side.owed == 0
+        self.host.server_status.is_closing.get() && self.host.pending_responses == 0
     }
     /// Answers that are owed.
-    pub fn owed(&self) -> usize {
-        self.side.owed
+    pub fn pending_responses(&self) -> usize {
+        self.host.pending_responses
     }
 
     /// One message from the queue; `unix` is the system's clock in tenths of a millisecond.
-    pub fn take(&mut self, now: Time, unix: Time, note: Note) {
-        (self.side.now, self.side.unix) = (now, unix);
-        match note {
-            Note::Arrived { peer, stream, read } => self.arrived(unix, peer, stream, read),
-            Note::Left { peer, stream } => {
-                let open = peer.open.borrow().iter().find(|(known, _)| *known == stream).map(|(_, inv)| *inv);
-                if let Some(inv) = open {
-                    self.left(inv);
+    pub fn handle_event(&mut self, now: Time, unix_time: Time, event: CoreEvent) {
+        (self.host.now, self.host.unix_time) = (now, unix_time);
+        match event {
+            CoreEvent::RequestArrived { peer, stream, request } => {
+                self.handle_arrival(unix_time, peer, stream, request)
+            }
+            CoreEvent::ClientLeft { peer, stream } => {
+                let open_slot = peer
+                    .open_requests
+                    .borrow()
+                    .iter()
+                    .find(|(known, _)| *known == stream)
+                    .map(|(_, slot)| *slot);
+                if let Some(slot) = open_slot {
+                    self.handle_client_left(slot);
                 }
-                let held =
-                    |held: &(Time, Rc<Peer>, u32, Invocation)| Rc::ptr_eq(&held.1, &peer) && held.2 == stream;
-                if let Some(at) = self.held.iter().position(held) {
-                    self.held.remove(at);
-                    peer.queued.set(peer.queued.get().saturating_sub(1));
-                    add(&self.side.counters.caller_left);
+                let held = |held: &(Time, Rc<Peer>, u32, IncomingRequest)| {
+                    Rc::ptr_eq(&held.1, &peer) && held.2 == stream
+                };
+                if let Some(at) = self.held_requests.iter().position(held) {
+                    self.held_requests.remove(at);
+                    peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
+                    add(&self.host.counters.caller_left);
                 }
             }
-            Note::Closed { peer } => {
-                let open: Vec<RequestSlot> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
-                open.into_iter().for_each(|inv| self.left(inv));
+            CoreEvent::ConnectionClosed { peer } => {
+                let open_slots: Vec<RequestSlot> =
+                    peer.open_requests.borrow().iter().map(|(_, slot)| *slot).collect();
+                open_slots.into_iter().for_each(|slot| self.handle_client_left(slot));
             }
-            Note::Kernel(notice) => self.notice(notice),
-            Note::KernelUp(out) => self.side.relink(out),
-            Note::KernelDown => self.side.kernel.out = None,
-            Note::Called { txn, number, how, reply } => {
-                let inv = self.side.index.get(&txn).copied();
-                let known = inv.filter(|inv| self.side.rec(*inv).call.is_some_and(|call| call.0 == number));
-                if let Some(inv) = known {
-                    self.called(inv, how, reply);
+            CoreEvent::ExecutorNotice(notice) => self.handle_notice(notice),
+            CoreEvent::ExecutorConnected(outbox) => self.host.reconnect(outbox),
+            CoreEvent::ExecutorDisconnected => self.host.executor.outbox = None,
+            CoreEvent::CallCompleted { request_id, number, outcome, reply } => {
+                let slot = self.host.slots_by_id.get(&request_id).copied();
+                let known =
+                    slot.filter(|slot| self.host.request(*slot).call.is_some_and(|call| call.0 == number));
+                if let Some(slot) = known {
+                    self.handle_call_completed(slot, outcome, reply);
                 }
             }
-            Note::Kept { upto, failed } => self.kept(upto, failed),
-            Note::Ran { txn, how, body, said } => {
-                if let Some(inv) = self.side.index.get(&txn).copied() {
-                    self.side.rec(inv).said_back = said;
-                    self.reaped(inv, how, body);
+            CoreEvent::Persisted { acknowledged_through, failure } => {
+                self.handle_persisted(acknowledged_through, failure)
+            }
+            CoreEvent::RunCompleted { request_id, outcome, body, retry_after } => {
+                if let Some(slot) = self.host.slots_by_id.get(&request_id).copied() {
+                    self.host.request(slot).retry_after = retry_after;
+                    self.handle_run_completed(slot, outcome, body);
                 }
             }
-            Note::Pools(setup) => {
-                self.own = setup;
-                match &self.policy {
+            CoreEvent::PoolsChanged(pools) => {
+                self.own_pools = pools;
+                match &self.policy_pools {
                     Some(_) => log!("the pools are those of the policy in force"),
-                    None => self.pool(),
+                    None => self.apply_pools(),
                 }
             }
-            Note::Policy { number, pools } => {
-                let same = self.policy == pools;
-                self.policy = pools;
-                if !same {
-                    self.pool();
+            CoreEvent::PolicyActivated { number, pools } => {
+                let is_same = self.policy_pools == pools;
+                self.policy_pools = pools;
+                if !is_same {
+                    self.apply_pools();
                 }
-                if let Some(gate) = &self.side.gate {
+                if let Some(gate) = &self.host.gate {
                     gate.apply(number);
                 }
-                self.gate(unix);
+                self.handle_gate_change(unix_time);
             }
-            Note::Gate => self.gate(unix),
-            Note::Leave { within } => {
-                self.side.voice.on.set(false);
-                self.leaves = Some((now, within));
+            CoreEvent::GateChanged => self.handle_gate_change(unix_time),
+            CoreEvent::Drain { within } => {
+                self.host.server_status.accepts_work.set(false);
+                self.drain_notice = Some((now, within));
                 self.closes_at = now + self.settings.drain_grace;
-                self.side.voice.closing.set(self.scheduler.is_none()); // nothing to wait for
-                self.side.owes();
-                self.module(|scheduler, now, side| scheduler.start_draining(now, within, side));
+                self.host.server_status.is_closing.set(self.scheduler.is_none()); // nothing to wait for
+                self.host.persist_open_requests();
+                self.with_scheduler(|scheduler, now, host| scheduler.start_draining(now, within, host));
             }
         }
     }
 
     /// The gate stands otherwise: the roster and health checks are told, and what is held is looked at again.
-    fn gate(&mut self, unix: Time) {
-        let fit = self.side.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
-        self.side.voice.fit.set(fit);
-        self.admits_held(unix);
+    fn handle_gate_change(&mut self, unix_time: Time) {
+        let is_in_service = self.host.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
+        self.host.server_status.is_in_service.set(is_in_service);
+        self.admit_held(unix_time);
     }
 
     /// The pools that hold now; what is held is counted where it belongs then, and no run is ended by it.
-    fn pool(&mut self) {
-        let setup = self.policy.clone().unwrap_or_else(|| self.own.clone());
-        self.module(|scheduler, now, side| scheduler.set_pools(now, &setup, side));
-        self.settings.pools = setup; // where the module has not begun
+    fn apply_pools(&mut self) {
+        let pools = self.policy_pools.clone().unwrap_or_else(|| self.own_pools.clone());
+        self.with_scheduler(|scheduler, now, host| scheduler.set_pools(now, &pools, host));
+        self.settings.pools = pools; // where the module has not begun
     }
 
     /// The module's timer is due: first the gauges are asked for, then it goes on with them or without.
     pub fn tick(&mut self, now: Time) {
         // The system's clock was last told with a message; since then it has moved on as ours has.
-        self.side.unix += (now - self.side.now).max(0);
-        self.side.now = now;
+        self.host.unix_time += (now - self.host.now).max(0);
+        self.host.now = now;
         // Guards the client's time against a change that takes longer: none is held past it.
-        for at in (0..self.held.len()).rev().filter(|at| self.held[*at].0 <= now).collect::<Vec<_>>() {
-            let Some((_, peer, stream, _)) = self.held.remove(at) else { continue };
-            peer.queued.set(peer.queued.get().saturating_sub(1));
-            if !peer.gone.get() {
-                add(&self.side.counters.policy_refused);
-                add(&self.side.counters.throttled);
-                let how = How::Throttled { back: OUT_BACK, give_up: false };
-                peer.wire.answer(&peer.out, stream, how, b"", self.side.voice.feedback.get());
+        for at in (0..self.held_requests.len())
+            .rev()
+            .filter(|at| self.held_requests[*at].0 <= now)
+            .collect::<Vec<_>>()
+        {
+            let Some((_, peer, stream, _)) = self.held_requests.remove(at) else { continue };
+            peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
+            if !peer.is_closed.get() {
+                add(&self.host.counters.policy_refused);
+                add(&self.host.counters.throttled);
+                let status = ResponseStatus::Rejected {
+                    retry_after: OUT_OF_SERVICE_RETRY_AFTER,
+                    no_retry_elsewhere: false,
+                };
+                peer.writer.write_response(
+                    &peer.outbox,
+                    stream,
+                    status,
+                    b"",
+                    self.host.server_status.load_feedback.get(),
+                );
             }
         }
-        if now < self.side.waits_until.unwrap_or(self.side.wake_at) {
+        if now < self.host.gauges_deadline.unwrap_or(self.host.wake_at) {
             return;
         }
-        if self.side.waits_until.is_none() && self.side.ask_gauges() {
-            self.side.waits_until = Some(now + GAUGES_WAIT);
+        if self.host.gauges_deadline.is_none() && self.host.request_gauges() {
+            self.host.gauges_deadline = Some(now + GAUGES_TIMEOUT);
         } else {
-            self.on_time();
+            self.handle_timer();
         }
     }
 
-    fn on_time(&mut self) {
-        let now = self.side.now;
-        let late = (now - self.side.wake_at).max(0) / MS;
-        let latest = &self.side.counters.clock_late_ms;
+    fn handle_timer(&mut self) {
+        let now = self.host.now;
+        let late = (now - self.host.wake_at).max(0) / MS;
+        let latest = &self.host.counters.clock_late_ms;
         latest.set(latest.get().max(late as u64));
-        self.side.wake_at = Time::MAX;
-        self.side.waits_until = None;
+        self.host.wake_at = Time::MAX;
+        self.host.gauges_deadline = None;
         // Guards runs whose call was lost without a word: the ledger tells of the end of each in time.
-        while let Some((_, number, inv)) = self.side.calls.first().copied().filter(|call| call.0 <= now) {
-            self.side.calls.pop_first();
-            if self.side.rec(inv).call.is_some_and(|call| call.0 == number) {
-                let txn = self.side.rec(inv).txn;
-                self.side.calls_to.push(Command::Abandon { txn });
-                self.called(inv, Outcome::TimedOut, None);
+        while let Some((_, number, slot)) =
+            self.host.pending_calls.first().copied().filter(|call| call.0 <= now)
+        {
+            self.host.pending_calls.pop_first();
+            if self.host.request(slot).call.is_some_and(|call| call.0 == number) {
+                let request_id = self.host.request(slot).request_id;
+                self.host.downstream_commands.push(DownstreamCommand::Cancel { request_id });
+                self.handle_call_completed(slot, Outcome::TimedOut, None);
             }
         }
-        self.side.answered.retain(|answered| answered.until > now);
+        self.host.sent_responses.retain(|response| response.expires_at > now);
         if now >= self.closes_at {
-            self.side.voice.closing.set(true);
+            self.host.server_status.is_closing.set(true);
         }
-        let unix = self.side.unix;
-        if let Some(keeping) = self.side.keeping.as_mut() {
-            keeping.expire(unix);
+        let unix_time = self.host.unix_time;
+        if let Some(persistence) = self.host.persistence.as_mut() {
+            persistence.expire(unix_time);
         }
-        if let Some(places) = self.side.places.as_ref().map(|places| places.granted()) {
-            self.module(|scheduler, now, side| scheduler.set_granted_slots(now, places, side));
+        if let Some(slots) = self.host.dispatcher.as_ref().map(|dispatcher| dispatcher.granted_slots()) {
+            self.with_scheduler(|scheduler, now, host| scheduler.set_granted_slots(now, slots, host));
         }
-        self.ramp();
-        let fresh = now - self.side.gauges_at <= GAUGES_AGE;
-        let gauges = if fresh { self.side.gauges } else { Gauges::default() };
-        self.module(|scheduler, now, side| scheduler.tick(now, gauges, side));
+        self.update_slow_start_limit();
+        let fresh = now - self.host.gauges_at <= MAX_GAUGES_AGE;
+        let gauges = if fresh { self.host.gauges } else { Gauges::default() };
+        self.with_scheduler(|scheduler, now, host| scheduler.tick(now, gauges, host));
     }
 
-    fn ramp(&self) {
+    fn update_slow_start_limit(&self) {
         if let Some(scheduler) = &self.scheduler {
-            self.side.voice.ramp.set(scheduler.slow_start_limit(self.side.now));
+            self.host.server_status.slow_start_limit.set(scheduler.slow_start_limit(self.host.now));
         }
     }
 
-    fn module(&mut self, call: impl FnOnce(&mut Scheduler, Time, &mut Side)) {
+    fn with_scheduler(&mut self, call: impl FnOnce(&mut Scheduler, Time, &mut CoreHost)) {
         if let Some(scheduler) = self.scheduler.as_mut() {
-            call(scheduler, self.side.now, &mut self.side);
+            call(scheduler, self.host.now, &mut self.host);
         }
     }
 
     // ---- routers ----
 
-    fn arrived(&mut self, unix: Time, peer: Rc<Peer>, stream: u32, read: Result<Invocation, String>) {
-        let side = &mut self.side;
-        peer.queued.set(peer.queued.get().saturating_sub(1));
-        if peer.gone.get() {
+    fn handle_arrival(
+        &mut self,
+        unix_time: Time,
+        peer: Rc<Peer>,
+        stream: u32,
+        request: Result<IncomingRequest, String>,
+    ) {
+        let host = &mut self.host;
+        peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
+        if peer.is_closed.get() {
             return;
         }
         // It came whole, ahead of what ended its connection: an answer is owed, a run is not.
-        if peer.shut.get() {
-            if stream > peer.last.replace(stream.max(peer.last.get())) {
-                add(&side.counters.errored);
-                peer.wire.fault(&peer.out, stream, Fault::Malformed);
+        if peer.is_closing.get() {
+            if stream > peer.last_stream.replace(stream.max(peer.last_stream.get())) {
+                add(&host.counters.errored);
+                peer.writer.write_error(&peer.outbox, stream, RequestError::Malformed);
             }
             return;
         }
-        let counters = side.counters.clone();
+        let counters = host.counters.clone();
         // Streams count up: on one that was used before, an answer could be taken for that to another invocation.
-        if stream <= peer.last.replace(stream.max(peer.last.get())) {
+        if stream <= peer.last_stream.replace(stream.max(peer.last_stream.get())) {
             let what = format!("stream {stream} was used before");
-            return peer.breach(&counters, 0, Fault::Malformed, &what);
+            return peer.close_on_violation(&counters, 0, RequestError::Malformed, &what);
         }
-        if peer.open.borrow().len() >= STREAMS {
-            return peer.breach(&counters, stream, Fault::Malformed, "more streams than may be open");
+        if peer.open_requests.borrow().len() >= MAX_OPEN_STREAMS {
+            return peer.close_on_violation(
+                &counters,
+                stream,
+                RequestError::Malformed,
+                "more streams than may be open",
+            );
         }
-        let read = match read {
-            Ok(read) => read,
-            Err(what) => return peer.strike(&counters, stream, &what),
+        let request = match request {
+            Ok(request) => request,
+            Err(what) => return peer.reject_invalid(&counters, stream, &what),
         };
-        let txn = read.txn;
+        let request_id = request.request_id;
         // Ids are new with every try: whoever sends one again that was turned away heeds nothing.
-        if peer.refused.get() == Some(txn) {
-            return peer.breach(&counters, stream, Fault::Malformed, "an id that was turned away");
+        if peer.last_rejected.get() == Some(request_id) {
+            return peer.close_on_violation(
+                &counters,
+                stream,
+                RequestError::Malformed,
+                "an id that was turned away",
+            );
         }
-        self.admits(unix, peer, stream, read);
+        self.admit(unix_time, peer, stream, request);
     }
 
     /// What was held while a change stopped all is looked at again, in its order.
-    fn admits_held(&mut self, unix: Time) {
-        for (_, peer, stream, read) in std::mem::take(&mut self.held) {
-            peer.queued.set(peer.queued.get().saturating_sub(1));
-            match (peer.gone.get(), peer.shut.get()) {
+    fn admit_held(&mut self, unix_time: Time) {
+        for (_, peer, stream, request) in std::mem::take(&mut self.held_requests) {
+            peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
+            match (peer.is_closed.get(), peer.is_closing.get()) {
                 (true, _) => {}
-                (false, true) => peer.wire.fault(&peer.out, stream, Fault::Malformed),
-                (false, false) => self.admits(unix, peer, stream, read),
+                (false, true) => peer.writer.write_error(&peer.outbox, stream, RequestError::Malformed),
+                (false, false) => self.admit(unix_time, peer, stream, request),
             }
         }
     }
 
     /// What was read becomes an invocation that is open, or is answered at once.
-    fn admits(&mut self, unix: Time, peer: Rc<Peer>, stream: u32, read: Invocation) {
-        let side = &mut self.side;
-        let counters = side.counters.clone();
-        let txn = read.txn;
-        let said = said(read.op, read.body());
+    fn admit(&mut self, unix_time: Time, peer: Rc<Peer>, stream: u32, request: IncomingRequest) {
+        let host = &mut self.host;
+        let counters = host.counters.clone();
+        let request_id = request.request_id;
+        let fingerprint = fingerprint(request.class, request.body());
         let tokened = self
             .settings
             .classes
-            .get(read.op)
-            .is_some_and(|op| op.retry_safety == RetrySafety::IdempotencyKey);
-        if tokened && read.token.is_none() {
-            return peer.strike(&counters, stream, "a tokened operation without its token");
+            .get(request.class)
+            .is_some_and(|class| class.retry_safety == RetrySafety::IdempotencyKey);
+        if tokened && request.idempotency_key.is_none() {
+            return peer.reject_invalid(&counters, stream, "a tokened operation without its token");
         }
-        if side.keeping.as_ref().is_some_and(|keeping| keeping.failing && keeping.refuse) {
-            return side.rejects_unadmitted(&peer, stream, STORE_BACK);
+        if host
+            .persistence
+            .as_ref()
+            .is_some_and(|persistence| persistence.is_failing && persistence.reject_on_failure)
+        {
+            return host.reject_before_admission(&peer, stream, STORE_FAILURE_RETRY_AFTER);
         }
         // Guards the table of tokens: a token that is not kept could not be told from its repeat, and would run twice. May hurt
         // where more tokens come in their window than the table has room for.
-        let new =
-            |keeping: &Keeping| read.token.as_deref().is_some_and(|token| keeping.token(token).is_none());
-        let full =
-            side.keeping.as_ref().filter(|keeping| tokened && new(keeping)).and_then(Keeping::full_until);
-        if let Some(until) = full {
+        let new = |persistence: &Persistence| {
+            request
+                .idempotency_key
+                .as_deref()
+                .is_some_and(|idempotency_key| persistence.record(idempotency_key).is_none())
+        };
+        let full_until = host
+            .persistence
+            .as_ref()
+            .filter(|persistence| tokened && new(persistence))
+            .and_then(Persistence::full_until);
+        if let Some(expires_at) = full_until {
             add(&counters.tokens_refused);
-            let back = (until - unix).clamp(MS, self.settings.max_retry_after.max(MS));
-            return side.rejects_unadmitted(&peer, stream, back);
+            let retry_after = (expires_at - unix_time).clamp(MS, self.settings.max_retry_after.max(MS));
+            return host.reject_before_admission(&peer, stream, retry_after);
         }
         // Under a token that is known it is a repeat, if it says the same.
-        let came = read.door.min(unix);
-        let token = read.token.as_deref().filter(|_| tokened);
-        let known = token.and_then(|token| side.keeping.as_ref()?.repeats(token, came));
+        let arrived_at = request.arrived_at.min(unix_time);
+        let idempotency_key = request.idempotency_key.as_deref().filter(|_| tokened);
+        let known = idempotency_key.and_then(|idempotency_key| {
+            host.persistence.as_ref()?.find_repeated(idempotency_key, arrived_at)
+        });
         let earlier_attempt = match known {
             None => EarlierAttempt::None,
-            Some(token) if token.said != said => {
+            Some(record) if record.fingerprint != fingerprint => {
                 let what = "the token of another invocation";
-                return peer.malformed(&counters, stream, Fault::Malformed, what);
+                return peer.reject_malformed(&counters, stream, RequestError::Malformed, what);
             }
-            Some(Token { ran: Ran::Open(first), .. }) => EarlierAttempt::Known(*first),
+            Some(IdempotencyRecord { state: KeyState::Open(first), .. }) => EarlierAttempt::Known(*first),
             Some(_) => EarlierAttempt::Released,
         };
-        match side.came_again(txn, said, &peer, stream) {
-            Again::No => {}
-            Again::Same => return,
-            Again::Other => {
-                peer.breach(&counters, stream, Fault::Malformed, "the id of another invocation");
-                return self.withdraw(&peer);
+        match host.check_duplicate(request_id, fingerprint, &peer, stream) {
+            DuplicateCheck::New => {}
+            DuplicateCheck::SameRequest => return,
+            DuplicateCheck::Conflict => {
+                peer.close_on_violation(
+                    &counters,
+                    stream,
+                    RequestError::Malformed,
+                    "the id of another invocation",
+                );
+                return self.fail_open_requests(&peer);
             }
         }
         let Some(scheduler) = self.scheduler.as_mut() else {
             let what = "an invocation before the kernel is up";
-            return peer.malformed(&counters, stream, Fault::NotReady, what);
+            return peer.reject_malformed(&counters, stream, RequestError::NotReady, what);
         };
-        if let Some(gate) = &side.gate {
-            match gate.admits(&txn) {
+        if let Some(gate) = &host.gate {
+            match gate.admits(&request_id) {
                 AdmissionPermit::Admit(_) => gate.asked(),
-                AdmissionPermit::Hold if self.held.len() < HELD => {
-                    add(&side.counters.policy_held);
-                    peer.queued.set(peer.queued.get() + 1); // it counts as on its way, so its connection stays
-                    let budget = read.budget.or(self.settings.classes.get(read.op).map(|op| op.timeout));
-                    let due = side.now + budget.unwrap_or(0) - (unix - read.door).max(0) - OUT_MARGIN;
-                    return self.held.push_back((due, peer, stream, read));
+                AdmissionPermit::Hold if self.held_requests.len() < MAX_HELD_REQUESTS => {
+                    add(&host.counters.policy_held);
+                    peer.queued_requests.set(peer.queued_requests.get() + 1); // it counts as on its way, so its connection stays
+                    let remaining_timeout = request.remaining_timeout.or(self
+                        .settings
+                        .classes
+                        .get(request.class)
+                        .map(|class| class.timeout));
+                    let deadline = host.now + remaining_timeout.unwrap_or(0)
+                        - (unix_time - request.arrived_at).max(0)
+                        - HELD_REJECT_MARGIN;
+                    return self.held_requests.push_back((deadline, peer, stream, request));
                 }
                 _ => {
-                    add(&side.counters.policy_refused);
-                    return side.rejects_unadmitted(&peer, stream, OUT_BACK);
+                    add(&host.counters.policy_refused);
+                    return host.reject_before_admission(&peer, stream, OUT_OF_SERVICE_RETRY_AFTER);
                 }
             }
         }
-        add(&side.counters.invocations);
+        add(&host.counters.invocations);
         let mut arrival = Arrival {
-            class: read.op,
-            tenant: read.customer,
-            remaining_timeout: read.budget,
-            client_priority: read.rank,
+            class: request.class,
+            tenant: request.tenant,
+            remaining_timeout: request.remaining_timeout,
+            client_priority: request.client_priority,
             earlier_attempt,
-            has_idempotency_key: read.keyed || tokened,
-            time_unread: (unix - read.door).max(0),
-            expected_work: read.hint,
-            memory_kb: read.kb,
+            has_idempotency_key: request.has_item || tokened,
+            time_unread: (unix_time - request.arrived_at).max(0),
+            expected_work: request.expected_work,
+            memory_kb: request.memory_kb,
             ..Arrival::default()
         };
-        arrival.slot = side.open(Open {
-            txn,
-            to: None,
-            op: read.op,
-            payload: read.bytes,
-            body: read.body,
-            said,
-            asked: Asked::Nothing,
-            stopped: false,
-            command: 0,
-            blob: None,
+        arrival.slot = host.insert(OpenRequest {
+            request_id,
+            client: None,
+            class: request.class,
+            payload: request.bytes,
+            body: request.body,
+            fingerprint,
+            run_state: RunState::Idle,
+            stop_requested: false,
+            command_number: 0,
+            call_body: None,
             call: None,
-            failed: false,
-            customer: read.customer,
-            came: read.door,
-            token: read.token,
-            starting: false,
-            ran: false,
-            raw: read.raw,
-            due: side.now
-                + read
-                    .budget
-                    .unwrap_or_else(|| self.settings.classes[read.op].timeout - (unix - read.door).max(0)),
-            subject: read.subject,
-            said_back: None,
-            rank: read.rank,
-            hint: read.hint,
-            kb: read.kb,
+            call_failed: false,
+            tenant: request.tenant,
+            arrived_at: request.arrived_at,
+            idempotency_key: request.idempotency_key,
+            is_starting: false,
+            has_run: false,
+            is_frame_payload: request.is_frame_payload,
+            deadline: host.now
+                + request.remaining_timeout.unwrap_or_else(|| {
+                    self.settings.classes[request.class].timeout - (unix_time - request.arrived_at).max(0)
+                }),
+            subject: request.subject,
+            retry_after: None,
+            client_priority: request.client_priority,
+            expected_work: request.expected_work,
+            memory_kb: request.memory_kb,
         });
-        side.owe(arrival.slot, peer, stream);
-        scheduler.handle_arrival(side.now, arrival, side);
-        self.settle_reused();
+        host.attach_client(arrival.slot, peer, stream);
+        scheduler.handle_arrival(host.now, arrival, host);
+        self.release_replayed();
     }
 
     /// What was answered by another's result is over for the module too.
-    fn settle_reused(&mut self) {
-        while let Some(inv) = self.side.reused.pop() {
-            self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
+    fn release_replayed(&mut self) {
+        while let Some(slot) = self.host.replayed.pop() {
+            self.with_scheduler(|scheduler, now, host| scheduler.handle_client_disconnect(now, slot, host));
         }
     }
 
     /// The store has word: answers leave, tokened ones run.
-    fn kept(&mut self, upto: u64, failed: Option<String>) {
-        let Some(keeping) = self.side.keeping.as_mut() else { return };
-        let on = keeping.kept(upto);
-        let refuse = keeping.refuse;
-        if std::mem::replace(&mut keeping.failing, failed.is_some()) != failed.is_some() {
-            match &failed {
+    fn handle_persisted(&mut self, acknowledged_through: u64, failure: Option<String>) {
+        let Some(persistence) = self.host.persistence.as_mut() else { return };
+        let actions = persistence.acknowledge(acknowledged_through);
+        let reject_on_failure = persistence.reject_on_failure;
+        if std::mem::replace(&mut persistence.is_failing, failure.is_some()) != failure.is_some() {
+            match &failure {
                 Some(what) => {
-                    log!("store: {what}; {}", if refuse { "nothing is taken" } else { "served unrecorded" })
+                    log!(
+                        "store: {what}; {}",
+                        if reject_on_failure { "nothing is taken" } else { "served unrecorded" }
+                    )
                 }
                 None => log!("store: it keeps again"),
             }
         }
-        for waits in on {
-            match waits {
-                Waits::Answer { peer, stream, how, body } => {
-                    let lost = failed.is_some();
-                    let how = if lost && refuse { How::Errored(Cause::Failed) } else { how };
-                    add(if lost { &self.side.counters.unrecorded } else { &self.side.counters.recorded });
-                    self.side.put(&peer, stream, how, &body);
+        for action in actions {
+            match action {
+                DeferredAction::Respond { peer, stream, status, body } => {
+                    let lost = failure.is_some();
+                    let status = if lost && reject_on_failure {
+                        ResponseStatus::Failed(FailureCause::ExecutionFailed)
+                    } else {
+                        status
+                    };
+                    add(if lost { &self.host.counters.unrecorded } else { &self.host.counters.recorded });
+                    self.host.write_deferred_response(&peer, stream, status, &body);
                 }
-                Waits::Run(inv, txn) => {
-                    let here = self.side.index.get(&txn) == Some(&inv);
-                    if !here || !std::mem::take(&mut self.side.rec(inv).starting) {
+                DeferredAction::Run(slot, request_id) => {
+                    let is_open = self.host.slots_by_id.get(&request_id) == Some(&slot);
+                    if !is_open || !std::mem::take(&mut self.host.request(slot).is_starting) {
                         continue;
                     }
-                    if failed.is_some() || self.side.rec(inv).stopped {
+                    if failure.is_some() || self.host.request(slot).stop_requested {
                         // It never ran: nothing of it may be taken for begun.
-                        let empty = self.side.pool.take();
-                        self.side.rec(inv).ran = false;
-                        self.reaped(
-                            inv,
-                            if failed.is_some() { Outcome::NotStarted } else { Outcome::Cancelled },
+                        let empty = self.host.pool.take();
+                        self.host.request(slot).has_run = false;
+                        self.handle_run_completed(
+                            slot,
+                            if failure.is_some() { Outcome::NotStarted } else { Outcome::Cancelled },
                             empty,
                         );
                     } else {
-                        self.side.rec(inv).asked = Asked::Run;
-                        self.side.command(inv);
+                        self.host.request(slot).run_state = RunState::Run;
+                        self.host.send_command(slot);
                     }
                 }
             }
         }
     }
 
-    fn left(&mut self, inv: RequestSlot) {
-        add(&self.side.counters.caller_left);
-        self.side.settle(inv);
+    fn handle_client_left(&mut self, slot: RequestSlot) {
+        add(&self.host.counters.caller_left);
+        self.host.detach_client(slot);
         // Whoever waits for its answer takes its place: it goes on for them, and is not over with its first caller.
-        if let Some(next) = self.side.keeping.as_mut().and_then(|keeping| keeping.follower(inv)) {
-            if let Some((peer, stream)) = self.side.settle(next) {
-                self.side.owe(inv, peer, stream);
-                return self
-                    .module(|scheduler, now, side| scheduler.handle_client_disconnect(now, next, side));
+        if let Some(next) =
+            self.host.persistence.as_mut().and_then(|persistence| persistence.take_follower(slot))
+        {
+            if let Some((peer, stream)) = self.host.detach_client(next) {
+                self.host.attach_client(slot, peer, stream);
+                return self.with_scheduler(|scheduler, now, host| {
+                    scheduler.handle_client_disconnect(now, next, host)
+                });
             }
         }
-        self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
+        self.with_scheduler(|scheduler, now, host| scheduler.handle_client_disconnect(now, slot, host));
     }
 
     /// All that is open on a connection is errored. Guards the line and the run cap against a sender whose other
     /// invocations can't be carried out either.
-    fn withdraw(&mut self, peer: &Rc<Peer>) {
-        let open: Vec<RequestSlot> = peer.open.borrow().iter().map(|(_, inv)| *inv).collect();
-        for inv in open {
-            self.side.answer(inv, How::Errored(Cause::Failed), b"");
-            self.module(|scheduler, now, side| scheduler.handle_client_disconnect(now, inv, side));
+    fn fail_open_requests(&mut self, peer: &Rc<Peer>) {
+        let open_slots: Vec<RequestSlot> =
+            peer.open_requests.borrow().iter().map(|(_, slot)| *slot).collect();
+        for slot in open_slots {
+            self.host.respond(slot, ResponseStatus::Failed(FailureCause::ExecutionFailed), b"");
+            self.with_scheduler(|scheduler, now, host| scheduler.handle_client_disconnect(now, slot, host));
         }
     }
 
     // ---- the kernel ----
 
-    fn notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Booted { cold, age_ms } => self.booted(cold, (age_ms * MS as f64) as Time),
-            Notice::Reap { call, how, blob } => {
-                if let Some(inv) = self.side.find(&call) {
-                    self.reaped(inv, how, blob);
+            Notice::Booted { cold, age_ms } => self.handle_booted(cold, (age_ms * MS as f64) as Time),
+            Notice::Reap { call, outcome, body } => {
+                if let Some(slot) = self.host.find_request(&call) {
+                    self.handle_run_completed(slot, outcome, body);
                 }
             }
-            Notice::Call { call, blob } => {
-                let Some(inv) = self.side.find(&call) else { return };
-                let rec = self.side.rec(inv);
-                (rec.asked, rec.blob) = (Asked::Waits, Some(blob));
-                self.module(|scheduler, now, side| scheduler.handle_call_needed(now, inv, side));
+            Notice::Call { call, body } => {
+                let Some(slot) = self.host.find_request(&call) else { return };
+                let request = self.host.request(slot);
+                (request.run_state, request.call_body) = (RunState::AwaitingCall, Some(body));
+                self.with_scheduler(|scheduler, now, host| scheduler.handle_call_needed(now, slot, host));
             }
             Notice::Info { cookie, stats } => {
-                let side = &mut self.side;
-                side.kernel.read = side.kernel.read.max(cookie.parse().unwrap_or(0));
-                let known = side.names.gauges.iter().zip(stats).filter(|(_, value)| value.is_finite());
-                side.gauges = Gauges::default();
-                known.for_each(|(name, value)| set_gauge(&mut side.gauges, name, value));
-                side.gauges_at = side.now;
-                if side.waits_until.is_some() {
-                    self.on_time();
+                let host = &mut self.host;
+                host.executor.read_commands = host.executor.read_commands.max(cookie.parse().unwrap_or(0));
+                let known = host.names.gauges.iter().zip(stats).filter(|(_, value)| value.is_finite());
+                host.gauges = Gauges::default();
+                known.for_each(|(name, value)| set_gauge(&mut host.gauges, name, value));
+                host.gauges_at = host.now;
+                if host.gauges_deadline.is_some() {
+                    self.handle_timer();
                 }
             }
             Notice::Rejected { command, call } => {
-                add(&self.side.counters.kernel_rejected);
+                add(&self.host.counters.kernel_rejected);
                 log!("the kernel would not carry out {command} {call}");
                 // A run that never started, or can't go on, would else hold its place until it is due.
-                let ends = matches!(command.as_str(), "SCHED" | "IODONE");
-                if let (true, Some(inv)) = (ends, self.side.find(&call)) {
-                    let empty = self.side.pool.take();
-                    let from = self.side.rec(inv).to.clone();
-                    self.reaped(inv, Outcome::Failed, empty);
+                let ends_run = matches!(command.as_str(), "SCHED" | "IODONE");
+                if let (true, Some(slot)) = (ends_run, self.host.find_request(&call)) {
+                    let empty = self.host.pool.take();
+                    let from = self.host.request(slot).client.clone();
+                    self.handle_run_completed(slot, Outcome::Failed, empty);
                     // The kernel knows every invocation that a router sent here: this sender is none.
                     if let (Some((peer, _)), "SCHED") = (from, command.as_str()) {
                         let what = "an invocation that the kernel doesn't know";
-                        peer.breach(&self.side.counters, 0, Fault::Malformed, what);
-                        self.withdraw(&peer);
+                        peer.close_on_violation(&self.host.counters, 0, RequestError::Malformed, what);
+                        self.fail_open_requests(&peer);
                     }
                 }
             }
@@ -833,297 +915,356 @@
     }
 
     /// The module starts when the kernel does, and believes it about being cold.
-    fn booted(&mut self, cold: bool, age: Time) {
+    fn handle_booted(&mut self, cold: bool, age: Time) {
         if self.scheduler.is_some() {
             return;
         }
         let settings = Settings { slow_start: cold, ..self.settings.clone() };
-        let now = self.side.now;
+        let now = self.host.now;
         log!("kernel up for {} ms, {}", age / MS, if cold { "cold" } else { "warm" });
-        let mut scheduler = Scheduler::start(now - age, settings, &mut self.side);
-        self.side.wake_at = now;
+        let mut scheduler = Scheduler::start(now - age, settings, &mut self.host);
+        self.host.wake_at = now;
         // The notice came before the kernel was up: it holds for what comes now.
-        if let Some((at, within)) = self.leaves {
-            scheduler.start_draining(at, within, &mut self.side);
+        if let Some((at, within)) = self.drain_notice {
+            scheduler.start_draining(at, within, &mut self.host);
         }
         self.scheduler = Some(scheduler);
-        self.side.ready.kernel();
-        self.ramp();
+        self.host.readiness.mark_executor_up();
+        self.update_slow_start_limit();
     }
 
     /// The run is over: the first answer to its invocation, if none was given, is how it ended.
-    fn reaped(&mut self, inv: RequestSlot, how: Outcome, blob: Buf) {
-        let counters = self.side.counters.clone();
-        if self.side.rec(inv).to.is_none() {
-            self.side.ran_for_nobody(inv, how, &blob);
+    fn handle_run_completed(&mut self, slot: RequestSlot, outcome: Outcome, body: Buf) {
+        let counters = self.host.counters.clone();
+        if self.host.request(slot).client.is_none() {
+            self.host.complete_without_client(slot, outcome, &body);
         }
-        match how {
+        match outcome {
             Outcome::Succeeded => {
                 add(&counters.runs_succeeded);
-                if let Some((peer, _)) = &self.side.rec(inv).to {
-                    peer.strikes.set(0);
+                if let Some((peer, _)) = &self.host.request(slot).client {
+                    peer.invalid_requests.set(0);
                 }
-                self.side.answer(inv, How::Succeeded, &blob);
+                self.host.respond(slot, ResponseStatus::Succeeded, &body);
             }
             Outcome::Failed => {
                 add(&counters.runs_errored);
-                self.side.answer(inv, How::Errored(Cause::Failed), b"");
+                self.host.respond(slot, ResponseStatus::Failed(FailureCause::ExecutionFailed), b"");
             }
             _ => add(&counters.runs_stopped),
         }
-        self.side.give_up_call(inv);
-        let rec = self.side.rec(inv);
-        (rec.asked, rec.stopped) = (Asked::Nothing, false);
-        self.module(|scheduler, now, side| scheduler.handle_run_completed(now, inv, how, side));
-        self.settle_reused();
+        self.host.cancel_call(slot);
+        let request = self.host.request(slot);
+        (request.run_state, request.stop_requested) = (RunState::Idle, false);
+        self.with_scheduler(|scheduler, now, host| scheduler.handle_run_completed(now, slot, outcome, host));
+        self.release_replayed();
         // Its entry may live on for as long as a repeat can come, its bytes need not.
-        if let Some(rec) = self.side.open[inv].as_mut().filter(|rec| rec.to.is_none()) {
-            rec.payload.give_back();
-            rec.blob = None;
+        if let Some(request) = self.host.requests[slot].as_mut().filter(|request| request.client.is_none()) {
+            request.payload.release();
+            request.call_body = None;
         }
     }
 
     // ---- calls ----
 
-    fn called(&mut self, inv: RequestSlot, how: Outcome, reply: Option<Buf>) {
-        let counters = &self.side.counters;
-        add(match how {
+    fn handle_call_completed(&mut self, slot: RequestSlot, outcome: Outcome, reply: Option<Buf>) {
+        let counters = &self.host.counters;
+        add(match outcome {
             Outcome::Succeeded => &counters.calls_succeeded,
             Outcome::Rejected => &counters.calls_throttled,
             Outcome::TimedOut => &counters.calls_expired,
             Outcome::ConnectFailed | Outcome::ConnectionLost => &counters.calls_lost,
             _ => &counters.calls_errored,
         });
-        let now = self.side.now;
-        let rec = self.side.rec(inv);
-        let Some((number, began)) = rec.call.take() else { return };
-        rec.failed = !matches!(how, Outcome::Succeeded | Outcome::TimedOut);
-        let owed = rec.to.is_some();
-        self.side.calls.retain(|call| call.1 != number);
+        let now = self.host.now;
+        let request = self.host.request(slot);
+        let Some((number, began)) = request.call.take() else { return };
+        request.call_failed = !matches!(outcome, Outcome::Succeeded | Outcome::TimedOut);
+        let is_pending = request.client.is_some();
+        self.host.pending_calls.retain(|call| call.1 != number);
         // One that is answered or whose caller left is ended by the kernel itself.
-        if let (Some(reply), Outcome::Succeeded, true) = (reply, how, owed) {
-            let rec = self.side.rec(inv);
-            (rec.asked, rec.blob) = (Asked::GoOn, Some(reply));
-            self.side.command(inv);
+        if let (Some(reply), Outcome::Succeeded, true) = (reply, outcome, is_pending) {
+            let request = self.host.request(slot);
+            (request.run_state, request.call_body) = (RunState::Resume, Some(reply));
+            self.host.send_command(slot);
         }
-        self.module(|scheduler, _, side| scheduler.handle_call_completed(now, inv, how, now - began, side));
+        self.with_scheduler(|scheduler, _, host| {
+            scheduler.handle_call_completed(now, slot, outcome, now - began, host)
+        });
     }
 }
 
-impl Side {
+impl CoreHost {
     /// Indices come from the module and from `index`: each names an open one.
-    fn rec(&mut self, inv: RequestSlot) -> &mut Open {
-        self.open[inv].as_mut().expect("an index in use")
+    fn request(&mut self, slot: RequestSlot) -> &mut OpenRequest {
+        self.requests[slot].as_mut().expect("an index in use")
     }
 
     /// Answers with an error. The scheduler fails what can't be answered in its time, unless a call told it to.
-    fn answer_failed(&mut self, inv: RequestSlot) {
-        let cause = if self.rec(inv).failed { Cause::Failed } else { Cause::Late };
-        self.answer(inv, How::Errored(cause), b"");
+    fn respond_failed(&mut self, slot: RequestSlot) {
+        let cause = if self.request(slot).call_failed {
+            FailureCause::ExecutionFailed
+        } else {
+            FailureCause::DeadlineExceeded
+        };
+        self.respond(slot, ResponseStatus::Failed(cause), b"");
     }
 
-    fn find(&self, call: &str) -> Option<RequestSlot> {
-        self.index.get(&Txn::try_from(call.as_bytes()).ok()?).copied()
+    fn find_request(&self, call: &str) -> Option<RequestSlot> {
+        self.slots_by_id.get(&RequestId::try_from(call.as_bytes()).ok()?).copied()
     }
 
-    fn open(&mut self, open: Open) -> RequestSlot {
-        let inv = self.free.pop().unwrap_or_else(|| {
-            self.open.push(None);
-            self.open.len() - 1
+    fn insert(&mut self, request: OpenRequest) -> RequestSlot {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.requests.push(None);
+            self.requests.len() - 1
         });
-        self.index.insert(open.txn, inv);
-        self.open[inv] = Some(open);
-        inv
+        self.slots_by_id.insert(request.request_id, slot);
+        self.requests[slot] = Some(request);
+        slot
     }
 
     /// Rejects a request ahead of the scheduler, to be sent again after `back`. It counts as taken in, as each that is answered does.
-    fn rejects_unadmitted(&self, peer: &Peer, stream: u32, back: Time) {
+    fn reject_before_admission(&self, peer: &Peer, stream: u32, retry_after: Time) {
         add(&self.counters.invocations);
         add(&self.counters.throttled);
-        let how = How::Throttled { back, give_up: false };
-        peer.wire.answer(&peer.out, stream, how, b"", self.voice.feedback.get());
+        let status = ResponseStatus::Rejected { retry_after, no_retry_elsewhere: false };
+        peer.writer.write_response(&peer.outbox, stream, status, b"", self.server_status.load_feedback.get());
     }
 
-    fn owe(&mut self, inv: RequestSlot, peer: Rc<Peer>, stream: u32) {
-        peer.open.borrow_mut().push((stream, inv));
+    fn attach_client(&mut self, slot: RequestSlot, peer: Rc<Peer>, stream: u32) {
+        peer.open_requests.borrow_mut().push((stream, slot));
         peer.active_at.set(self.now);
-        self.rec(inv).to = Some((peer, stream));
-        self.owed += 1;
-        self.counters.open_most.set(self.counters.open_most.get().max(self.owed as u64));
+        self.request(slot).client = Some((peer, stream));
+        self.pending_responses += 1;
+        self.counters.open_most.set(self.counters.open_most.get().max(self.pending_responses as u64));
     }
 
     /// Nothing is owed for it any more; returns to whom it was.
-    fn settle(&mut self, inv: RequestSlot) -> Option<(Rc<Peer>, u32)> {
-        let (peer, stream) = self.rec(inv).to.take()?;
-        peer.open.borrow_mut().retain(|(known, _)| *known != stream);
+    fn detach_client(&mut self, slot: RequestSlot) -> Option<(Rc<Peer>, u32)> {
+        let (peer, stream) = self.request(slot).client.take()?;
+        peer.open_requests.borrow_mut().retain(|(known, _)| *known != stream);
         peer.active_at.set(self.now);
-        self.owed -= 1;
+        self.pending_responses -= 1;
         Some((peer, stream))
     }
 
     /// The final answer, if it is still owed: the one place where what is owed is settled. One that succeeded may wait for
     /// its row to be kept.
-    fn answer(&mut self, inv: RequestSlot, how: How, body: &[u8]) {
-        let Some((peer, stream)) = self.settle(inv) else { return };
+    fn respond(&mut self, slot: RequestSlot, status: ResponseStatus, body: &[u8]) {
+        let Some((peer, stream)) = self.detach_client(slot) else { return };
         let counters = &self.counters;
-        add(match how {
-            How::Succeeded => &counters.succeeded,
-            How::Throttled { .. } => &counters.throttled,
-            How::Errored(_) => &counters.errored,
+        add(match status {
+            ResponseStatus::Succeeded => &counters.succeeded,
+            ResponseStatus::Rejected { .. } => &counters.throttled,
+            ResponseStatus::Failed(_) => &counters.errored,
         });
-        let Open { txn, said, op, came, .. } = *self.rec(inv);
-        if let (Some(gate), How::Succeeded, Some((billed, objective, late))) =
-            (&self.gate, how, self.billed.get(op).copied())
+        let OpenRequest { request_id, fingerprint, class, arrived_at, .. } = *self.request(slot);
+        if let (Some(gate), ResponseStatus::Succeeded, Some((value, objective, late_share))) =
+            (&self.gate, status, self.class_values.get(class).copied())
         {
-            let in_time = self.unix - came <= objective;
-            gate.succeeded(in_time, if in_time { billed } else { billed * late });
+            let in_time = self.unix_time - arrived_at <= objective;
+            gate.succeeded(in_time, if in_time { value } else { value * late_share });
         }
-        if matches!(how, How::Throttled { .. }) {
-            peer.refused.set(Some(txn));
+        if matches!(status, ResponseStatus::Rejected { .. }) {
+            peer.last_rejected.set(Some(request_id));
         }
-        if self.keeping.is_some() {
-            if let Some(keeping) = self.keeping.as_mut().filter(|_| self.leaving) {
-                keeping.owes_no_more(&txn);
+        if self.persistence.is_some() {
+            if let Some(persistence) = self.persistence.as_mut().filter(|_| self.is_draining) {
+                persistence.clear_open_request(&request_id);
             }
-            let number = (how == How::Succeeded).then(|| self.bill(inv, body)).flatten();
-            self.answer_followers(inv, how, body);
-            if number.is_some_and(|number| self.answer_behind(number, &peer, stream, how, body)) {
+            let number =
+                (status == ResponseStatus::Succeeded).then(|| self.record_billing(slot, body)).flatten();
+            self.respond_to_followers(slot, status, body);
+            if number.is_some_and(|number| self.respond_after_commit(number, &peer, stream, status, body)) {
                 return;
             }
         }
-        self.write(txn, said, peer, stream, how, body);
+        self.write_response(request_id, fingerprint, peer, stream, status, body);
         // It was never run, and now never is.
-        let rec = self.rec(inv);
-        if rec.asked == Asked::Nothing && !rec.ran {
-            rec.payload.give_back();
+        let request = self.request(slot);
+        if request.run_state == RunState::Idle && !request.has_run {
+            request.payload.release();
             // Its token is free at once: what overload turns away takes no room of what ran.
-            if let (Some(token), Some(keeping)) = (rec.token.clone(), self.keeping.as_mut()) {
-                keeping.released(&token, inv, false);
+            if let (Some(idempotency_key), Some(persistence)) =
+                (request.idempotency_key.clone(), self.persistence.as_mut())
+            {
+                persistence.release_key(&idempotency_key, slot, false);
             }
         }
     }
 
     /// A run is over for which nobody waits: what a repeat of it may ask for is noted, and those that follow it are answered.
-    fn ran_for_nobody(&mut self, inv: RequestSlot, how: Outcome, result: &[u8]) {
-        let Some(token) = self.rec(inv).token.clone() else { return };
-        let Some(keeping) = self.keeping.as_mut() else { return };
-        let how = match how {
+    fn complete_without_client(&mut self, slot: RequestSlot, outcome: Outcome, result: &[u8]) {
+        let Some(idempotency_key) = self.request(slot).idempotency_key.clone() else { return };
+        let Some(persistence) = self.persistence.as_mut() else { return };
+        let status = match outcome {
             Outcome::Succeeded => {
-                keeping.ran(&token, result);
-                How::Succeeded
+                persistence.record_result(&idempotency_key, result);
+                ResponseStatus::Succeeded
             }
-            _ => How::Errored(Cause::Failed), // some of it may have run: nobody is turned away for it
+            _ => ResponseStatus::Failed(FailureCause::ExecutionFailed), // some of it may have run: nobody is turned away for it
         };
-        self.answer_followers(inv, how, if how == How::Succeeded { result } else { b"" });
+        self.respond_to_followers(
+            slot,
+            status,
+            if status == ResponseStatus::Succeeded { result } else { b"" },
+        );
     }
 
     /// Lets an answer wait until a job is done with, where answers do.
-    fn answer_behind(&mut self, number: u64, peer: &Rc<Peer>, stream: u32, how: How, body: &[u8]) -> bool {
-        let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.after) else { return false };
+    fn respond_after_commit(
+        &mut self,
+        number: u64,
+        peer: &Rc<Peer>,
+        stream: u32,
+        status: ResponseStatus,
+        body: &[u8],
+    ) -> bool {
+        let Some(persistence) =
+            self.persistence.as_mut().filter(|persistence| persistence.respond_after_commit)
+        else {
+            return false;
+        };
         // It counts as on its way, so its connection stays.
-        peer.queued.set(peer.queued.get() + 1);
-        self.owed += 1;
-        let mut kept = self.pool.take();
-        kept.push(body);
+        peer.queued_requests.set(peer.queued_requests.get() + 1);
+        self.pending_responses += 1;
+        let mut saved_body = self.pool.take();
+        saved_body.push(body);
         // Those that follow it wait for the same job; it is the last one that was sent.
-        keeping.wait(number, Waits::Answer { peer: peer.clone(), stream, how, body: kept });
+        persistence
+            .defer(number, DeferredAction::Respond { peer: peer.clone(), stream, status, body: saved_body });
         true
     }
 
     /// An answer that waited for its row.
-    fn put(&mut self, peer: &Rc<Peer>, stream: u32, how: How, body: &[u8]) {
-        peer.queued.set(peer.queued.get().saturating_sub(1));
-        self.owed -= 1;
-        if peer.gone.get() {
+    fn write_deferred_response(&mut self, peer: &Rc<Peer>, stream: u32, status: ResponseStatus, body: &[u8]) {
+        peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
+        self.pending_responses -= 1;
+        if peer.is_closed.get() {
             add(&self.counters.late_answers);
         } else {
-            peer.wire.answer(&peer.out, stream, how, body, self.voice.feedback.get());
+            peer.writer.write_response(
+                &peer.outbox,
+                stream,
+                status,
+                body,
+                self.server_status.load_feedback.get(),
+            );
         }
-        peer.out.wake.notify_one();
+        peer.outbox.wake.notify_one();
     }
 
-    fn write(&mut self, txn: Txn, said: u64, peer: Rc<Peer>, stream: u32, how: How, body: &[u8]) {
-        if peer.gone.get() {
+    fn write_response(
+        &mut self,
+        request_id: RequestId,
+        fingerprint: u64,
+        peer: Rc<Peer>,
+        stream: u32,
+        status: ResponseStatus,
+        body: &[u8],
+    ) {
+        if peer.is_closed.get() {
             add(&self.counters.late_answers);
         } else {
-            peer.wire.answer(&peer.out, stream, how, body, self.voice.feedback.get());
+            peer.writer.write_response(
+                &peer.outbox,
+                stream,
+                status,
+                body,
+                self.server_status.load_feedback.get(),
+            );
         }
         // Guards an invocation that crossed the close of its connection, after this answer: it comes once more.
-        if peer.gone.get() || peer.told.get().is_some() {
-            let mut kept = self.pool.take();
-            kept.push(body);
-            let until = self.now + RESENT_WITHIN;
-            self.answered.push_back(Answered { txn, said, peer, until, how, body: kept });
+        if peer.is_closed.get() || peer.close_announced_at.get().is_some() {
+            let mut saved_body = self.pool.take();
+            saved_body.push(body);
+            let expires_at = self.now + RESEND_WINDOW;
+            self.sent_responses.push_back(SentResponse {
+                request_id,
+                fingerprint,
+                peer,
+                expires_at,
+                status,
+                body: saved_body,
+            });
             // Guards the memory against a crowd that closes at once, and effects against a second run: one whose body had to go is
             // errored when it comes again.
-            if let Some(at) = self.answered.len().checked_sub(RESENT_MOST + 1) {
-                let old = &mut self.answered[at];
-                old.body.give_back();
-                if old.how == How::Succeeded {
-                    old.how = How::Errored(Cause::Failed);
+            if let Some(at) = self.sent_responses.len().checked_sub(MAX_SAVED_BODIES + 1) {
+                let old = &mut self.sent_responses[at];
+                old.body.release();
+                if old.status == ResponseStatus::Succeeded {
+                    old.status = ResponseStatus::Failed(FailureCause::ExecutionFailed);
                 }
             }
-            if self.answered.len() > RESENT_KNOWN {
-                self.answered.pop_front();
+            if self.sent_responses.len() > MAX_SAVED_RESPONSES {
+                self.sent_responses.pop_front();
             }
         }
     }
 
     /// The number under which word of its row comes.
-    fn bill(&mut self, inv: RequestSlot, body: &[u8]) -> Option<u64> {
-        let rec = self.open[inv].as_ref()?;
-        let (billed, objective, late) = self.billed.get(rec.op).copied()?;
-        let in_time = self.unix - rec.came <= objective;
-        let customer = rec.customer.and_then(|at| self.names.tenants.get(at)).map_or("", String::as_str);
-        let row = Row {
-            txn: &rec.txn,
-            operation: &self.names.classes[rec.op],
-            customer,
-            billed: if in_time { billed } else { billed * late },
-            came: rec.came,
-            now: self.unix,
+    fn record_billing(&mut self, slot: RequestSlot, body: &[u8]) -> Option<u64> {
+        let request = self.requests[slot].as_ref()?;
+        let (value, objective, late_share) = self.class_values.get(request.class).copied()?;
+        let in_time = self.unix_time - request.arrived_at <= objective;
+        let tenant = request.tenant.and_then(|at| self.names.tenants.get(at)).map_or("", String::as_str);
+        let row = BillingRow {
+            request_id: &request.request_id,
+            class: &self.names.classes[request.class],
+            tenant,
+            billed: if in_time { value } else { value * late_share },
+            arrived_at: request.arrived_at,
+            completed_at: self.unix_time,
         };
-        let keeping = self.keeping.as_mut()?;
-        let number = keeping.bill(&row, rec.token.as_deref(), body);
-        if keeping.stores() {
+        let persistence = self.persistence.as_mut()?;
+        let number = persistence.record_billing(&row, request.idempotency_key.as_deref(), body);
+        if persistence.has_store() {
             add(if number.is_none() { &self.counters.unrecorded } else { &self.counters.rows });
         }
         number
     }
 
     /// Those that wait for this one's answer get the same.
-    fn answer_followers(&mut self, first: RequestSlot, how: How, body: &[u8]) {
-        let Some(keeping) = self.keeping.as_mut() else { return };
-        let all = std::mem::take(&mut keeping.followers);
+    fn respond_to_followers(&mut self, first: RequestSlot, status: ResponseStatus, body: &[u8]) {
+        let Some(persistence) = self.persistence.as_mut() else { return };
+        let all = std::mem::take(&mut persistence.followers);
         let (own, others): (Vec<_>, Vec<_>) = all.into_iter().partition(|(known, _)| *known == first);
-        keeping.followers = others;
-        for (_, inv) in own {
-            self.answer_as(inv, how, body);
+        persistence.followers = others;
+        for (_, slot) in own {
+            self.replay_response(slot, status, body);
         }
     }
 
     /// A repeat's answer: nothing of it runs, nothing is billed.
-    fn answer_as(&mut self, inv: RequestSlot, how: How, body: &[u8]) {
-        let Some((peer, stream)) = self.settle(inv) else { return };
+    fn replay_response(&mut self, slot: RequestSlot, status: ResponseStatus, body: &[u8]) {
+        let Some((peer, stream)) = self.detach_client(slot) else { return };
         add(&self.counters.repeated);
-        let Open { txn, said, .. } = *self.rec(inv);
+        let OpenRequest { request_id, fingerprint, .. } = *self.request(slot);
         // What it repeats may not be kept yet: who is told of it now must be told the same in the next life.
-        let behind = self.keeping.as_ref().and_then(Keeping::behind).filter(|_| how == How::Succeeded);
-        if !behind.is_some_and(|number| self.answer_behind(number, &peer, stream, how, body)) {
-            self.write(txn, said, peer, stream, how, body);
+        let batch = self
+            .persistence
+            .as_ref()
+            .and_then(Persistence::pending_batch)
+            .filter(|_| status == ResponseStatus::Succeeded);
+        if !batch.is_some_and(|number| self.respond_after_commit(number, &peer, stream, status, body)) {
+            self.write_response(request_id, fingerprint, peer, stream, status, body);
         }
-        self.reused.push(inv);
+        self.replayed.push(slot);
     }
 
     /// What is open when a drain begins is put on record, so that whoever looks later knows what was cut off.
-    fn owes(&mut self) {
-        self.leaving = true;
-        let Some(keeping) = self.keeping.as_mut() else { return };
-        let open = self.open.iter().flatten().filter(|open| open.to.is_some());
+    fn persist_open_requests(&mut self) {
+        self.is_draining = true;
+        let Some(persistence) = self.persistence.as_mut() else { return };
+        let requests = self.requests.iter().flatten().filter(|request| request.client.is_some());
         let names = &self.names;
-        keeping.owes(open.map(|open| {
-            let customer = open.customer.and_then(|at| names.tenants.get(at)).map_or("", String::as_str);
-            (open.txn, format!("{},{customer},{}", names.classes[open.op], open.came / 10))
+        persistence.record_open_requests(requests.map(|request| {
+            let tenant = request.tenant.and_then(|at| names.tenants.get(at)).map_or("", String::as_str);
+            (
+                request.request_id,
+                format!("{},{tenant},{}", names.classes[request.class], request.arrived_at / 10),
+            )
         }));
     }
 
@@ -1131,213 +1272,257 @@
     /// that is open or answered it is the same invocation, if it says the same and its first connection was
     /// closing. It is not run again; its answer goes where it came from last, at most once on a connection. Nobody
     /// else gets an answer by naming its id.
-    fn came_again(&mut self, txn: Txn, said: u64, peer: &Rc<Peer>, stream: u32) -> Again {
-        if let Some(inv) = self.index.get(&txn).copied() {
-            let rec = self.rec(inv);
-            let closing = |peer: &Peer| peer.gone.get() || peer.told.get().is_some();
-            if rec.said != said || rec.to.as_ref().is_some_and(|(first, _)| !closing(first)) {
-                return Again::Other;
+    fn check_duplicate(
+        &mut self,
+        request_id: RequestId,
+        fingerprint: u64,
+        peer: &Rc<Peer>,
+        stream: u32,
+    ) -> DuplicateCheck {
+        if let Some(slot) = self.slots_by_id.get(&request_id).copied() {
+            let request = self.request(slot);
+            let is_closing = |peer: &Peer| peer.is_closed.get() || peer.close_announced_at.get().is_some();
+            if request.fingerprint != fingerprint
+                || request.client.as_ref().is_some_and(|(first, _)| !is_closing(first))
+            {
+                return DuplicateCheck::Conflict;
             }
             add(&self.counters.resent);
-            self.settle(inv);
-            self.owe(inv, peer.clone(), stream);
-            return Again::Same;
+            self.detach_client(slot);
+            self.attach_client(slot, peer.clone(), stream);
+            return DuplicateCheck::SameRequest;
         }
-        let Some(before) = self.answered.iter_mut().find(|answered| answered.txn == txn) else {
-            return Again::No;
+        let Some(response) =
+            self.sent_responses.iter_mut().find(|response| response.request_id == request_id)
+        else {
+            return DuplicateCheck::New;
         };
-        if before.said != said {
-            return Again::Other;
+        if response.fingerprint != fingerprint {
+            return DuplicateCheck::Conflict;
         }
         add(&self.counters.resent);
-        if !Rc::ptr_eq(&before.peer, peer) {
-            peer.wire.answer(&peer.out, stream, before.how, &before.body, self.voice.feedback.get());
-            before.peer = peer.clone();
+        if !Rc::ptr_eq(&response.peer, peer) {
+            peer.writer.write_response(
+                &peer.outbox,
+                stream,
+                response.status,
+                &response.body,
+                self.server_status.load_feedback.get(),
+            );
+            response.peer = peer.clone();
         }
-        Again::Same
+        DuplicateCheck::SameRequest
     }
 
     // ---- commands to the kernel ----
 
     /// Tells the kernel what is asked of an invocation now; without a link it is told once there is one.
-    fn command(&mut self, inv: RequestSlot) {
-        self.kernel.told += 1;
-        self.rec(inv).command = self.kernel.told;
-        self.tell(inv);
-    }
-
-    fn tell(&mut self, inv: RequestSlot) {
-        if let Some(places) = self.places.clone() {
-            let Some(rec) = self.open[inv].as_ref() else { return };
-            match (rec.stopped, rec.asked) {
-                (true, _) => places.stop(rec.txn),
-                (false, Asked::Run) => places.run(self.wanted(inv)),
+    fn send_command(&mut self, slot: RequestSlot) {
+        self.executor.sent_commands += 1;
+        self.request(slot).command_number = self.executor.sent_commands;
+        self.send_current_command(slot);
+    }
+
+    fn send_current_command(&mut self, slot: RequestSlot) {
+        if let Some(dispatcher) = self.dispatcher.clone() {
+            let Some(request) = self.requests[slot].as_ref() else { return };
+            match (request.stop_requested, request.run_state) {
+                (true, _) => dispatcher.stop(request.request_id),
+                (false, RunState::Run) => dispatcher.run(self.forwarded_request(slot)),
                 _ => {}
             }
             return;
         }
-        let (Some(out), Some(rec)) = (self.kernel.out.clone(), self.open[inv].as_ref()) else { return };
-        let txn = String::from_utf8_lossy(&rec.txn);
-        match (rec.stopped, rec.asked, &rec.blob) {
-            (true, ..) => out.push(lines::preempt(&txn).as_bytes()),
-            (_, Asked::Run, _) => {
-                let (service, body) = (&self.names.classes[rec.op], &rec.payload[rec.body.clone()]);
-                out.push(lines::sched(&txn, service, body).as_bytes());
+        let (Some(outbox), Some(request)) = (self.executor.outbox.clone(), self.requests[slot].as_ref())
+        else {
+            return;
+        };
+        let request_id = String::from_utf8_lossy(&request.request_id);
+        match (request.stop_requested, request.run_state, &request.call_body) {
+            (true, ..) => outbox.push(lines::preempt(&request_id).as_bytes()),
+            (_, RunState::Run, _) => {
+                let (service, body) =
+                    (&self.names.classes[request.class], &request.payload[request.body.clone()]);
+                outbox.push(lines::sched(&request_id, service, body).as_bytes());
             }
-            (_, Asked::GoOn, Some(reply)) => out.push(lines::io_done(&txn, reply).as_bytes()),
+            (_, RunState::Resume, Some(reply)) => outbox.push(lines::io_done(&request_id, reply).as_bytes()),
             _ => {}
         }
     }
 
     /// What a worker is sent: the frame's payload as it came, or one of the same meaning.
-    fn wanted(&self, inv: RequestSlot) -> Wanted {
-        let rec = self.open[inv].as_ref().expect("an index in use");
-        let payload = if rec.raw {
-            rec.payload.to_vec()
+    fn forwarded_request(&self, slot: RequestSlot) -> ForwardedRequest {
+        let request = self.requests[slot].as_ref().expect("an index in use");
+        let payload = if request.is_frame_payload {
+            request.payload.to_vec()
         } else {
-            let (txn, door) = (String::from_utf8_lossy(&rec.txn), (rec.came / MS).to_string());
-            let (hint, kb) =
-                (rec.hint.map(|hint| format!("{:.1}", hint / MS as f64)), format!("{:.1}", rec.kb));
-            let rank = format!("{:.4}", rec.rank.min(0.9999));
-            let team = rec.customer.and_then(|at| self.names.tenants.get(at));
-            let mut fields =
-                vec![("verb", self.names.classes[rec.op].as_str()), ("txn", &txn), ("door", &door)];
-            fields.extend([("lb", "0"), ("ram", &kb), ("standing", &rank)]);
-            fields.extend(team.map(|team| ("team", team.as_str())));
-            fields.extend(hint.as_ref().map(|hint| ("cpu", hint.as_str())));
+            let (request_id, arrived_at) =
+                (String::from_utf8_lossy(&request.request_id), (request.arrived_at / MS).to_string());
+            let (expected_work, memory_kb) = (
+                request.expected_work.map(|expected_work| format!("{:.1}", expected_work / MS as f64)),
+                format!("{:.1}", request.memory_kb),
+            );
+            let client_priority = format!("{:.4}", request.client_priority.min(0.9999));
+            let tenant = request.tenant.and_then(|at| self.names.tenants.get(at));
+            let mut fields = vec![
+                ("verb", self.names.classes[request.class].as_str()),
+                ("txn", &request_id),
+                ("door", &arrived_at),
+            ];
+            fields.extend([("lb", "0"), ("ram", &memory_kb), ("standing", &client_priority)]);
+            fields.extend(tenant.map(|tenant| ("team", tenant.as_str())));
+            fields.extend(expected_work.as_ref().map(|expected_work| ("cpu", expected_work.as_str())));
             let mut payload = Vec::new();
-            frames::put_fields(&mut payload, &fields);
-            payload.extend(&rec.payload[rec.body.clone()]);
+            frames::write_fields(&mut payload, &fields);
+            payload.extend(&request.payload[request.body.clone()]);
             payload
         };
-        Wanted { txn: rec.txn, op: rec.op, payload, due: rec.due, subject: rec.subject }
+        ForwardedRequest {
+            request_id: request.request_id,
+            class: request.class,
+            payload,
+            deadline: request.deadline,
+            subject: request.subject,
+        }
     }
 
     /// On a new link all missed notices have been seen: what was told after the last command known to have
     /// been read is told again. Guards runs and stops against a link that broke; a run that goes on already is
     /// not started twice, as the kernel's notices would have told of its end. It may hurt where a reply was
     /// read, and the run waits for its next call in that very moment.
-    fn relink(&mut self, out: Rc<Outbox>) {
-        self.kernel.out = Some(out);
-        for inv in 0..self.open.len() {
-            let Some(rec) = self.open[inv].as_mut() else { continue };
-            if rec.command <= self.kernel.read {
+    fn reconnect(&mut self, outbox: Rc<Outbox>) {
+        self.executor.outbox = Some(outbox);
+        for slot in 0..self.requests.len() {
+            let Some(request) = self.requests[slot].as_mut() else { continue };
+            if request.command_number <= self.executor.read_commands {
                 continue;
             }
-            if rec.stopped && rec.asked != Asked::Nothing {
-                rec.stopped = false; // what came before the stop, first
-                self.tell(inv);
-                self.rec(inv).stopped = true;
+            if request.stop_requested && request.run_state != RunState::Idle {
+                request.stop_requested = false; // what came before the stop, first
+                self.send_current_command(slot);
+                self.request(slot).stop_requested = true;
             }
             add(&self.counters.kernel_resent);
-            self.tell(inv);
+            self.send_current_command(slot);
         }
     }
 
     /// The gauges come back with the number of the last command told: what the kernel has read. False where they
     /// can't be asked for.
-    fn ask_gauges(&mut self) -> bool {
-        if let Some(places) = &self.places {
-            (self.gauges, self.gauges_at) = (places.gauges(), self.now);
+    fn request_gauges(&mut self) -> bool {
+        if let Some(dispatcher) = &self.dispatcher {
+            (self.gauges, self.gauges_at) = (dispatcher.gauges(), self.now);
             return false;
         }
-        let out = self.kernel.out.as_ref().filter(|out| out.len() < KERNEL_BEHIND);
-        out.map(|out| out.push(lines::sysinfo(&self.kernel.told.to_string()).as_bytes())).is_some()
+        let outbox = self.executor.outbox.as_ref().filter(|outbox| outbox.len() < MAX_EXECUTOR_BACKLOG_BYTES);
+        outbox
+            .map(|outbox| outbox.push(lines::sysinfo(&self.executor.sent_commands.to_string()).as_bytes()))
+            .is_some()
     }
 
     // ---- calls ----
 
-    fn give_up_call(&mut self, inv: RequestSlot) {
-        let rec = self.rec(inv);
-        let txn = rec.txn;
-        if let Some((number, _)) = rec.call.take() {
-            self.calls.retain(|call| call.1 != number);
+    fn cancel_call(&mut self, slot: RequestSlot) {
+        let request = self.request(slot);
+        let request_id = request.request_id;
+        if let Some((number, _)) = request.call.take() {
+            self.pending_calls.retain(|call| call.1 != number);
             add(&self.counters.calls_abandoned);
-            self.calls_to.push(Command::Abandon { txn });
+            self.downstream_commands.push(DownstreamCommand::Cancel { request_id });
         }
     }
 }
 
-impl Host for Side {
-    fn run(&mut self, inv: RequestSlot) {
+impl Host for CoreHost {
+    fn run(&mut self, slot: RequestSlot) {
         add(&self.counters.runs);
-        let rec = self.rec(inv);
-        (rec.ran, rec.stopped) = (true, false);
-        let (txn, token) = (rec.txn, rec.token.clone());
+        let request = self.request(slot);
+        (request.has_run, request.stop_requested) = (true, false);
+        let (request_id, idempotency_key) = (request.request_id, request.idempotency_key.clone());
         // A tokened one runs once it is on record that it does.
-        if let (Some(token), Some(keeping)) = (token, self.keeping.as_mut()) {
-            if let Some(number) = keeping.begins(&token) {
-                keeping.wait(number, Waits::Run(inv, txn));
-                self.rec(inv).starting = true;
+        if let (Some(idempotency_key), Some(persistence)) = (idempotency_key, self.persistence.as_mut()) {
+            if let Some(number) = persistence.record_start(&idempotency_key) {
+                persistence.defer(number, DeferredAction::Run(slot, request_id));
+                self.request(slot).is_starting = true;
                 return;
             }
         }
-        self.rec(inv).asked = Asked::Run;
-        self.command(inv);
+        self.request(slot).run_state = RunState::Run;
+        self.send_command(slot);
     }
-    fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
+    fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         // A worker's word goes through as it was said.
-        let told = (rejection.retry_after, rejection.no_retry_elsewhere);
-        let (back, give_up) = self.rec(inv).said_back.unwrap_or(told);
-        self.answer(inv, How::Throttled { back, give_up }, b"");
+        let own = (rejection.retry_after, rejection.no_retry_elsewhere);
+        let (retry_after, no_retry_elsewhere) = self.request(slot).retry_after.unwrap_or(own);
+        self.respond(slot, ResponseStatus::Rejected { retry_after, no_retry_elsewhere }, b"");
     }
-    fn fail(&mut self, inv: RequestSlot, _: FailReason) {
-        self.answer_failed(inv);
+    fn fail(&mut self, slot: RequestSlot, _: FailReason) {
+        self.respond_failed(slot);
     }
-    fn stop(&mut self, inv: RequestSlot) {
+    fn stop(&mut self, slot: RequestSlot) {
         add(&self.counters.stops);
-        self.rec(inv).stopped = true;
-        if !self.rec(inv).starting {
-            self.command(inv);
+        self.request(slot).stop_requested = true;
+        if !self.request(slot).is_starting {
+            self.send_command(slot);
         }
     }
-    fn call(&mut self, inv: RequestSlot, within: Time) {
+    fn call(&mut self, slot: RequestSlot, timeout: Time) {
         add(&self.counters.calls);
         self.call_number += 1;
         let (number, now) = (self.call_number, self.now);
         let mut body = self.pool.take();
-        let rec = self.open[inv].as_mut().expect("an index in use");
-        body.push(rec.blob.as_deref().unwrap_or(&[]));
-        rec.call = Some((number, now));
-        let (txn, op) = (rec.txn, rec.op);
-        self.calls.insert((now + within + CALL_MARGIN, number, inv));
-        self.calls_to.push(Command::Post { txn, number, op, within, body });
+        let request = self.requests[slot].as_mut().expect("an index in use");
+        body.push(request.call_body.as_deref().unwrap_or(&[]));
+        request.call = Some((number, now));
+        let (request_id, class) = (request.request_id, request.class);
+        self.pending_calls.insert((now + timeout + CALL_REPLY_MARGIN, number, slot));
+        self.downstream_commands.push(DownstreamCommand::Call { request_id, number, class, timeout, body });
     }
     /// Settings that would let the module skip a call, keep an entry or use one again end the start.
     fn skip_call(&mut self, _inv: RequestSlot) {
         log!("skipping a call is not offered here");
     }
-    fn retain_for_retries(&mut self, inv: RequestSlot, span: Time) {
-        let rec = self.rec(inv);
-        let (said, token) = (rec.said, rec.token.clone());
-        if let (Some(token), Some(keeping)) = (token, self.keeping.as_mut()) {
-            let until = self.unix + span;
-            keeping.remember(token.into(), Token { said, until, ran: Ran::Open(inv) });
+    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
+        let request = self.request(slot);
+        let (fingerprint, idempotency_key) = (request.fingerprint, request.idempotency_key.clone());
+        if let (Some(idempotency_key), Some(persistence)) = (idempotency_key, self.persistence.as_mut()) {
+            let expires_at = self.unix_time + span;
+            persistence.insert_record(
+                idempotency_key.into(),
+                IdempotencyRecord { fingerprint, expires_at, state: KeyState::Open(slot) },
+            );
         }
     }
-    fn replay_result(&mut self, inv: RequestSlot) {
-        let Some(token) = self.rec(inv).token.clone() else { return };
-        let ran =
-            self.keeping.as_ref().and_then(|keeping| keeping.token(&token)).map(|token| token.ran.clone());
-        match ran {
-            Some(Ran::Done(result)) => self.answer_as(inv, How::Succeeded, &result),
+    fn replay_result(&mut self, slot: RequestSlot) {
+        let Some(idempotency_key) = self.request(slot).idempotency_key.clone() else { return };
+        let state = self
+            .persistence
+            .as_ref()
+            .and_then(|persistence| persistence.record(&idempotency_key))
+            .map(|record| record.state.clone());
+        match state {
+            Some(KeyState::Completed(result)) => {
+                self.replay_response(slot, ResponseStatus::Succeeded, &result)
+            }
             // It ran, or began to, and nobody knows how it ended: not again, and not as if it had succeeded.
-            Some(Ran::Begun) | None => self.answer_as(inv, How::Errored(Cause::Failed), b""),
-            Some(Ran::Open(first)) => {
-                if let Some(keeping) = self.keeping.as_mut() {
-                    keeping.followers.push((first, inv));
+            Some(KeyState::Started) | None => {
+                self.replay_response(slot, ResponseStatus::Failed(FailureCause::ExecutionFailed), b"")
+            }
+            Some(KeyState::Open(first)) => {
+                if let Some(persistence) = self.persistence.as_mut() {
+                    persistence.followers.push((first, slot));
                 }
             }
         }
     }
     fn set_health(&mut self, good: bool, _stored: bool) {
-        self.voice.good.set(good);
+        self.server_status.is_healthy.set(good);
     }
     fn send_load_feedback(&mut self, value: f64) {
-        self.voice.feedback.set(Some(value));
+        self.server_status.load_feedback.set(Some(value));
     }
     fn close_idle_connections(&mut self, after: Time) {
-        self.voice.idle.set(Some(after));
+        self.server_status.idle_timeout.set(Some(after));
     }
     fn set_timer(&mut self, after: Time) {
         self.wake_at = self.now + after;
@@ -1346,18 +1531,18 @@
         log!("{event}");
     }
     /// The one place where an index and all that hangs on it is given back.
-    fn release(&mut self, inv: RequestSlot) {
-        self.answer_failed(inv); // where no answer was given: none is left without
-        self.give_up_call(inv);
-        if let Some(open) = self.open[inv].take() {
-            if let Some(keeping) = self.keeping.as_mut() {
-                keeping.followers.retain(|(_, follower)| *follower != inv);
-                if let Some(token) = &open.token {
-                    keeping.released(token, inv, open.ran);
+    fn release(&mut self, slot: RequestSlot) {
+        self.respond_failed(slot); // where no answer was given: none is left without
+        self.cancel_call(slot);
+        if let Some(request) = self.requests[slot].take() {
+            if let Some(persistence) = self.persistence.as_mut() {
+                persistence.followers.retain(|(_, follower)| *follower != slot);
+                if let Some(idempotency_key) = &request.idempotency_key {
+                    persistence.release_key(idempotency_key, slot, request.has_run);
                 }
             }
-            self.index.remove(&open.txn);
-            self.free.push(inv);
+            self.slots_by_id.remove(&request.request_id);
+            self.free_slots.push(slot);
         }
     }
 }
--- a/crates/server/src/core/door.rs
+++ b/crates/server/src/core/incoming.rs
@@ -3,63 +3,63 @@
 
 use crate::counters::{add, Counters};
 use crate::log;
-use crate::pool::{Buf, Outbox, Pool};
+use crate::pool::{Buf, BufferPool, Outbox};
 use cypresscleat_scheduler::{Gauges, RequestSlot, Time};
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
 use std::rc::Rc;
 
 /// An invocation's id, as the kernel and the tier below know it too.
-pub type Txn = [u8; 16];
+pub type RequestId = [u8; 16];
 
 /// Invocations of one connection that can't be carried out, with no success between, before it is ended.
-const STRIKES: u32 = 3;
+const MAX_INVALID_REQUESTS: u32 = 3;
 
 /// An invocation as a front read it: names are places in the settings, the body stands in the buffer it came in.
-pub struct Invocation {
-    pub txn: Txn,
-    pub op: usize,
-    pub customer: Option<usize>,
+pub struct IncomingRequest {
+    pub request_id: RequestId,
+    pub class: usize,
+    pub tenant: Option<usize>,
     /// When it came to the machine: Unix time, in tenths of a millisecond.
-    pub door: Time,
+    pub arrived_at: Time,
     /// How long the caller still waits, where it says so.
-    pub budget: Option<Time>,
-    pub rank: f64,
-    pub hint: Option<f64>,
-    pub kb: f64,
-    pub keyed: bool,
+    pub remaining_timeout: Option<Time>,
+    pub client_priority: f64,
+    pub expected_work: Option<f64>,
+    pub memory_kb: f64,
+    pub has_item: bool,
     /// Under which it is run once only, where the front carries one.
-    pub token: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// What it is about, hashed, where the front says so.
     pub subject: Option<u64>,
     /// `bytes` are a frame's payload.
-    pub raw: bool,
+    pub is_frame_payload: bool,
     pub bytes: Buf,
     pub body: Range<usize>,
 }
 
 /// What is to be run somewhere else than at the kernel.
-pub struct Wanted {
-    pub txn: Txn,
-    pub op: usize,
+pub struct ForwardedRequest {
+    pub request_id: RequestId,
+    pub class: usize,
     /// Fields and body, as a router's frame has them.
     pub payload: Vec<u8>,
-    pub due: Time,
+    pub deadline: Time,
     /// What it is about, where it says so.
     pub subject: Option<u64>,
 }
 
 /// Where runs go in place of the kernel. Ends of runs come back through the queue, as `Note::Ran`, once for each that was asked for.
-pub trait Places {
+pub trait Dispatcher {
     /// Places that may be used now.
-    fn granted(&self) -> f64;
+    fn granted_slots(&self) -> f64;
     fn gauges(&self) -> Gauges;
-    fn run(self: Rc<Self>, wanted: Wanted);
+    fn run(self: Rc<Self>, request: ForwardedRequest);
     /// Nobody waits for it any more.
-    fn stop(self: Rc<Self>, txn: Txn);
+    fn stop(self: Rc<Self>, request_id: RequestId);
 }
 
-impl Invocation {
+impl IncomingRequest {
     pub fn body(&self) -> &[u8] {
         &self.bytes[self.body.clone()]
     }
@@ -67,124 +67,133 @@
 
 /// Why an invocation errored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     /// Its run or its call did.
-    Failed,
+    ExecutionFailed,
     /// Its time, or that of its call, was over.
-    Late,
+    DeadlineExceeded,
 }
 
 /// How an invocation is answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum How {
+pub enum ResponseStatus {
     Succeeded,
     /// Come back after so long, where it is a millisecond or more; `give_up` asks not to try elsewhere.
-    Throttled {
-        back: Time,
-        give_up: bool,
+    Rejected {
+        retry_after: Time,
+        no_retry_elsewhere: bool,
     },
-    Errored(Cause),
+    Failed(FailureCause),
 }
 
 /// Why something never became an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum RequestError {
     /// It can't be understood.
     Malformed,
     /// It did not come whole in time.
-    Slow,
+    TimedOut,
     /// The kernel is not up yet.
     NotReady,
 }
 
 /// What a front writes for the core.
-pub trait Wire {
+pub trait ResponseWriter {
     /// The final answer on a stream; `body` is the result of one that succeeded, else empty.
-    fn answer(&self, out: &Outbox, stream: u32, how: How, body: &[u8], feedback: Option<f64>);
+    fn write_response(
+        &self,
+        outbox: &Outbox,
+        stream: u32,
+        status: ResponseStatus,
+        body: &[u8],
+        feedback: Option<f64>,
+    );
     /// Errored, on stream 0 where it belongs to no invocation.
-    fn fault(&self, out: &Outbox, stream: u32, fault: Fault);
+    fn write_error(&self, outbox: &Outbox, stream: u32, error: RequestError);
     /// No new invocation is to be sent; true where the connection is over with that.
-    fn no_more(&self, out: &Outbox) -> bool;
+    fn write_close_notice(&self, outbox: &Outbox) -> bool;
 }
 
 /// A caller's connection, as far as the core deals with it.
 pub struct Peer {
-    pub out: Outbox,
-    pub wire: Rc<dyn Wire>,
+    pub outbox: Outbox,
+    pub writer: Rc<dyn ResponseWriter>,
     /// Streams that are owed an answer.
-    pub open: RefCell<Vec<(u32, RequestSlot)>>,
+    pub open_requests: RefCell<Vec<(u32, RequestSlot)>>,
     /// The newest stream of it.
-    pub last: Cell<u32>,
+    pub last_stream: Cell<u32>,
     /// Invocations of it that stand in the queue.
-    pub queued: Cell<u32>,
+    pub queued_requests: Cell<u32>,
     pub active_at: Cell<Time>,
     /// It was told to send no new invocation.
-    pub told: Cell<Option<Time>>,
+    pub close_announced_at: Cell<Option<Time>>,
     /// A whole frame or request has come on it.
-    pub spoke: Cell<bool>,
+    pub has_received_message: Cell<bool>,
     /// Nothing more is read, and it ends once all that is open on it is answered.
-    pub shut: Cell<bool>,
+    pub is_closing: Cell<bool>,
     /// Invocations that could not be carried out since the last success.
-    pub strikes: Cell<u32>,
+    pub invalid_requests: Cell<u32>,
     /// The last that was turned away here.
-    pub refused: Cell<Option<Txn>>,
-    pub gone: Cell<bool>,
+    pub last_rejected: Cell<Option<RequestId>>,
+    pub is_closed: Cell<bool>,
 }
 
 impl Peer {
-    pub fn new(pool: &Rc<Pool>, wire: Rc<dyn Wire>, now: Time) -> Peer {
+    pub fn new(pool: &Rc<BufferPool>, writer: Rc<dyn ResponseWriter>, now: Time) -> Peer {
         Peer {
-            out: Outbox::new(pool),
-            wire,
-            open: RefCell::default(),
-            last: Cell::new(0),
-            queued: Cell::new(0),
+            outbox: Outbox::new(pool),
+            writer,
+            open_requests: RefCell::default(),
+            last_stream: Cell::new(0),
+            queued_requests: Cell::new(0),
             active_at: Cell::new(now),
-            told: Cell::new(None),
-            spoke: Cell::new(false),
-            shut: Cell::new(false),
-            strikes: Cell::new(0),
-            refused: Cell::new(None),
-            gone: Cell::new(false),
+            close_announced_at: Cell::new(None),
+            has_received_message: Cell::new(false),
+            is_closing: Cell::new(false),
+            invalid_requests: Cell::new(0),
+            last_rejected: Cell::new(None),
+            is_closed: Cell::new(false),
         }
     }
     /// It is to send no new invocation.
-    pub fn tell(&self, now: Time) {
-        if self.told.replace(self.told.get().or(Some(now))).is_none() && self.wire.no_more(&self.out) {
-            self.end();
+    pub fn announce_close(&self, now: Time) {
+        if self.close_announced_at.replace(self.close_announced_at.get().or(Some(now))).is_none()
+            && self.writer.write_close_notice(&self.outbox)
+        {
+            self.close();
         }
     }
     /// Not to be understood: an answer is owed all the same, on stream 0 where it belongs to no invocation.
-    pub fn malformed(&self, counters: &Counters, stream: u32, fault: Fault, what: &str) {
+    pub fn reject_malformed(&self, counters: &Counters, stream: u32, error: RequestError, what: &str) {
         add(&counters.malformed);
         log!("from a caller, stream {stream}: {what}");
-        self.wire.fault(&self.out, stream, fault);
+        self.writer.write_error(&self.outbox, stream, error);
     }
     /// It broke the protocol. Guards the time and room of all others against peers that would go on for ever: it is
     /// told so, and read no more. Holds against any sender of nonsense; may hurt where a router has such a fault:
     /// it has to connect anew.
-    pub fn breach(&self, counters: &Counters, stream: u32, fault: Fault, what: &str) {
-        if !self.shut.get() {
-            self.malformed(counters, stream, fault, what);
+    pub fn close_on_violation(&self, counters: &Counters, stream: u32, error: RequestError, what: &str) {
+        if !self.is_closing.get() {
+            self.reject_malformed(counters, stream, error, what);
         }
-        self.end();
+        self.close();
     }
     /// The one way in which a connection is closed from here; wakes its task, which would else not look.
-    pub fn end(&self) {
-        self.shut.set(true);
-        self.out.wake.notify_one();
+    pub fn close(&self) {
+        self.is_closing.set(true);
+        self.outbox.wake.notify_one();
     }
     /// An invocation that can't be carried out: errored; the connection goes on until there were several.
-    pub fn strike(&self, counters: &Counters, stream: u32, what: &str) {
-        self.strikes.set(self.strikes.get() + 1);
-        if self.strikes.get() >= STRIKES {
-            self.breach(counters, stream, Fault::Malformed, what);
+    pub fn reject_invalid(&self, counters: &Counters, stream: u32, what: &str) {
+        self.invalid_requests.set(self.invalid_requests.get() + 1);
+        if self.invalid_requests.get() >= MAX_INVALID_REQUESTS {
+            self.close_on_violation(counters, stream, RequestError::Malformed, what);
         } else {
-            self.malformed(counters, stream, Fault::Malformed, what);
+            self.reject_malformed(counters, stream, RequestError::Malformed, what);
         }
     }
     /// Nothing is open on it, nothing on its way.
     pub fn is_idle(&self) -> bool {
-        self.queued.get() == 0 && self.open.borrow().is_empty() && self.out.is_empty()
+        self.queued_requests.get() == 0 && self.open_requests.borrow().is_empty() && self.outbox.is_empty()
     }
 }
--- a/crates/server/src/downstream/scgi.rs
+++ b/crates/server/src/downstream/scgi.rs
@@ -1,12 +1,12 @@
 //! Calls as SCGI requests to a backend: a connection each, as the protocol has it.
 
 use crate::clock::MS;
-use crate::core::door::Txn;
-use crate::core::{Command, Note, Shared};
+use crate::core::incoming::RequestId;
+use crate::core::{CoreEvent, DownstreamCommand, Shared};
 use crate::counters::add;
-use crate::frames::RESULT;
+use crate::frames::MAX_RESULT_BYTES;
 use crate::log;
-use crate::pool::{Buf, SIZE};
+use crate::pool::{Buf, BUFFER_BYTES};
 use cypresscleat_scgi::{request, response, Bounds};
 use cypresscleat_scheduler::{Outcome, Time};
 use cypresscleat_settings::Names;
@@ -20,9 +20,10 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A response's header and the 4 KiB of a result fit one buffer.
-const BOUNDS: Bounds = Bounds { header: SIZE - RESULT - 16, fields: 64, body: RESULT };
+const BOUNDS: Bounds =
+    Bounds { header: BUFFER_BYTES - MAX_RESULT_BYTES - 16, fields: 64, body: MAX_RESULT_BYTES };
 
 /// Where the calls go, and as what.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,11 +33,11 @@
 }
 
 /// The backend as the operator's file has it now.
-pub struct Place(pub RefCell<Backend>);
+pub struct CurrentBackend(pub RefCell<Backend>);
 
 struct Call {
-    txn: Txn,
-    closed: Cell<bool>,
+    request_id: RequestId,
+    is_cancelled: Cell<bool>,
     wake: Notify,
 }
 
@@ -52,49 +53,62 @@
 }
 
 /// Carries out the core's commands on `most` connections.
-pub async fn link(at: Rc<Place>, names: Rc<Names>, shared: Shared, queue: Sender<Note>, most: usize) {
+pub async fn run(
+    current: Rc<CurrentBackend>,
+    names: Rc<Names>,
+    shared: Shared,
+    queue: Sender<CoreEvent>,
+    max_connections: usize,
+) {
     let calls: Rc<RefCell<Vec<Rc<Call>>>> = Rc::default();
     loop {
-        shared.calls.wake.notified().await;
+        shared.downstream.wake.notified().await;
         loop {
-            let Some(command) = shared.calls.queue.borrow_mut().pop_front() else { break };
+            let Some(command) = shared.downstream.queue.borrow_mut().pop_front() else { break };
             match command {
-                Command::Post { txn, number, op, within, body } => {
-                    if calls.borrow().len() >= most {
-                        let how = Outcome::ConnectFailed;
-                        let _ = queue.send(Note::Called { txn, number, how, reply: None }).await;
+                DownstreamCommand::Call { request_id, number, class, timeout, body } => {
+                    if calls.borrow().len() >= max_connections {
+                        let outcome = Outcome::ConnectFailed;
+                        let _ = queue
+                            .send(CoreEvent::CallCompleted { request_id, number, outcome, reply: None })
+                            .await;
                         continue;
                     }
                     // A second call of one invocation gives up the first.
-                    give_up(&calls, txn);
-                    let backend = at.0.borrow().clone();
-                    let text = write(&backend.path, &names.classes[op], txn, within, &body);
-                    let call = Rc::new(Call { txn, closed: Cell::new(false), wake: Notify::new() });
+                    cancel_calls(&calls, request_id);
+                    let backend = current.0.borrow().clone();
+                    let bytes =
+                        encode_request(&backend.path, &names.classes[class], request_id, timeout, &body);
+                    let call =
+                        Rc::new(Call { request_id, is_cancelled: Cell::new(false), wake: Notify::new() });
                     calls.borrow_mut().push(call.clone());
                     let (shared, queue, calls) = (shared.clone(), queue.clone(), calls.clone());
                     tokio::task::spawn_local(async move {
-                        let ended = run(&call, backend.address, &text, &shared).await;
+                        let completed = run_call(&call, backend.address, &bytes, &shared).await;
                         calls.borrow_mut().retain(|other| !Rc::ptr_eq(other, &call));
-                        if let (Some((how, reply)), false) = (ended, call.closed.get()) {
-                            let _ = queue.send(Note::Called { txn, number, how, reply }).await;
+                        if let (Some((outcome, reply)), false) = (completed, call.is_cancelled.get()) {
+                            let _ = queue
+                                .send(CoreEvent::CallCompleted { request_id, number, outcome, reply })
+                                .await;
                         }
                     });
                 }
-                Command::Abandon { txn } => give_up(&calls, txn),
+                DownstreamCommand::Cancel { request_id } => cancel_calls(&calls, request_id),
             }
         }
     }
 }
 
-fn give_up(calls: &RefCell<Vec<Rc<Call>>>, txn: Txn) {
-    for call in calls.borrow().iter().filter(|call| call.txn == txn) {
-        call.closed.set(true);
+fn cancel_calls(calls: &RefCell<Vec<Rc<Call>>>, request_id: RequestId) {
+    for call in calls.borrow().iter().filter(|call| call.request_id == request_id) {
+        call.is_cancelled.set(true);
         call.wake.notify_one();
     }
 }
 
-fn write(path: &str, operation: &str, txn: Txn, within: Time, body: &[u8]) -> Vec<u8> {
-    let (within, id) = ((within / MS).max(1).to_string(), String::from_utf8_lossy(&txn).into_owned());
+fn encode_request(path: &str, class: &str, request_id: RequestId, timeout: Time, body: &[u8]) -> Vec<u8> {
+    let (timeout, id) =
+        ((timeout / MS).max(1).to_string(), String::from_utf8_lossy(&request_id).into_owned());
     let fields = [
         ("REQUEST_METHOD", &b"POST"[..]),
         ("REQUEST_URI", path.as_bytes()),
@@ -104,8 +118,8 @@
         ("SERVER_PROTOCOL", b"HTTP/1.1"),
         ("CONTENT_TYPE", b"application/octet-stream"),
         ("HTTP_CYPRESSCLEAT_ID", id.as_bytes()),
-        ("HTTP_CYPRESSCLEAT_OPERATION", operation.as_bytes()),
-        ("HTTP_CYPRESSCLEAT_WITHIN_MS", within.as_bytes()),
+        ("HTTP_CYPRESSCLEAT_OPERATION", class.as_bytes()),
+        ("HTTP_CYPRESSCLEAT_WITHIN_MS", timeout.as_bytes()),
     ];
     let mut out = Vec::new();
     if let Err(fault) = request::write(&mut out, &fields, body) {
@@ -115,22 +129,22 @@
 }
 
 /// One call from its connection to its outcome; `None` where it was given up.
-async fn run(
+async fn run_call(
     call: &Call,
     address: SocketAddr,
-    text: &[u8],
+    bytes: &[u8],
     shared: &Shared,
 ) -> Option<(Outcome, Option<Buf>)> {
     let mut written = 0;
     let result = tokio::select! {
         biased;
         () = call.wake.notified() => return None,
-        result = carry(address, text, shared, &mut written) => result,
+        result = exchange(address, bytes, shared, &mut written) => result,
     };
     match result {
         Ok((status, reply)) => {
-            let how = outcome(status);
-            Some((how, Some(reply).filter(|_| how == Outcome::Succeeded)))
+            let outcome = outcome(status);
+            Some((outcome, Some(reply).filter(|_| outcome == Outcome::Succeeded)))
         }
         Err(error) => {
             log!("a call to the backend at {address}: {error}");
@@ -140,27 +154,27 @@
     }
 }
 
-async fn carry(
+async fn exchange(
     address: SocketAddr,
-    text: &[u8],
+    bytes: &[u8],
     shared: &Shared,
     written: &mut usize,
 ) -> io::Result<(u16, Buf)> {
-    if text.is_empty() {
+    if bytes.is_empty() {
         return Err(ErrorKind::InvalidInput.into());
     }
-    let connected = timeout(CONNECT, TcpStream::connect(address)).await;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
     let _ = stream.set_nodelay(true);
     let mut reader = response::Reader::new(BOUNDS);
     let mut buf = shared.pool.take();
     loop {
-        let writes = *written < text.len();
+        let has_unsent = *written < bytes.len();
         tokio::select! {
-            ready = stream.writable(), if writes => {
+            ready = stream.writable(), if has_unsent => {
                 ready?;
-                match stream.try_write(&text[*written..]) {
-                    Ok(many) => *written += many,
+                match stream.try_write(&bytes[*written..]) {
+                    Ok(count) => *written += count,
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                     Err(error) => return Err(error),
                 }
@@ -170,8 +184,8 @@
         }
         let ended = match stream.try_read(buf.spare()) {
             Ok(0) => true,
-            Ok(many) => {
-                buf.filled(many);
+            Ok(count) => {
+                buf.advance(count);
                 false
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
@@ -179,13 +193,13 @@
         };
         match reader.read(&buf, ended) {
             Ok(None) => {}
-            Ok(Some(answer)) => {
-                if answer.extra > 0 {
+            Ok(Some(response)) => {
+                if response.extra > 0 {
                     add(&shared.counters.malformed);
                 }
                 let mut reply = shared.pool.take();
-                reply.push(answer.body);
-                return Ok((answer.status, reply));
+                reply.push(response.body);
+                return Ok((response.status, reply));
             }
             Err(fault) => {
                 add(&shared.counters.malformed);
--- a/crates/server/src/forwarder/connection.rs
+++ b/crates/server/src/forwarder/connection.rs
@@ -2,10 +2,10 @@
 
 use super::fleet::Fleet;
 use crate::clock::MS;
-use crate::core::door::Txn;
-use crate::frames::{self, Next};
+use crate::core::incoming::RequestId;
+use crate::frames::{self, NextFrame};
 use crate::log;
-use crate::pool::{Outbox, SIZE};
+use crate::pool::{Outbox, BUFFER_BYTES};
 use cypresscleat_forwarding::load_balancer::AttemptOutcome;
 use cypresscleat_forwarding::retry_budget::Execution;
 use cypresscleat_forwarding::NodeId;
@@ -34,7 +34,7 @@
     pub(super) out: Outbox,
     pub(super) next: Cell<u32>,
     /// By stream: the request, the number of its attempt, and where its bytes begin.
-    pub(super) open: RefCell<HashMap<u32, (Txn, u64, u64)>>,
+    pub(super) open: RefCell<HashMap<u32, (RequestId, u64, u64)>>,
     /// The worker takes no new stream on it.
     is_closing: Cell<bool>,
 }
@@ -87,7 +87,8 @@
         if unasked {
             self.refresh();
         }
-        let open: Vec<(Txn, u64, u64)> = connection.open.borrow_mut().drain().map(|(_, one)| one).collect();
+        let open: Vec<(RequestId, u64, u64)> =
+            connection.open.borrow_mut().drain().map(|(_, one)| one).collect();
         if let (Err(error), false) = (&ended, open.is_empty()) {
             log!("a connection to the worker at {} with {} tries: {error}", connection.address, open.len());
         }
@@ -134,19 +135,21 @@
             }
             match stream.try_read(buf.spare()) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(many) => buf.filled(many),
+                Ok(many) => buf.advance(many),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
                 Err(error) => return Err(error),
             }
             let mut at = 0;
             loop {
-                match frames::next(&buf[at..], SIZE) {
-                    Next::More => break,
-                    Next::Frame { kind, stream, payload, size } => {
+                match frames::next_frame(&buf[at..], BUFFER_BYTES) {
+                    NextFrame::Incomplete => break,
+                    NextFrame::Frame { kind, stream, payload, size } => {
                         self.handle_frame(connection, kind, stream, payload)?;
                         at += size;
                     }
-                    Next::Large { .. } | Next::Broken { .. } => return Err(ErrorKind::InvalidData.into()),
+                    NextFrame::TooLarge { .. } | NextFrame::Invalid { .. } => {
+                        return Err(ErrorKind::InvalidData.into())
+                    }
                 }
             }
             buf.consume(at);
@@ -161,10 +164,10 @@
         payload: &[u8],
     ) -> io::Result<()> {
         match kind {
-            frames::NO_MORE => connection.is_closing.set(true),
-            frames::ANSWER => {
+            frames::CLOSING => connection.is_closing.set(true),
+            frames::RESPONSE => {
                 let (code, rest) = payload.split_first().ok_or(ErrorKind::InvalidData)?;
-                let (fields, body) = frames::fields(rest).ok_or(ErrorKind::InvalidData)?;
+                let (fields, body) = frames::parse_fields(rest).ok_or(ErrorKind::InvalidData)?;
                 let Some((txn, number, _)) = connection.open.borrow_mut().remove(&stream) else {
                     // Of an attempt that was called off, or of none: on stream 0 it says that something was not understood.
                     return Ok(());
@@ -183,7 +186,7 @@
                         (0, false),
                         body,
                     ),
-                    frames::THROTTLED => self.end_attempt(
+                    frames::REJECTED => self.end_attempt(
                         txn,
                         number,
                         AttemptOutcome::Rejected,
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/fleet.rs
@@ -5,8 +5,8 @@
 use super::connection::Connection;
 use super::Tier;
 use crate::clock::{Clock, MS};
-use crate::core::door::{Places, Txn, Wanted};
-use crate::core::{Note, Shared};
+use crate::core::incoming::{Dispatcher, ForwardedRequest, RequestId};
+use crate::core::{CoreEvent, Shared};
 use crate::counters::add;
 use crate::frames;
 use crate::log;
@@ -38,7 +38,7 @@
     /// Attempts of the request so far, this one included.
     attempts: u32,
     started_at: Time,
-    wanted: Wanted,
+    wanted: ForwardedRequest,
     /// It crossed the close of a connection, and was sent once more.
     was_resent: bool,
     /// The connection and stream that it is on.
@@ -68,14 +68,14 @@
 pub struct Fleet {
     pub(super) own: NodeId,
     pub(super) shared: Shared,
-    queue: Sender<Note>,
+    queue: Sender<CoreEvent>,
     pub(super) clock: Clock,
     pub balancer: RefCell<LoadBalancer>,
     budget: RefCell<RetryBudget>,
     pub grants: RefCell<GrantTable>,
     pub mode: RefCell<DispatchMode>,
     pub forwarders: Cell<usize>,
-    attempts: RefCell<HashMap<Txn, Attempt>>,
+    attempts: RefCell<HashMap<RequestId, Attempt>>,
     pub(super) workers: RefCell<HashMap<NodeId, WorkerState>>,
     /// Arrivals by class since the last report.
     arrivals: RefCell<Vec<u64>>,
@@ -84,10 +84,10 @@
     next_attempt: Cell<u64>,
 }
 
-impl Places for Fleet {
-    fn run(self: Rc<Fleet>, wanted: Wanted) {
+impl Dispatcher for Fleet {
+    fn run(self: Rc<Fleet>, wanted: ForwardedRequest) {
         let now = self.clock.now();
-        if let Some(count) = self.arrivals.borrow_mut().get_mut(wanted.op) {
+        if let Some(count) = self.arrivals.borrow_mut().get_mut(wanted.class) {
             *count += 1;
         }
         self.budget.borrow_mut().record_first_attempt(now);
@@ -102,17 +102,17 @@
             stream: None,
         };
         if let Err(one) = self.start_attempt(now, one, &[]) {
-            self.report_end(one.wanted.txn, Outcome::Rejected, &[], None);
+            self.report_end(one.wanted.request_id, Outcome::Rejected, &[], None);
         }
     }
 
     /// The worker is told, and the attempt is over here.
-    fn stop(self: Rc<Fleet>, txn: Txn) {
+    fn stop(self: Rc<Fleet>, txn: RequestId) {
         let Some(one) = self.attempts.borrow_mut().remove(&txn) else { return };
         if let Some((connection, stream)) = &one.stream {
             if connection.open.borrow_mut().remove(stream).is_some() {
                 let mut frame = Vec::new();
-                frames::frame(&mut frame, frames::LEFT, *stream, b"");
+                frames::write_frame(&mut frame, frames::CLIENT_LEFT, *stream, b"");
                 connection.out.push(&frame);
             }
         }
@@ -121,7 +121,7 @@
         self.report_end(txn, Outcome::Cancelled, &[], None);
     }
 
-    fn granted(&self) -> f64 {
+    fn granted_slots(&self) -> f64 {
         self.balancer.borrow().places()
     }
 
@@ -146,7 +146,7 @@
     pub fn new(
         (name, tier): (&str, &Tier),
         shared: &Shared,
-        queue: Sender<Note>,
+        queue: Sender<CoreEvent>,
         clock: Clock,
         class_weights: Vec<f64>,
         seed: u64,
@@ -259,17 +259,17 @@
         let stream = connection.next.replace(connection.next.get() + 1);
         let from = connection.out.end();
         let mut frame = Vec::with_capacity(one.wanted.payload.len() + 9);
-        frames::frame(&mut frame, frames::INVOCATION, stream, &one.wanted.payload);
-        connection.open.borrow_mut().insert(stream, (one.wanted.txn, one.number, from));
+        frames::write_frame(&mut frame, frames::REQUEST, stream, &one.wanted.payload);
+        connection.open.borrow_mut().insert(stream, (one.wanted.request_id, one.number, from));
         connection.out.push(&frame);
         one.stream = Some((connection, stream));
-        self.attempts.borrow_mut().insert(one.wanted.txn, one);
+        self.attempts.borrow_mut().insert(one.wanted.request_id, one);
     }
 
     /// Guards an attempt that crossed the close of its connection: the worker had said that it takes no more there, and reads nothing more.
     /// Sent once more on a new connection to the same worker, under its id, it runs once whichever copy was read. False where it did
     /// not cross, or did so before.
-    pub(super) fn resend_crossed(self: &Rc<Fleet>, txn: Txn, number: u64) -> bool {
+    pub(super) fn resend_crossed(self: &Rc<Fleet>, txn: RequestId, number: u64) -> bool {
         let now = self.clock.now();
         let crosses = |one: &Attempt| {
             one.number == number && !one.was_resent && now - one.started_at <= MAX_CROSSING_TIME
@@ -284,10 +284,17 @@
         true
     }
 
-    fn report_end(&self, txn: Txn, how: Outcome, body: &[u8], said: Option<(Time, bool)>) {
+    fn report_end(
+        &self,
+        request_id: RequestId,
+        outcome: Outcome,
+        body: &[u8],
+        retry_after: Option<(Time, bool)>,
+    ) {
         let mut kept = self.shared.pool.take();
         kept.push(body);
-        let (queue, note) = (self.queue.clone(), Note::Ran { txn, how, body: kept, said });
+        let (queue, note) =
+            (self.queue.clone(), CoreEvent::RunCompleted { request_id, outcome, body: kept, retry_after });
         // The queue may be full just now, and this is called from the core itself.
         tokio::task::spawn_local(async move {
             let _ = queue.send(note).await;
@@ -297,7 +304,7 @@
     /// An attempt has ended. Where it provably never ran a retry may follow.
     pub(super) fn end_attempt(
         self: &Rc<Fleet>,
-        txn: Txn,
+        txn: RequestId,
         number: u64,
         end: AttemptOutcome,
         known: Execution,
@@ -320,7 +327,7 @@
             AttemptOutcome::Failed => return self.report_end(txn, Outcome::Failed, b"", None),
             _ => {}
         }
-        let left = one.wanted.due - now;
+        let left = one.wanted.deadline - now;
         let (worker, tries) = (one.worker, one.attempts);
         let retry = RetryRequest {
             execution: known,
@@ -341,12 +348,12 @@
         };
         match known {
             Execution::NeverRan => self.report_end(
-                one.wanted.txn,
+                one.wanted.request_id,
                 Outcome::Rejected,
                 b"",
                 Some(said).filter(|said| said.0 > 0 || said.1),
             ),
-            Execution::MayHaveRun => self.report_end(one.wanted.txn, Outcome::Failed, b"", None),
+            Execution::MayHaveRun => self.report_end(one.wanted.request_id, Outcome::Failed, b"", None),
         }
     }
 }
--- a/crates/server/src/forwarder/health.rs
+++ b/crates/server/src/forwarder/health.rs
@@ -2,7 +2,7 @@
 //! much it reserves for this forwarder.
 
 use super::fleet::Fleet;
-use crate::frames::{self, Next};
+use crate::frames::{self, NextFrame};
 use crate::log;
 use crate::sockets::write_all;
 use cypresscleat_forwarding::slow_start::ReservedCapacity;
@@ -85,7 +85,7 @@
             state.reserved.iter_mut().for_each(ReservedCapacity::invalidate);
         }
         self.refresh();
-        let payload = frames::put_ramp(self.own, out);
+        let payload = frames::slow_start_request(self.own, out);
         let Ok(Ok((good, ramp, stream))) =
             timeout(HEALTH_CHECK_INTERVAL, ask_health(kept.take(), address, &payload)).await
         else {
@@ -125,7 +125,7 @@
         None => (TcpStream::connect(address).await?, 1),
     };
     let mut frame = Vec::new();
-    frames::frame(&mut frame, frames::CHECK, number, payload);
+    frames::write_frame(&mut frame, frames::HEALTH_CHECK, number, payload);
     write_all(&stream, &frame).await?;
     let (mut bytes, mut filled) = ([0; 512], 0);
     loop {
@@ -136,11 +136,11 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
             Err(error) => return Err(error),
         }
-        match frames::next(&bytes[..filled], bytes.len()) {
-            Next::More if filled < bytes.len() => {}
-            Next::Frame { kind: frames::CHECKED, payload, .. } => {
+        match frames::next_frame(&bytes[..filled], bytes.len()) {
+            NextFrame::Incomplete if filled < bytes.len() => {}
+            NextFrame::Frame { kind: frames::HEALTH_RESPONSE, payload, .. } => {
                 let good = payload.first() == Some(&frames::SUCCEEDED);
-                return Ok((good, frames::ramp(payload), (stream, number)));
+                return Ok((good, frames::parse_slow_start_response(payload), (stream, number)));
             }
             // Told to send no more on this connection: a new one next time.
             _ => return Err(ErrorKind::InvalidData.into()),
--- a/crates/server/src/http.rs
+++ b/crates/server/src/http.rs
@@ -1,7 +1,7 @@
 //! The roster's HTTP/1.1: a report written, its answer read. No I/O.
 
-pub fn report(host: &str, name: &str, on: bool) -> String {
-    let body = if on { "{\"duty\":\"on\"}" } else { "{\"duty\":\"off\"}" };
+pub fn report_request(host: &str, name: &str, accepts_work: bool) -> String {
+    let body = if accepts_work { "{\"duty\":\"on\"}" } else { "{\"duty\":\"off\"}" };
     let length = body.len();
     format!(
         "PUT /roster/{name} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
@@ -11,14 +11,14 @@
 
 /// One answer: its status, its size in bytes, and whether the connection may carry another.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub size: usize,
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// `Ok(None)` while it is not whole.
-pub fn answer(bytes: &[u8]) -> Result<Option<Answer>, String> {
+pub fn parse_response(bytes: &[u8]) -> Result<Option<Response>, String> {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else { return Ok(None) };
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| "a head that is no text")?;
     let mut lines = head.split("\r\n");
@@ -29,19 +29,19 @@
     if !version.starts_with("HTTP/1.") {
         return Err(format!("first line {first:?}"));
     }
-    let (mut length, mut keep) = (0, version == "HTTP/1.1");
+    let (mut length, mut keep_alive) = (0, version == "HTTP/1.1");
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         let value = value.trim();
         if name.eq_ignore_ascii_case("content-length") {
             length = value.parse().map_err(|_| format!("length {value:?}"))?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             // Its end is not looked for: the connection is not used again.
-            return Ok(Some(Answer { status, size: bytes.len(), keep: false }));
+            return Ok(Some(Response { status, size: bytes.len(), keep_alive: false }));
         } else if name.eq_ignore_ascii_case("connection") {
-            keep = !value.eq_ignore_ascii_case("close");
+            keep_alive = !value.eq_ignore_ascii_case("close");
         }
     }
     let bodiless = status == 204 || status == 304 || status < 200;
     let size = end + 4 + if bodiless { 0 } else { length };
-    Ok((bytes.len() >= size).then_some(Answer { status, size, keep }))
+    Ok((bytes.len() >= size).then_some(Response { status, size, keep_alive }))
 }
--- a/crates/server/src/leases/settle.rs
+++ b/crates/server/src/leases/settle.rs
@@ -12,7 +12,7 @@
 
 use super::work::{self, Item, Source};
 use super::Keepers;
-use crate::core::keeping::{Loaded, Ran};
+use crate::core::persistence::{KeyState, RecoveredState};
 use crate::log;
 use cypresscleat_leases::{node_id, Time};
 use cypresscleat_store::disk::DiskDirectory;
@@ -52,10 +52,12 @@
         other => other.map_err(|error| error.to_string())?,
     };
     let mut store = Store::open(disk, StoreOptions::default()).map_err(|error| error.to_string())?;
-    let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
-    let owed =
-        loaded.cut_off.into_iter().map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
-    let begun = loaded.tokens.into_iter().filter(|(_, token)| token.ran == Ran::Begun);
+    let loaded = RecoveredState::load(&mut store).map_err(|error| error.to_string())?;
+    let owed = loaded
+        .interrupted
+        .into_iter()
+        .map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
+    let begun = loaded.records.into_iter().filter(|(_, token)| token.state == KeyState::Started);
     let begun =
         begun.map(|(token, _)| Row { key: format!("t/{token}"), what: "begun, its end is not known".into() });
     Ok(Some(owed.chain(begun).take(ROWS).collect()))
--- a/crates/server/src/lines.rs
+++ b/crates/server/src/lines.rs
@@ -1,13 +1,13 @@
 //! The kernel's JSON lines and the ledger's lines: read from bytes, written to bytes. No I/O.
 
-use crate::pool::{Buf, Pool};
+use crate::pool::{Buf, BufferPool};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use cypresscleat_scheduler::Outcome;
 use serde_json::{json, Value};
 use std::rc::Rc;
 
 /// The first line in `bytes` without its end, and the size with it.
-pub fn next(bytes: &[u8]) -> Option<(&[u8], usize)> {
+pub fn next_line(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let line = &bytes[..end];
     Some((line.strip_suffix(b"\r").unwrap_or(line), end + 1))
@@ -17,29 +17,29 @@
 
 pub enum Notice {
     Booted { cold: bool, age_ms: f64 },
-    Reap { call: String, how: Outcome, blob: Buf },
-    Call { call: String, blob: Buf },
+    Reap { call: String, outcome: Outcome, body: Buf },
+    Call { call: String, body: Buf },
     Info { cookie: String, stats: Vec<f64> },
     Rejected { command: String, call: String },
     Remark(String),
 }
 
 /// The number of a notice, where it has one, and what it says.
-pub fn notice(line: &[u8], pool: &Rc<Pool>) -> (Option<u64>, Result<Notice, String>) {
+pub fn parse_notice(line: &[u8], pool: &Rc<BufferPool>) -> (Option<u64>, Result<Notice, String>) {
     match serde_json::from_slice::<Value>(line) {
-        Ok(all) => (all["serial"].as_u64(), read_notice(&all, pool)),
+        Ok(all) => (all["serial"].as_u64(), notice_from_json(&all, pool)),
         Err(error) => (None, Err(error.to_string())),
     }
 }
 
-fn read_notice(all: &Value, pool: &Rc<Pool>) -> Result<Notice, String> {
+fn notice_from_json(all: &Value, pool: &Rc<BufferPool>) -> Result<Notice, String> {
     let text = |key: &str| all[key].as_str().ok_or_else(|| format!("no {key}"));
     let call = || text("call").map(str::to_string);
-    let blob = || {
+    let body = || {
         let mut blob = pool.take();
         let text = all["blob"].as_str().unwrap_or("");
         let size = STANDARD.decode_slice(text, blob.spare()).map_err(|error| format!("blob: {error}"))?;
-        blob.filled(size);
+        blob.advance(size);
         Ok::<Buf, String>(blob)
     };
     let how = text("how");
@@ -48,16 +48,16 @@
             Notice::Booted { cold: how == "COLD", age_ms: all["duration"].as_f64().unwrap_or(0.0).max(0.0) }
         }
         ("REAP", Ok(how)) => {
-            let how = match how {
+            let outcome = match how {
                 "OK" => Outcome::Succeeded,
                 "ERROR" => Outcome::Failed,
                 "STOPPED" => Outcome::Cancelled,
                 "MOOT" => Outcome::NotStarted,
                 _ => return Err(format!("how {how:?}")),
             };
-            Notice::Reap { call: call()?, how, blob: blob()? }
+            Notice::Reap { call: call()?, outcome, body: body()? }
         }
-        ("IOREQ", _) => Notice::Call { call: call()?, blob: blob()? },
+        ("IOREQ", _) => Notice::Call { call: call()?, body: body()? },
         ("INFO", _) => {
             let stats = all["stats"].as_array().map_or(&[][..], Vec::as_slice);
             let stats = stats.iter().map(|value| value.as_f64().unwrap_or(f64::NAN)).collect();
@@ -71,24 +71,24 @@
     })
 }
 
-fn line(value: Value) -> String {
+fn json_line(value: Value) -> String {
     format!("{value}\n")
 }
 
 pub fn open(serial: u64) -> String {
-    line(json!({"msg": "OPEN", "serial": serial}))
+    json_line(json!({"msg": "OPEN", "serial": serial}))
 }
 pub fn sched(call: &str, service: &str, body: &[u8]) -> String {
-    line(json!({"msg": "SCHED", "call": call, "service": service, "blob": STANDARD.encode(body)}))
+    json_line(json!({"msg": "SCHED", "call": call, "service": service, "blob": STANDARD.encode(body)}))
 }
 pub fn preempt(call: &str) -> String {
-    line(json!({"msg": "PREEMPT", "call": call}))
+    json_line(json!({"msg": "PREEMPT", "call": call}))
 }
 pub fn io_done(call: &str, reply: &[u8]) -> String {
-    line(json!({"msg": "IODONE", "call": call, "blob": STANDARD.encode(reply)}))
+    json_line(json!({"msg": "IODONE", "call": call, "blob": STANDARD.encode(reply)}))
 }
 pub fn sysinfo(cookie: &str) -> String {
-    line(json!({"msg": "SYSINFO", "cookie": cookie}))
+    json_line(json!({"msg": "SYSINFO", "cookie": cookie}))
 }
 
 // ---- the ledger ----
@@ -104,51 +104,51 @@
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
     pub call: &'a str,
-    pub how: Outcome,
+    pub outcome: Outcome,
     pub body: &'a [u8],
 }
 
 #[derive(Debug, PartialEq)]
 pub enum NextReply<'a> {
-    More,
+    Incomplete,
     Reply(Reply<'a>, usize),
     /// A line that means nothing, or where the next reply begins can't be known any more.
-    Broken(String),
+    Invalid(String),
 }
 
 /// The first line of a reply is shorter than this.
-const LINE: usize = 64;
+const MAX_LINE_BYTES: usize = 64;
 
 /// The first reply in `bytes`, of which `most` fit a buffer.
-pub fn reply(bytes: &[u8], most: usize) -> NextReply<'_> {
-    let Some((line, size)) = next(&bytes[..bytes.len().min(LINE)]) else {
-        let broken = bytes.len() >= LINE;
-        return if broken { NextReply::Broken("a line without end".into()) } else { NextReply::More };
+pub fn parse_reply(bytes: &[u8], max_reply_bytes: usize) -> NextReply<'_> {
+    let Some((line, size)) = next_line(&bytes[..bytes.len().min(MAX_LINE_BYTES)]) else {
+        let invalid = bytes.len() >= MAX_LINE_BYTES;
+        return if invalid { NextReply::Invalid("a line without end".into()) } else { NextReply::Incomplete };
     };
-    let broken = || NextReply::Broken(format!("{:?}", String::from_utf8_lossy(line)));
-    let Ok(text) = std::str::from_utf8(line) else { return broken() };
+    let invalid = || NextReply::Invalid(format!("{:?}", String::from_utf8_lossy(line)));
+    let Ok(text) = std::str::from_utf8(line) else { return invalid() };
     let words: Vec<&str> = text.split(' ').collect();
-    let (call, how) = match words[..] {
+    let (call, outcome) = match words[..] {
         [call, "posted", length] => {
-            let Ok(length) = length.parse::<usize>() else { return broken() };
-            let whole = size.saturating_add(length).saturating_add(2);
-            if whole > most {
-                return NextReply::Broken(format!("a reply of {length} bytes"));
+            let Ok(length) = length.parse::<usize>() else { return invalid() };
+            let total_size = size.saturating_add(length).saturating_add(2);
+            if total_size > max_reply_bytes {
+                return NextReply::Invalid(format!("a reply of {length} bytes"));
             }
-            return match bytes.get(size..whole) {
-                None => NextReply::More,
+            return match bytes.get(size..total_size) {
+                None => NextReply::Incomplete,
                 Some(tail) if tail.ends_with(b"\r\n") => {
                     let body = &tail[..length];
-                    NextReply::Reply(Reply { call, how: Outcome::Succeeded, body }, whole)
+                    NextReply::Reply(Reply { call, outcome: Outcome::Succeeded, body }, total_size)
                 }
-                Some(_) => NextReply::Broken(format!("{text:?} is not followed by its reply")),
+                Some(_) => NextReply::Invalid(format!("{text:?} is not followed by its reply")),
             };
         }
         [call, "queue_full"] => (call, Outcome::Rejected),
         [call, "error"] => (call, Outcome::Failed),
         [call, "expired"] => (call, Outcome::TimedOut),
         [call, "moot"] => (call, Outcome::NotStarted),
-        _ => return broken(),
+        _ => return invalid(),
     };
-    NextReply::Reply(Reply { call, how, body: b"" }, size)
+    NextReply::Reply(Reply { call, outcome, body: b"" }, size)
 }
--- a/crates/server/src/listeners/routes.rs
+++ b/crates/server/src/listeners/routes.rs
@@ -1,8 +1,8 @@
 //! From a gateway's request to an invocation: which route, what its headers say, what holds where they say nothing.
 //! No I/O.
 
-use crate::core::door::{Invocation, Txn};
-use crate::frames::{is_word, TOKEN};
+use crate::core::incoming::{IncomingRequest, RequestId};
+use crate::frames::{is_visible_ascii, MAX_IDEMPOTENCY_KEY_BYTES};
 use crate::pool::Buf;
 use cypresscleat_scgi::request::Request;
 use cypresscleat_scheduler::Time;
@@ -10,9 +10,9 @@
 
 /// A header, as the gateway names it, and what holds without it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct From<T> {
+pub struct HeaderOr<T> {
     pub header: Option<String>,
-    pub otherwise: T,
+    pub default_value: T,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -20,131 +20,146 @@
     /// Matches itself and all below it.
     pub path: String,
     pub methods: Vec<String>,
-    pub op: usize,
-    pub customer: From<Option<usize>>,
+    pub class: usize,
+    pub tenant: HeaderOr<Option<usize>>,
     /// From 0 to under 1.
-    pub rank: From<f64>,
+    pub client_priority: HeaderOr<f64>,
     /// How long the caller still waits; the header tells milliseconds.
-    pub within: From<Option<Time>>,
+    pub timeout: HeaderOr<Option<Time>>,
     /// Work to expect; the header tells milliseconds on one core.
-    pub hint: From<Option<Time>>,
+    pub expected_work: HeaderOr<Option<Time>>,
     /// Memory booked while it is held, in KB.
-    pub kb: f64,
+    pub memory_kb: f64,
     pub content_type: String,
     /// The header that brings the token of a tokened operation; without it a request is none.
-    pub token: Option<String>,
+    pub idempotency_key_header: Option<String>,
 }
 
 /// The longest path comes first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
     all: Vec<Rc<Route>>,
-    customers: Vec<String>,
+    tenants: Vec<String>,
 }
 
 /// Why a request is no invocation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refusal {
+pub enum RouteError {
     /// No route has this path.
-    Path,
+    UnknownPath,
     /// A route has this path, for these methods.
-    Method(String),
+    MethodNotAllowed(String),
     /// What is wrong with it.
-    Wrong(String),
+    Invalid(String),
 }
 
 /// An hour: nobody waits longer, no run takes longer.
-const LONGEST_MS: f64 = 3.6e6;
+const MAX_TIMEOUT_MS: f64 = 3.6e6;
 
 impl Routes {
     /// `customers` by their names in the settings.
-    pub fn new(routes: Vec<Route>, customers: &[String]) -> Routes {
+    pub fn new(routes: Vec<Route>, tenants: &[String]) -> Routes {
         let mut all: Vec<Rc<Route>> = routes.into_iter().map(Rc::new).collect();
         all.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
-        Routes { all, customers: customers.to_vec() }
+        Routes { all, tenants: tenants.to_vec() }
     }
 
     /// Whether a route to this operation asks for no token.
-    pub fn lacks_token(&self, op: usize) -> bool {
-        self.all.iter().any(|route| route.op == op && route.token.is_none())
+    pub fn lacks_idempotency_key(&self, class: usize) -> bool {
+        self.all.iter().any(|route| route.class == class && route.idempotency_key_header.is_none())
     }
 
-    pub fn find(&self, path: &str, method: &str) -> Result<&Rc<Route>, Refusal> {
-        let below = |route: &&Rc<Route>| match path.strip_prefix(route.path.as_str()) {
+    pub fn find(&self, path: &str, method: &str) -> Result<&Rc<Route>, RouteError> {
+        let covers = |route: &&Rc<Route>| match path.strip_prefix(route.path.as_str()) {
             Some(rest) => rest.is_empty() || rest.starts_with('/') || route.path.ends_with('/'),
             None => false,
         };
         // Of the longest path that fits, all methods; a shorter one never stands in for it.
-        let first = self.all.iter().find(below).ok_or(Refusal::Path)?;
+        let first = self.all.iter().find(covers).ok_or(RouteError::UnknownPath)?;
         let mut same = self.all.iter().filter(|route| route.path == first.path);
-        let fits = |route: &&Rc<Route>| route.methods.iter().any(|known| known == method);
-        same.clone().find(fits).ok_or_else(|| {
+        let allows_method = |route: &&Rc<Route>| route.methods.iter().any(|known| known == method);
+        same.clone().find(allows_method).ok_or_else(|| {
             let methods: Vec<&str> =
                 same.by_ref().flat_map(|route| &route.methods).map(String::as_str).collect();
-            Refusal::Method(methods.join(", "))
+            RouteError::MethodNotAllowed(methods.join(", "))
         })
     }
 
     /// The invocation in `bytes`, of which `request` is read, and its route.
-    pub fn invocation(
+    pub fn parse_request(
         &self,
-        txn: Txn,
-        door: Time,
+        request_id: RequestId,
+        arrived_at: Time,
         bytes: &Buf,
         request: &Request,
-    ) -> Result<(Rc<Route>, Part), Refusal> {
-        let text = |name: &str| match request.field(name) {
+    ) -> Result<(Rc<Route>, ParsedRequest), RouteError> {
+        let text_field = |name: &str| match request.field(name) {
             None => Ok(None),
             Some(value) => match std::str::from_utf8(value) {
                 Ok(value) => Ok(Some(value)),
-                Err(_) => Err(Refusal::Wrong(format!("{name} is no text"))),
+                Err(_) => Err(RouteError::Invalid(format!("{name} is no text"))),
             },
         };
-        let method = text("REQUEST_METHOD")?.ok_or(Refusal::Wrong("no REQUEST_METHOD".into()))?;
+        let method = text_field("REQUEST_METHOD")?.ok_or(RouteError::Invalid("no REQUEST_METHOD".into()))?;
         // Gateways tell the path in one of three ways; with a mount point it is that and what stands behind it.
-        let path =
-            match (text("SCRIPT_NAME")?, text("PATH_INFO")?, text("DOCUMENT_URI")?, text("REQUEST_URI")?) {
-                (Some(script), info, ..) => format!("{script}{}", info.unwrap_or("")),
-                (None, Some(info), ..) => info.to_string(),
-                (None, None, Some(path), _) => path.to_string(),
-                (None, None, None, Some(uri)) => uri.split('?').next().unwrap_or("").to_string(),
-                _ => {
-                    return Err(Refusal::Wrong(
-                        "no SCRIPT_NAME, PATH_INFO, DOCUMENT_URI or REQUEST_URI".into(),
-                    ))
-                }
-            };
+        let path = match (
+            text_field("SCRIPT_NAME")?,
+            text_field("PATH_INFO")?,
+            text_field("DOCUMENT_URI")?,
+            text_field("REQUEST_URI")?,
+        ) {
+            (Some(script), info, ..) => format!("{script}{}", info.unwrap_or("")),
+            (None, Some(info), ..) => info.to_string(),
+            (None, None, Some(path), _) => path.to_string(),
+            (None, None, None, Some(uri)) => uri.split('?').next().unwrap_or("").to_string(),
+            _ => {
+                return Err(RouteError::Invalid(
+                    "no SCRIPT_NAME, PATH_INFO, DOCUMENT_URI or REQUEST_URI".into(),
+                ))
+            }
+        };
         let route = self.find(&path, method)?;
-        let said = |header: &Option<String>| match header {
+        let header_value = |header: &Option<String>| match header {
             None => Ok(None),
-            Some(name) => Ok(text(name)?.filter(|value| !value.is_empty())),
+            Some(name) => Ok(text_field(name)?.filter(|value| !value.is_empty())),
         };
-        let number = |header: &Option<String>, most: f64, below: bool| -> Result<Option<f64>, Refusal> {
-            let Some(value) = said(header)? else { return Ok(None) };
-            match value.parse::<f64>() {
-                Ok(number) if (0.0..=most).contains(&number) && !(below && number == most) => {
-                    Ok(Some(number))
+        let number_field =
+            |header: &Option<String>, max: f64, is_exclusive: bool| -> Result<Option<f64>, RouteError> {
+                let Some(value) = header_value(header)? else { return Ok(None) };
+                match value.parse::<f64>() {
+                    Ok(number) if (0.0..=max).contains(&number) && !(is_exclusive && number == max) => {
+                        Ok(Some(number))
+                    }
+                    _ => Err(RouteError::Invalid(format!("{} {value:?}", header.as_deref().unwrap_or("")))),
                 }
-                _ => Err(Refusal::Wrong(format!("{} {value:?}", header.as_deref().unwrap_or("")))),
-            }
-        };
-        let ms = |value: f64| (value * 10.0) as Time;
-        let customer = match said(&route.customer.header)? {
-            None => route.customer.otherwise,
-            Some(name) => match self.customers.iter().position(|known| known == name) {
-                None => return Err(Refusal::Wrong(format!("customer {name:?}"))),
+            };
+        let to_time = |value: f64| (value * 10.0) as Time;
+        let tenant = match header_value(&route.tenant.header)? {
+            None => route.tenant.default_value,
+            Some(name) => match self.tenants.iter().position(|known| known == name) {
+                None => return Err(RouteError::Invalid(format!("customer {name:?}"))),
                 known => known,
             },
         };
-        let within = number(&route.within.header, LONGEST_MS, false)?.map(ms);
-        let hint = number(&route.hint.header, LONGEST_MS, false)?.map(ms).or(route.hint.otherwise);
-        let rank = number(&route.rank.header, 1.0, true)?.unwrap_or(route.rank.otherwise);
-        let token = match &route.token {
+        let timeout = number_field(&route.timeout.header, MAX_TIMEOUT_MS, false)?.map(to_time);
+        let expected_work = number_field(&route.expected_work.header, MAX_TIMEOUT_MS, false)?
+            .map(to_time)
+            .or(route.expected_work.default_value);
+        let client_priority = number_field(&route.client_priority.header, 1.0, true)?
+            .unwrap_or(route.client_priority.default_value);
+        let idempotency_key = match &route.idempotency_key_header {
             None => None,
-            Some(name) => match said(&route.token)? {
-                Some(token) if token.len() <= TOKEN && is_word(token) => Some(token.into()),
-                Some(token) => return Err(Refusal::Wrong(format!("{name} {token:?}"))),
-                None => return Err(Refusal::Wrong(format!("no {name}"))),
+            Some(name) => match header_value(&route.idempotency_key_header)? {
+                Some(idempotency_key)
+                    if idempotency_key.len() <= MAX_IDEMPOTENCY_KEY_BYTES
+                        && is_visible_ascii(idempotency_key) =>
+                {
+                    Some(idempotency_key.into())
+                }
+                Some(idempotency_key) => {
+                    return Err(RouteError::Invalid(format!("{name} {idempotency_key:?}")))
+                }
+                None => return Err(RouteError::Invalid(format!("no {name}"))),
             },
         };
         // What was sent, or else what was asked: a GET has no content, its question stands behind the path.
@@ -153,54 +168,65 @@
             body => body,
         };
         let start = if body.is_empty() { 0 } else { body.as_ptr() as usize - bytes.as_ptr() as usize };
-        let part = Part {
-            txn,
-            door,
-            op: route.op,
-            customer,
-            budget: within.or(route.within.otherwise),
-            rank,
-            hint: hint.filter(|hint| *hint > 0),
-            kb: route.kb,
-            token,
+        let parsed = ParsedRequest {
+            request_id,
+            arrived_at,
+            class: route.class,
+            tenant,
+            remaining_timeout: timeout.or(route.timeout.default_value),
+            client_priority,
+            expected_work: expected_work.filter(|expected_work| *expected_work > 0),
+            memory_kb: route.memory_kb,
+            idempotency_key,
             body: start..start + body.len(),
         };
-        Ok((route.clone(), part))
+        Ok((route.clone(), parsed))
     }
 }
 
 /// An invocation without the buffer that it stands in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
-    txn: Txn,
-    door: Time,
-    op: usize,
-    customer: Option<usize>,
-    budget: Option<Time>,
-    rank: f64,
-    hint: Option<Time>,
-    kb: f64,
-    token: Option<Box<str>>,
+pub struct ParsedRequest {
+    request_id: RequestId,
+    arrived_at: Time,
+    class: usize,
+    tenant: Option<usize>,
+    remaining_timeout: Option<Time>,
+    client_priority: f64,
+    expected_work: Option<Time>,
+    memory_kb: f64,
+    idempotency_key: Option<Box<str>>,
     body: std::ops::Range<usize>,
 }
 
-impl Part {
-    pub fn with(self, bytes: Buf) -> Invocation {
-        let Part { txn, door, op, customer, budget, rank, hint, kb, token, body } = self;
-        let hint = hint.map(|hint| hint as f64);
-        Invocation {
-            txn,
-            op,
-            customer,
-            door,
-            budget,
-            rank,
-            hint,
-            kb,
-            keyed: false,
-            token,
+impl ParsedRequest {
+    pub fn with_buffer(self, bytes: Buf) -> IncomingRequest {
+        let ParsedRequest {
+            request_id,
+            arrived_at,
+            class,
+            tenant,
+            remaining_timeout,
+            client_priority,
+            expected_work,
+            memory_kb,
+            idempotency_key,
+            body,
+        } = self;
+        let expected_work = expected_work.map(|expected_work| expected_work as f64);
+        IncomingRequest {
+            request_id,
+            class,
+            tenant,
+            arrived_at,
+            remaining_timeout,
+            client_priority,
+            expected_work,
+            memory_kb,
+            has_item: false,
+            idempotency_key,
             subject: None,
-            raw: false,
+            is_frame_payload: false,
             bytes,
             body,
         }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -7,19 +7,19 @@
 use cypresscleat_server::args::{self, Task};
 use cypresscleat_server::clock::{unix, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
-use cypresscleat_server::core::keeping::Keeping;
-use cypresscleat_server::core::{Core, Note, Shared};
+use cypresscleat_server::core::persistence::Persistence;
+use cypresscleat_server::core::{Core, CoreEvent, Shared};
 use cypresscleat_server::counters::add;
-use cypresscleat_server::downstream::scgi::Place;
+use cypresscleat_server::downstream::scgi::CurrentBackend;
 use cypresscleat_server::downstream::{ledger, scgi as backend};
 use cypresscleat_server::forwarder::fleet::Fleet;
 use cypresscleat_server::forwarder::talk::{self, Talk};
 use cypresscleat_server::forwarder::Tier;
 use cypresscleat_server::lines::Notice;
-use cypresscleat_server::listeners::scgi::Door;
-use cypresscleat_server::listeners::{Front, Speaks};
+use cypresscleat_server::listeners::scgi::ScgiContext;
+use cypresscleat_server::listeners::{Frontend, Protocol};
 use cypresscleat_server::operator::{self, Operator};
-use cypresscleat_server::ready::Ready;
+use cypresscleat_server::ready::Readiness;
 use cypresscleat_server::rollout::{self, member, Policy};
 use cypresscleat_server::sockets::tried;
 use cypresscleat_server::{kernel, leases, log, planner, pool, recovery, relay, roster};
@@ -140,7 +140,7 @@
             .await
             .map(|()| ExitCode::SUCCESS);
     }
-    let lacks = |op: usize| operator.scgi.as_ref().is_some_and(|scgi| scgi.routes.lacks_token(op));
+    let lacks = |op: usize| operator.scgi.as_ref().is_some_and(|scgi| scgi.routes.lacks_idempotency_key(op));
     if let Err(what) = config::check_tokens(&config.settings, role == Role::Forwarder, lacks) {
         log!("{what}");
         return Ok(ExitCode::from(2));
@@ -186,8 +186,8 @@
     path: Option<PathBuf>,
     names: Rc<Names>,
     now: Operator,
-    door: Option<Rc<Door>>,
-    backend: Option<Rc<Place>>,
+    door: Option<Rc<ScgiContext>>,
+    backend: Option<Rc<CurrentBackend>>,
 }
 
 impl Followed {
@@ -207,7 +207,7 @@
                 if (old.listen, old.connections) != (new.listen, new.connections) {
                     log!("scgi.listen and scgi.connections change with a start only");
                 }
-                door.follow(new.routes.clone(), new.bounds, new.patience);
+                door.reconfigure(new.routes.clone(), new.bounds, new.patience);
             }
             (None, None, None) => {}
             _ => log!("scgi is switched on or off with a start only"),
@@ -234,13 +234,13 @@
 
 /// What a policy changes beside the core: how long a request over SCGI may take to come, and further tries.
 fn applies(
-    door: Option<Rc<Door>>,
+    door: Option<Rc<ScgiContext>>,
     fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
     patience: Option<Time>,
 ) -> member::Apply {
     Box::new(move |policy: &Policy| {
         if let (Some(door), Some(patience)) = (&door, policy.patience.or(patience)) {
-            door.waits(patience);
+            door.set_request_timeout(patience);
         }
         if let Some(fleet) = fleet.borrow().as_ref() {
             fleet.retries(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
@@ -263,7 +263,7 @@
         let (to, loaded, thread) =
             recovery::start(&kept.folder, kept.durability, kept.segment, kept.hours, queue.clone())
                 .map_err(|what| io::Error::other(format!("store: {what}")))?;
-        let (own, cut_off) = Keeping::new(to, kept.after, kept.refuse, loaded);
+        let (own, cut_off) = Persistence::new(to, kept.after, kept.refuse, loaded);
         cut_off.iter().take(TOLD).for_each(|one| log!("cut off in the last life: {one}"));
         if cut_off.len() > TOLD {
             log!("cut off in the last life: {} more", cut_off.len() - TOLD);
@@ -272,8 +272,8 @@
     }
     let listener = listen(config.listen)?;
     log!("{} listens on {}", config.name, listener.local_addr()?);
-    let buffers = (config.memory_mb << 20) as usize / BUFFERS as usize / pool::SIZE;
-    let shared = Shared { ready: Ready::new(started), ..Shared::new(buffers) };
+    let buffers = (config.memory_mb << 20) as usize / BUFFERS as usize / pool::BUFFER_BYTES;
+    let shared = Shared { readiness: Readiness::new(started), ..Shared::new(buffers) };
     let clock = Clock::start();
     let calls = config.sockets / CALLS;
     let names = Rc::new(config.names.clone());
@@ -281,13 +281,13 @@
     let most = config.sockets - calls - KEPT_BACK - taken;
     let callers = config.settings.client_count as usize;
     let mut fronts =
-        vec![Front::new(&shared, queue.clone(), clock, Speaks::Frames(names.clone()), (most, callers))];
+        vec![Frontend::new(&shared, queue.clone(), clock, Protocol::Frames(names.clone()), (most, callers))];
     let mut accepting = vec![spawn_local(fronts[0].clone().accept(listener))];
     let mut door = None;
     if let Some(scgi) = &operator.scgi {
         let listener = listen(scgi.listen)?;
         log!("scgi listens on {}", listener.local_addr()?);
-        let own = Rc::new(Door::new(
+        let own = Rc::new(ScgiContext::new(
             &config.name,
             unix(),
             role == Role::Forwarder,
@@ -295,8 +295,8 @@
             scgi.bounds,
             scgi.patience,
         ));
-        let speaks = Speaks::Scgi(own.clone());
-        let front = Front::new(&shared, queue.clone(), clock, speaks, (scgi.connections, callers));
+        let speaks = Protocol::Scgi(own.clone());
+        let front = Frontend::new(&shared, queue.clone(), clock, speaks, (scgi.connections, callers));
         accepting.push(spawn_local(front.clone().accept(listener)));
         fronts.push(front);
         door = Some(own);
@@ -333,36 +333,36 @@
             spawn_local(talk::forwarder(talk, fleet.clone(), tier.clone()));
             spawn_local(fleet.clone().watch_health());
             // Nothing else has to come up: workers are found as they do.
-            let _ = queue.send(Note::Kernel(Notice::Booted { cold: false, age_ms: 0.0 })).await;
+            let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
             Some(fleet)
         }
     };
     let mut kernel = match &tier {
-        None => spawn_local(kernel::link(addresses.clone(), shared.clone(), queue.clone())),
+        None => spawn_local(kernel::run(addresses.clone(), shared.clone(), queue.clone())),
         Some(_) => spawn_local(std::future::pending()),
     };
-    let place = operator.calls.clone().map(|backend| Rc::new(Place(RefCell::new(backend))));
+    let place = operator.calls.clone().map(|backend| Rc::new(CurrentBackend(RefCell::new(backend))));
     let mut below = match &place {
-        None => spawn_local(ledger::link(addresses.clone(), shared.clone(), queue.clone(), calls)),
+        None => spawn_local(ledger::run(addresses.clone(), shared.clone(), queue.clone(), calls)),
         Some(place) => {
             let (names, shared) = (names.clone(), shared.clone());
-            spawn_local(backend::link(place.clone(), names, shared, queue.clone(), calls))
+            spawn_local(backend::run(place.clone(), names, shared, queue.clone(), calls))
         }
     };
     let mut followed = Followed { path, names: names.clone(), now: operator, door, backend: place };
     let seed = settings.seed;
-    spawn_local(roster::report(addresses.clone(), config.name.clone(), seed, shared.clone()));
-    shared.ready.listens(config.roster.is_some());
-    spawn_local(shared.ready.clone().watch());
+    spawn_local(roster::run(addresses.clone(), config.name.clone(), seed, shared.clone()));
+    shared.readiness.mark_listening(config.roster.is_some());
+    spawn_local(shared.readiness.clone().watch());
     let mut core = Core::new(settings, names, &shared);
     if let Some(fleet) = fleet {
-        core.forward(fleet);
+        core.set_dispatcher(fleet);
     }
     if let Some(gate) = &gate {
-        core.gated(gate.clone());
+        core.set_gate(gate.clone());
     }
     if let Some(keeping) = keeping {
-        core.keep(keeping);
+        core.set_persistence(keeping);
     }
     let mut core = spawn_local(run(core, notes, clock, fronts));
     let mut stops: Option<Instant> = None;
@@ -382,14 +382,14 @@
                     Err(what) => log!("not taken over: {what}"),
                 }
                 if let Some(setup) = followed.follow() {
-                    let _ = queue.send(Note::Pools(setup)).await;
+                    let _ = queue.send(CoreEvent::PoolsChanged(setup)).await;
                 }
             }
             _ = term.recv(), if stops.is_none() => {
                 // Stopped from outside by then, or later by itself: to go just before could lose what is being
                 // written.
                 stops = Some(Instant::now() + Duration::from_millis(config.stop as u64 / 10) + BEHIND_STOP);
-                let _ = queue.send(Note::Leave { within: config.stop }).await;
+                let _ = queue.send(CoreEvent::Drain { within: config.stop }).await;
             }
             // Without its core the server would take invocations and answer none.
             ended = &mut core => {
@@ -414,14 +414,14 @@
 }
 
 /// The one task that owns the module: its timer first, then the queue. Ends once a drain is done.
-async fn run(mut core: Core, mut notes: Receiver<Note>, clock: Clock, fronts: Vec<Rc<Front>>) {
-    while !(core.is_done() && fronts.iter().all(|front| front.is_over())) {
+async fn run(mut core: Core, mut notes: Receiver<CoreEvent>, clock: Clock, fronts: Vec<Rc<Frontend>>) {
+    while !(core.is_done() && fronts.iter().all(|front| front.is_closed())) {
         let due = clock.instant(core.wake_at().min(clock.now() + LOOK));
         tokio::select! {
             biased;
             () = sleep_until(due.into()) => {}
             note = notes.recv() => match note {
-                Some(note) => core.take(clock.now(), unix(), note),
+                Some(note) => core.handle_event(clock.now(), unix(), note),
                 None => return,
             },
         }
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -7,7 +7,7 @@
 use crate::leases::sums::Sums;
 use crate::leases::tally::Tally;
 use crate::leases::Keepers;
-use crate::listeners::routes::{From, Route, Routes};
+use crate::listeners::routes::{HeaderOr, Route, Routes};
 use crate::recovery::Durability;
 use crate::relay::Relay;
 use crate::rollout::{Policy, Rollout};
@@ -203,7 +203,11 @@
         Some(Scgi {
             listen: node.get("listen").address()?,
             connections: node.get("connections").int() as usize,
-            bounds: Bounds { header, fields: node.get("fields").int() as usize, body: crate::frames::BODY },
+            bounds: Bounds {
+                header,
+                fields: node.get("fields").int() as usize,
+                body: crate::frames::MAX_BODY_BYTES,
+            },
             patience: time(node.get("patience").duration()).max(50 * MS),
             routes: Rc::new(Routes::new(routes, customers)),
         })
@@ -433,20 +437,23 @@
         Route {
             path: at.text().to_string(),
             methods: node.get("methods").list().iter().map(|method| method.text().to_string()).collect(),
-            op: self.place(node.get("operation"), &inner("operation"), "operation", operations),
-            customer: From { header: self.header(customer, &inner("customer")), otherwise: default },
-            rank: From {
+            class: self.place(node.get("operation"), &inner("operation"), "operation", operations),
+            tenant: HeaderOr { header: self.header(customer, &inner("customer")), default_value: default },
+            client_priority: HeaderOr {
                 header: self.header(node.get("rank"), &inner("rank")),
-                otherwise: node.get("rank").find("default").map_or(0.0, Node::number),
+                default_value: node.get("rank").find("default").map_or(0.0, Node::number),
             },
-            within: From {
+            timeout: HeaderOr {
                 header: self.header(node.get("within"), &inner("within")),
-                otherwise: span("within"),
+                default_value: span("within"),
+            },
+            expected_work: HeaderOr {
+                header: self.header(node.get("hint"), &inner("hint")),
+                default_value: span("hint"),
             },
-            hint: From { header: self.header(node.get("hint"), &inner("hint")), otherwise: span("hint") },
-            kb: node.get("memory").size() as f64 / 1024.0,
+            memory_kb: node.get("memory").size() as f64 / 1024.0,
             content_type: kind.text().to_string(),
-            token: node.find("token").and_then(|token| self.header(token, &inner("token"))),
+            idempotency_key_header: node.find("token").and_then(|token| self.header(token, &inner("token"))),
         }
     }
 }
--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -8,72 +8,76 @@
 use tokio::sync::Notify;
 
 /// Holds any frame or line that the protocol allows: a result of 4 KiB, in base64 too.
-pub const SIZE: usize = 8192;
+pub const BUFFER_BYTES: usize = 8192;
 
-type Block = Box<[u8; SIZE]>;
+type Block = Box<[u8; BUFFER_BYTES]>;
 
-pub struct Pool {
+pub struct BufferPool {
     free: RefCell<Vec<Block>>,
-    out: Cell<usize>,
-    most: usize,
+    in_use: Cell<usize>,
+    max_buffers: usize,
 }
 
-impl Pool {
-    pub fn new(most: usize) -> Rc<Pool> {
-        Rc::new(Pool { free: RefCell::default(), out: Cell::new(0), most: most.max(16) })
+impl BufferPool {
+    pub fn new(max_buffers: usize) -> Rc<BufferPool> {
+        Rc::new(BufferPool {
+            free: RefCell::default(),
+            in_use: Cell::new(0),
+            max_buffers: max_buffers.max(16),
+        })
     }
 
     /// A buffer for what must be written: answers and commands are bounded by what was taken in.
-    pub fn take(self: &Rc<Pool>) -> Buf {
-        let block = self.free.borrow_mut().pop().unwrap_or_else(|| Box::new([0; SIZE]));
-        self.out.set(self.out.get() + 1);
+    pub fn take(self: &Rc<BufferPool>) -> Buf {
+        let block = self.free.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
+        self.in_use.set(self.in_use.get() + 1);
         Buf { block: Some(block), len: 0, pool: self.clone() }
     }
 
     /// Whether more may be read: the last eighth is left to what must be written. Guards memory against more
     /// input than can be held; then reading waits, as behind a slow server.
-    pub fn has_room(&self) -> bool {
-        self.out.get() < self.most - self.most / 8
+    pub fn has_capacity(&self) -> bool {
+        self.in_use.get() < self.max_buffers - self.max_buffers / 8
     }
 
-    pub fn out(&self) -> usize {
-        self.out.get()
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 }
 
 pub struct Buf {
     block: Option<Block>,
     len: usize,
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
 }
 
 impl Buf {
     /// Adds what fits; returns how much that was.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
-        let many = bytes.len().min(SIZE - self.len);
-        self.spare()[..many].copy_from_slice(&bytes[..many]);
-        self.len += many;
-        many
+        let count = bytes.len().min(BUFFER_BYTES - self.len);
+        self.spare()[..count].copy_from_slice(&bytes[..count]);
+        self.len += count;
+        count
     }
     pub fn spare(&mut self) -> &mut [u8] {
         let len = self.len;
         self.block.as_mut().map_or(&mut [], |block| &mut block[len..])
     }
-    pub fn filled(&mut self, more: usize) {
-        self.len = (self.len + more).min(SIZE);
+    pub fn advance(&mut self, more: usize) {
+        self.len = (self.len + more).min(BUFFER_BYTES);
     }
     /// Goes back to the pool before it is dropped; nothing stands in it any more.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         let pool = self.pool.clone();
         drop(std::mem::replace(self, Buf { block: None, len: 0, pool }));
     }
     /// Drops the first bytes; the rest moves to the front.
-    pub fn consume(&mut self, many: usize) {
-        let (many, len) = (many.min(self.len), self.len);
+    pub fn consume(&mut self, count: usize) {
+        let (count, len) = (count.min(self.len), self.len);
         if let Some(block) = self.block.as_mut() {
-            block.copy_within(many..len, 0);
+            block.copy_within(count..len, 0);
         }
-        self.len -= many;
+        self.len -= count;
     }
 }
 
@@ -87,9 +91,9 @@
 impl Drop for Buf {
     fn drop(&mut self) {
         if let Some(block) = self.block.take() {
-            self.pool.out.set(self.pool.out.get() - 1);
+            self.pool.in_use.set(self.pool.in_use.get() - 1);
             let mut free = self.pool.free.borrow_mut();
-            if free.len() < self.pool.most {
+            if free.len() < self.pool.max_buffers {
                 free.push(block);
             }
         }
@@ -98,7 +102,7 @@
 
 /// What waits to be written to one peer, in order.
 pub struct Outbox {
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
     chunks: RefCell<VecDeque<Buf>>,
     head: Cell<usize>,
     bytes: Cell<usize>,
@@ -107,7 +111,7 @@
 }
 
 impl Outbox {
-    pub fn new(pool: &Rc<Pool>) -> Outbox {
+    pub fn new(pool: &Rc<BufferPool>) -> Outbox {
         Outbox {
             pool: pool.clone(),
             chunks: RefCell::default(),
@@ -122,8 +126,8 @@
         let mut chunks = self.chunks.borrow_mut();
         self.bytes.set(self.bytes.get() + bytes.len());
         while !bytes.is_empty() {
-            let many = chunks.back_mut().map_or(0, |last| last.push(bytes));
-            bytes = &bytes[many..];
+            let count = chunks.back_mut().map_or(0, |last| last.push(bytes));
+            bytes = &bytes[count..];
             if !bytes.is_empty() {
                 chunks.push_back(self.pool.take());
             }
@@ -155,21 +159,21 @@
     pub fn flush(&self, mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> io::Result<()> {
         let mut chunks = self.chunks.borrow_mut();
         while let Some(first) = chunks.front() {
-            let left = &first[self.head.get()..];
-            let many = match write(left) {
+            let rest = &first[self.head.get()..];
+            let count = match write(rest) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(many) => many,
+                Ok(count) => count,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(error),
             };
-            self.bytes.set(self.bytes.get() - many);
-            self.written.set(self.written.get() + many as u64);
-            if many == left.len() {
+            self.bytes.set(self.bytes.get() - count);
+            self.written.set(self.written.get() + count as u64);
+            if count == rest.len() {
                 chunks.pop_front();
                 self.head.set(0);
             } else {
-                self.head.set(self.head.get() + many);
+                self.head.set(self.head.get() + count);
             }
         }
         Ok(())
--- a/crates/server/src/ready.rs
+++ b/crates/server/src/ready.rs
@@ -8,60 +8,60 @@
 use tokio::time::sleep_until;
 
 /// Nine in ten processes of a fleet are to be ready by then, and all by the second.
-const SOON: Duration = Duration::from_secs(10);
-const AT_LAST: Duration = Duration::from_secs(30);
+const FIRST_WARNING: Duration = Duration::from_secs(10);
+const SECOND_WARNING: Duration = Duration::from_secs(30);
 
-pub struct Ready {
+pub struct Readiness {
     started: Instant,
-    listens: Cell<Option<Duration>>,
-    kernel: Cell<Option<Duration>>,
+    listening: Cell<Option<Duration>>,
+    executor: Cell<Option<Duration>>,
     report: Cell<Option<Duration>>,
     /// Without a roster nobody is told.
-    reports: Cell<bool>,
-    told: Cell<bool>,
+    expects_report: Cell<bool>,
+    was_logged: Cell<bool>,
 }
 
-impl Ready {
-    pub fn new(started: Instant) -> Rc<Ready> {
-        let (listens, kernel, report) = Default::default();
-        let (reports, told) = (Cell::new(true), Cell::new(false));
-        Rc::new(Ready { started, listens, kernel, report, reports, told })
+impl Readiness {
+    pub fn new(started: Instant) -> Rc<Readiness> {
+        let (listening, executor, report) = Default::default();
+        let (expects_report, was_logged) = (Cell::new(true), Cell::new(false));
+        Rc::new(Readiness { started, listening, executor, report, expects_report, was_logged })
     }
 
     fn mark(&self, what: &Cell<Option<Duration>>) {
         if what.get().is_none() {
             what.set(Some(self.started.elapsed()));
-            self.look();
+            self.log_when_ready();
         }
     }
     /// All listeners stand; `reports` where there is a roster.
-    pub fn listens(&self, reports: bool) {
-        self.reports.set(reports);
-        self.mark(&self.listens);
+    pub fn mark_listening(&self, expects_report: bool) {
+        self.expects_report.set(expects_report);
+        self.mark(&self.listening);
     }
-    pub fn kernel(&self) {
-        self.mark(&self.kernel);
+    pub fn mark_executor_up(&self) {
+        self.mark(&self.executor);
     }
-    pub fn reports(&self) {
+    pub fn mark_reported(&self) {
         self.mark(&self.report);
     }
 
     fn missing(&self) -> Vec<&'static str> {
         let all = [
-            (self.listens.get().is_none(), "it does not listen"),
-            (self.kernel.get().is_none(), "its kernel is not up"),
-            (self.report.get().is_none() && self.reports.get(), "the roster has taken no report"),
+            (self.listening.get().is_none(), "it does not listen"),
+            (self.executor.get().is_none(), "its kernel is not up"),
+            (self.report.get().is_none() && self.expects_report.get(), "the roster has taken no report"),
         ];
         all.into_iter().filter_map(|(missing, what)| missing.then_some(what)).collect()
     }
 
-    fn look(&self) {
-        if self.told.get() || !self.missing().is_empty() {
+    fn log_when_ready(&self) {
+        if self.was_logged.get() || !self.missing().is_empty() {
             return;
         }
-        self.told.set(true);
+        self.was_logged.set(true);
         let ms = |at: &Cell<Option<Duration>>| at.get().unwrap_or_default().as_millis();
-        let (listens, kernel) = (ms(&self.listens), ms(&self.kernel));
+        let (listens, kernel) = (ms(&self.listening), ms(&self.executor));
         match self.report.get() {
             Some(at) => {
                 log!(
@@ -74,8 +74,8 @@
     }
 
     /// Says what a late start waits for, twice at the most.
-    pub async fn watch(self: Rc<Ready>) {
-        for at in [SOON, AT_LAST] {
+    pub async fn watch(self: Rc<Readiness>) {
+        for at in [FIRST_WARNING, SECOND_WARNING] {
             sleep_until((self.started + at).into()).await;
             let missing = self.missing();
             if missing.is_empty() {
--- a/crates/server/src/recovery.rs
+++ b/crates/server/src/recovery.rs
@@ -1,8 +1,8 @@
 //! The store on a thread of its own: the server's loop never waits for a disk. Jobs go there through a bounded queue, word of
-//! what was kept comes back as a note. What rows mean stands in `core/keeping.rs`.
+//! what was kept comes back as a note. What rows mean stands in `core/persistence.rs`.
 
-use crate::core::keeping::{Job, Loaded};
-use crate::core::Note;
+use crate::core::persistence::{RecoveredState, WriteBatch};
+use crate::core::CoreEvent;
 use crate::hours::Hours;
 use crate::{clock, log};
 use cypresscleat_store::disk::DiskDirectory;
@@ -40,20 +40,20 @@
     durability: Durability,
     segment: u64,
     hours: Option<u64>,
-    notes: Sender<Note>,
-) -> Result<(SyncSender<Job>, Loaded, JoinHandle<()>), String> {
+    notes: Sender<CoreEvent>,
+) -> Result<(SyncSender<WriteBatch>, RecoveredState, JoinHandle<()>), String> {
     let options = StoreOptions { max_segment_bytes: segment, ..StoreOptions::default() };
     let disk = held(folder)?;
     let mut store = Store::open(disk, options).map_err(|error| error.to_string())?;
-    let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
+    let loaded = RecoveredState::load(&mut store).map_err(|error| error.to_string())?;
     let stats = store.stats();
     log!(
         "store: {} keys in {} segments, {} bytes dropped behind the end, {} tokens, {} invocations cut off",
         stats.keys,
         stats.segments,
         stats.torn_bytes,
-        loaded.tokens.len(),
-        loaded.cut_off.len()
+        loaded.records.len(),
+        loaded.interrupted.len()
     );
     let summed = match hours {
         None => None,
@@ -70,8 +70,8 @@
     let (to, jobs) = sync_channel(QUEUE);
     let (done, mut words) = channel(QUEUE);
     spawn_local(async move {
-        while let Some((upto, failed)) = words.recv().await {
-            if notes.send(Note::Kept { upto, failed }).await.is_err() {
+        while let Some((acknowledged_through, failure)) = words.recv().await {
+            if notes.send(CoreEvent::Persisted { acknowledged_through, failure }).await.is_err() {
                 return;
             }
         }
@@ -139,7 +139,7 @@
     mut store: Store<DiskDirectory>,
     durability: Durability,
     mut summed: Option<Summed>,
-    jobs: &Receiver<Job>,
+    jobs: &Receiver<WriteBatch>,
     words: &Sender<Word>,
 ) {
     loop {
@@ -192,7 +192,11 @@
     }
 }
 
-fn write(store: &mut Store<DiskDirectory>, summed: &mut Option<Summed>, job: Job) -> Result<(), String> {
+fn write(
+    store: &mut Store<DiskDirectory>,
+    summed: &mut Option<Summed>,
+    job: WriteBatch,
+) -> Result<(), String> {
     for (key, value) in job.writes {
         if let (Some(summed), Some(value)) = (summed.as_mut(), &value) {
             // Before the row: a first part of these writes never has a row behind an hour that is not closed.
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -4,7 +4,7 @@
 use super::gate::Gate;
 use super::texts::{load, KEPT};
 use super::{check, Policy, Rollout};
-use crate::core::Note;
+use crate::core::CoreEvent;
 use crate::leases::known_replicas::KnownReplicas;
 use crate::leases::wire::Wire;
 use crate::leases::{self, addresses, drawn, from, Steady};
@@ -39,7 +39,7 @@
     names: Option<Rc<Names>>,
     gate: Rc<Gate>,
     /// Where there is a core; a planner goes by the gate alone.
-    queue: Option<Sender<Note>>,
+    queue: Option<Sender<CoreEvent>>,
     apply: Apply,
     socket: UdpSocket,
     /// Whom it asks: control replicas, or relays.
@@ -60,7 +60,7 @@
         above: &[(String, SocketAddr)],
         set: &Rollout,
         names: Option<Rc<Names>>,
-        queue: Option<Sender<Note>>,
+        queue: Option<Sender<CoreEvent>>,
         apply: Apply,
     ) -> io::Result<Task> {
         let socket = UdpSocket::bind(from(above)).await.map_err(tried("the rollout's socket"))?;
@@ -187,7 +187,7 @@
                     MemberEvent::LeaseExpired { number } => {
                         log!("out of service: no keeper has renewed the lease on policy {number}");
                         self.gate.out(number);
-                        self.says(Note::Gate).await;
+                        self.says(CoreEvent::GateChanged).await;
                     }
                     MemberEvent::Paused { change } => {
                         log!("holds what comes until policy {change} is in force")
@@ -197,7 +197,7 @@
         }
     }
 
-    async fn says(&self, note: Note) {
+    async fn says(&self, note: CoreEvent) {
         if let Some(queue) = &self.queue {
             let _ = queue.send(note).await;
         }
@@ -272,7 +272,7 @@
         );
         (self.apply)(&policy);
         match self.queue {
-            Some(_) => self.says(Note::Policy { number, pools: policy.pools }).await,
+            Some(_) => self.says(CoreEvent::PolicyActivated { number, pools: policy.pools }).await,
             None => self.gate.apply(number),
         }
         if number > 0 {
