--- a/crates/server/src/roster.rs
+++ b/crates/server/src/roster.rs
@@ -15,43 +15,47 @@
 use tokio::time::timeout;
 
 /// An entry lapses 3 s after its last report: two lost ones leave time for a third.
-const EVERY: Duration = Duration::from_millis(700);
-const ANSWER: Duration = Duration::from_millis(700);
+const REPORT_INTERVAL: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Backoff after a lost report: doubled with each up to the most, and of that a half to the whole by chance. A roster that returns
 /// hears of each server within `ANSWER` and the most, 1.5 s, and not of all at once.
-const AGAIN: Duration = Duration::from_millis(100);
-const AGAIN_MOST: Duration = Duration::from_millis(800);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// How long to wait after so many lost reports in a row. The name tells servers apart that were given one seed.
 pub fn backoff(seed: u64, name: &str, lost: u32) -> Duration {
     let mut hasher = DefaultHasher::new();
     (seed, name, lost).hash(&mut hasher);
-    let part = 0.5 + (hasher.finish() >> 11) as f64 / (1u64 << 54) as f64;
-    AGAIN.saturating_mul(1 << lost.saturating_sub(1).min(16)).min(AGAIN_MOST).mul_f64(part)
+    let jitter = 0.5 + (hasher.finish() >> 11) as f64 / (1u64 << 54) as f64;
+    MIN_BACKOFF.saturating_mul(1 << lost.saturating_sub(1).min(16)).min(MAX_BACKOFF).mul_f64(jitter)
 }
 
-pub async fn report(at: Rc<Addresses>, name: String, seed: u64, shared: Shared) {
+pub async fn run(addresses: Rc<Addresses>, name: String, seed: u64, shared: Shared) {
     let mut stream: Option<TcpStream> = None;
     let mut lost_in_a_row = 0;
-    let mut told = None;
+    let mut last_address = None;
     loop {
-        let Some(address) = at.roster.get() else {
-            at.roster_moved.notified().await;
+        let Some(address) = addresses.roster.get() else {
+            addresses.roster_moved.notified().await;
             continue;
         };
-        if told.replace(address) != Some(address) {
+        if last_address.replace(address) != Some(address) {
             stream = None; // it has moved: nothing more is sent where it was
         }
-        let text = http::report(&address.to_string(), &name, shared.voice.on.get() && shared.voice.fit.get());
-        match timeout(ANSWER, tell(stream.take(), address, text.as_bytes())).await {
-            Ok(Ok(kept)) => {
+        let text = http::report_request(
+            &address.to_string(),
+            &name,
+            shared.server_status.accepts_work.get() && shared.server_status.is_in_service.get(),
+        );
+        match timeout(RESPONSE_TIMEOUT, send_report(stream.take(), address, text.as_bytes())).await {
+            Ok(Ok(connection)) => {
                 add(&shared.counters.reports);
-                shared.ready.reports();
+                shared.readiness.mark_reported();
                 if std::mem::take(&mut lost_in_a_row) > 0 {
                     log!("the roster answers again");
                 }
-                stream = kept;
-                let _ = timeout(EVERY, at.roster_moved.notified()).await;
+                stream = connection;
+                let _ = timeout(REPORT_INTERVAL, addresses.roster_moved.notified()).await;
             }
             lost => {
                 add(&shared.counters.reports_lost);
@@ -64,15 +68,19 @@
                     log!("a report to the roster at {address} was lost: {why}; trying on");
                 }
                 // One that has moved is told at once.
-                let _ = timeout(backoff(seed, &name, lost_in_a_row), at.roster_moved.notified()).await;
+                let _ = timeout(backoff(seed, &name, lost_in_a_row), addresses.roster_moved.notified()).await;
             }
         }
     }
 }
 
 /// One report; returns the connection where it may be used again.
-async fn tell(kept: Option<TcpStream>, address: SocketAddr, text: &[u8]) -> io::Result<Option<TcpStream>> {
-    let stream = match kept {
+async fn send_report(
+    connection: Option<TcpStream>,
+    address: SocketAddr,
+    text: &[u8],
+) -> io::Result<Option<TcpStream>> {
+    let stream = match connection {
         Some(stream) => stream,
         None => TcpStream::connect(address).await?,
     };
@@ -82,13 +90,13 @@
         stream.readable().await?;
         match stream.try_read(&mut bytes[filled..]) {
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-            Ok(many) => filled += many,
+            Ok(count) => filled += count,
             Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
             Err(error) => return Err(error),
         }
-        match http::answer(&bytes[..filled]) {
-            Ok(Some(answer)) if (200..300).contains(&answer.status) => {
-                return Ok((answer.keep && answer.size == filled).then_some(stream));
+        match http::parse_response(&bytes[..filled]) {
+            Ok(Some(response)) if (200..300).contains(&response.status) => {
+                return Ok((response.keep_alive && response.size == filled).then_some(stream));
             }
             Ok(None) if filled < bytes.len() => {}
             _ => return Err(ErrorKind::InvalidData.into()),
--- a/crates/server/tests/core.rs
+++ b/crates/server/tests/core.rs
@@ -18,12 +18,12 @@
 
 use cypresscleat_scheduler::{Outcome, Time};
 use cypresscleat_server::config;
-use cypresscleat_server::core::door::{Peer, Txn};
-use cypresscleat_server::core::{Command, Core, Note, Shared};
-use cypresscleat_server::frames::{self, Next};
+use cypresscleat_server::core::incoming::{Peer, RequestId};
+use cypresscleat_server::core::{Core, CoreEvent, DownstreamCommand, Shared};
+use cypresscleat_server::frames::{self, NextFrame};
 use cypresscleat_server::lines;
-use cypresscleat_server::listeners::frames::{read, Frames};
-use cypresscleat_server::pool::{Buf, Outbox, SIZE};
+use cypresscleat_server::listeners::frames::{read_request, FrameWriter};
+use cypresscleat_server::pool::{Buf, Outbox, BUFFER_BYTES};
 use cypresscleat_settings::Names;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -36,12 +36,12 @@
     shared: Shared,
     kernel: Rc<Outbox>,
     peers: BTreeMap<String, Rc<Peer>>,
-    numbers: BTreeMap<Txn, u64>,
+    numbers: BTreeMap<RequestId, u64>,
     seen: Vec<String>,
     now: Time,
 }
 
-fn txn(word: &str) -> Txn {
+fn txn(word: &str) -> RequestId {
     format!("{word:0>16}").into_bytes().try_into().expect("a txn of 16 digits at most")
 }
 
@@ -82,8 +82,8 @@
         buf
     }
 
-    fn take(&mut self, note: Note) {
-        self.core.take(self.now, UNIX + self.now, note);
+    fn take(&mut self, note: CoreEvent) {
+        self.core.handle_event(self.now, UNIX + self.now, note);
     }
 
     fn event(&mut self, words: &[&str], line: &str) {
@@ -91,34 +91,34 @@
             ["pass"] => {}
             ["link"] => {
                 self.kernel = Rc::new(Outbox::new(&self.shared.pool));
-                self.take(Note::KernelUp(self.kernel.clone()));
+                self.take(CoreEvent::ExecutorConnected(self.kernel.clone()));
             }
             ["unlink"] => {
                 drain(&self.kernel);
-                self.take(Note::KernelDown);
+                self.take(CoreEvent::ExecutorDisconnected);
             }
             ["term", ms] => {
                 let within = ms.parse::<Time>().expect("milliseconds") * 10;
-                self.take(Note::Leave { within });
+                self.take(CoreEvent::Drain { within });
             }
             ["kernel", ..] => {
                 let json = line.split_once(" kernel ").expect("a notice").1;
-                let (_, notice) = lines::notice(json.as_bytes(), &self.shared.pool);
-                self.take(Note::Kernel(notice.expect("a notice that can be read")));
+                let (_, notice) = lines::parse_notice(json.as_bytes(), &self.shared.pool);
+                self.take(CoreEvent::ExecutorNotice(notice.expect("a notice that can be read")));
             }
             ["ledger", call, how] => {
-                let (txn, reply) = (txn(call), (how == "posted").then(|| self.buf(b"reply")));
-                let how = match how {
+                let (request_id, reply) = (txn(call), (how == "posted").then(|| self.buf(b"reply")));
+                let outcome = match how {
                     "unreached" => Outcome::ConnectFailed,
                     "broken" => Outcome::ConnectionLost,
                     "posted" => Outcome::Succeeded,
-                    word => match lines::reply(format!("{call} {word}\r\n").as_bytes(), SIZE) {
-                        lines::NextReply::Reply(reply, _) => reply.how,
+                    word => match lines::parse_reply(format!("{call} {word}\r\n").as_bytes(), BUFFER_BYTES) {
+                        lines::NextReply::Reply(reply, _) => reply.outcome,
                         other => panic!("{other:?}"),
                     },
                 };
-                let number = self.numbers[&txn];
-                self.take(Note::Called { txn, number, how, reply });
+                let number = self.numbers[&request_id];
+                self.take(CoreEvent::CallCompleted { request_id, number, outcome, reply });
             }
             [name, "sends", stream, call, ref rest @ ..] => {
                 let door = ((UNIX + self.now) / 10).to_string();
@@ -131,25 +131,25 @@
                 let said = fields.remove("body").unwrap_or("ask");
                 let fields: Vec<_> = fields.into_iter().collect();
                 let mut payload = Vec::new();
-                frames::put_fields(&mut payload, &fields);
+                frames::write_fields(&mut payload, &fields);
                 payload.extend(said.as_bytes());
-                let new = || Rc::new(Peer::new(&self.shared.pool, Rc::new(Frames), 0));
+                let new = || Rc::new(Peer::new(&self.shared.pool, Rc::new(FrameWriter), 0));
                 let peer = self.peers.entry(name.to_string()).or_insert_with(new).clone();
-                peer.queued.set(peer.queued.get() + 1);
+                peer.queued_requests.set(peer.queued_requests.get() + 1);
                 let stream = stream.parse().expect("a stream");
-                let read = read(self.buf(&payload), &self.names);
-                self.take(Note::Arrived { peer, stream, read });
+                let request = read_request(self.buf(&payload), &self.names);
+                self.take(CoreEvent::RequestArrived { peer, stream, request });
             }
             [name, "leaves", stream] => {
                 let (peer, stream) = (self.peers[name].clone(), stream.parse().expect("a stream"));
-                self.take(Note::Left { peer, stream });
+                self.take(CoreEvent::ClientLeft { peer, stream });
             }
             [name, "closes"] => {
                 let peer = self.peers[name].clone();
-                peer.gone.set(true);
-                self.take(Note::Closed { peer });
+                peer.is_closed.set(true);
+                self.take(CoreEvent::ConnectionClosed { peer });
             }
-            [name, "told"] => self.peers[name].told.set(Some(self.now)),
+            [name, "told"] => self.peers[name].close_announced_at.set(Some(self.now)),
             _ => panic!("what is this: {line}"),
         }
     }
@@ -167,27 +167,34 @@
             }
         }
         for (name, peer) in &self.peers {
-            let bytes = drain(&peer.out);
+            let bytes = drain(&peer.outbox);
             let mut rest = &bytes[..];
-            while let Next::Frame { kind: frames::ANSWER, stream, payload, size } = frames::next(rest, SIZE) {
+            while let NextFrame::Frame { kind: frames::RESPONSE, stream, payload, size } =
+                frames::next_frame(rest, BUFFER_BYTES)
+            {
                 let code = match payload[0] {
                     frames::SUCCEEDED => "succeeded",
-                    frames::THROTTLED => "throttled",
+                    frames::REJECTED => "throttled",
                     _ => "errored",
                 };
-                let (_, body) = frames::fields(&payload[1..]).expect("fields");
+                let (_, body) = frames::parse_fields(&payload[1..]).expect("fields");
                 self.seen.push(format!("{name} {stream} {code} {}", String::from_utf8_lossy(body)));
                 rest = &rest[size..];
             }
             assert!(rest.is_empty());
         }
-        for command in self.shared.calls.queue.borrow_mut().drain(..) {
+        for command in self.shared.downstream.queue.borrow_mut().drain(..) {
             self.seen.push(match command {
-                Command::Post { txn, number, within, body, .. } => {
-                    self.numbers.insert(txn, number);
-                    format!("ledger post {} {} {}", short(&txn), within / 10, String::from_utf8_lossy(&body))
+                DownstreamCommand::Call { request_id, number, timeout, body, .. } => {
+                    self.numbers.insert(request_id, number);
+                    format!(
+                        "ledger post {} {} {}",
+                        short(&request_id),
+                        timeout / 10,
+                        String::from_utf8_lossy(&body)
+                    )
                 }
-                Command::Abandon { txn } => format!("ledger abandon {}", short(&txn)),
+                DownstreamCommand::Cancel { request_id } => format!("ledger abandon {}", short(&request_id)),
             });
         }
     }
@@ -200,7 +207,7 @@
         match words[0] {
             "expect" => assert!(found(&self.seen), "{line}: {:?}", self.seen),
             "refuse" => assert!(!found(&self.seen), "{line}: {:?}", self.seen),
-            "owed" => assert_eq!(self.core.owed().to_string(), words[1], "{line}"),
+            "owed" => assert_eq!(self.core.pending_responses().to_string(), words[1], "{line}"),
             time => {
                 let until = time.parse::<Time>().expect("a time") * 10;
                 self.seen.clear();
@@ -230,9 +237,9 @@
         lines.filter(|line| !line.starts_with("config ")).for_each(|line| play.line(line));
         drop(play.core);
         play.peers.clear();
-        play.shared.calls.queue.borrow_mut().clear();
+        play.shared.downstream.queue.borrow_mut().clear();
         drain(&play.kernel);
-        assert_eq!(play.shared.pool.out(), 0, "every buffer is given back");
+        assert_eq!(play.shared.pool.in_use(), 0, "every buffer is given back");
     }
     assert!(files.len() > 5);
 }
@@ -273,7 +280,8 @@
         let mut last = 0.0;
         for ms in (200..9_900).step_by(200) {
             play.line(&format!("{ms} pass"));
-            let sum = play.shared.voice.feedback.get().expect("it says something") * f64::from(callers);
+            let sum = play.shared.server_status.load_feedback.get().expect("it says something")
+                * f64::from(callers);
             // Two cores; cold from 0.2 of the speed for 10 s; 8 on a core are survived.
             let survives = 2.0 * (1.0 + 7.0 * (0.2 + 0.8 * f64::from(ms) / 10_000.0));
             assert!(sum <= survives, "{callers} callers at {ms}: {sum} of {survives}");
@@ -283,7 +291,8 @@
         for ms in (10_000..14_000).step_by(200) {
             play.line(&format!("{ms} pass"));
         }
-        let sum = play.shared.voice.feedback.get().expect("it says something") * f64::from(callers);
+        let sum =
+            play.shared.server_status.load_feedback.get().expect("it says something") * f64::from(callers);
         let usual = f64::from(callers * 2).max(2.0 * 3.0);
         assert!((sum - usual).abs() < 0.01, "{callers} callers, warm: {sum}");
     }
--- a/crates/server/tests/crossings.rs
+++ b/crates/server/tests/crossings.rs
@@ -602,7 +602,7 @@
 fn a_call_crosses_the_close_of_its_connection() {
     use cypresscleat_scheduler::Outcome;
     use cypresscleat_server::config::{parse, Addresses};
-    use cypresscleat_server::core::{Command, Note, Shared};
+    use cypresscleat_server::core::{CoreEvent, DownstreamCommand, Shared};
     use cypresscleat_server::downstream::ledger;
     use std::rc::Rc;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -612,16 +612,16 @@
         addresses.ledger.set(listener.local_addr().ok());
         let shared = Shared::new(64);
         let (queue, mut notes) = tokio::sync::mpsc::channel(16);
-        tokio::task::spawn_local(ledger::link(Rc::new(addresses), shared.clone(), queue, 4));
+        tokio::task::spawn_local(ledger::run(Rc::new(addresses), shared.clone(), queue, 4));
         let post = |txn: &str, number| {
-            let txn = txn.as_bytes().try_into().expect("an id");
+            let request_id = txn.as_bytes().try_into().expect("an id");
             let body = shared.pool.take();
-            let command = Command::Post { txn, number, op: 0, within: 10_000, body };
-            shared.calls.queue.borrow_mut().push_back(command);
-            shared.calls.wake.notify_one();
+            let command = DownstreamCommand::Call { request_id, number, class: 0, timeout: 10_000, body };
+            shared.downstream.queue.borrow_mut().push_back(command);
+            shared.downstream.wake.notify_one();
         };
         let mut how = async || match notes.recv().await {
-            Some(Note::Called { how, .. }) => how,
+            Some(CoreEvent::CallCompleted { outcome, .. }) => outcome,
             _ => panic!("no end of a call"),
         };
         post(ONE, 1);
@@ -646,11 +646,11 @@
 fn a_call_is_not_written_to_a_connection_that_was_closed_while_it_rested() {
     use cypresscleat_server::clock::{unix, Clock};
     use cypresscleat_server::config::{parse, Addresses};
-    use cypresscleat_server::core::door::Peer;
-    use cypresscleat_server::core::{Core, Note, Shared};
+    use cypresscleat_server::core::incoming::Peer;
+    use cypresscleat_server::core::{Core, CoreEvent, Shared};
     use cypresscleat_server::downstream::ledger;
     use cypresscleat_server::lines;
-    use cypresscleat_server::listeners::frames::{read, Frames};
+    use cypresscleat_server::listeners::frames::{read_request, FrameWriter};
     use cypresscleat_server::pool::Outbox;
     use std::rc::Rc;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -667,14 +667,14 @@
         addresses.ledger.set(listener.local_addr().ok());
         let (shared, names, clock) = (Shared::new(64), Rc::new(config.names), Clock::start());
         let (queue, mut notes) = tokio::sync::mpsc::channel(16);
-        tokio::task::spawn_local(ledger::link(Rc::new(addresses), shared.clone(), queue.clone(), 4));
+        tokio::task::spawn_local(ledger::run(Rc::new(addresses), shared.clone(), queue.clone(), 4));
         let mut core = Core::new(config.settings, names.clone(), &shared);
         tokio::task::spawn_local(async move {
             loop {
                 let due = clock.instant(core.wake_at().min(clock.now() + 10_000));
                 tokio::select! {
                     note = notes.recv() => match note {
-                        Some(note) => core.take(clock.now(), unix(), note),
+                        Some(note) => core.handle_event(clock.now(), unix(), note),
                         None => return,
                     },
                     () = tokio::time::sleep_until(due.into()) => core.tick(clock.now()),
@@ -682,8 +682,9 @@
             }
         });
         let says = async |notice: Value| {
-            let notice = lines::notice(notice.to_string().as_bytes(), &shared.pool).1.expect("a notice");
-            assert!(queue.send(Note::Kernel(notice)).await.is_ok());
+            let notice =
+                lines::parse_notice(notice.to_string().as_bytes(), &shared.pool).1.expect("a notice");
+            assert!(queue.send(CoreEvent::ExecutorNotice(notice)).await.is_ok());
         };
         let out = Rc::new(Outbox::new(&shared.pool));
         let mut written = String::new();
@@ -701,13 +702,14 @@
             }
         };
         says(json!({"msg": "BOOTED", "how": "WARM", "duration": 60_000})).await;
-        assert!(queue.send(Note::KernelUp(out.clone())).await.is_ok());
-        let peer = Rc::new(Peer::new(&shared.pool, Rc::new(Frames), 0));
+        assert!(queue.send(CoreEvent::ExecutorConnected(out.clone())).await.is_ok());
+        let peer = Rc::new(Peer::new(&shared.pool, Rc::new(FrameWriter), 0));
         let asks = async |stream: u32, txn: &str| {
             let mut buf = shared.pool.take();
             buf.push(&invocation(stream, txn, "report", b"ask")[9..]);
-            peer.queued.set(peer.queued.get() + 1);
-            let note = Note::Arrived { peer: peer.clone(), stream, read: read(buf, &names) };
+            peer.queued_requests.set(peer.queued_requests.get() + 1);
+            let note =
+                CoreEvent::RequestArrived { peer: peer.clone(), stream, request: read_request(buf, &names) };
             assert!(queue.send(note).await.is_ok());
         };
         let calls = async || {
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -429,7 +429,7 @@
             let (to, _, thread) = started.expect("a store");
             for number in 1..=60 {
                 let writes = vec![row(life * 100 + number)];
-                to.send(cypresscleat_server::core::keeping::Job { number, writes }).expect("room");
+                to.send(cypresscleat_server::core::persistence::WriteBatch { number, writes }).expect("room");
                 tokio::time::sleep(ms(12)).await;
                 if number == 30 && life == 0 {
                     owners[0].kill();
--- a/crates/server/tests/parsers.rs
+++ b/crates/server/tests/parsers.rs
@@ -2,9 +2,9 @@
 
 use cypresscleat_scheduler::Outcome;
 use cypresscleat_server::config;
-use cypresscleat_server::frames::{self, Next};
+use cypresscleat_server::frames::{self, NextFrame};
 use cypresscleat_server::lines::{self, NextReply, Notice};
-use cypresscleat_server::pool::{Pool, SIZE};
+use cypresscleat_server::pool::{BufferPool, BUFFER_BYTES};
 use cypresscleat_server::{http, log};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -13,45 +13,45 @@
 fn frames_are_found_at_any_cut() {
     let bytes = b"\0\0\0\x07\x04\0\0\x01\x02O\0\0\0\0\x05\x08\0\0\0\x03";
     for cut in 0..16.min(bytes.len()) {
-        let found = frames::next(&bytes[..cut], SIZE);
-        assert_eq!(matches!(found, Next::More), cut < 11, "{cut}: {found:?}");
+        let found = frames::next_frame(&bytes[..cut], BUFFER_BYTES);
+        assert_eq!(matches!(found, NextFrame::Incomplete), cut < 11, "{cut}: {found:?}");
     }
-    let first = Next::Frame { kind: 4, stream: 258, payload: b"O\0", size: 11 };
-    assert_eq!(frames::next(bytes, SIZE), first);
-    let second = Next::Frame { kind: 8, stream: 3, payload: b"", size: 9 };
-    assert_eq!(frames::next(&bytes[11..], SIZE), second);
-    assert_eq!(frames::answer(4, 258, 79, &[], 0), bytes[..11]);
-    assert_eq!(frames::next(b"\0\0\0\x04", SIZE), Next::Broken { length: 4 });
-    assert_eq!(frames::next(b"\0\x04\0\x01", SIZE), Next::Broken { length: 262_145 });
-    let large = Next::Large { kind: 2, stream: 9, size: 262_148 };
-    assert_eq!(frames::next(b"\0\x04\0\0\x02\0\0\0\x09", SIZE), large);
+    let first = NextFrame::Frame { kind: 4, stream: 258, payload: b"O\0", size: 11 };
+    assert_eq!(frames::next_frame(bytes, BUFFER_BYTES), first);
+    let second = NextFrame::Frame { kind: 8, stream: 3, payload: b"", size: 9 };
+    assert_eq!(frames::next_frame(&bytes[11..], BUFFER_BYTES), second);
+    assert_eq!(frames::response_head(4, 258, 79, &[], 0), bytes[..11]);
+    assert_eq!(frames::next_frame(b"\0\0\0\x04", BUFFER_BYTES), NextFrame::Invalid { length: 4 });
+    assert_eq!(frames::next_frame(b"\0\x04\0\x01", BUFFER_BYTES), NextFrame::Invalid { length: 262_145 });
+    let large = NextFrame::TooLarge { kind: 2, stream: 9, size: 262_148 };
+    assert_eq!(frames::next_frame(b"\0\x04\0\0\x02\0\0\0\x09", BUFFER_BYTES), large);
 }
 
 #[test]
 fn fields_are_read_whole_or_not_at_all() {
     let payload = b"\x02\x04verb\0\x03buy\x03txn\0\x02a1body";
-    let (fields, body) = frames::fields(payload).expect("fields");
+    let (fields, body) = frames::parse_fields(payload).expect("fields");
     assert_eq!((fields, body), (vec![("verb", "buy"), ("txn", "a1")], &b"body"[..]));
     for cut in 0..payload.len() - 4 {
-        assert!(frames::fields(&payload[..cut]).is_none(), "{cut}");
+        assert!(frames::parse_fields(&payload[..cut]).is_none(), "{cut}");
     }
-    assert!(frames::fields(b"\x01\x01\xff\0\0").is_none(), "names are text");
+    assert!(frames::parse_fields(b"\x01\x01\xff\0\0").is_none(), "names are text");
     let mut again = Vec::new();
-    frames::put_fields(&mut again, &[("verb", "buy"), ("txn", "a1")]);
+    frames::write_fields(&mut again, &[("verb", "buy"), ("txn", "a1")]);
     assert_eq!(again, payload[..payload.len() - 4]);
 }
 
 #[test]
 fn kernel_lines_tell_their_number_even_where_they_cannot_be_read() {
-    let pool = Pool::new(16);
-    let read = |text: &str| lines::notice(text.as_bytes(), &pool);
+    let pool = BufferPool::new(16);
+    let read = |text: &str| lines::parse_notice(text.as_bytes(), &pool);
     let (serial, notice) =
         read(r#"{"msg":"REAP","serial":7,"call":"a1","how":"OK","duration":3,"blob":"AP8="}"#);
     assert_eq!(serial, Some(7));
-    let Ok(Notice::Reap { call, how: Outcome::Succeeded, blob }) = notice else { panic!("not a REAP") };
-    assert_eq!((call.as_str(), &blob[..]), ("a1", &[0, 255][..]));
+    let Ok(Notice::Reap { call, outcome: Outcome::Succeeded, body }) = notice else { panic!("not a REAP") };
+    assert_eq!((call.as_str(), &body[..]), ("a1", &[0, 255][..]));
     let (serial, notice) = read(r#"{"msg":"IOREQ","serial":8,"call":"a1","blob":"\u0051UJD"}"#);
-    assert!(serial == Some(8) && matches!(notice, Ok(Notice::Call { blob, .. }) if *blob == *b"ABC"));
+    assert!(serial == Some(8) && matches!(notice, Ok(Notice::Call { body, .. }) if *body == *b"ABC"));
     let (_, notice) = read(r#"{"msg":"INFO","cookie":"x","stats":[0.5,3,null,"y"]}"#);
     let Ok(Notice::Info { stats, .. }) = notice else { panic!("not an INFO") };
     assert!(stats[..2] == [0.5, 3.0] && stats[2].is_nan() && stats[3].is_nan());
@@ -65,27 +65,29 @@
         assert!(serial == Some(9) && notice.is_err(), "{bad}");
     }
     assert!(matches!(read("{"), (None, Err(_))));
-    drop((blob, call));
-    assert_eq!(lines::next(b"one\r\ntwo"), Some((&b"one"[..], 5)));
-    assert_eq!(lines::next(b"two"), None);
+    drop((body, call));
+    assert_eq!(lines::next_line(b"one\r\ntwo"), Some((&b"one"[..], 5)));
+    assert_eq!(lines::next_line(b"two"), None);
 }
 
 #[test]
 fn ledger_replies_are_found_at_any_cut() {
     let bytes = b"a1 posted 4\r\nx\r\ny\r\na2 expired\r\n";
     for cut in 0..19 {
-        assert_eq!(lines::reply(&bytes[..cut], SIZE), NextReply::More, "{cut}");
+        assert_eq!(lines::parse_reply(&bytes[..cut], BUFFER_BYTES), NextReply::Incomplete, "{cut}");
     }
-    let NextReply::Reply(reply, size) = lines::reply(bytes, SIZE) else { panic!("no reply") };
-    assert_eq!((reply.call, reply.how, reply.body, size), ("a1", Outcome::Succeeded, &b"x\r\ny"[..], 19));
-    let NextReply::Reply(reply, 12) = lines::reply(&bytes[19..], SIZE) else { panic!("no reply") };
-    assert_eq!((reply.call, reply.how), ("a2", Outcome::TimedOut));
+    let NextReply::Reply(reply, size) = lines::parse_reply(bytes, BUFFER_BYTES) else { panic!("no reply") };
+    assert_eq!((reply.call, reply.outcome, reply.body, size), ("a1", Outcome::Succeeded, &b"x\r\ny"[..], 19));
+    let NextReply::Reply(reply, 12) = lines::parse_reply(&bytes[19..], BUFFER_BYTES) else {
+        panic!("no reply")
+    };
+    assert_eq!((reply.call, reply.outcome), ("a2", Outcome::TimedOut));
     for (word, how) in
         [("queue_full", Outcome::Rejected), ("error", Outcome::Failed), ("moot", Outcome::NotStarted)]
     {
         let line = format!("a1 {word}\r\n");
         assert!(
-            matches!(lines::reply(line.as_bytes(), SIZE), NextReply::Reply(reply, _) if reply.how == how)
+            matches!(lines::parse_reply(line.as_bytes(), BUFFER_BYTES), NextReply::Reply(reply, _) if reply.outcome == how)
         );
     }
     for broken in [
@@ -96,9 +98,12 @@
         "hello\r\n",
         "a line that is far longer than any reply can be, and goes on and on",
     ] {
-        assert!(matches!(lines::reply(broken.as_bytes(), SIZE), NextReply::Broken(_)), "{broken}");
+        assert!(
+            matches!(lines::parse_reply(broken.as_bytes(), BUFFER_BYTES), NextReply::Invalid(_)),
+            "{broken}"
+        );
     }
-    assert!(matches!(lines::reply(b"\xff\r\n", SIZE), NextReply::Broken(_)));
+    assert!(matches!(lines::parse_reply(b"\xff\r\n", BUFFER_BYTES), NextReply::Invalid(_)));
     assert_eq!(lines::post("a1", 250, b"xy"), b"post a1 250 2\r\nxy\r\n");
 }
 
@@ -106,11 +111,11 @@
 fn the_roster_answers_in_any_parts() {
     let bytes = b"HTTP/1.1 204 No Content\r\nServer: x\r\n\r\n";
     for cut in 0..bytes.len() {
-        assert_eq!(http::answer(&bytes[..cut]), Ok(None), "{cut}");
+        assert_eq!(http::parse_response(&bytes[..cut]), Ok(None), "{cut}");
     }
-    let answer = |text: &str| http::answer(text.as_bytes());
-    let read = |status, size, keep| Ok(Some(http::Answer { status, size, keep }));
-    assert_eq!(http::answer(bytes), read(204, bytes.len(), true));
+    let answer = |text: &str| http::parse_response(text.as_bytes());
+    let read = |status, size, keep_alive| Ok(Some(http::Response { status, size, keep_alive }));
+    assert_eq!(http::parse_response(bytes), read(204, bytes.len(), true));
     assert_eq!(answer("HTTP/1.1 500 X\r\ncontent-length: 2\r\n\r\n"), Ok(None));
     assert_eq!(answer("HTTP/1.1 500 X\r\ncontent-length: 2\r\n\r\nab"), read(500, 39, true));
     assert_eq!(answer("HTTP/1.0 204 X\r\n\r\n"), read(204, 18, false));
@@ -118,7 +123,7 @@
     for bad in ["SSH-2.0\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"] {
         assert!(answer(bad).is_err(), "{bad}");
     }
-    let text = http::report("127.0.0.1:1", "n3", true);
+    let text = http::report_request("127.0.0.1:1", "n3", true);
     assert!(
         text.starts_with("PUT /roster/n3 HTTP/1.1\r\n") && text.ends_with("\r\n\r\n{\"duty\":\"on\"}"),
         "{text}"
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -4,11 +4,11 @@
 use cypresscleat_demo::{scgi_request, Gateway, Kernel, Place};
 use cypresscleat_scheduler::RetrySafety;
 use cypresscleat_server::config;
-use cypresscleat_server::core::door::{Invocation, Peer};
-use cypresscleat_server::core::keeping::{Keeping, Loaded};
-use cypresscleat_server::core::{Core, Note, Shared};
+use cypresscleat_server::core::incoming::{IncomingRequest, Peer};
+use cypresscleat_server::core::persistence::{Persistence, RecoveredState};
+use cypresscleat_server::core::{Core, CoreEvent, Shared};
 use cypresscleat_server::lines;
-use cypresscleat_server::listeners::frames::Frames;
+use cypresscleat_server::listeners::frames::FrameWriter;
 use cypresscleat_server::pool::Outbox;
 use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{Store, StoreOptions};
@@ -261,39 +261,40 @@
         let shared = Shared::new(1000);
         let mut core = Core::new(config.settings, Rc::new(config.names), &shared);
         let (to, jobs) = std::sync::mpsc::sync_channel(16);
-        core.keep(Keeping::new(to, true, refuse, Loaded::default()).0);
+        core.set_persistence(Persistence::new(to, true, refuse, RecoveredState::default()).0);
         let kernel = Rc::new(Outbox::new(&shared.pool));
         let mut now = 0;
         let mut take = |core: &mut Core, note| {
             now += 10;
-            core.take(now, 17_000_000_000_000 + now, note);
+            core.handle_event(now, 17_000_000_000_000 + now, note);
+        };
+        let notice = |text: &str| {
+            CoreEvent::ExecutorNotice(lines::parse_notice(text.as_bytes(), &shared.pool).1.expect("a notice"))
         };
-        let notice =
-            |text: &str| Note::Kernel(lines::notice(text.as_bytes(), &shared.pool).1.expect("a notice"));
         take(&mut core, notice(r#"{"msg":"BOOTED","how":"WARM","duration":60000}"#));
-        take(&mut core, Note::KernelUp(kernel.clone()));
-        let peer = Rc::new(Peer::new(&shared.pool, Rc::new(Frames), 0));
+        take(&mut core, CoreEvent::ExecutorConnected(kernel.clone()));
+        let peer = Rc::new(Peer::new(&shared.pool, Rc::new(FrameWriter), 0));
         let arrive = |stream: u32| {
-            peer.queued.set(peer.queued.get() + 1);
-            let txn = format!("{stream:016x}").into_bytes().try_into().expect("16 digits");
-            let (bytes, door) = (shared.pool.take(), 17_000_000_000_000);
-            let read = Invocation {
-                txn,
-                op: 1,
-                customer: None,
-                door,
-                budget: None,
-                rank: 0.0,
-                hint: None,
-                kb: 10.0,
-                keyed: false,
-                token: None,
+            peer.queued_requests.set(peer.queued_requests.get() + 1);
+            let request_id = format!("{stream:016x}").into_bytes().try_into().expect("16 digits");
+            let (bytes, arrived_at) = (shared.pool.take(), 17_000_000_000_000);
+            let request = IncomingRequest {
+                request_id,
+                class: 1,
+                tenant: None,
+                arrived_at,
+                remaining_timeout: None,
+                client_priority: 0.0,
+                expected_work: None,
+                memory_kb: 10.0,
+                has_item: false,
+                idempotency_key: None,
                 subject: None,
-                raw: true,
+                is_frame_payload: true,
                 bytes,
                 body: 0..0,
             };
-            Note::Arrived { peer: peer.clone(), stream, read: Ok(read) }
+            CoreEvent::RequestArrived { peer: peer.clone(), stream, request: Ok(request) }
         };
         let reap = |serial: u32| {
             notice(&format!(
@@ -302,7 +303,7 @@
         };
         let code = |peer: &Peer| {
             let mut bytes = Vec::new();
-            let written = peer.out.flush(|part| {
+            let written = peer.outbox.flush(|part| {
                 bytes.extend(part);
                 Ok(part.len())
             });
@@ -311,17 +312,20 @@
         };
         take(&mut core, arrive(1));
         take(&mut core, reap(1));
-        assert_eq!((code(&peer), core.owed()), (None, 1), "it waits for its row");
+        assert_eq!((code(&peer), core.pending_responses()), (None, 1), "it waits for its row");
         assert!(!peer.is_idle());
         let job = jobs.try_recv().expect("a job");
         assert_eq!(job.writes.len(), 1);
-        take(&mut core, Note::Kept { upto: job.number, failed: None });
-        assert_eq!((code(&peer), core.owed()), (Some(79), 0));
+        take(&mut core, CoreEvent::Persisted { acknowledged_through: job.number, failure: None });
+        assert_eq!((code(&peer), core.pending_responses()), (Some(79), 0));
         // Now it fails.
         take(&mut core, arrive(2));
         take(&mut core, reap(2));
         let job = jobs.try_recv().expect("a job");
-        take(&mut core, Note::Kept { upto: job.number, failed: Some("no space".into()) });
+        take(
+            &mut core,
+            CoreEvent::Persisted { acknowledged_through: job.number, failure: Some("no space".into()) },
+        );
         assert_eq!(code(&peer), Some(if refuse { 69 } else { 79 }));
         take(&mut core, arrive(3));
         assert_eq!(code(&peer), refuse.then_some(66), "nothing is taken that could not be recorded");
@@ -331,10 +335,10 @@
         if !refuse {
             take(&mut core, reap(3));
             let job = jobs.try_recv().expect("a job");
-            take(&mut core, Note::Kept { upto: job.number, failed: None });
+            take(&mut core, CoreEvent::Persisted { acknowledged_through: job.number, failure: None });
             assert_eq!(code(&peer), Some(79));
         }
-        assert_eq!(core.owed(), 0);
+        assert_eq!(core.pending_responses(), 0);
     }
     assert_ne!(RetrySafety::IdempotencyKey, RetrySafety::Idempotent);
 }
--- a/crates/server/tests/store_golden.rs
+++ b/crates/server/tests/store_golden.rs
@@ -1,7 +1,9 @@
 //! What the server keeps in its store stays as it is: rows recorded from commit 67fc394 are read, and written again equal. The
 //! files under `tests/golden/store` were written by the program of that commit with `recorded_jobs` and `write_recorded_rows`.
 
-use cypresscleat_server::core::keeping::{Job, Keeping, Loaded, Ran, Row, Token};
+use cypresscleat_server::core::persistence::{
+    BillingRow, IdempotencyRecord, KeyState, Persistence, RecoveredState, WriteBatch,
+};
 use cypresscleat_server::hours::{self, Hours, Sum};
 use cypresscleat_store::disk::{Disk, DiskDirectory};
 use cypresscleat_store::{Store, StoreOptions};
@@ -22,32 +24,32 @@
     ("t/order-18", "\\x12\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\xc07\\xff\\x1ev\\x0f\\x00\\x00\\x00"),
 ];
 
-fn token(said: u64) -> Token {
-    Token { said, until: 17_000_000_600_000, ran: Ran::Begun }
+fn token(fingerprint: u64) -> IdempotencyRecord {
+    IdempotencyRecord { fingerprint, expires_at: 17_000_000_600_000, state: KeyState::Started }
 }
 
 /// The jobs of two tokens, of which one ends with a result, two billing rows, and two requests that a drain cut off, of which
 /// one is answered after all.
-fn recorded_jobs() -> Vec<Job> {
+fn recorded_jobs() -> Vec<WriteBatch> {
     let (to, jobs) = std::sync::mpsc::sync_channel(64);
-    let (mut keeping, _) = Keeping::new(to, true, false, Loaded::default());
+    let (mut keeping, _) = Persistence::new(to, true, false, RecoveredState::default());
     for (name, said) in [("order-17", 0x0102_0304_0506_0708), ("order-18", 18)] {
-        keeping.remember(name.into(), token(said));
-        keeping.begins(name);
+        keeping.insert_record(name.into(), token(said));
+        keeping.record_start(name);
     }
-    let (came, now) = (17_000_000_000_000, 17_000_000_000_420);
-    let (txn, customer) = (b"00000000000000a1", "acme");
-    let row = Row { txn, operation: "put", customer, billed: 2.5, came, now };
-    keeping.bill(&row, Some("order-17"), b"done");
-    let (txn, customer, now) = (b"00000000000000a2", "", 17_000_050_000_000);
-    let row = Row { txn, operation: "report", customer, billed: 0.125, came, now };
-    keeping.bill(&row, None, b"");
+    let (arrived_at, completed_at) = (17_000_000_000_000, 17_000_000_000_420);
+    let (request_id, tenant) = (b"00000000000000a1", "acme");
+    let row = BillingRow { request_id, class: "put", tenant, billed: 2.5, arrived_at, completed_at };
+    keeping.record_billing(&row, Some("order-17"), b"done");
+    let (request_id, tenant, completed_at) = (b"00000000000000a2", "", 17_000_050_000_000);
+    let row = BillingRow { request_id, class: "report", tenant, billed: 0.125, arrived_at, completed_at };
+    keeping.record_billing(&row, None, b"");
     let cut_off = [
         (*b"00000000000000a3", "put,acme,1700000000000".to_string()),
         (*b"00000000000000a4", "report,,1700000000001".to_string()),
     ];
-    keeping.owes(cut_off.into_iter());
-    keeping.owes_no_more(b"00000000000000a3");
+    keeping.record_open_requests(cut_off.into_iter());
+    keeping.clear_open_request(b"00000000000000a3");
     jobs.try_iter().collect()
 }
 
@@ -150,11 +152,12 @@
     }
     let mut store = open(&folder);
     assert_eq!(rows(&mut store), expected_rows());
-    let loaded = Loaded::read(&mut store).expect("to be read");
-    let done = Token { ran: Ran::Done(b"done".to_vec()), ..token(0x0102_0304_0506_0708) };
-    assert_eq!(loaded.tokens, [("order-17".to_string(), done), ("order-18".to_string(), token(18))]);
+    let loaded = RecoveredState::load(&mut store).expect("to be read");
+    let done =
+        IdempotencyRecord { state: KeyState::Completed(b"done".to_vec()), ..token(0x0102_0304_0506_0708) };
+    assert_eq!(loaded.records, [("order-17".to_string(), done), ("order-18".to_string(), token(18))]);
     let cut_off = (b"o/00000000000000a4".to_vec(), "00000000000000a4 report,,1700000000001".to_string());
-    assert_eq!(loaded.cut_off, [cut_off]);
+    assert_eq!(loaded.interrupted, [cut_off]);
     let mut hours = Hours::load(&mut store, SPAN).expect("sums");
     assert_eq!(hours.closed, [(472_222, Sum { rows: 1, milli: 2500 })]);
     // The open hour is summed from its own row and the late one.
