--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -4,7 +4,7 @@
 use super::disk::{VersionDisk, Written};
 use super::document_store::{load_versions, MAX_STORED_VERSIONS};
 use super::{check_version, Policy, RolloutSettings};
-use crate::core::Note;
+use crate::core::CoreEvent;
 use crate::leases::known_replicas::KnownReplicas;
 use crate::leases::wire::ControlMessage;
 use crate::leases::{self, addresses_by_id, local_address, random_id, MonotonicClock};
@@ -39,7 +39,7 @@
     names: Option<Rc<Names>>,
     gate: Rc<AdmissionGate>,
     /// Where there is a core; a planner goes by the gate alone.
-    core_queue: Option<Sender<Note>>,
+    core_queue: Option<Sender<CoreEvent>>,
     apply: ActivationHook,
     socket: UdpSocket,
     /// The peers that receive the requests: control replicas, or relays.
@@ -60,7 +60,7 @@
         targets: &[(String, SocketAddr)],
         settings: &RolloutSettings,
         names: Option<Rc<Names>>,
-        core_queue: Option<Sender<Note>>,
+        core_queue: Option<Sender<CoreEvent>>,
         apply: ActivationHook,
     ) -> io::Result<MemberTask> {
         let socket = UdpSocket::bind(local_address(targets)).await.map_err(tried("the rollout's socket"))?;
@@ -193,7 +193,7 @@
                     MemberEvent::LeaseExpired { number } => {
                         log!("out of service: no keeper has renewed the lease on policy {number}");
                         self.gate.close(number);
-                        self.notify_core(Note::Gate).await;
+                        self.notify_core(CoreEvent::GateChanged).await;
                     }
                     MemberEvent::Paused { change } => {
                         log!("holds what comes until policy {change} is in force")
@@ -203,7 +203,7 @@
         }
     }
 
-    async fn notify_core(&self, note: Note) {
+    async fn notify_core(&self, note: CoreEvent) {
         if let Some(core_queue) = &self.core_queue {
             let _ = core_queue.send(note).await;
         }
@@ -278,7 +278,7 @@
         );
         (self.apply)(&policy);
         match self.core_queue {
-            Some(_) => self.notify_core(Note::Policy { number, pools: policy.pools }).await,
+            Some(_) => self.notify_core(CoreEvent::PolicyActivated { number, pools: policy.pools }).await,
             None => self.gate.apply(number),
         }
         if number > 0 {
