--- a/crates/scheduler/src/admission/deadline.rs
+++ b/crates/scheduler/src/admission/deadline.rs
@@ -1,5 +1,5 @@
-//! Deadline: what lay unread past its latency objective is decided at once. What may still meet it goes on, as estimates
-//! are rough.
+//! Deadline stage: a request that was read after its latency objective is decided immediately. Every other request
+//! continues, even if its estimate says that it misses the objective, because estimates are rough.
 
 use super::AdmissionStep;
 use crate::host::Host;
@@ -7,7 +7,7 @@
 use crate::scheduler::Scheduler;
 use crate::types::{Arrival, Time};
 
-/// Lets the timer's rule (`timers.rs`) decide on a request whose objective has passed.
+/// Applies the timer rule (`timers.rs`) to a request whose latency objective has passed.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     now: Time,
@@ -15,7 +15,7 @@
     host: &mut dyn Host,
 ) -> AdmissionStep {
     if scheduler.requests.get(arrival.slot).is_some_and(|request| request.objective_at <= now) {
-        scheduler.expire(now, arrival.slot, host);
+        scheduler.handle_timer(now, arrival.slot, host);
     }
     match scheduler.requests.get(arrival.slot) {
         Some(request) if request.phase == Phase::Queued => AdmissionStep::Continue,
--- a/crates/scheduler/src/admission/deduplication.rs
+++ b/crates/scheduler/src/admission/deduplication.rs
@@ -1,5 +1,5 @@
-//! Deduplication: what happens to a request that repeats an earlier attempt. The host says which attempt that is
-//! ([`EarlierAttempt`]); its state and the retry safety of the class decide:
+//! Deduplication stage: decides on a request that retries an earlier attempt. The host identifies that attempt
+//! ([`EarlierAttempt`]). The decision depends on the state of the attempt and on the retry safety of the request class:
 //!
 //! | earlier attempt | idempotency key | non-idempotent | idempotent |
 //! | --- | --- | --- | --- |
@@ -8,35 +8,35 @@
 //! | ran and ended without success | fail | fail | admit |
 //! | succeeded, is open, or released by the scheduler | replay | replay | replay |
 //!
-//! - *admit*: the request goes on to the next stage. First an entry is retained for its own retries, where the class has a
-//!   retry window (idempotency key) or fresh results of reads may be replayed (idempotent). Without memory for that entry a
-//!   request with an idempotency key is rejected; others go on without one.
-//! - *fail*: the answer is an error, since another run could have the effect twice.
-//! - *replay*: the request waits for the earlier attempt's result, which the host gives it
-//!   ([`Host::replay_result`]); it never runs beside or after that attempt.
+//! - *admit*: the request continues to the next stage. Before that, an entry is retained for its own retries if the class
+//!   has a retry window (idempotency key) or fresh results of reads may be replayed (idempotent). Without memory for that
+//!   entry a request with an idempotency key is rejected; other requests continue without an entry.
+//! - *fail*: the response is an error, since another run could have the effect twice.
+//! - *replay*: the request waits for the result of the earlier attempt, which the host sends
+//!   ([`Host::replay_result`]); the request never runs concurrently with that attempt or after it.
 
 use super::AdmissionStep;
 use crate::host::Host;
 use crate::reasons::{FailReason, RejectReason};
-use crate::request_table::{runs_once, Phase};
+use crate::request_table::{must_not_run_twice, Phase};
 use crate::scheduler::Scheduler;
 use crate::types::{Arrival, EarlierAttempt, RetrySafety, Time};
 
-/// Owns the setting of the rule; the retained entries stand in the request table.
+/// Owns the setting of the rule; the request table holds the retained entries.
 #[derive(Default)]
 pub(crate) struct Deduplication {
-    /// How long results of idempotent reads may be replayed; 0 where they may not.
+    /// How long results of idempotent reads may be replayed; 0 disables replays.
     result_freshness: Time,
 }
 
-/// What became of the earlier attempt.
+/// The result of the earlier attempt.
 enum EarlierResult {
-    /// It ended without having run.
+    /// The attempt ended without having run.
     NeverRan,
-    /// It ran and ended without success.
+    /// The attempt ran and ended without success.
     Failed,
-    /// It succeeded, is still open, or was released after it had run.
-    Usable,
+    /// The attempt succeeded, is still open, or was released after it had run.
+    Replayable,
 }
 
 impl Deduplication {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Links a retry to its earlier attempt, and retains an entry where retries of this request may follow.
+/// Links a retry to its earlier attempt, and retains an entry if retries of this request may follow.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     now: Time,
@@ -54,12 +54,12 @@
 ) -> AdmissionStep {
     let retry_safety = scheduler.estimates.class(arrival.class).retry_safety;
     match scheduler.earlier_result(arrival.earlier_attempt) {
-        Some(EarlierResult::Failed) if runs_once(retry_safety) => {
-            scheduler.requests.edit(arrival.slot, |request| request.has_run = true); // an attempt of it has
+        Some(EarlierResult::Failed) if must_not_run_twice(retry_safety) => {
+            scheduler.requests.update(arrival.slot, |request| request.has_run = true); // an earlier attempt ran
             scheduler.fail(now, arrival.slot, FailReason::EarlierAttemptFailed, host);
             return AdmissionStep::Ended;
         }
-        Some(EarlierResult::Usable) => {
+        Some(EarlierResult::Replayable) => {
             scheduler.transition(now, arrival.slot, Phase::AwaitingResult);
             host.replay_result(arrival.slot);
             scheduler.arm_timer(now, arrival.slot);
@@ -67,7 +67,7 @@
         }
         Some(EarlierResult::Failed | EarlierResult::NeverRan) | None => {}
     }
-    let duration = scheduler.retention(arrival);
+    let duration = scheduler.retention_time(arrival);
     if duration <= 0 {
         return AdmissionStep::Continue;
     }
@@ -77,7 +77,7 @@
         if retry_safety != RetrySafety::IdempotencyKey {
             return AdmissionStep::Continue;
         }
-        // Guards against a second execution: without room for its entry, a retry would not be recognized.
+        // Guards against a second execution: without a retained entry, a retry would not be recognized.
         scheduler.reject(now, arrival.slot, RejectReason::IdempotencyTableFull, host);
         return AdmissionStep::Ended;
     }
@@ -96,18 +96,18 @@
         Some(match earlier.filter(|earlier| earlier.phase == Phase::Finished) {
             Some(earlier) if !earlier.has_run => EarlierResult::NeverRan,
             Some(earlier) if !earlier.has_succeeded => EarlierResult::Failed,
-            _ => EarlierResult::Usable,
+            _ => EarlierResult::Replayable,
         })
     }
 
-    /// How long an entry is retained for retries of this request.
-    fn retention(&self, arrival: &Arrival) -> Time {
+    /// How long an entry is retained for retries of this request; 0 if none is retained.
+    fn retention_time(&self, arrival: &Arrival) -> Time {
         let class = self.estimates.class(arrival.class);
         let freshness = self.deduplication.result_freshness;
-        let may_replay = freshness > 0 && arrival.has_idempotency_key && !arrival.is_write;
+        let can_replay = freshness > 0 && arrival.has_idempotency_key && !arrival.is_write;
         match class.retry_safety {
             RetrySafety::IdempotencyKey => class.retry_window,
-            RetrySafety::Idempotent if may_replay => freshness + class.latency_objective,
+            RetrySafety::Idempotent if can_replay => freshness + class.latency_objective,
             _ => 0,
         }
     }
--- a/crates/scheduler/src/admission/draining.rs
+++ b/crates/scheduler/src/admission/draining.rs
@@ -1,5 +1,5 @@
-//! Draining: after a termination notice the server finishes what it has, takes what clients still send within the grace,
-//! and rejects the rest.
+//! Draining stage: after a termination notice the server completes its open requests, admits requests that arrive within
+//! the grace period, and rejects all later ones.
 
 use super::AdmissionStep;
 use crate::events::SchedulerEvent;
@@ -8,7 +8,7 @@
 use crate::scheduler::Scheduler;
 use crate::types::{Arrival, RequestSlot, Time};
 
-/// Answers at a deadline come up to one tick late; the stop is brought forward by this many.
+/// The drain deadline precedes the stop by this number of ticks, since responses at a deadline are sent up to one tick late.
 const STOP_MARGIN_TICKS: Time = 2;
 
 /// Owns the state of draining.
@@ -21,9 +21,9 @@
 
 #[derive(Clone, Copy)]
 struct DrainWindow {
-    /// What arrives from then on is rejected.
+    /// Requests that arrive at this time or later are rejected.
     grace_until: Time,
-    /// Everything is answered by then.
+    /// All requests have received their final response by this time.
     stop_at: Time,
 }
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// While draining, rejects what arrived after the grace or comes when the stop has been reached, and brings the deadline
-/// of the rest forward to the stop.
+/// While draining, rejects requests that arrived after the grace period or are read once the stop is reached, and limits
+/// the deadline of all others to the stop.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     now: Time,
@@ -57,8 +57,8 @@
 }
 
 impl Scheduler {
-    /// The termination notice: the server will be stopped after `within`. Health checks fail from now on, and everything
-    /// is answered before the stop.
+    /// Handles the termination notice: the server will be stopped after `within`. Health checks fail from now on, and all
+    /// requests receive their final response before the stop.
     pub fn start_draining(&mut self, now: Time, within: Time, host: &mut impl Host) {
         let stop_at = now + within - STOP_MARGIN_TICKS * self.timers.interval();
         self.draining.window = Some(DrainWindow { grace_until: now + self.draining.grace, stop_at });
@@ -68,7 +68,7 @@
         let open: Vec<RequestSlot> =
             self.requests.queued().iter().chain(self.requests.active()).copied().collect();
         for slot in open {
-            self.requests.edit(slot, |request| {
+            self.requests.update(slot, |request| {
                 request.deadline = request.deadline.min(stop_at);
                 request.objective_at = request.objective_at.min(stop_at);
             });
--- a/crates/scheduler/src/admission/memory.rs
+++ b/crates/scheduler/src/admission/memory.rs
@@ -1,5 +1,5 @@
-//! Memory: past the high watermark, less what other pools reserve of it, the largest queued requests are rejected until
-//! the rest fits.
+//! Memory stage: while memory use exceeds the high watermark minus the unused memory reserves of other pools, the largest
+//! queued requests are rejected.
 
 use super::AdmissionStep;
 use crate::host::Host;
@@ -8,12 +8,12 @@
 use crate::scheduler::Scheduler;
 use crate::types::{Arrival, RequestSlot, Time};
 
-/// Nothing starts past this part of the memory; past it the largest queued request is rejected.
+/// Fraction of the memory above which no request starts and the largest queued request is rejected.
 const HIGH_WATERMARK: f64 = 0.85;
-/// Sizes are compared in steps of this part of a kilobyte.
+/// Memory sizes are compared in steps of one kilobyte divided by this number.
 const SIZE_STEPS_PER_KB: f64 = 16.0;
 
-/// Owns the memory limit; what is used stands in the request table.
+/// Owns the memory limit; the request table accounts for the memory in use.
 #[derive(Default)]
 pub(crate) struct MemoryLimit {
     limit_kb: f64,
@@ -24,13 +24,13 @@
         MemoryLimit { limit_kb: memory_kb * HIGH_WATERMARK }
     }
 
-    /// The high watermark.
+    /// The high watermark in kilobytes.
     pub(crate) fn limit_kb(&self) -> f64 {
         self.limit_kb
     }
 }
 
-/// Rejects the largest queued requests while memory is past the high watermark.
+/// Rejects the largest queued requests while memory use is above the high watermark.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     now: Time,
@@ -51,8 +51,8 @@
 }
 
 impl Scheduler {
-    /// The largest queued request that may be rejected for the sake of `arriving`, or that one itself. The reserve of its
-    /// pool protects a request, unless it is over its tenant's quota.
+    /// The largest queued request that may be rejected to free memory for `arriving`, or `arriving` itself. A request within
+    /// its tenant's quota is protected while its pool is within its memory reserve.
     fn largest_evictable(&self, arriving: RequestSlot) -> Option<RequestSlot> {
         let limit_kb = self.memory.limit_kb();
         let size = |slot: &RequestSlot| {
--- a/crates/scheduler/src/admission/mod.rs
+++ b/crates/scheduler/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Admission: the stages that an arriving request passes, listed in `lib.rs`. Each lets it continue, queues it or ends it.
+//! Admission: the stages that an arriving request passes, listed in `lib.rs`. Each stage lets the request continue, queues
+//! it or ends it with a final response.
 
 pub(crate) mod deadline;
 pub(crate) mod deduplication;
@@ -14,27 +15,27 @@
 use crate::types::{Arrival, Time};
 use crate::ADMISSION_STAGES;
 
-/// Part of its priority weight that a marked retry counts where something must be shed. Guards against retry storms: a
-/// rejected first attempt is sent and read again, a rejected retry seldom.
+/// Factor on the priority weight of a marked retry when load is shed. Guards against retry storms: a rejected first attempt
+/// is usually sent again and must be read again, a rejected retry seldom.
 const RETRY_WEIGHT_FACTOR: f64 = 0.3;
-/// Time (tenths of a millisecond) that an answer needs on its way to the client, taken off the objective.
+/// Transit time of a response to the client, in tenths of a millisecond; subtracted from the latency objective.
 const ANSWER_TRANSIT_TIME: Time = 100;
 
-/// What a stage did with an arriving request.
+/// The result of an admission stage for an arriving request.
 pub(crate) enum AdmissionStep {
-    /// Nothing: the next stage looks at it.
+    /// The request continues to the next stage.
     Continue,
-    /// It is queued, or waits for the result of an earlier attempt.
+    /// The request is queued, or waits for the result of an earlier attempt.
     Queued,
-    /// It has its final answer.
+    /// The request has received its final response.
     Ended,
 }
 
-/// A stage of admission.
+/// An admission stage.
 pub(crate) type AdmissionStage = fn(&mut Scheduler, Time, &Arrival, &mut dyn Host) -> AdmissionStep;
 
 impl Scheduler {
-    /// A request was read. It passes the stages of admission, then queued requests are started.
+    /// Handles a request that was read: runs the admission stages, then starts queued requests.
     pub fn handle_arrival(&mut self, now: Time, arrival: Arrival, host: &mut impl Host) {
         let request = self.new_request(now, &arrival);
         self.connections.record_arrival();
@@ -53,12 +54,12 @@
         let class = self.estimates.class(arrival.class);
         let work = Estimates::expected_work(arrival.expected_work);
         let arrived_at = now - arrival.time_unread.max(0);
-        let told_deadline = arrival.remaining_timeout.map(|timeout| now + timeout);
-        let deadline = told_deadline.unwrap_or(arrived_at + class.timeout).max(now);
+        let client_deadline = arrival.remaining_timeout.map(|timeout| now + timeout);
+        let deadline = client_deadline.unwrap_or(arrived_at + class.timeout).max(now);
         let objective_at = arrived_at + class.latency_objective + (class.objective_per_work * work) as Time
             - ANSWER_TRANSIT_TIME;
         let retry_factor = if arrival.is_retry { RETRY_WEIGHT_FACTOR } else { 1.0 };
-        let weighed_work = if self.weight_per_work { 1.0 } else { work };
+        let priority_divisor = if self.weight_per_work { 1.0 } else { work };
         RequestState {
             sequence: self.requests.take_sequence(),
             class: arrival.class,
@@ -67,7 +68,7 @@
             expected_work: work,
             scaled_work: self.estimates.scaled_work(arrival.class, work),
             memory_kb: arrival.memory_kb,
-            priority: class.priority_weight * retry_factor / weighed_work,
+            priority: class.priority_weight * retry_factor / priority_divisor,
             arrived_at,
             objective_at: objective_at.min(deadline),
             deadline,
--- a/crates/scheduler/src/admission/queue.rs
+++ b/crates/scheduler/src/admission/queue.rs
@@ -1,4 +1,5 @@
-//! Queue: no longer than the latency objectives allow. What must be shed is the lowest priority first, then the newest.
+//! Queue stage: keeps the queue no longer than the latency objectives allow. Sheds the lowest priority first, and the newest
+//! request of equal priorities.
 
 use super::AdmissionStep;
 use crate::host::Host;
@@ -7,14 +8,15 @@
 use crate::scheduler::Scheduler;
 use crate::types::{Arrival, RequestSlot, Time};
 
-/// The queue's wait may take this part of the shortest latency objective.
+/// Maximum wait in the queue, as a fraction of the shortest latency objective.
 pub(crate) const MAX_WAIT_PER_SHORTEST_OBJECTIVE: f64 = 0.3;
-/// The queue's wait, and that for downstream calls, may take this part of a request's own slack.
+/// Maximum wait in the queue, and for downstream calls, as a fraction of the request's own slack.
 const MAX_WAIT_PER_SLACK: f64 = 0.5;
-/// Requests over their tenant's quota join only this part of the queue, which they else would fill.
+/// Maximum wait of a request over its tenant's quota, as a fraction of the wait allowed to others. Otherwise requests over
+/// quota would fill the queue.
 const OVER_QUOTA_QUEUE_SHARE: f64 = 0.6;
 
-/// Sheds queued requests until the arriving one fits, or is shed itself; then it is queued.
+/// Sheds queued requests until the arriving request fits into the queue or is shed itself.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     now: Time,
@@ -24,9 +26,9 @@
     loop {
         let queued = scheduler.requests.get(arrival.slot).filter(|request| request.phase == Phase::Queued);
         let Some(request) = queued else { return AdmissionStep::Ended };
-        let reason = if scheduler.calls_are_backed_up(now, arrival.slot, request) {
+        let reason = if scheduler.is_call_queue_full(now, arrival.slot, request) {
             RejectReason::CallQueueFull
-        } else if scheduler.has_room(now, request) {
+        } else if scheduler.has_queue_capacity(now, request) {
             break;
         } else {
             RejectReason::QueueFull
@@ -41,15 +43,15 @@
 }
 
 impl Scheduler {
-    /// Whether the downstream call of this request could not be made in time.
-    fn calls_are_backed_up(&self, now: Time, slot: RequestSlot, request: &RequestState) -> bool {
+    /// Whether the downstream calls ahead of this request leave too little time for its own call.
+    fn is_call_queue_full(&self, now: Time, slot: RequestSlot, request: &RequestState) -> bool {
         let slack = (request.objective_at - now) as f64;
         self.calls_downstream(slot) && self.call_queue_wait() > MAX_WAIT_PER_SLACK * slack
     }
 
-    /// Whether concurrency slots are free for all that is queued, or the wait before this request fits its slack and the shortest
-    /// objective.
-    fn has_room(&self, now: Time, request: &RequestState) -> bool {
+    /// Whether concurrency slots are free for all queued requests, or the wait before this request fits its slack and the
+    /// shortest latency objective.
+    fn has_queue_capacity(&self, now: Time, request: &RequestState) -> bool {
         let limit = self.concurrency_limit.limit();
         let has_free_slots = limit - self.requests.running() as f64 >= self.requests.queued().len() as f64;
         let share = if request.within_quota { 1.0 } else { OVER_QUOTA_QUEUE_SHARE };
@@ -64,7 +66,7 @@
         has_free_slots || wait <= max_wait.max(0.0)
     }
 
-    /// The queued request that is shed next, of those that stand in one queue with `class`.
+    /// The queued request that is shed next, among the requests in the same pool as `class`.
     fn lowest_priority(&self, class: usize, reason: RejectReason) -> Option<RequestSlot> {
         let only_calling_classes = reason == RejectReason::CallQueueFull;
         let is_candidate = |slot: &RequestSlot| {
@@ -76,7 +78,7 @@
         candidates.min_by(|a, b| self.requests.compare_priority(*a, *b))
     }
 
-    /// Time until a request that joined the queue now would start, at the present pace.
+    /// Time until a request that joins the queue now would start, at the current pace.
     pub(crate) fn queue_wait(&self) -> f64 {
         self.requests.queued_work() * self.estimates.pace() / self.concurrency_limit.limit()
     }
--- a/crates/scheduler/src/admission/quota.rs
+++ b/crates/scheduler/src/admission/quota.rs
@@ -1,5 +1,5 @@
-//! Quota: a token bucket for each tenant. Requests over the quota keep little of their priority, which counts only where
-//! something must be shed.
+//! Quota stage: a token bucket for each tenant. Requests over the quota get a lower priority, which matters only when load
+//! is shed.
 
 use super::AdmissionStep;
 use crate::host::Host;
@@ -8,15 +8,16 @@
 use crate::types::{Arrival, Time};
 use cypresscleat_primitives::SECOND;
 
-/// Seconds of a tenant's local rate that may come at once.
+/// Burst size of a tenant, in seconds of its local rate.
 const BURST_SECONDS: f64 = 2.0;
-/// Requests that may come at once, whatever the rate: a rate of one a second comes unevenly. A floor of the bucket's
-/// capacity only: a bucket starts with [`BURST_SECONDS`] of its rate, which may be fewer, and fills up from there.
+/// Minimum burst size in requests for any rate, since requests at a rate of one per second arrive unevenly. This is a lower
+/// bound of the bucket's capacity only: a bucket starts with [`BURST_SECONDS`] of its rate, which may be fewer tokens, and
+/// fills up from there.
 const MIN_BURST_REQUESTS: f64 = 8.0;
 
-/// The local part of one tenant's quota.
+/// This server's share of one tenant's quota.
 struct TokenBucket {
-    /// Tokens for each tenth of a millisecond.
+    /// Tokens per tenth of a millisecond.
     rate: f64,
     tokens: f64,
 }
@@ -44,7 +45,7 @@
         tenant < self.buckets.len()
     }
 
-    /// Adds the tokens of `elapsed` tenths of a millisecond.
+    /// Adds the tokens for `elapsed` tenths of a millisecond.
     pub(crate) fn refill(&mut self, elapsed: f64) {
         for bucket in &mut self.buckets {
             let capacity = bucket.rate * BURST_SECONDS * SECOND as f64;
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Gives back the token of a request that was rejected.
+    /// Returns the token of a rejected request to the bucket.
     pub(crate) fn refund(&mut self, tenant: usize) {
         self.buckets[tenant].tokens += 1.0;
     }
 
-    /// Takes a token where there is one; `None` where the tenant has no quota.
-    fn take(&mut self, tenant: usize) -> Option<bool> {
+    /// Takes a token if one is available and returns whether it did; `None` if the tenant has no quota.
+    fn charge(&mut self, tenant: usize) -> Option<bool> {
         let bucket = self.buckets.get_mut(tenant)?;
         let within_quota = bucket.tokens >= 1.0;
         bucket.tokens -= if within_quota { 1.0 } else { 0.0 };
@@ -66,19 +67,19 @@
     }
 }
 
-/// Charges the tenant's bucket and lowers the priority of a request that finds it empty.
+/// Charges the tenant's token bucket and lowers the priority of a request that finds the bucket empty.
 pub(crate) fn admit(
     scheduler: &mut Scheduler,
     _now: Time,
     arrival: &Arrival,
     _host: &mut dyn Host,
 ) -> AdmissionStep {
-    let charged = arrival.tenant.and_then(|tenant| scheduler.quota.take(tenant));
+    let charged = arrival.tenant.and_then(|tenant| scheduler.quota.charge(tenant));
     let Some(within_quota) = charged else { return AdmissionStep::Continue };
-    let kept_share = if within_quota { 1.0 } else { scheduler.quota.over_quota_share };
+    let priority_share = if within_quota { 1.0 } else { scheduler.quota.over_quota_share };
     if let Some(request) = scheduler.requests.get_mut(arrival.slot) {
         request.within_quota = within_quota;
-        request.priority *= kept_share;
+        request.priority *= priority_share;
         if !within_quota {
             scheduler.pools.mark_over_quota(request.class, request.scaled_work);
         }
--- a/crates/scheduler/src/completion.rs
+++ b/crates/scheduler/src/completion.rs
@@ -1,19 +1,19 @@
-//! Completion: the end of a run, the final answers made here, and the release of a request.
+//! Completion: the end of a run, the final responses that the scheduler itself gives, and the release of a request.
 
 use crate::host::{Host, Rejection};
 use crate::reasons::{FailReason, RejectReason};
-use crate::request_table::{runs_once, Phase};
+use crate::request_table::{must_not_run_twice, Phase};
 use crate::scheduler::Scheduler;
 use crate::types::{Outcome, RequestSlot, StopMode, Time};
 use crate::COMPLETION_STAGES;
 
-/// A stage of completion.
+/// A completion stage.
 pub(crate) type CompletionStage = fn(&mut Scheduler, Time, RequestSlot, Outcome);
 
-/// Counts a call as abandoned where the run ended before it, and records the time spent at calls.
+/// Counts a downstream call as abandoned if the run ended before it, and records the time spent on calls.
 pub(crate) fn record_calls(scheduler: &mut Scheduler, now: Time, slot: RequestSlot, outcome: Outcome) {
     if scheduler.requests.get(slot).is_some_and(|request| request.phase == Phase::Calling) {
-        scheduler.count_abandoned_call(now);
+        scheduler.record_abandoned_call(now);
     }
     if let Some(request) = scheduler.requests.get(slot).filter(|_| outcome == Outcome::Succeeded) {
         scheduler.estimates.record_parked_time(request.class, request.parked_time as f64);
@@ -33,7 +33,7 @@
 }
 
 impl Scheduler {
-    /// The run of a request ended.
+    /// Handles the end of a request's run.
     pub fn handle_run_completed(
         &mut self,
         now: Time,
@@ -52,7 +52,7 @@
         if has_ended || self.requests.get(slot).is_some_and(|request| request.is_answered) {
             self.finish(now, slot, host);
         } else {
-            // Stopped without an answer: it counts as queued again, and is ended there.
+            // The run was stopped without a response: the request returns to the queue and is rejected from there.
             self.transition(now, slot, Phase::Queued);
             self.reject(now, slot, RejectReason::StoppedWithoutAnswer, host);
         }
@@ -60,33 +60,34 @@
         self.dispatch(now, host);
     }
 
-    /// The client of a request disconnected. The request counts as answered; it is stopped where that does no harm.
+    /// Handles the disconnect of a request's client. The request counts as answered; its run is stopped if that is safe.
     pub fn handle_client_disconnect(&mut self, now: Time, slot: RequestSlot, host: &mut impl Host) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let (phase, class, was_answered) = (request.phase, request.class, request.is_answered);
         request.is_answered = true;
-        let may_stop = !was_answered
-            && !runs_once(self.estimates.class(class).retry_safety)
+        let can_stop = !was_answered
+            && !must_not_run_twice(self.estimates.class(class).retry_safety)
             && self.stop_mode != StopMode::Unsupported;
         match phase {
             Phase::Queued | Phase::AwaitingResult => self.finish(now, slot, host),
-            Phase::Running if may_stop => host.stop(slot),
-            _ => self.requests.withdraw_call(slot),
+            Phase::Running if can_stop => host.stop(slot),
+            _ => self.requests.cancel_awaited_call(slot),
         }
         self.dispatch(now, host);
     }
 
-    /// Rejects a request with a Retry-After; fails it where it has run and must not run again, or is past the queue.
+    /// Rejects a request with a Retry-After. Fails it instead if it has run and must not run again, or is no longer queued.
     ///
-    /// Unless this server drains, clients are asked not to try elsewhere. Guards a full fleet against clients that walk
-    /// through its list, where each attempt costs its reading and a connection.
+    /// Unless this server drains, clients are told not to retry on another server. Guards an overloaded fleet against clients
+    /// that try one server after another, where each attempt costs the read of the request and a connection.
     pub(crate) fn reject(&mut self, now: Time, slot: RequestSlot, reason: RejectReason, host: &mut dyn Host) {
         let retry_after = self.retry_after();
         let no_retry_elsewhere = !self.draining.is_draining();
         let open = self.requests.get_mut(slot).filter(|request| !request.is_answered);
         let Some(request) = open else { return };
         let class = request.class;
-        let must_not_run_again = request.has_run && runs_once(self.estimates.class(class).retry_safety);
+        let must_not_run_again =
+            request.has_run && must_not_run_twice(self.estimates.class(class).retry_safety);
         if must_not_run_again || request.phase != Phase::Queued {
             return self.fail(now, slot, FailReason::CannotBeRejected(reason), host);
         }
@@ -99,7 +100,7 @@
         self.finish(now, slot, host);
     }
 
-    /// The Retry-After of a rejection: the time that the queue needs; while draining, the longest that is honoured.
+    /// The Retry-After of a rejection: the current wait in the queue, or the longest allowed value while draining.
     fn retry_after(&self) -> Time {
         if self.draining.is_draining() {
             return self.max_retry_after;
@@ -107,7 +108,7 @@
         (self.queue_wait() as Time).clamp(0, self.max_retry_after)
     }
 
-    /// Answers with an error; running work is stopped where that is possible.
+    /// Fails a request with an error; stops its run if the executor can stop runs.
     pub(crate) fn fail(&mut self, now: Time, slot: RequestSlot, reason: FailReason, host: &mut dyn Host) {
         let open = self.requests.get_mut(slot).filter(|request| !request.is_answered);
         let Some(request) = open else { return };
@@ -118,11 +119,11 @@
         match phase {
             Phase::Queued | Phase::AwaitingResult => self.finish(now, slot, host),
             Phase::Running if self.stop_mode != StopMode::Unsupported => host.stop(slot),
-            _ => self.requests.withdraw_call(slot),
+            _ => self.requests.cancel_awaited_call(slot),
         }
     }
 
-    /// Nothing is left of a request but, for a while, its retained entry.
+    /// Finishes a request. Its entry stays until its retention ends; without a retained entry the request is released.
     fn finish(&mut self, now: Time, slot: RequestSlot, host: &mut dyn Host) {
         self.transition(now, slot, Phase::Finished);
         match self.requests.get(slot) {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The one place where a request and its slot are given back.
+    /// Releases a request and its slot. All releases go through this function.
     pub(crate) fn release(&mut self, slot: RequestSlot, host: &mut dyn Host) {
         if let Some(request) = self.requests.remove(slot) {
             self.timers.cancel(request.timer_at, slot);
--- a/crates/scheduler/src/concurrency_limit.rs
+++ b/crates/scheduler/src/concurrency_limit.rs
@@ -1,33 +1,34 @@
-//! The concurrency limit: how many requests run at once. It follows the cores, up while they idle and work waits, down
-//! while they are overloaded.
+//! The concurrency limit: how many requests run at once. The limit rises while cores are idle and requests are queued, and
+//! falls while the cores are overloaded.
 
 use crate::estimates::{decay, smooth};
 use crate::types::Gauges;
 use cypresscleat_primitives::SECOND;
 
-/// Cores busier than this are saturated.
+/// Utilization above which the cores are saturated.
 const SATURATED_UTILIZATION: f64 = 0.93;
-/// Change of the limit, per core and second.
+/// Change of the limit per core and second, in slots.
 const LIMIT_STEP_PER_CORE_SECOND: f64 = 0.3;
-/// More runnable tasks than this a core are too many: the limit falls.
+/// Maximum mean number of runnable tasks per core; above it the limit falls.
 const MAX_RUNNABLE_PER_CORE: f64 = 1.25;
-/// The limit falls to this part of the cores at least; what returns from calls, and reading, fill the rest.
+/// Lower bound of the limit, as a fraction of the cores. Requests that return from downstream calls, and reading, use the
+/// remaining cores.
 const MIN_LIMIT_PER_CORE: f64 = 0.5;
-/// Mean unread time, as a part of the shortest objective, past which runs give way to reading.
+/// Mean unread time, as a fraction of the shortest latency objective, above which the limit falls to free cores for reading.
 const UNREAD_BACKOFF_RATIO: f64 = 0.25;
-/// How much faster the limit falls then.
+/// Factor by which the limit falls faster above [`UNREAD_BACKOFF_RATIO`].
 const UNREAD_BACKOFF_SPEED: f64 = 4.0;
-/// Mean unread time, as a part of the shortest objective, past which reading counts among the runnable tasks.
-const UNREAD_LAG_RATIO: f64 = 0.07;
-/// Part of the survivable concurrency that running and parked requests together may reach.
+/// Mean unread time, as a fraction of the shortest latency objective, above which reading counts among the runnable tasks.
+const UNREAD_BACKLOG_RATIO: f64 = 0.07;
+/// Fraction of the survivable concurrency that running and parked requests together may use.
 pub(crate) const USABLE_OVERLOAD_SHARE: f64 = 0.9;
 
-/// Owns the limit and the means that it follows.
+/// Owns the limit and the smoothed means that it depends on.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     mean_runnable_per_core: f64,
-    /// Mean time that arrivals lay unread, in tenths of a millisecond.
+    /// Mean time that requests wait to be read, in tenths of a millisecond.
     mean_time_unread: f64,
     cores: f64,
     shortest_objective: f64,
@@ -49,8 +50,8 @@
         self.limit
     }
 
-    /// The concurrency slots that may be taken. Past the cores only whole slots count: part of one would be taken by a whole run,
-    /// which slows all others while no core is free for it.
+    /// The number of available concurrency slots. Above the number of cores only whole slots count: a whole run in a fractional
+    /// slot would slow down all other runs, since no core is free for it.
     pub(crate) fn slots(&self) -> f64 {
         if self.limit > self.cores {
             self.limit.floor()
@@ -59,21 +60,21 @@
         }
     }
 
-    /// Records how long an arrival lay unread.
+    /// Records how long a request waited to be read.
     pub(crate) fn record_time_unread(&mut self, time_unread: f64) {
         smooth(&mut self.mean_time_unread, time_unread);
     }
 
-    /// Lets the mean unread time decay while nothing arrives.
+    /// Decays the mean unread time, so that it falls while no requests arrive.
     pub(crate) fn decay_time_unread(&mut self, elapsed: f64) {
         self.mean_time_unread *= decay(elapsed);
     }
 
-    /// Moves the limit after the gauges. `running` requests run; `has_queued` tells whether others wait.
+    /// Adapts the limit to the gauges. `running` is the number of running requests; `has_queued` is whether others are queued.
     pub(crate) fn update(&mut self, gauges: Gauges, elapsed: f64, running: f64, has_queued: bool) {
         let step = LIMIT_STEP_PER_CORE_SECOND * self.cores * elapsed / SECOND as f64;
-        // Guards against work growing old unread: reading shares the cores with what runs, so when it lags, runs give
-        // way, under the core count if need be.
+        // Guards against requests that wait too long to be read: reading shares the cores with running requests. While
+        // reading has a backlog, fewer requests run, if necessary fewer than there are cores.
         if self.mean_time_unread > self.shortest_objective * UNREAD_BACKOFF_RATIO {
             self.limit = (self.limit - step * UNREAD_BACKOFF_SPEED).max(1.0);
             return;
@@ -85,10 +86,10 @@
         let (Some(utilization), Some(runnable)) = (gauges.core_utilization, gauges.runnable_tasks) else {
             return;
         };
-        // Reading counts only where it lags: where it is short, fewer runs would only let more clients connect and be
-        // rejected.
-        let reading_lags = self.mean_time_unread > self.shortest_objective * UNREAD_LAG_RATIO;
-        let runnable = if reading_lags { runnable } else { runnable.min(running) };
+        // Reading counts only while it has a backlog. Without a backlog, fewer runs would only allow more clients to connect
+        // and be rejected.
+        let has_read_backlog = self.mean_time_unread > self.shortest_objective * UNREAD_BACKLOG_RATIO;
+        let runnable = if has_read_backlog { runnable } else { runnable.min(running) };
         smooth(&mut self.mean_runnable_per_core, runnable / self.cores);
         if self.mean_runnable_per_core > MAX_RUNNABLE_PER_CORE && utilization > SATURATED_UTILIZATION {
             self.limit -= step;
--- a/crates/scheduler/src/downstream/shared.rs
+++ b/crates/scheduler/src/downstream/shared.rs
@@ -1,38 +1,38 @@
-//! Calls to a dependency shared by the whole fleet: a quota of which the mean number of concurrent calls uses a part, with
-//! a credit for short bursts.
+//! Calls to a dependency shared by the whole fleet. The mean number of concurrent calls uses an adaptive fraction of this
+//! server's quota; a credit allows short bursts.
 
 use crate::settings::Settings;
 use crate::types::Time;
 use cypresscleat_primitives::SECOND;
 use std::collections::BTreeSet;
 
-/// Part of the quota that is used: at least, at most, and its rise and fall a second.
+/// Fraction of the quota that is used: its bounds, and its rise and fall per second.
 const MIN_QUOTA_USE: f64 = 0.38;
 const MAX_QUOTA_USE: f64 = 0.9;
 const QUOTA_USE_RISE_PER_SECOND: f64 = 0.2;
 const QUOTA_USE_FALL_PER_SECOND: f64 = 1.0;
-/// The use rises while calls take less than this multiple of their baseline.
+/// The used fraction rises while the mean call time is below this multiple of the baseline, and falls otherwise.
 const FAST_CALL_RATIO: f64 = 1.4;
 /// Drift of the baseline towards the mean call time, per second.
 const BASELINE_DRIFT_PER_SECOND: f64 = 0.01;
-/// Part of the quota's window that may be used ahead, as credit.
+/// Maximum credit, as a fraction of the quota over its whole window.
 const MAX_CREDIT_WINDOW_SHARE: f64 = 0.04;
-/// The longest call, as a multiple of the maximum credit. Guards what all servers share against calls that hang on each
-/// of many.
+/// Longest call, as a multiple of the maximum credit. Guards the shared dependency against calls from many servers that hang
+/// at the same time.
 const MAX_CALL_TIME_PER_CREDIT: f64 = 10.0;
 
-/// Owns the use of the quota, the credit and the abandoned calls.
+/// Owns the used fraction of the quota, the credit and the abandoned calls.
 #[derive(Default)]
 pub(crate) struct SharedQuota {
     quota: f64,
     quota_use: f64,
-    /// The least mean call time, drifting up slowly.
+    /// The lowest mean call time, which drifts slowly upwards.
     baseline_call_time: f64,
-    /// Calls times tenths of a millisecond that may be used.
+    /// Available credit, in calls multiplied by tenths of a millisecond.
     credit: f64,
     max_credit: f64,
     abandoned_call_duration: Time,
-    /// When each abandoned call ceases to occupy the dependency, with a number that tells equal times apart.
+    /// When each abandoned call stops occupying the dependency, with a sequence number that distinguishes equal times.
     abandoned: BTreeSet<(Time, u64)>,
 }
 
@@ -49,34 +49,34 @@
         }
     }
 
-    /// The mean number of concurrent calls at present.
+    /// The allowed mean number of concurrent calls.
     pub(crate) fn limit(&self) -> f64 {
         self.quota * self.quota_use
     }
 
-    /// Calls that were abandoned and still occupy the dependency.
+    /// The number of abandoned calls that still occupy the dependency.
     pub(crate) fn abandoned(&self) -> usize {
         self.abandoned.len()
     }
 
-    /// Whether another call may be made beside `in_flight`.
-    pub(crate) fn may_call(&self, in_flight: f64) -> bool {
+    /// Whether another call can be made while `in_flight` calls occupy the dependency.
+    pub(crate) fn can_call(&self, in_flight: f64) -> bool {
         self.credit >= 0.0 && in_flight < self.quota.max(1.0).floor()
     }
 
-    /// The longest time that a call may take; what it lingers after being abandoned is part of it.
+    /// The longest time that a call may take, less the time that it occupies the dependency after being abandoned.
     pub(crate) fn max_call_time(&self) -> Time {
         ((self.max_credit * MAX_CALL_TIME_PER_CREDIT) as Time - self.abandoned_call_duration)
             .max(self.abandoned_call_duration)
     }
 
-    /// Counts a call that was abandoned: it goes on occupying the dependency for a while.
-    pub(crate) fn abandon(&mut self, now: Time, sequence: u64) {
+    /// Records an abandoned call, which continues to occupy the dependency for a while.
+    pub(crate) fn record_abandoned(&mut self, now: Time, sequence: u64) {
         self.abandoned.insert((now + self.abandoned_call_duration, sequence));
     }
 
-    /// Forgets abandoned calls that are over, adapts the use of the quota, and refills the credit: it grows with the quota
-    /// and is spent by the calls in flight.
+    /// Removes abandoned calls that no longer occupy the dependency, adapts the used fraction of the quota, and updates the
+    /// credit, which grows with the quota and is consumed by the calls in flight.
     pub(crate) fn refill(&mut self, now: Time, elapsed: f64, calling: usize, mean_call_time: f64) {
         while self.abandoned.first().is_some_and(|(until, _)| *until <= now) {
             self.abandoned.pop_first();
--- a/crates/scheduler/src/downstream/tier.rs
+++ b/crates/scheduler/src/downstream/tier.rs
@@ -1,14 +1,14 @@
-//! Calls to a tier of servers: an adaptive limit, lowered when the tier rejects a call.
+//! Calls to a tier of servers: an adaptive concurrency limit that falls when the tier rejects a call.
 
 use crate::types::{Outcome, Time};
 
-/// Calls in flight: at most this many a core.
+/// Maximum number of calls in flight per core.
 const MAX_CALLS_PER_CORE: f64 = 3.0;
-/// The limit's factor when a call is rejected.
+/// Factor on the limit when a call is rejected.
 const DECREASE_FACTOR: f64 = 0.8;
-/// The limit's rise with each call that succeeds.
+/// Increase of the limit for each call that succeeds.
 const INCREASE: f64 = 0.5;
-/// The limit stays at one call at least.
+/// Lower bound of the limit: one call.
 const MIN_LIMIT: f64 = 1.0;
 
 /// Owns the limit of calls to a tier.
@@ -29,13 +29,14 @@
         self.limit
     }
 
-    /// Adapts the limit to the end of a call; lowers it once a mean call time at most. Guards the tier, and the work that
-    /// waits on it, against more calls than it takes: part of its reading goes to calls that it then rejects.
+    /// Adapts the limit to the end of a call; lowers it at most once per mean call time. Guards the tier, and the requests
+    /// that wait for it, against more calls than the tier can handle: it spends part of its capacity on reading calls that it
+    /// then rejects.
     pub(crate) fn record(&mut self, now: Time, outcome: Outcome, mean_call_time: f64) {
-        let was_refused = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
+        let was_rejected = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
         if outcome == Outcome::Succeeded {
             self.limit = (self.limit + INCREASE).min(self.max_limit);
-        } else if was_refused && now >= self.decreased_until {
+        } else if was_rejected && now >= self.decreased_until {
             self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
             self.decreased_until = now + mean_call_time as Time;
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,26 +1,27 @@
-//! Decides, inside each server of a fleet, what it admits, runs and rejects. No I/O, no clock: the same events give the
-//! same decisions, and random numbers come from the seed alone.
+//! Decides which requests one server of a fleet admits, runs and rejects. The crate has no I/O and no clock: the same
+//! events give the same decisions, and random numbers depend only on the seed.
 //!
-//! Build a [`Scheduler`] from [`Settings`], tell it what happens through one method per event, and carry out what it asks
-//! of the [`Host`].
+//! Build a [`Scheduler`] from [`Settings`], report each event through its method, and carry out the actions that the
+//! scheduler requests from the [`Host`].
 //!
-//! # The way of a request
+//! # Lifecycle of a request
 //!
 //! 1. [`Scheduler::handle_arrival`]: the request joins the queue and passes `ADMISSION_STAGES` below, in that order. Each
-//!    stage lets it continue or gives it its final answer; the last leaves it queued. Stages may also reject *other*
-//!    queued requests, of less priority or greater size.
-//! 2. `dispatch.rs` starts queued requests by the weighted draw, while the concurrency limit (`concurrency_limit.rs`), the
-//!    concurrency that the server survives while it warms up (`slow_start.rs`), its memory and its pools allow.
-//! 3. [`Scheduler::handle_call_needed`]: a running request calls downstream (`downstream/mod.rs`), as the limits of a tier
-//!    (`downstream/tier.rs`) or of a shared dependency (`downstream/shared.rs`) allow.
-//! 4. [`Scheduler::handle_run_completed`]: it passes `COMPLETION_STAGES` and is released, or its entry is retained for
-//!    retries (`completion.rs`).
+//!    stage lets the request continue or ends it with a final response; the last stage leaves it queued. A stage may also
+//!    reject *other* queued requests that have a lower priority or a greater size.
+//! 2. `dispatch.rs` starts queued requests by a weighted random draw, within the concurrency limit
+//!    (`concurrency_limit.rs`), the survivable concurrency during warm-up (`slow_start.rs`), the memory limit and the
+//!    limits of the pools.
+//! 3. [`Scheduler::handle_call_needed`]: a running request calls downstream (`downstream/mod.rs`), within the limits of a
+//!    tier (`downstream/tier.rs`) or of a shared dependency (`downstream/shared.rs`).
+//! 4. [`Scheduler::handle_run_completed`]: the request passes `COMPLETION_STAGES` and is released, or its entry is retained
+//!    for retries (`completion.rs`).
 //!
-//! Beside this way, [`Scheduler::tick`] fires the timers (`timers.rs`): one that can't meet its latency objective is
-//! rejected, one past its deadline fails. It updates the estimates (`estimates.rs`) and limits, the idle timeout of
-//! connections (`connections.rs`) and the load feedback to the clients (`load_feedback.rs`).
+//! Independently of these steps, [`Scheduler::tick`] fires the timers (`timers.rs`): a request that can't meet its latency
+//! objective is rejected, and a request past its deadline fails. The tick also updates the estimates (`estimates.rs`), the
+//! limits, the idle timeout of connections (`connections.rs`) and the load feedback to the clients (`load_feedback.rs`).
 //!
-//! A request that was rejected or failed names its rule: see [`RejectReason`] and [`FailReason`].
+//! Each rejection and each failure carries the rule that caused it: see [`RejectReason`] and [`FailReason`].
 //!
 //! # Example
 //!
@@ -96,28 +97,31 @@
 use admission::AdmissionStage;
 use completion::CompletionStage;
 
-/// The stages that an arriving request passes, in this order.
+/// The admission stages of an arriving request, in order.
 const ADMISSION_STAGES: [AdmissionStage; 6] = [
-    // While the server drains: rejects what comes after the grace or near the stop (`RejectReason::Draining`).
+    // While the server drains: rejects requests that arrive after the grace period or once the stop is reached
+    // (`RejectReason::Draining`).
     admission::draining::admit,
-    // Gives a retry the result of its earlier attempt; fails it where that one ran and failed
-    // (`FailReason::EarlierAttemptFailed`), rejects it where its key can't be kept (`RejectReason::IdempotencyTableFull`).
+    // Gives a retry the result of its earlier attempt; fails the retry if that attempt ran and failed
+    // (`FailReason::EarlierAttemptFailed`); rejects a request whose idempotency key can't be retained
+    // (`RejectReason::IdempotencyTableFull`).
     admission::deduplication::admit,
-    // Charges the tenant's quota; never rejects, but what is over the quota is the first to be shed by the stages below.
+    // Charges the tenant's quota. Never rejects, but requests over the quota are shed first by the stages below.
     admission::quota::admit,
-    // Rejects what already can't meet its objective (`RejectReason::ObjectiveUnreachable`), or fails it at its deadline.
+    // Rejects a request whose latency objective has already passed (`RejectReason::ObjectiveUnreachable`), or fails it at
+    // its deadline.
     admission::deadline::admit,
-    // Rejects the largest queued requests while memory is past the high watermark (`RejectReason::MemoryPressure`).
+    // Rejects the largest queued requests while memory use is above the high watermark (`RejectReason::MemoryPressure`).
     admission::memory::admit,
-    // Rejects the lowest priority while the queue is longer than objectives allow (`RejectReason::QueueFull`) or calls
-    // can't be made in time (`RejectReason::CallQueueFull`).
+    // Rejects the requests of lowest priority while the queue is longer than the latency objectives allow
+    // (`RejectReason::QueueFull`) or downstream calls can't be made in time (`RejectReason::CallQueueFull`).
     admission::queue::admit,
 ];
 
-/// The stages that a request passes when its run ends, in this order.
+/// The completion stages of a request whose run has ended, in order.
 const COMPLETION_STAGES: [CompletionStage; 2] = [
-    // Counts a call still in flight as abandoned; learns the time spent at calls.
+    // Counts a call still in flight as abandoned; records the time spent on downstream calls.
     completion::record_calls,
-    // Learns the running time of the class.
+    // Records the running time for the request class.
     completion::record_run,
 ];
--- a/crates/scheduler/src/load_feedback.rs
+++ b/crates/scheduler/src/load_feedback.rs
@@ -1,5 +1,5 @@
-//! Load feedback: tells clients how much to send, less while requests within quota are shed, then slowly more; and logs
-//! when shedding or slow calls begin and end.
+//! Load feedback: tells clients how much load to send, less while requests within quota are shed, then gradually more. Logs
+//! when shedding or slow downstream calls start and end.
 
 use crate::admission::queue::MAX_WAIT_PER_SHORTEST_OBJECTIVE;
 use crate::events::SchedulerEvent;
@@ -9,21 +9,22 @@
 use crate::types::{LoadFeedbackKind, Time};
 use cypresscleat_primitives::MS;
 
-/// Time between two feedbacks.
+/// Time between two feedback messages.
 pub(crate) const FEEDBACK_INTERVAL: Time = 100 * MS;
-/// Bounds of the requests that all clients together may have outstanding, a core.
+/// Bounds of the number of requests that all clients together may have outstanding, per core.
 const MIN_OUTSTANDING_PER_CORE: f64 = 1.0;
 const MAX_OUTSTANDING_PER_CORE: f64 = 3.0;
-/// The upper bound for each client, where that is more: requests come unevenly, and one each would keep clients from
-/// servers that are free.
+/// Upper bound per client; applies if its sum over all clients exceeds the bound per core. Requests arrive unevenly, and one
+/// per client would keep clients from using free servers.
 const MAX_OUTSTANDING_PER_CLIENT: f64 = 2.0;
-/// While shedding the allowance goes to this multiple of what is outstanding; else it rises by the other factor.
+/// While load is shed, the allowance falls to the first factor times the outstanding requests; otherwise it rises by the
+/// second factor.
 const DECREASE_FACTOR: f64 = 0.95;
 const INCREASE_FACTOR: f64 = 1.1;
-/// Change of the priority floor at each feedback, and its maximum.
+/// Change of the priority floor per feedback message, and its maximum.
 const PRIORITY_FLOOR_STEP: f64 = 0.02;
 const MAX_PRIORITY_FLOOR: f64 = 0.8;
-/// Calls are slow once their mean time passes this part of any latency objective.
+/// Downstream calls are slow while their mean time exceeds this fraction of any latency objective.
 const SLOW_CALL_RATIO: f64 = 0.5;
 
 /// Owns the load feedback that is sent to clients.
@@ -34,13 +35,13 @@
     min_outstanding: f64,
     max_outstanding: f64,
     next_at: Time,
-    /// What all clients together may have outstanding.
+    /// Number of requests that all clients together may have outstanding.
     allowance: f64,
     priority_floor: f64,
-    /// Requests within quota shed since the last feedback.
+    /// Number of requests within quota that were shed since the last feedback.
     shed_requests: usize,
     is_shedding: bool,
-    calls_are_slow: bool,
+    has_slow_calls: bool,
 }
 
 impl LoadFeedback {
@@ -63,12 +64,13 @@
         now >= self.next_at
     }
 
-    /// Counts a request that was shed; those over their tenant's quota don't count.
+    /// Counts a request that was shed; requests over their tenant's quota don't count.
     pub(crate) fn count_shed(&mut self, within_quota: bool) {
         self.shed_requests += usize::from(within_quota);
     }
 
-    /// Moves the allowance and the floor. Guards a server that warms up against the sum of its clients.
+    /// Updates the allowance and the priority floor. While the server warms up, `slow_start_limit` bounds the allowance and
+    /// guards the server against the total load of its clients.
     fn update(&mut self, is_shedding: bool, outstanding: f64, slow_start_limit: Option<f64>) {
         let max = self.max_outstanding;
         let max = max.min(slow_start_limit.unwrap_or(max)).max(self.min_outstanding);
@@ -82,7 +84,7 @@
         self.priority_floor = (self.priority_floor + step).clamp(0.0, MAX_PRIORITY_FLOOR);
     }
 
-    /// The value for the clients; a draining server asks for nothing more.
+    /// The feedback value for the clients; a draining server requests no further load.
     fn value(&self, is_draining: bool) -> Option<f64> {
         match self.kind {
             LoadFeedbackKind::None => None,
@@ -134,10 +136,10 @@
         let mean_call_time = self.downstream.mean_call_time();
         let exceeds = |objective: Time| mean_call_time > objective as f64 * SLOW_CALL_RATIO;
         let slow = self.estimates.classes().any(|class| exceeds(class.latency_objective));
-        if slow == self.load_feedback.calls_are_slow {
+        if slow == self.load_feedback.has_slow_calls {
             return;
         }
-        self.load_feedback.calls_are_slow = slow;
+        self.load_feedback.has_slow_calls = slow;
         let (in_flight, waiting) = (self.requests.calling(), self.requests.awaiting_call().len());
         host.log(&SchedulerEvent::CallLatencyChanged { slow, mean_call_time, in_flight, waiting });
     }
--- a/crates/scheduler/src/reasons.rs
+++ b/crates/scheduler/src/reasons.rs
@@ -1,38 +1,40 @@
-//! Why a request was rejected or failed. Each reason names the rule that decided it.
+//! Why a request was rejected or failed. Each reason identifies the rule that made the decision.
 
-/// Why a request was rejected; it has not run, and the client may send it again.
+/// Why a request was rejected. A rejected request has not run, and the client may retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The server drains and the request came after the grace or near the stop (`admission/draining.rs`).
+    /// The server drains, and the request arrived after the grace period or once the stop was reached
+    /// (`admission/draining.rs`).
     Draining,
-    /// There is no room to retain an entry for its retries (`admission/deduplication.rs`).
+    /// No memory is left to retain an entry for retries of the request (`admission/deduplication.rs`).
     IdempotencyTableFull,
-    /// It can no longer be answered within its latency objective (`timers.rs`).
+    /// The request can no longer complete within its latency objective (`timers.rs`).
     ObjectiveUnreachable,
-    /// Memory is past the high watermark and the request was the largest (`admission/memory.rs`).
+    /// Memory use is above the high watermark and the request was the largest one queued (`admission/memory.rs`).
     MemoryPressure,
     /// The queue is longer than the latency objectives allow (`admission/queue.rs`).
     QueueFull,
-    /// Its downstream call could not be made in time (`admission/queue.rs`).
+    /// The downstream call of the request could not be made in time (`admission/queue.rs`).
     CallQueueFull,
-    /// Its run was stopped without an answer and nothing forbids another attempt (`completion.rs`).
+    /// The run was stopped without a response, and another attempt is safe (`completion.rs`).
     StoppedWithoutAnswer,
 }
 
-/// Why a request was answered with an error; it may have run.
+/// Why a request failed with an error. A failed request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailReason {
     /// The client's deadline passed (`timers.rs`).
     DeadlinePassed,
-    /// The latency objective passed and a late answer is worth nothing (`timers.rs`). A running request fails so only while
-    /// others are queued and the executor can stop work; a parked one, which waits for its call, in any case.
+    /// The latency objective passed and a late response has no priority weight (`timers.rs`). A running request fails for this
+    /// reason only while others are queued and the executor can stop runs; a parked request, which waits for its downstream
+    /// call, fails in any case.
     ObjectivePassed,
-    /// Its downstream call failed for good (`downstream/mod.rs`).
+    /// The downstream call failed and is not retried (`downstream/mod.rs`).
     CallFailed,
-    /// Too little time was left for its downstream call (`downstream/mod.rs`).
+    /// Too little time was left for the downstream call (`downstream/mod.rs`).
     NoTimeForCall,
     /// An earlier attempt ran and failed, and the request must not run twice (`admission/deduplication.rs`).
     EarlierAttemptFailed,
-    /// It was to be rejected, but has run and must not run again, or is past the queue (`completion.rs`).
+    /// The request was to be rejected, but it has run and must not run again, or it is no longer queued (`completion.rs`).
     CannotBeRejected(RejectReason),
 }
--- a/crates/scheduler/src/request_table.rs
+++ b/crates/scheduler/src/request_table.rs
@@ -1,79 +1,79 @@
-//! The open requests, the phase of each, and all that is counted by phase.
+//! The open requests, the phase of each request, and the queue, counts and memory use derived from the phases.
 
 use crate::types::{RequestSlot, RetrySafety, Time};
 use cypresscleat_concurrency::rank_index::{RankIndex, RankKey};
 use cypresscleat_concurrency::{ClassUsage, Pools};
 use std::cmp::Ordering;
 
-/// Where a request is.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waits for a concurrency slot.
     #[default]
     Queued,
-    /// Runs.
+    /// Holds a concurrency slot and runs.
     Running,
     /// Waits for its downstream call to be made.
     AwaitingCall,
-    /// Waits for the answer of its downstream call.
+    /// Waits for the response of its downstream call.
     Calling,
-    /// Waits for the result of the attempt that it repeats.
+    /// Waits for the result of the earlier attempt that it retries.
     AwaitingResult,
-    /// Finished; known only because its entry is retained for retries.
+    /// Finished; only its entry is retained for retries.
     Finished,
 }
 
 impl Phase {
-    /// Whether the request has been started and has not ended.
+    /// Whether the request has been started and its run has not ended.
     fn is_active(self) -> bool {
         matches!(self, Phase::Running | Phase::AwaitingCall | Phase::Calling)
     }
 }
 
-/// What is known of one request.
+/// The state of one request.
 #[derive(Default)]
 pub(crate) struct RequestState {
-    /// Order of arrival.
+    /// Position in the order of arrival.
     pub(crate) sequence: u64,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
-    /// Whether it found a token in its tenant's bucket; true for tenants without a quota.
+    /// Whether the tenant's token bucket had a token for the request; true for tenants without a quota.
     pub(crate) within_quota: bool,
     /// Expected work sent by the client, in tenths of a millisecond.
     pub(crate) expected_work: f64,
-    /// The same, scaled by the measurements of its class: its size in the ranking.
+    /// Expected work scaled by the measurements of the request class: the size by which the draw ranks the request.
     pub(crate) scaled_work: f64,
-    /// Memory that it takes while queued.
+    /// Memory that the request uses while queued.
     pub(crate) memory_kb: f64,
-    /// Priority weight for a unit of work: the request of the lowest is shed first, calls are made for the highest first. Lower
-    /// for marked retries, requests over quota and those that are late.
+    /// Priority weight per unit of work. Requests with the lowest priority are shed first; downstream calls are made for the
+    /// highest priority first. Reduced for marked retries, for requests over quota and after a missed latency objective.
     pub(crate) priority: f64,
     pub(crate) arrived_at: Time,
-    /// When its answer loses weight.
+    /// When the latency objective passes and the response loses priority weight.
     pub(crate) objective_at: Time,
-    /// When its client gives up.
+    /// When the client gives up.
     pub(crate) deadline: Time,
     pub(crate) phase: Phase,
-    /// Whether it was started, or an earlier attempt of it ran: it may have had its effect.
+    /// Whether the request was started or an earlier attempt of it ran, so that it may have had its effect.
     pub(crate) has_run: bool,
-    /// Whether its client was answered or has disconnected: no other answer is given.
+    /// Whether the client has received the final response or has disconnected; no further response is sent.
     pub(crate) is_answered: bool,
-    /// Whether its run ended with success.
+    /// Whether the run succeeded.
     pub(crate) has_succeeded: bool,
     pub(crate) running_since: Time,
     /// Time spent running before `running_since`.
     pub(crate) running_time: Time,
     pub(crate) parked_since: Time,
-    /// Time spent at downstream calls.
+    /// Time spent waiting for downstream calls.
     pub(crate) parked_time: Time,
     pub(crate) call_attempts: u32,
-    /// When its timer fires.
+    /// When the request's timer fires.
     pub(crate) timer_at: Time,
-    /// Until when its entry is retained for retries; `Time::MIN` where it isn't.
+    /// Until when the entry is retained for retries; `Time::MIN` if it isn't.
     pub(crate) retained_until: Time,
 }
 
-/// Owns the open requests and keeps the queue, the counts and the memory account true to their phases.
+/// Owns the open requests and keeps the queue, the counts and the memory use consistent with their phases.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: Vec<Option<RequestState>>,
@@ -82,11 +82,11 @@
     awaiting_call: Vec<RequestSlot>,
     running: usize,
     calling: usize,
-    /// Scaled work of all queued requests.
+    /// Total scaled work of all queued requests.
     queued_work: f64,
-    /// The queued requests by scaled work.
+    /// The queued requests, ordered by scaled work.
     queue_index: RankIndex,
-    /// The largest memory of any request queued since the queue was last empty.
+    /// The largest memory use of any request queued since the queue was last empty.
     largest_queued_kb: f64,
     used_memory_kb: f64,
     next_sequence: u64,
@@ -107,12 +107,12 @@
         self.requests.get_mut(slot)?.as_mut()
     }
 
-    /// Changes a request where it is still known.
-    pub(crate) fn edit(&mut self, slot: RequestSlot, change: impl FnOnce(&mut RequestState)) {
+    /// Applies a change to a request if it is still open.
+    pub(crate) fn update(&mut self, slot: RequestSlot, change: impl FnOnce(&mut RequestState)) {
         self.get_mut(slot).map(change);
     }
 
-    /// The queued requests, in order of arrival.
+    /// The queued requests in order of arrival.
     pub(crate) fn queued(&self) -> &[RequestSlot] {
         &self.queued
     }
@@ -141,7 +141,7 @@
         self.calling
     }
 
-    /// The number of active requests that don't run.
+    /// The number of active requests that wait for a downstream call.
     pub(crate) fn parked(&self) -> usize {
         self.active.len() - self.running
     }
@@ -166,19 +166,19 @@
         self.retained_entry_kb
     }
 
-    /// The queued request with `rank` smaller ones before it.
+    /// The queued request with `rank` smaller requests before it.
     pub(crate) fn select_queued(&self, rank: usize) -> Option<RequestSlot> {
         self.queue_index.select(rank).map(|key| key.request)
     }
 
-    /// Orders by priority, the lower first; of equals the newer first.
+    /// Orders requests by ascending priority; of equal priorities the newer request comes first.
     pub(crate) fn compare_priority(&self, a: RequestSlot, b: RequestSlot) -> Ordering {
         let key = |slot| self.get(slot).map_or((0.0, 0), |request| (request.priority, request.sequence));
         let (a, b) = (key(a), key(b));
         a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))
     }
 
-    /// Returns the next number in the order of arrivals and abandoned calls.
+    /// Returns the next sequence number of arrivals and abandoned calls.
     pub(crate) fn take_sequence(&mut self) -> u64 {
         self.next_sequence += 1;
         self.next_sequence - 1
@@ -191,10 +191,10 @@
         }
         self.used_memory_kb += request.memory_kb;
         self.requests[slot] = Some(request);
-        self.enter(now, slot, Phase::Queued, Phase::Queued, pools);
+        self.enter_phase(now, slot, Phase::Queued, Phase::Queued, pools);
     }
 
-    /// Forgets a request and the memory of its retained entry.
+    /// Removes a request and frees the memory of its retained entry.
     pub(crate) fn remove(&mut self, slot: RequestSlot) -> Option<RequestState> {
         let request = self.requests[slot].take()?;
         if request.retained_until > Time::MIN {
@@ -203,18 +203,18 @@
         Some(request)
     }
 
-    /// Books the memory of an entry that is retained for retries.
+    /// Retains the request's entry for retries and accounts for the memory of the entry.
     pub(crate) fn retain(&mut self, slot: RequestSlot, until: Time) {
         self.used_memory_kb += self.retained_entry_kb;
-        self.edit(slot, |request| request.retained_until = until);
+        self.update(slot, |request| request.retained_until = until);
     }
 
-    /// Withdraws the wish for a downstream call; the request stays active until its run ends.
-    pub(crate) fn withdraw_call(&mut self, slot: RequestSlot) {
+    /// Cancels a downstream call that has not been made; the request stays active until its run ends.
+    pub(crate) fn cancel_awaited_call(&mut self, slot: RequestSlot) {
         self.awaiting_call.retain(|other| *other != slot);
     }
 
-    /// Moves a request to another phase, with all that is counted by phase.
+    /// Moves a request to another phase and updates everything counted by phase.
     pub(crate) fn transition(&mut self, now: Time, slot: RequestSlot, to: Phase, pools: &mut Pools) {
         let factor = self.running_memory_factor;
         let Some(request) = self.requests[slot].as_mut() else { return };
@@ -225,8 +225,8 @@
             _ => request.memory_kb * factor,
         };
         self.used_memory_kb += memory(to) - memory(from);
-        self.leave(now, slot, from, pools);
-        self.enter(now, slot, from, to, pools);
+        self.leave_phase(now, slot, from, pools);
+        self.enter_phase(now, slot, from, to, pools);
         if to.is_active() && !from.is_active() {
             self.active.push(slot);
         } else if from.is_active() && !to.is_active() {
@@ -234,7 +234,7 @@
         }
     }
 
-    fn leave(&mut self, now: Time, slot: RequestSlot, from: Phase, pools: &mut Pools) {
+    fn leave_phase(&mut self, now: Time, slot: RequestSlot, from: Phase, pools: &mut Pools) {
         let Some(request) = self.requests[slot].as_mut() else { return };
         match from {
             Phase::Queued => {
@@ -256,7 +256,7 @@
         }
     }
 
-    fn enter(&mut self, now: Time, slot: RequestSlot, from: Phase, to: Phase, pools: &mut Pools) {
+    fn enter_phase(&mut self, now: Time, slot: RequestSlot, from: Phase, to: Phase, pools: &mut Pools) {
         let Some(request) = self.requests[slot].as_mut() else { return };
         match to {
             Phase::Queued => {
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Counts what is here by class, for pools that change while work goes on.
+    /// Counts the queued and running requests of each class, for a change of the pools while requests run.
     pub(crate) fn count_by_class(&self, classes: usize) -> Vec<ClassUsage> {
         let mut counts: Vec<ClassUsage> =
             (0..classes).map(|class| ClassUsage { class, ..ClassUsage::default() }).collect();
@@ -308,7 +308,7 @@
     RankKey { size: request.scaled_work, sequence: request.sequence, request: slot }
 }
 
-/// Whether a second execution would do harm.
-pub(crate) fn runs_once(retry_safety: RetrySafety) -> bool {
+/// Whether requests with this retry safety must not be executed a second time.
+pub(crate) fn must_not_run_twice(retry_safety: RetrySafety) -> bool {
     retry_safety != RetrySafety::Idempotent
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one server: holds the state of each rule and passes to each what it needs.
+//! The scheduler of one server. Owns the state of every rule and passes each rule the state it needs.
 
 use crate::admission::deduplication::Deduplication;
 use crate::admission::draining::Draining;
@@ -20,20 +20,20 @@
 use cypresscleat_concurrency::{Pools, PoolsConfig};
 use cypresscleat_primitives::SECOND;
 
-/// Decides what one server admits, runs and rejects. Each method tells it one thing that happened; it answers through the
+/// Decides which requests one server admits, runs and rejects. Each method reports one event; the decisions go to the
 /// [`Host`].
 #[derive(Default)]
 pub struct Scheduler {
-    // Settings that more than one rule needs.
+    // Settings used by more than one rule.
     pub(crate) cores: f64,
     pub(crate) shortest_objective: f64,
     pub(crate) stop_mode: StopMode,
     pub(crate) max_retry_after: Time,
     pub(crate) weight_per_work: bool,
-    // What is here.
+    // Open requests and their timers.
     pub(crate) requests: RequestTable,
     pub(crate) timers: Timers,
-    // The rules.
+    // State of the rules.
     pub(crate) draining: Draining,
     pub(crate) deduplication: Deduplication,
     pub(crate) quota: Quota,
@@ -50,7 +50,7 @@
 }
 
 impl Scheduler {
-    /// Starts a scheduler and asks the host for its first tick.
+    /// Starts a scheduler and sets the timer of its first tick.
     pub fn start(now: Time, settings: Settings, host: &mut impl Host) -> Scheduler {
         let cores = settings.cores.max(1.0);
         let overload_multiple = settings.overload_multiple.max(1.0);
@@ -82,19 +82,21 @@
         scheduler
     }
 
-    /// The periodic tick, with the server's own gauges: timers fire, estimates and limits follow, what may start starts.
+    /// Runs the periodic tick with the server's current gauges: fires due timers, updates estimates and limits, and starts
+    /// the requests and calls that the limits allow.
     pub fn tick(&mut self, now: Time, gauges: Gauges, host: &mut impl Host) {
         let elapsed = (now - self.last_tick).max(0) as f64;
         self.last_tick = now;
         while let Some(slot) = self.timers.pop_due(now) {
-            self.expire(now, slot, host);
+            self.handle_timer(now, slot, host);
         }
         self.quota.refill(elapsed);
         self.estimates.update(now, elapsed, &self.requests);
         self.update_concurrency_limit(now, gauges, elapsed);
         self.connections.record_gauges(gauges, self.requests.running() as f64);
-        // `is_due` is looked at twice with the same result, since only `send_load_feedback` sets the next time. The refill between
-        // shares no state with either block. Only the order of the host's calls counts: the idle timeout before the feedback.
+        // Both calls of `is_due` return the same result, since only `send_load_feedback` sets the next feedback time. The
+        // credit refill between them shares no state with either block. Only the order of the calls to the host matters:
+        // the idle timeout precedes the feedback.
         if self.load_feedback.is_due(now) {
             self.connections.update(gauges, host);
         }
@@ -114,13 +116,13 @@
         self.pools.tick(now, self.concurrency_limit.limit());
     }
 
-    /// Sets the number of concurrency slots that others grant, where runs go to other servers.
+    /// Sets the number of concurrency slots that planners grant, where requests run on other servers.
     pub fn set_granted_slots(&mut self, now: Time, slots: f64, host: &mut impl Host) {
         self.dispatcher.set_granted_slots(slots);
         self.dispatch(now, host);
     }
 
-    /// Changes the concurrency pools; what is queued and runs is counted where it belongs then.
+    /// Changes the concurrency pools; queued and running requests are counted in the new pools of their classes.
     pub fn set_pools(&mut self, now: Time, pools: &PoolsConfig, host: &mut impl Host) {
         let classes = self.estimates.class_count();
         self.pools.reconfigure(pools, classes, &self.requests.count_by_class(classes));
@@ -133,7 +135,8 @@
         &self.pools
     }
 
-    /// While the server warms up: what all clients together may have outstanding here.
+    /// The maximum number of requests that all clients together may have outstanding on this server; `None` once the server
+    /// has warmed up.
     pub fn slow_start_limit(&self, now: Time) -> Option<f64> {
         self.slow_start.limit(now)
     }
@@ -143,7 +146,7 @@
         self.requests.transition(now, slot, to, &mut self.pools);
     }
 
-    /// Time that a request needs from its start: its run and its downstream calls.
+    /// Expected time from the start of a request to its end, with its downstream calls.
     pub(crate) fn service_time(&self, slot: RequestSlot) -> f64 {
         self.requests.get(slot).map_or(0.0, |request| self.estimates.service_time(request))
     }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,20 +1,21 @@
-//! The settings of one server, checked before the scheduler starts.
+//! The settings of one server, validated before the scheduler starts.
 
 use crate::types::*;
 use cypresscleat_concurrency::{ConfigError, PoolsConfig};
 
 /// The settings of one server, passed to [`Scheduler::start`](crate::Scheduler::start).
 ///
-/// Numbers out of range are clamped by the rule that uses them; [`Settings::validate`] reports what can't be clamped.
+/// Numbers out of range are clamped by the rule that uses them. [`Settings::validate`] reports errors that can't be
+/// resolved by clamping.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The request classes, by index.
+    /// The request classes; other settings refer to a class by its index in this list.
     pub classes: Vec<RequestClass>,
-    /// Requests per second within each tenant's quota, over the whole fleet.
+    /// Quota of each tenant, in requests per second over the whole fleet.
     pub tenant_rates: Vec<f64>,
-    /// Share of the priority weight kept by requests over their tenant's quota.
+    /// Share of the priority weight that remains for requests over their tenant's quota.
     pub over_quota_share: f64,
-    /// Whether the priority weight is per unit of work; per request where not.
+    /// Whether the priority weight is per unit of work instead of per request.
     pub weight_per_work: bool,
     /// Number of servers in the fleet.
     pub fleet_size: f64,
@@ -22,9 +23,9 @@
     pub client_count: f64,
     /// Cores of this server.
     pub cores: f64,
-    /// Whether this server starts cold and has to warm up.
+    /// Whether this server warms up after its start.
     pub slow_start: bool,
-    /// Speed at the start of the warm-up, as a part of the full speed.
+    /// Speed at the start of the warm-up, as a fraction of the full speed.
     pub slow_start_initial: f64,
     /// Length of the warm-up.
     pub slow_start_duration: Time,
@@ -34,48 +35,48 @@
     pub retained_entry_kb: f64,
     /// Memory of a running request as a multiple of its memory while queued.
     pub running_memory_factor: f64,
-    /// What the host can do with a running request.
+    /// Whether and how the host can stop a running request.
     pub stop_mode: StopMode,
-    /// What clients take the load feedback to mean.
+    /// How clients interpret the load feedback.
     pub load_feedback: LoadFeedbackKind,
-    /// What requests call while they run.
+    /// The downstream service that running requests call.
     pub downstream: DownstreamKind,
     /// This server's quota of concurrent calls to a shared dependency.
     pub shared_call_quota: f64,
-    /// The window over which the mean number of concurrent calls must keep to the quota.
+    /// The window over which the mean number of concurrent calls must stay within the quota.
     pub shared_call_window: Time,
-    /// How long an abandoned call still occupies the shared dependency.
+    /// How long an abandoned call continues to occupy the shared dependency.
     pub abandoned_call_duration: Time,
     /// How long results of idempotent reads may be replayed.
     pub result_freshness: Time,
-    /// How late an answer may be after the client's timeout.
+    /// How late after the client's timeout a response may be sent.
     pub answer_slack: Time,
-    /// How long clients may go on sending after draining has started.
+    /// How long clients may continue to send requests after draining has started.
     pub drain_grace: Time,
-    /// Concurrency, as a multiple of the cores, past which the server slows down instead of speeding up.
+    /// Concurrency, as a multiple of the cores, above which throughput falls instead of rising.
     pub overload_multiple: f64,
-    /// The longest Retry-After that clients honour.
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Time,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Concurrency pools; without any, every class takes what it gets.
+    /// Concurrency pools; without pools, all request classes compete for the same slots.
     pub pools: PoolsConfig,
 }
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A concurrency pool is wrong, or names a class that doesn't exist.
+    /// The configuration of the concurrency pools is invalid, or refers to an unknown class.
     #[error("pools: {0}")]
     Pool(#[source] ConfigError),
 }
 
 impl Settings {
-    /// Checks what no rule can clamp.
+    /// Checks the settings that no rule clamps.
     ///
     /// # Errors
     ///
-    /// Returns the first fault of the concurrency pools.
+    /// Returns the first error in the configuration of the concurrency pools.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let errors = self.pools.validate(self.classes.len()).err().unwrap_or_default();
         match errors.into_iter().next() {
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -1,5 +1,5 @@
-//! Timers: every request has one, in one ordered set that the periodic tick looks at. When it fires, the request is
-//! rejected, failed or given its next timer.
+//! Request timers. Every request has one timer in an ordered set that the periodic tick checks. When a timer fires, the
+//! request is rejected, fails or gets its next timer.
 
 use crate::host::Host;
 use crate::reasons::{FailReason, RejectReason};
@@ -9,15 +9,15 @@
 use cypresscleat_primitives::MS;
 use std::collections::BTreeSet;
 
-/// The tick's interval as a part of the answer slack: answers at a deadline come up to a tick late.
+/// The tick interval as a fraction of the answer slack: responses at a deadline are sent up to one tick late.
 const INTERVAL_PER_ANSWER_SLACK: f64 = 0.3;
-/// Bounds of the tick's interval.
+/// Bounds of the tick interval.
 const MIN_INTERVAL: Time = MS;
 const MAX_INTERVAL: Time = 20 * MS;
-/// A queued request is rejected when not even this part of its expected service time is left.
+/// A queued request is rejected when less than this fraction of its expected service time is left before the objective.
 const MIN_SERVICE_TIME_RATIO: f64 = 0.5;
 
-/// Owns the timers of the requests and the interval of the tick.
+/// Owns the timers of the requests and the tick interval.
 #[derive(Default)]
 pub(crate) struct Timers {
     timers: BTreeSet<(Time, RequestSlot)>,
@@ -35,7 +35,7 @@
         self.interval
     }
 
-    /// Takes the first timer that is due.
+    /// Removes the earliest timer that is due and returns its request.
     pub(crate) fn pop_due(&mut self, now: Time) -> Option<RequestSlot> {
         self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.pop_first().map(|(_, slot)| slot)
@@ -45,23 +45,23 @@
         self.timers.remove(&(at, slot));
     }
 
-    fn replace(&mut self, before: Time, at: Time, slot: RequestSlot) {
-        self.timers.remove(&(before, slot));
+    fn replace(&mut self, previous: Time, at: Time, slot: RequestSlot) {
+        self.timers.remove(&(previous, slot));
         self.timers.insert((at, slot));
     }
 }
 
 impl Scheduler {
     /// Handles the timer of a request.
-    pub(crate) fn expire(&mut self, now: Time, slot: RequestSlot, host: &mut dyn Host) {
+    pub(crate) fn handle_timer(&mut self, now: Time, slot: RequestSlot, host: &mut dyn Host) {
         let service_time = self.service_time(slot);
-        let others_wait = !self.requests.queued().is_empty();
-        let may_stop = self.stop_mode != StopMode::Unsupported && others_wait;
+        let has_queued = !self.requests.queued().is_empty();
+        let can_stop = self.stop_mode != StopMode::Unsupported && has_queued;
         let late_share =
             self.requests.get(slot).map_or(0.0, |request| self.estimates.class(request.class).late_share);
         let Some(request) = self.requests.get_mut(slot) else { return };
         request.timer_at = Time::MAX;
-        let is_worthless = now >= request.objective_at && late_share <= 0.0;
+        let has_no_weight = now >= request.objective_at && late_share <= 0.0;
         match request.phase {
             Phase::Finished => return self.release(slot, host),
             _ if request.is_answered => return,
@@ -72,15 +72,15 @@
                 if late_share <= 0.0 || request.objective_at >= request.deadline {
                     return self.reject(now, slot, RejectReason::ObjectiveUnreachable, host);
                 }
-                // A late answer is worth something: it goes on with the deadline as its objective.
+                // A late response has some priority weight: the request continues with its deadline as its objective.
                 request.objective_at = request.deadline;
                 request.priority *= late_share;
             }
-            // Its concurrency slot serves the queued requests.
-            Phase::Running if is_worthless && may_stop => {
+            // Stopping the run frees its concurrency slot for the queued requests.
+            Phase::Running if has_no_weight && can_stop => {
                 return self.fail(now, slot, FailReason::ObjectivePassed, host)
             }
-            Phase::AwaitingCall | Phase::Calling if is_worthless => {
+            Phase::AwaitingCall | Phase::Calling if has_no_weight => {
                 return self.fail(now, slot, FailReason::ObjectivePassed, host)
             }
             _ => {}
@@ -88,21 +88,21 @@
         self.arm_timer(now, slot);
     }
 
-    /// Sets the timer of a request to the next moment at which its phase calls for a decision.
+    /// Sets the timer of a request to the next time at which its phase requires a decision.
     pub(crate) fn arm_timer(&mut self, now: Time, slot: RequestSlot) {
         let min_service_time = (self.service_time(slot) * MIN_SERVICE_TIME_RATIO) as Time;
         let interval = self.timers.interval();
-        let may_stop = self.stop_mode != StopMode::Unsupported;
+        let can_stop = self.stop_mode != StopMode::Unsupported;
         let Some(request) = self.requests.get_mut(slot) else { return };
         let next = match request.phase {
             Phase::Finished => request.retained_until,
             Phase::AwaitingResult => request.deadline,
             Phase::Queued => (request.objective_at - min_service_time).max(now + 1).min(request.deadline),
             _ if request.objective_at > now => request.objective_at.min(request.deadline),
-            Phase::Running if may_stop => request.deadline.min(now + interval),
+            Phase::Running if can_stop => request.deadline.min(now + interval),
             _ => request.deadline,
         };
-        let before = std::mem::replace(&mut request.timer_at, next);
-        self.timers.replace(before, next, slot);
+        let previous = std::mem::replace(&mut request.timer_at, next);
+        self.timers.replace(previous, next, slot);
     }
 }
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -1,9 +1,9 @@
-//! The plain types of the interface: what the host tells the scheduler about requests, calls and itself.
+//! The data types of the interface: what the host reports to the scheduler about requests, calls and the server.
 
 pub use cypresscleat_primitives::Time;
 
-/// Identifies an open request: its index in the request table, a small number that the host assigns and may assign again after
-/// [`Host::release`](crate::Host::release). Not a concurrency slot: a queued request has an index too.
+/// Identifies an open request by its index in the request table: a small number that the host assigns and may reuse after
+/// [`Host::release`](crate::Host::release). Not a concurrency slot: queued requests have a request slot too.
 pub type RequestSlot = usize;
 
 /// Whether a request may be executed more than once.
@@ -12,13 +12,13 @@
     /// May be executed any number of times.
     #[default]
     Idempotent,
-    /// Retries carry the idempotency key of the first attempt and get its result.
+    /// Retries carry the idempotency key of the first attempt and receive the result of that attempt.
     IdempotencyKey,
-    /// Must not be executed twice, and nothing identifies a retry.
+    /// Must not be executed twice, and a retry can't be recognized.
     NonIdempotent,
 }
 
-/// What the host can do with a running request.
+/// Whether and how the host can stop a running request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StopMode {
     /// A running request can't be stopped.
@@ -30,68 +30,69 @@
     Freeze,
 }
 
-/// What clients take the load feedback to mean.
+/// How clients interpret the load feedback.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadFeedbackKind {
-    /// Clients take no feedback.
+    /// Clients don't use load feedback.
     #[default]
     None,
-    /// The lowest client priority that is worth sending, from 0 to 1.
+    /// The lowest client priority that clients should send, from 0 to 1.
     PriorityFloor,
-    /// How many requests each client may have outstanding.
+    /// The maximum number of outstanding requests per client.
     ConcurrencyAllowance,
     /// The load balancing weight of this server.
     Weight,
 }
 
-/// What requests call while they run.
+/// The downstream service that running requests call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DownstreamKind {
-    /// Nothing.
+    /// Requests make no downstream calls.
     #[default]
     None,
-    /// A tier of servers that reject calls when they are full.
+    /// A tier of servers that reject calls when they are overloaded.
     Tier,
-    /// One dependency shared by the whole fleet, of which each server has a quota.
+    /// One dependency shared by the whole fleet; each server has a quota of its concurrent calls.
     Shared,
 }
 
-/// The properties shared by all requests of one class.
+/// The properties shared by all requests of one request class.
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
-    /// Time from arrival within which an answer earns its full priority weight.
+    /// Time from arrival within which a response has its full priority weight.
     pub latency_objective: Time,
-    /// The objective grows by this multiple of the request's expected work.
+    /// Multiple of the request's expected work that is added to the latency objective.
     pub objective_per_work: f64,
-    /// Time from arrival after which the client gives up, unless the request tells its own.
+    /// Time from arrival after which the client gives up, unless the request carries its own timeout.
     pub timeout: Time,
     /// Whether a request may be executed more than once.
     pub retry_safety: RetrySafety,
-    /// What an answer in time is worth.
+    /// Priority weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// Share of the weight kept by an answer after the objective.
+    /// Share of the priority weight that remains for a response after the latency objective.
     pub late_share: f64,
-    /// Share of the weight kept by an answer made without the downstream call; 0 forbids skipping the call.
+    /// Share of the priority weight that remains for a response made without the downstream call; 0 forbids skipping the
+    /// call.
     pub degraded_share: f64,
     /// Whether requests of this class call downstream.
     pub calls_downstream: bool,
-    /// How long retries of a request with an idempotency key may arrive.
+    /// How long after a request with an idempotency key its retries may arrive.
     pub retry_window: Time,
 }
 
-/// The attempt that an arriving request repeats.
+/// The earlier attempt that an arriving request retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EarlierAttempt {
     /// The request is a first attempt.
     #[default]
     None,
-    /// The earlier attempt is still known to the scheduler.
+    /// The earlier attempt is still in the scheduler's request table.
     Known(RequestSlot),
-    /// The earlier attempt has been released; its result is kept by the host.
+    /// The earlier attempt has been released; the host retains its result.
     Released,
 }
 
-/// A request that was read and waits for a decision.
+/// A request that was read and awaits an admission decision.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     /// The slot assigned by the host.
@@ -100,15 +101,15 @@
     pub class: usize,
     /// Index into [`Settings::tenant_rates`](crate::Settings::tenant_rates).
     pub tenant: Option<usize>,
-    /// How long the client still waits, where it says so.
+    /// How long the client still waits, where the client sends it.
     pub remaining_timeout: Option<Time>,
-    /// The priority sent by the client; no rule uses it.
+    /// The priority sent by the client. No rule uses it.
     pub client_priority: f64,
-    /// The attempt that this request repeats.
+    /// The earlier attempt that this request retries.
     pub earlier_attempt: EarlierAttempt,
     /// Whether the request carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// How long the request lay unread in the listener.
+    /// How long the request waited in the listener before it was read.
     pub time_unread: Time,
     /// Whether the request changes state.
     pub is_write: bool,
@@ -116,40 +117,40 @@
     pub is_retry: bool,
     /// Expected work in tenths of a millisecond, where the client sends it.
     pub expected_work: Option<f64>,
-    /// Memory that the request takes while it is queued.
+    /// Memory that the request uses while it is queued.
     pub memory_kb: f64,
 }
 
 /// How a run or a downstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It returned a result.
+    /// The run or call returned a result.
     Succeeded,
-    /// It returned an error.
+    /// The run or call returned an error.
     Failed,
-    /// The other end refused it without executing it.
+    /// The other end rejected the run or call without executing it.
     Rejected,
-    /// No answer came in time.
+    /// No response came in time.
     TimedOut,
     /// No connection could be made, so nothing was sent.
     ConnectFailed,
-    /// The connection broke after something was sent.
+    /// The connection was lost after data had been sent.
     ConnectionLost,
-    /// It was stopped on request.
+    /// The run or call was stopped on request.
     Cancelled,
-    /// It never started.
+    /// The run or call never started.
     NotStarted,
 }
 
-/// The server's own measurements; `None` where not offered.
+/// The server's own measurements; `None` where the platform doesn't provide one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Busy part of the cores, from 0 to 1.
+    /// Fraction of the cores that is busy, from 0 to 1.
     pub core_utilization: Option<f64>,
-    /// Tasks that run or wait for a core.
+    /// Number of tasks that run or wait for a core.
     pub runnable_tasks: Option<f64>,
-    /// Used part of the memory, from 0 to 1; no rule uses it.
+    /// Fraction of the memory that is used, from 0 to 1. No rule uses it.
     pub memory_share: Option<f64>,
-    /// Open client connections.
+    /// Number of open client connections.
     pub connections: Option<f64>,
 }
