--- a/crates/concurrency/src/config.rs
+++ b/crates/concurrency/src/config.rs
@@ -6,36 +6,37 @@
 
 /// Tolerated rounding error of a sum of shares.
 const SHARE_SUM_TOLERANCE: f64 = 1e-9;
-/// Derived pools: part of all slots that is divided evenly as the pools' own.
+/// Derived pools: fraction of all slots that is divided evenly as the slots that the pools own.
 const DERIVED_OWNED_SHARE: f64 = 0.5;
-/// Derived pools: part of all slots that is added and reserved for the class with the shortest latency objective.
+/// Derived pools: fraction of all slots that the class with the shortest latency objective owns and reserves in addition.
 const DERIVED_RESERVE: f64 = 0.125;
 /// Derived pools: lower bound of a pool's weight.
 const DERIVED_MIN_WEIGHT: f64 = 0.1;
 /// Derived pools: tolerance of the gradient limiter.
 const DERIVED_GRADIENT_TOLERANCE: f64 = 1.5;
 
-/// One pool as configured. Shares are parts of all slots, from 0 to 1.
+/// The configuration of one pool. Shares are fractions of all slots, from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolConfig {
     /// Unique name; identifies the pool across configuration changes.
     pub name: String,
     /// Request classes by their index in the settings.
     pub classes: Vec<usize>,
-    /// Share that the pool owns; lent while unused.
+    /// Share that the pool owns; unused slots are lent to other pools.
     pub min_share: f64,
     /// Share that the pool never exceeds.
     pub max_share: f64,
     /// Claim on slots that no pool owns, relative to the other pools.
     pub weight: f64,
-    /// Part of the pool's own share that is never lent: of slots and of memory.
+    /// Fraction of all slots and of the memory that stays reserved for the pool; at most `min_share`. Never lent.
     pub reserve: f64,
 }
 
-/// All pools and how their limits adapt. Without pools every request may start and nothing is reserved.
+/// The configuration of all pools and of the algorithm of their limits. Without pools every request may start and nothing is
+/// reserved.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolsConfig {
-    /// The pools; classes in none of them share a pool that owns nothing.
+    /// The configured pools. Classes in none of them share a default pool that owns no slots.
     pub pools: Vec<PoolConfig>,
     /// How the concurrency limit of each pool adapts.
     pub limiter: Limiter,
@@ -47,7 +48,7 @@
     /// The shares of all pools together exceed the whole.
     #[error("the parts called {key} sum to {sum:.2}, past 1")]
     SharesExceedWhole {
-        /// The operator's key.
+        /// The key in the operator's file.
         key: &'static str,
         /// Sum of the pools' values.
         sum: f64,
@@ -57,19 +58,19 @@
     Pool {
         /// Index of the pool in [`PoolsConfig::pools`].
         pool: usize,
-        /// What is wrong with it.
+        /// Why the pool is invalid.
         error: PoolError,
     },
 }
 
-/// Why a [`PoolConfig`] is invalid. The messages use the operator's keys.
+/// Why a [`PoolConfig`] is invalid. The messages use the keys of the operator's file.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PoolError {
     /// A share is not between 0 and 1.
-    #[error("least, most and reserve are parts from 0 to 1")]
+    #[error("least, most and reserve must be between 0 and 1")]
     ShareOutOfRange,
     /// The maximum is 0 or below the minimum.
-    #[error("most {max_share} is under least {min_share}, or 0")]
+    #[error("most {max_share} is 0 or below least {min_share}")]
     MaxBelowMin {
         /// Configured maximum.
         max_share: f64,
@@ -77,7 +78,7 @@
         min_share: f64,
     },
     /// More is reserved than the pool owns.
-    #[error("reserve {reserve} is past least {min_share}")]
+    #[error("reserve {reserve} exceeds least {min_share}")]
     ReserveExceedsMin {
         /// Configured reserve.
         reserve: f64,
@@ -85,16 +86,16 @@
         min_share: f64,
     },
     /// The weight is not a positive finite number.
-    #[error("weight {0} is not above 0")]
+    #[error("weight {0} is not a positive finite number")]
     InvalidWeight(f64),
     /// The pool has no request class.
-    #[error("no operation")]
+    #[error("has no operations")]
     NoClass,
     /// The settings have no request class with this index.
-    #[error("no operation {0}")]
+    #[error("unknown operation {0}")]
     UnknownClass(usize),
     /// The request class is already in this or an earlier pool.
-    #[error("operation {0} is in a pool already")]
+    #[error("operation {0} is already in a pool")]
     DuplicateClass(usize),
     /// An earlier pool has the same name.
     #[error("the name {0:?} is taken")]
@@ -102,8 +103,9 @@
 }
 
 impl PoolsConfig {
-    /// Derives pools from the latency objective and the priority weight of each request class: a pool per class; half of all slots
-    /// owned in equal parts, the rest claimed by weight; an eighth more owned and reserved for the shortest objective.
+    /// Derives pools from the latency objective and the priority weight of each request class. Each class gets its own pool. The
+    /// pools own half of all slots in equal shares and compete for the rest by weight. The class with the shortest latency
+    /// objective owns and reserves an additional eighth.
     pub fn derive(objectives: &[Time], weights: &[f64]) -> PoolsConfig {
         let count = objectives.len().max(1) as f64;
         let shortest =
@@ -125,11 +127,11 @@
         }
     }
 
-    /// Checks the configuration against settings with `class_count` request classes.
+    /// Validates the configuration against settings with `class_count` request classes.
     ///
     /// # Errors
     ///
-    /// Returns every error found, those of all pools together first, then pool by pool.
+    /// Returns all errors: first those that concern all pools together, then the errors of each pool.
     pub fn validate(&self, class_count: usize) -> Result<(), Vec<ConfigError>> {
         let mut errors = self.sum_errors();
         for pool in 0..self.pools.len() {
--- a/crates/concurrency/src/limit.rs
+++ b/crates/concurrency/src/limit.rs
@@ -1,27 +1,27 @@
-//! Adaptive concurrency limits: how many requests a pool may run at once, from its latency over the lowest recent one and from the
-//! requests that were dropped. Each algorithm names its source.
+//! Adaptive concurrency limits: how many requests a pool may run at once. The limits depend on the ratio of the current latency to
+//! the lowest recent latency and on the number of dropped requests. The documentation of each algorithm names its source.
 
-/// Smoothing factor of the gradient algorithm: weight of the new value (Netflix's default).
+/// Smoothing factor of the gradient algorithm: weight of the new value (the default of Netflix's concurrency-limits).
 const GRADIENT_SMOOTHING: f64 = 0.2;
-/// Lowest gradient: a limit is at most halved before smoothing.
+/// Lower bound of the gradient: a limit is at most halved before smoothing.
 const MIN_GRADIENT: f64 = 0.5;
-/// A limit learns from a sample only if this part of it was in use, or requests waited.
+/// A sample changes a limit only if at least this fraction of the limit was in use, or requests waited for a slot.
 const MIN_UTILIZATION: f64 = 0.5;
-/// Growth of a limit that is little used, per second and at once, in slots.
+/// Largest growth of an underused limit in one update, in slots; the limit grows by one slot per second up to this bound.
 const MAX_RECOVERY_STEP: f64 = 1.0;
 /// Multiplicative decrease of AIMD (the default backoff ratio of Netflix's concurrency-limits).
 const BACKOFF_RATIO: f64 = 0.9;
 /// Additive increase of AIMD, in slots.
 const ADDITIVE_INCREASE: f64 = 1.0;
-/// Vegas: bounds of the estimated queue, as multiples of log10 of the limit.
+/// Vegas: bounds of the estimated queue length, as multiples of log10 of the limit.
 const VEGAS_ALPHA: f64 = 3.0;
 const VEGAS_BETA: f64 = 6.0;
-/// Vegas: lower bound of a step, in slots.
+/// Vegas: lower bound of a step of the limit, in slots.
 const MIN_VEGAS_STEP: f64 = 0.3;
-/// PID gains of Cinnamon; the integral one is per second.
+/// PID gains of Cinnamon; the integral gain is per second.
 const PROPORTIONAL_GAIN: f64 = 0.1;
 const INTEGRAL_GAIN: f64 = 1.4;
-/// PID: largest part of the maximum that is taken off a limit.
+/// PID: largest fraction of the maximum by which a limit is reduced.
 const MAX_REJECT_RATIO: f64 = 0.9;
 /// Divisor of last resort for a latency ratio of zero.
 const MIN_LATENCY_RATIO: f64 = 1e-9;
@@ -29,42 +29,42 @@
 /// The algorithm by which a limit adapts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Limiter {
-    /// Does not adapt: always the configured maximum.
+    /// The limit does not adapt: it is always the configured maximum.
     #[default]
     Fixed,
     /// Additive increase, multiplicative decrease (D. Chiu, R. Jain, "Analysis of the increase and decrease algorithms for
     /// congestion avoidance", 1989).
     Aimd {
-        /// Decreases when the latency ratio exceeds this.
+        /// Latency ratio above which the limit decreases.
         max_latency_ratio: f64,
     },
     /// Gradient2 of Netflix's concurrency-limits: the limit times the ratio of long-term to short-term latency, plus the square root
-    /// of the limit for a queue, smoothed.
+    /// of the limit as queue allowance, smoothed.
     Gradient {
         /// Latency ratio up to which the limit does not shrink (1.5 in concurrency-limits).
         tolerance: f64,
     },
-    /// TCP Vegas as in concurrency-limits: estimates the queue as `limit * (1 - 1 / latency ratio)`; increases below alpha,
-    /// decreases above beta.
+    /// TCP Vegas as in concurrency-limits: estimates the queue length as `limit * (1 - 1 / latency ratio)`; the limit increases
+    /// below alpha and decreases above beta.
     Vegas,
     /// PID controller of load shedding after Uber's Cinnamon (2023): the error is the drop ratio against its target, the gains are
     /// scaled to a limit.
     Pid {
-        /// Drop ratio that the controller holds.
+        /// Drop ratio that the controller maintains.
         target_drop_ratio: f64,
     },
 }
 
-/// Measurements of one window.
+/// Measurements of one sample window.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Time in a slot per unit of expected work, over the lowest recent one.
+    /// Time in a slot per unit of expected work, divided by its lowest recent value.
     pub latency_ratio: f64,
-    /// Largest number of requests that ran at once.
+    /// Maximum number of requests that ran at once.
     pub running: f64,
     /// Whether requests waited for a slot.
     pub has_waiters: bool,
-    /// Dropped requests (rejected or failed by the scheduler, for whatever reason) over dropped and succeeded ones.
+    /// Fraction of dropped requests (rejected or failed by the scheduler, for any reason) among dropped and succeeded requests.
     pub drop_ratio: f64,
     /// Length of the window in seconds.
     pub seconds: f64,
@@ -86,7 +86,7 @@
         Limit { slots: max.max(1.0), min: 1.0, max: max.max(1.0), integral: 0.0 }
     }
 
-    /// The limit now.
+    /// The current limit.
     pub fn slots(&self) -> f64 {
         self.slots
     }
@@ -109,7 +109,7 @@
             self.recover(&sample);
             return;
         }
-        // A decrease starts from what is in use: from far above it, many steps would pass without effect.
+        // A decrease starts from the number of slots in use: from a much higher limit, many steps would have no effect.
         let used = self.slots.min(sample.running.max(1.0));
         let next = match limiter {
             Limiter::Fixed => self.max,
@@ -121,7 +121,7 @@
         self.slots = next.clamp(self.min, self.max);
     }
 
-    /// At light load the sample says nothing about the limit; following it would chase noise.
+    /// At light load a sample carries no information about the limit; adapting to it would follow noise.
     fn is_underused(&self, sample: &Sample) -> bool {
         sample.running < self.slots * MIN_UTILIZATION && !sample.has_waiters
     }
@@ -141,8 +141,8 @@
 
     fn gradient(&self, used: f64, sample: &Sample, tolerance: f64) -> f64 {
         let gradient = (tolerance / sample.latency_ratio.max(MIN_LATENCY_RATIO)).clamp(MIN_GRADIENT, 1.0);
-        let from = if gradient < 1.0 { used } else { self.slots };
-        let target = from * gradient + from.sqrt();
+        let base = if gradient < 1.0 { used } else { self.slots };
+        let target = base * gradient + base.sqrt();
         self.slots * (1.0 - GRADIENT_SMOOTHING) + target * GRADIENT_SMOOTHING
     }
 
--- a/crates/concurrency/src/pool.rs
+++ b/crates/concurrency/src/pool.rs
@@ -6,7 +6,7 @@
 use crate::sample_window::{LatencyBaseline, SampleWindow};
 use crate::Time;
 
-/// Name of the pool of the classes that are in no configured pool.
+/// Name of the default pool, which has the classes that are in no configured pool.
 const DEFAULT_POOL_NAME: &str = "rest";
 
 /// Totals over the queued requests of a pool.
@@ -42,7 +42,7 @@
         self.clear_rounding_errors();
     }
 
-    /// Sums of sizes are exact again whenever nothing is left to sum.
+    /// Resets the sums to zero when no request is left, so that rounding errors don't accumulate.
     fn clear_rounding_errors(&mut self) {
         if self.over_quota_requests == 0 {
             self.over_quota_size = 0.0;
@@ -73,7 +73,8 @@
         self.requests > self.over_quota_requests
     }
 
-    /// Summed size of the requests that start before a new one. One within its tenant's quota passes those over quota.
+    /// Total size of the requests that start before a new request. A request within its tenant's quota starts before those over
+    /// quota.
     pub(crate) fn size_ahead(&self, within_quota: bool) -> f64 {
         self.size - if within_quota { self.over_quota_size } else { 0.0 }
     }
@@ -83,14 +84,14 @@
     }
 }
 
-/// One pool. Shares of slots are computed from the total that the server has at the moment.
+/// One pool. Its shares are converted to slots by the current total number of slots of the server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
-    /// `None` for the pool of the classes that are in no configured pool.
+    /// `None` for the default pool.
     config: Option<PoolConfig>,
     queue: QueueTotals,
     running: usize,
-    /// Since when the pool has queued requests and has started none.
+    /// Since when the pool has had queued requests without starting one.
     starving_since: Option<Time>,
     limit: Limit,
     window: SampleWindow,
@@ -104,7 +105,7 @@
         pool
     }
 
-    /// Takes over the limit and the latency baseline of the same pool under an earlier configuration.
+    /// Takes over the limit and the latency baseline of the same pool under the earlier configuration.
     pub(crate) fn inherit(&mut self, earlier: &Pool) {
         self.limit = earlier.limit;
         self.baseline = earlier.baseline.carried_over();
@@ -130,7 +131,7 @@
         self.config.as_ref().map_or(DEFAULT_POOL_NAME, |config| &config.name)
     }
 
-    /// Slots that the pool owns.
+    /// Number of slots that the pool owns.
     pub(crate) fn min_slots(&self, total_slots: usize) -> f64 {
         self.config.as_ref().map_or(0.0, |config| config.min_share * total_slots as f64)
     }
@@ -147,7 +148,7 @@
         self.config.as_ref().map_or(0.0, |config| config.reserve)
     }
 
-    /// Slots that the reserve asks for: a whole number, at least one where anything is reserved.
+    /// Number of slots that the reserve requires: a whole number, at least one if the reserve is above 0.
     pub(crate) fn reserve_slots(&self, total_slots: usize) -> usize {
         let reserve = self.reserve();
         if reserve > 0.0 {
@@ -175,22 +176,22 @@
         self.baseline.ratio()
     }
 
-    /// Whether the limit admits one more running request. Every limit admits one.
+    /// Whether the limit allows one more running request. Every limit allows at least one.
     pub(crate) fn has_headroom(&self) -> bool {
         self.running as f64 + 1.0 <= self.limit.slots().max(1.0)
     }
 
-    /// Whether the pool could start a request and uses fewer slots than it owns.
+    /// Whether the pool can start a request and uses fewer slots than it owns.
     pub(crate) fn is_below_min_share(&self, total_slots: usize) -> bool {
         !self.queue.is_empty() && (self.running as f64) < self.min_slots(total_slots) && self.has_headroom()
     }
 
-    /// For how long the pool has had queued requests and headroom without a start.
+    /// How long the pool has had queued requests without starting one; `None` if it has no queued requests or no headroom.
     pub(crate) fn starved_for(&self, now: Time) -> Option<Time> {
         self.starving_since.filter(|_| self.has_headroom()).map(|since| now - since)
     }
 
-    /// Slots used beyond the pool's own, over its weight.
+    /// Number of slots used beyond those that the pool owns, divided by its weight.
     pub(crate) fn weighted_surplus(&self, total_slots: usize) -> f64 {
         (self.running as f64 - self.min_slots(total_slots)).max(0.0) / self.weight()
     }
--- a/crates/concurrency/src/pools.rs
+++ b/crates/concurrency/src/pools.rs
@@ -5,15 +5,15 @@
 use crate::pool::Pool;
 use crate::Time;
 
-/// The pools of one server. Events of classes that the settings do not know are ignored.
+/// The pools of one server. Events of request classes that are not in the settings are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     /// Index of the pool of each request class.
     pub(crate) pool_of_class: Vec<usize>,
-    /// The configured pools in order, and last the one of all other classes; empty without pools.
+    /// The configured pools in order, followed by the default pool of all other classes; empty if no pools are configured.
     pub(crate) pools: Vec<Pool>,
     limiter: Limiter,
-    /// Slots that the server has now.
+    /// Current number of slots of the server.
     pub(crate) slots: usize,
     pub(crate) running: usize,
     now: Time,
@@ -28,18 +28,18 @@
     pub queued: usize,
     /// Number of queued requests over their tenant's quota.
     pub over_quota: usize,
-    /// Summed size of the queued requests.
+    /// Total size of the queued requests.
     pub queued_size: f64,
-    /// Summed size of the queued requests over their tenant's quota.
+    /// Total size of the queued requests over their tenant's quota.
     pub over_quota_size: f64,
-    /// Memory of the queued requests.
+    /// Memory of the queued requests, in kilobytes.
     pub queued_kb: f64,
     /// Number of requests that hold a slot.
     pub running: usize,
 }
 
 impl Pools {
-    /// Creates the pools of a server with `class_count` request classes and room for `limit` running requests. Without configured
+    /// Creates the pools of a server with `class_count` request classes and a concurrency limit of `limit`. Without configured
     /// pools every request may start and nothing is reserved.
     pub fn new(config: &PoolsConfig, class_count: usize, limit: f64) -> Pools {
         if config.pools.is_empty() {
@@ -68,8 +68,8 @@
         self.pools.is_empty()
     }
 
-    /// Switches to another configuration while requests run. Pools are identified by name and keep their limits; `usage` counts
-    /// the queued and running requests of each class, which move to the class's new pool.
+    /// Switches to another configuration while requests run. Pools are identified by name and retain their limits. `usage` has
+    /// the counts of queued and running requests of each class, which move to the new pool of the class.
     pub fn reconfigure(&mut self, config: &PoolsConfig, class_count: usize, usage: &[ClassUsage]) {
         let earlier = std::mem::take(self);
         *self = Pools::new(config, class_count, earlier.slots as f64);
@@ -93,28 +93,28 @@
         self.pools.get_mut(index)
     }
 
-    /// A request of `size` was queued and takes `memory_kb`.
+    /// Records that a request of `size` was queued and uses `memory_kb`.
     pub fn enqueue(&mut self, now: Time, class: usize, size: f64, memory_kb: f64) {
         if let Some(pool) = self.pool_of(class) {
             pool.enqueue(now, size, memory_kb);
         }
     }
 
-    /// A queued request turned out to be over its tenant's quota.
+    /// Marks a queued request as over its tenant's quota.
     pub fn mark_over_quota(&mut self, class: usize, size: f64) {
         if let Some(pool) = self.pool_of(class) {
             pool.mark_over_quota(size);
         }
     }
 
-    /// A queued request left the queue, with the size and memory that it was queued with.
+    /// Records that a request left the queue; size and memory are those with which it was queued.
     pub fn dequeue(&mut self, class: usize, size: f64, memory_kb: f64, within_quota: bool) {
         if let Some(pool) = self.pool_of(class) {
             pool.dequeue(size, memory_kb, within_quota);
         }
     }
 
-    /// A request started and holds a slot.
+    /// Records that a request started and holds a slot.
     pub fn acquire(&mut self, now: Time, class: usize) {
         if let Some(pool) = self.pool_of(class) {
             pool.acquire(now);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A request gave back its slot.
+    /// Records that a request released its slot.
     pub fn release(&mut self, class: usize) {
         if let Some(pool) = self.pool_of(class) {
             pool.release();
@@ -130,22 +130,22 @@
         }
     }
 
-    /// A request succeeded after `time_in_slot`, with `work` expected of it.
+    /// Records that a request with expected work `work` succeeded after `time_in_slot`.
     pub fn record_success(&mut self, class: usize, time_in_slot: Time, work: f64) {
         if let Some(pool) = self.pool_of(class) {
             pool.record_success(time_in_slot, work);
         }
     }
 
-    /// A request was rejected or failed, for whatever reason: the scheduler calls this for each answer of either kind that it
-    /// gives itself, while draining and after a failed downstream call too.
+    /// Records that a request was rejected or failed, for any reason: the scheduler calls this for every rejection and failure
+    /// that it decides, also while draining and after a failed downstream call.
     pub fn record_drop(&mut self, class: usize) {
         if let Some(pool) = self.pool_of(class) {
             pool.record_drop();
         }
     }
 
-    /// Advances the time, sets the number of running requests that the server has room for, and adapts the limits.
+    /// Advances the time, sets the server's concurrency limit, and adapts the limits of the pools.
     pub fn tick(&mut self, now: Time, limit: f64) {
         self.now = now;
         if self.is_disabled() {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Slots of a server that starts a request while fewer than `limit` run.
+/// Number of slots of a server that starts requests while fewer than `limit` run.
 fn whole_slots(limit: f64) -> usize {
     (limit.ceil() as usize).max(1)
 }
--- a/crates/concurrency/src/rank_index.rs
+++ b/crates/concurrency/src/rank_index.rs
@@ -1,25 +1,25 @@
-//! An index of queued requests in order of size for the weighted draw: insertion, removal and the request of a given rank, in one
-//! index or over several together.
+//! An index of queued requests ordered by size, for the weighted draw. It supports insertion, removal and selection by rank, in one
+//! index or across several indexes.
 //!
-//! Keys stand in sorted blocks of bounded length. A lookup searches the last keys of the blocks, then one block.
+//! Keys are stored in sorted blocks of bounded length. A lookup searches the last keys of the blocks, then one block.
 
 use std::cmp::Ordering;
 
-/// A block with more keys is split.
+/// A block with more keys is split in two.
 const MAX_BLOCK_LEN: usize = 128;
-/// A block with fewer keys is merged with a short successor, so that a long queue that has shrunk leaves no row of tiny blocks.
+/// A block with fewer keys is merged with a short successor, so that a long queue that shrinks does not leave many tiny blocks.
 const MIN_BLOCK_LEN: usize = MAX_BLOCK_LEN / 4;
 /// A successor with fewer keys counts as short.
 const MAX_MERGED_LEN: usize = MAX_BLOCK_LEN / 2;
 
-/// Position of a request in the draw: by size, then by age. The size must not be NaN.
+/// Position of a request in the order of the draw: by size, then by age. The size must not be NaN.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankKey {
-    /// Expected work, scaled as the draw wants it.
+    /// Scaled expected work of the request.
     pub size: f64,
     /// Sequence number of the arrival.
     pub sequence: u64,
-    /// Id of the request; not part of the order.
+    /// Id of the request. Not part of the order.
     pub request: usize,
 }
 
@@ -33,10 +33,10 @@
     }
 }
 
-/// Keys in order, with access by rank.
+/// Ordered keys with access by rank.
 #[derive(Clone, Debug, Default)]
 pub struct RankIndex {
-    /// No block is empty; all keys of a block precede those of the next.
+    /// No block is empty. All keys of a block precede those of the next block.
     blocks: Vec<Vec<RankKey>>,
     len: usize,
 }
@@ -47,12 +47,12 @@
         self.len
     }
 
-    /// Whether there is no key.
+    /// Whether the index has no keys.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Index of the first block whose last key is not before `key`.
+    /// Index of the first block whose last key is not before `key`; the number of blocks if there is none.
     fn block_of(&self, key: &RankKey) -> usize {
         self.blocks.partition_point(|block| block.last().is_some_and(|last| last.is_before(key)))
     }
@@ -108,7 +108,7 @@
         None
     }
 
-    /// Number of keys before `key`, which need not be present.
+    /// Number of keys before `key`, which does not have to be present.
     pub fn rank_of(&self, key: &RankKey) -> usize {
         let at = self.block_of(key);
         let in_earlier_blocks: usize = self.blocks[..at].iter().map(Vec::len).sum();
@@ -123,8 +123,8 @@
     }
 }
 
-/// The key with `rank` keys before it in all indexes together, without merging them: searches each index in turn for a key with so
-/// many before it.
+/// The key with `rank` keys before it in all indexes together. Does not merge the indexes: searches each index in turn for a key
+/// with `rank` keys before it.
 pub fn select_across(indexes: &[&RankIndex], rank: usize) -> Option<RankKey> {
     if rank >= indexes.iter().map(|index| index.len()).sum() {
         return None;
@@ -132,13 +132,13 @@
     (0..indexes.len()).find_map(|at| select_within(indexes, at, rank))
 }
 
-/// The key of the index `at` that has `rank` keys before it in all indexes together, if it is there.
+/// The key of index `at` that has `rank` keys before it in all indexes together; `None` if that key is in another index.
 fn select_within(indexes: &[&RankIndex], at: usize, rank: usize) -> Option<RankKey> {
     let rank_in_others = |key: &RankKey| -> usize {
         let others = indexes.iter().enumerate().filter(|(other, _)| *other != at);
         others.map(|(_, other)| other.rank_of(key)).sum()
     };
-    // Ranks over all indexes rise with those in one.
+    // The rank over all indexes increases with the rank in one index, so a binary search finds it.
     let (mut low, mut high) = (0, indexes[at].len());
     while low < high {
         let middle = (low + high) / 2;
--- a/crates/concurrency/src/sample_window.rs
+++ b/crates/concurrency/src/sample_window.rs
@@ -4,13 +4,13 @@
 use crate::Time;
 use cypresscleat_primitives::SECOND;
 
-/// Shortest time over which measurements are collected.
+/// Minimum length of a sample window.
 const MIN_WINDOW: Time = SECOND / 10;
-/// Longest time for which the window waits for [`MIN_COMPLETED`] requests.
+/// Maximum time that a window waits for [`MIN_COMPLETED`] requests.
 const MAX_WINDOW: Time = 10 * MIN_WINDOW;
-/// Completed requests that a window should contain.
+/// Number of completed requests with which a window is complete before [`MAX_WINDOW`].
 const MIN_COMPLETED: u32 = 8;
-/// Upward drift of the latency baseline per second, so that a class whose cost has changed is believed within a minute.
+/// Upward drift of the latency baseline per second, so that the baseline follows a changed cost of a class within a minute.
 const BASELINE_DRIFT_PER_SECOND: f64 = 0.03;
 /// Divisor of last resort for a baseline of zero.
 const MIN_BASELINE: f64 = 1e-9;
@@ -20,12 +20,12 @@
 pub(crate) struct LatencyBaseline {
     /// The baseline; 0 until the first measurement.
     min_time: f64,
-    /// The latest measurement over the baseline; 0 until the first measurement.
+    /// The latest measurement divided by the baseline; 0 until the first measurement.
     ratio: f64,
 }
 
 impl LatencyBaseline {
-    /// Keeps the baseline and forgets the latest measurement.
+    /// Returns the baseline without the latest measurement.
     pub(crate) fn carried_over(self) -> LatencyBaseline {
         LatencyBaseline { ratio: 0.0, ..self }
     }
@@ -42,11 +42,11 @@
     }
 }
 
-/// What happened in a pool since its limit was last updated.
+/// Measurements of a pool since its limit was last updated.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SampleWindow {
     started_at: Time,
-    /// Time in slots and expected work of the completed requests, summed.
+    /// Total time in slots and total expected work of the completed requests.
     time_in_slot: f64,
     work: f64,
     completed: u32,
@@ -80,7 +80,7 @@
         length >= MIN_WINDOW && (self.completed >= MIN_COMPLETED || length >= MAX_WINDOW)
     }
 
-    /// Summarizes the window against the baseline, which it updates; `None` where no request completed.
+    /// Summarizes the window relative to the baseline and updates the baseline; `None` if no request completed.
     pub(crate) fn sample(
         &self,
         now: Time,
--- a/crates/concurrency/src/snapshot.rs
+++ b/crates/concurrency/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! What logs and measurements show of the pools.
+//! The state of the pools as shown in logs and measurements.
 
 use crate::pools::Pools;
 
-/// The state of one pool at a moment.
+/// The state of one pool at one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSnapshot {
     /// Name as configured; `rest` for the classes in no configured pool.
@@ -13,7 +13,7 @@
     pub running: usize,
     /// Number of queued requests.
     pub queued: usize,
-    /// Latest latency over the lowest recent one.
+    /// Latest latency divided by the lowest recent latency.
     pub latency_ratio: f64,
 }
 
@@ -30,7 +30,7 @@
         snapshots.collect()
     }
 
-    /// A line for the log: running requests, limit, queued requests and latency ratio of each pool.
+    /// Formats a log line with the running requests, limit, queued requests and latency ratio of each pool.
     pub fn summary(&self) -> String {
         let pools = self.pools.iter().map(|pool| {
             let (name, running, limit) = (pool.name(), pool.running(), pool.limit());
@@ -43,7 +43,7 @@
         pools.collect::<Vec<_>>().join(", ")
     }
 
-    /// Calls `visit` for each pool with its index and whether it has queued requests and none running.
+    /// Calls `visit` for each pool with its index and whether it has queued requests but no running ones.
     pub fn visit_starvation(&self, mut visit: impl FnMut(usize, bool)) {
         for (index, pool) in self.pools.iter().enumerate() {
             visit(index, !pool.queue().is_empty() && pool.running() == 0);
--- a/crates/concurrency/tests/recorded_decisions.rs
+++ b/crates/concurrency/tests/recorded_decisions.rs
@@ -1,5 +1,6 @@
-//! The answers of the pools over a long seeded run, against a recording: every limit and every queue figure to the last bit, every
-//! decision in order, and the line that goes to the log. A change of a constant or of the order of the arithmetic shows here.
+//! Compares the results of the pools over a long seeded run with a recording: every limit and queue measurement to the last bit,
+//! every decision in order, and the log line. Guards against an unintended change of a constant or of the order of arithmetic
+//! operations.
 
 use cypresscleat_concurrency::limit::{Limit, Limiter, Sample};
 use cypresscleat_concurrency::{ClassUsage, PoolConfig, Pools, PoolsConfig};
@@ -20,22 +21,22 @@
 }
 
 #[derive(Clone, Copy)]
-struct Queued {
+struct QueuedRequest {
     class: usize,
     size: f64,
     kb: f64,
     within_quota: bool,
 }
 
-struct Running {
-    request: Queued,
+struct RunningRequest {
+    request: QueuedRequest,
     started: i64,
 }
 
 const CLASSES: usize = 5;
 const MEMORY_KB: f64 = 4_000.0;
 
-fn setup(limiter: Limiter) -> PoolsConfig {
+fn config(limiter: Limiter) -> PoolsConfig {
     let pool = |name: &str, classes: &[usize], min_share, max_share, weight, reserve| PoolConfig {
         name: name.into(),
         classes: classes.to_vec(),
@@ -52,11 +53,11 @@
     PoolsConfig { pools, limiter }
 }
 
-fn counts(queue: &[Queued], running: &[Running]) -> Vec<ClassUsage> {
-    let mut counts: Vec<ClassUsage> =
+fn class_usage(queue: &[QueuedRequest], running: &[RunningRequest]) -> Vec<ClassUsage> {
+    let mut class_usage: Vec<ClassUsage> =
         (0..CLASSES).map(|class| ClassUsage { class, ..ClassUsage::default() }).collect();
     for request in queue {
-        let count = &mut counts[request.class];
+        let count = &mut class_usage[request.class];
         count.queued += 1;
         count.queued_size += request.size;
         count.queued_kb += request.kb;
@@ -66,25 +67,26 @@
         }
     }
     for run in running {
-        counts[run.request.class].running += 1;
+        class_usage[run.request.class].running += 1;
     }
-    counts
+    class_usage
 }
 
-/// Plays 4,000 steps of 20 ms and returns the digest of all answers and the last line for the log.
-fn play(limiter: Limiter) -> (u64, String) {
+/// Simulates 4,000 steps of 20 ms and returns the digest of all results and the last log line.
+fn simulate(limiter: Limiter) -> (u64, String) {
     let mut rng = SeededRng::new(11);
-    let mut below = |bound: u64| rng.next_u64() % bound;
+    let mut random_below = |bound: u64| rng.next_u64() % bound;
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
-    let mut pools = Pools::new(&setup(limiter), CLASSES, 7.5);
-    let (mut queue, mut running): (Vec<Queued>, Vec<Running>) = (Vec::new(), Vec::new());
+    let mut pools = Pools::new(&config(limiter), CLASSES, 7.5);
+    let (mut queue, mut running): (Vec<QueuedRequest>, Vec<RunningRequest>) = (Vec::new(), Vec::new());
     for step in 0..4_000i64 {
         let now = step * 200;
         let slowness = if (1_200..2_000).contains(&step) { 4 } else { 1 };
-        for _ in 0..below(4) {
-            let class = below(CLASSES as u64) as usize;
-            let size = (1 + below(900)) as f64 / 3.0;
-            let request = Queued { class, size, kb: below(64) as f64, within_quota: below(3) > 0 };
+        for _ in 0..random_below(4) {
+            let class = random_below(CLASSES as u64) as usize;
+            let size = (1 + random_below(900)) as f64 / 3.0;
+            let request =
+                QueuedRequest { class, size, kb: random_below(64) as f64, within_quota: random_below(3) > 0 };
             pools.enqueue(now, class, request.size, request.kb);
             if !request.within_quota {
                 pools.mark_over_quota(class, request.size);
@@ -92,56 +94,56 @@
             queue.push(request);
         }
         running.retain(|run| {
-            let ends = now - run.started > (run.request.size as i64 + 200) * slowness;
-            if ends {
+            let has_ended = now - run.started > (run.request.size as i64 + 200) * slowness;
+            if has_ended {
                 pools.release(run.request.class);
                 pools.record_success(run.request.class, now - run.started, run.request.size);
             }
-            !ends
+            !has_ended
         });
         if step % 5 == 0 {
             pools.tick(now, 7.5 + (step % 300) as f64 / 100.0);
         }
-        let mut at = 0;
-        while at < queue.len() {
-            let request = queue[at];
-            let may = pools.can_start(now, request.class, request.within_quota);
-            digest.add(u64::from(may));
-            if may && running.len() < 9 {
-                queue.remove(at);
+        let mut position = 0;
+        while position < queue.len() {
+            let request = queue[position];
+            let can_start = pools.can_start(now, request.class, request.within_quota);
+            digest.add(u64::from(can_start));
+            if can_start && running.len() < 9 {
+                queue.remove(position);
                 pools.dequeue(request.class, request.size, request.kb, request.within_quota);
                 pools.acquire(now, request.class);
-                running.push(Running { request, started: now });
+                running.push(RunningRequest { request, started: now });
             } else {
-                at += 1;
+                position += 1;
             }
         }
         while queue.len() > 40 {
-            let request = queue.swap_remove(below(queue.len() as u64) as usize);
+            let request = queue.swap_remove(random_below(queue.len() as u64) as usize);
             pools.dequeue(request.class, request.size, request.kb, request.within_quota);
             pools.record_drop(request.class);
         }
         for class in 0..CLASSES {
             for within_quota in [true, false] {
-                let (line, places) = pools.queue_ahead(class, within_quota).unwrap_or((-1.0, -1.0));
-                digest.add_f64(line);
-                digest.add_f64(places);
+                let (work_ahead, slots) = pools.queue_ahead(class, within_quota).unwrap_or((-1.0, -1.0));
+                digest.add_f64(work_ahead);
+                digest.add_f64(slots);
             }
             digest.add_f64(pools.kb_reserved_by_others(class, MEMORY_KB));
             digest.add(u64::from(pools.can_evict(class, MEMORY_KB)));
             digest.add(u64::from(pools.is_same_pool(class, 2)));
         }
-        pools.visit_starvation(|pool, waits| digest.add(pool as u64 * 2 + u64::from(waits)));
-        for view in pools.snapshots() {
-            digest.add_f64(view.limit);
-            digest.add_f64(view.latency_ratio);
-            digest.add((view.queued * 1_000 + view.running) as u64);
+        pools.visit_starvation(|pool, is_starving| digest.add(pool as u64 * 2 + u64::from(is_starving)));
+        for snapshot in pools.snapshots() {
+            digest.add_f64(snapshot.limit);
+            digest.add_f64(snapshot.latency_ratio);
+            digest.add((snapshot.queued * 1_000 + snapshot.running) as u64);
         }
         if step == 2_500 {
-            let mut other = setup(limiter);
-            other.pools.swap(0, 2);
-            other.pools[1].classes = vec![2, 4];
-            pools.reconfigure(&other, CLASSES, &counts(&queue, &running));
+            let mut new_config = config(limiter);
+            new_config.pools.swap(0, 2);
+            new_config.pools[1].classes = vec![2, 4];
+            pools.reconfigure(&new_config, CLASSES, &class_usage(&queue, &running));
         }
     }
     (digest.0, pools.summary())
@@ -157,21 +159,21 @@
         (Limiter::Pid { target_drop_ratio: 0.1 }, 0x78eb_449f_9c11_27e3, "report 2/4.5 held 0 slower 1.61, lookup 0/6.8 held 0 slower 1.07, status 0/9.0 held 0 slower 1.05, rest 0/9.0 held 0 slower 1.12"),
     ];
     let mut found = String::new();
-    let mut unlike = Vec::new();
+    let mut differing = Vec::new();
     for (limiter, digest, line) in recorded {
-        let played = play(limiter);
-        found += &format!("({limiter:?}, {:#018x}, {:?}),\n", played.0, played.1);
-        if played != (digest, line.to_string()) {
-            unlike.push(limiter);
+        let result = simulate(limiter);
+        found += &format!("({limiter:?}, {:#018x}, {:?}),\n", result.0, result.1);
+        if result != (digest, line.to_string()) {
+            differing.push(limiter);
         }
     }
-    assert!(unlike.is_empty(), "{unlike:?} differ; found\n{found}");
+    assert!(differing.is_empty(), "{differing:?} differ; found\n{found}");
 }
 
 #[test]
 fn derived_pools_are_as_recorded() {
-    let setup = PoolsConfig::derive(&[500, 200, 900], &[1.0, 0.05, 4.0]);
-    assert_eq!(setup.limiter, Limiter::Gradient { tolerance: 1.5 });
+    let config = PoolsConfig::derive(&[500, 200, 900], &[1.0, 0.05, 4.0]);
+    assert_eq!(config.limiter, Limiter::Gradient { tolerance: 1.5 });
     let third = 0.5 / 3.0;
     let pool = |class: usize, min_share, weight, reserve| PoolConfig {
         name: class.to_string(),
@@ -182,13 +184,13 @@
         reserve,
     };
     let recorded = [pool(0, third, 1.0, 0.0), pool(1, third + 0.125, 0.1, 0.125), pool(2, third, 4.0, 0.0)];
-    assert_eq!(setup.pools, recorded);
+    assert_eq!(config.pools, recorded);
 }
 
-/// Limits by themselves, far above the few slots of [`play`], where Vegas decreases as well.
+/// Updates limits without pools, far above the few slots of [`simulate`], so that Vegas decreases too.
 #[test]
 fn limits_adapt_as_recorded() {
-    let course = |limiter: Limiter| {
+    let limit_digest = |limiter: Limiter| {
         let mut rng = SeededRng::new(5);
         let mut digest = Digest(0xcbf2_9ce4_8422_2325);
         let mut limit = Limit::new(64.0);
@@ -214,6 +216,6 @@
         (Limiter::Vegas, 0x2be4_0306_a353_6cba),
         (Limiter::Pid { target_drop_ratio: 0.1 }, 0xd7f6_f663_0974_4998),
     ];
-    let found = recorded.map(|(limiter, _)| (limiter, course(limiter)));
+    let found = recorded.map(|(limiter, _)| (limiter, limit_digest(limiter)));
     assert_eq!(found, recorded);
 }
--- a/crates/scheduler/tests/settings.rs
+++ b/crates/scheduler/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked without rejecting what rules clamp.
+//! Tests that validation accepts numbers that the rules clamp and rejects pools with unknown request classes.
 
 use cypresscleat_concurrency::{PoolConfig, PoolsConfig};
 use cypresscleat_scheduler::*;
@@ -20,10 +20,11 @@
 }
 
 #[test]
-fn accepts_settings_without_pools_whatever_their_numbers() {
+fn accepts_settings_without_pools_with_any_numbers() {
     assert_eq!(Settings::default().validate(), Ok(()));
-    let odd = Settings { cores: -3.0, client_count: 0.0, overload_multiple: 0.1, ..Settings::default() };
-    assert_eq!(odd.validate(), Ok(()));
+    let out_of_range =
+        Settings { cores: -3.0, client_count: 0.0, overload_multiple: 0.1, ..Settings::default() };
+    assert_eq!(out_of_range.validate(), Ok(()));
 }
 
 #[test]
@@ -33,7 +34,7 @@
 
 #[test]
 fn rejects_pool_that_names_an_unknown_class() {
-    let fault = settings(vec![0, 2]).validate().expect_err("there are two classes");
-    assert!(matches!(fault, SettingsError::Pool(_)));
-    assert_eq!(fault.to_string(), "pools: pool 0: no operation 2");
+    let error = settings(vec![0, 2]).validate().expect_err("there are two classes");
+    assert!(matches!(error, SettingsError::Pool(_)));
+    assert_eq!(error.to_string(), "pools: pool 0: unknown operation 2");
 }
