--- a/crates/primitives/src/lib.rs
+++ b/crates/primitives/src/lib.rs
@@ -1,7 +1,7 @@
-//! Time units, node ids and seeded random numbers, shared by every crate that decides without I/O.
+//! Time units, node ids and seeded random numbers, shared by all crates that decide without I/O.
 //!
-//! State machines here take time as an argument and draw random numbers from a seed, so that the same inputs always give
-//! the same outputs and a failed simulation can be replayed from its seed.
+//! The state machines of those crates take the time as an argument and draw random numbers from a seed, so that the same inputs
+//! always give the same outputs and a failed simulation can be replayed from its seed.
 
 #![warn(missing_docs)]
 
@@ -21,9 +21,9 @@
 /// Identifies a node (a server, a replica, a relay) by the hash of its name.
 pub type NodeId = u64;
 
-/// Returns the id of the node called `name`. Every process computes the same id; it is sent and stored, so the hash must not
-/// change. It is that of the standard library's [`DefaultHasher`] (SipHash-1-3 with zero keys today), which the library may
-/// change with a release; the golden test in `tests/golden.rs` pins it and fails if that happens.
+/// Returns the id of the node called `name`. Every process computes the same id. Ids are sent and stored, so the hash must not
+/// change. The hash is that of the standard library's [`DefaultHasher`] (currently SipHash-1-3 with zero keys), which a release
+/// of the library may change; the golden test in `tests/golden.rs` pins the hash and fails if it changes.
 pub fn node_id(name: &str) -> NodeId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/primitives/tests/golden.rs
+++ b/crates/primitives/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Node ids and random sequences are part of stored and sent data, and of recorded simulations: they must not change.
+//! Tests that node ids and random sequences don't change, since they are part of sent and stored data and of recorded simulations.
 
 use cypresscleat_primitives::{node_id, SeededRng};
 
-/// Names of nodes and of tasks with the numbers that commit 67fc394 gave them.
+/// Names of nodes and tasks, with their ids as computed by commit 67fc394.
 const GOLDEN_IDS: [(&str, u64); 8] = [
     ("k0", 0x104ab8d312e22533),
     ("k1", 0xe152438f776c599b),
@@ -13,7 +13,7 @@
     ("planners", 0x2b30d880b40205b2),
     ("app-17", 0x6a46149493638d2e),
 ];
-/// The first draws of seed 7 in commit 67fc394: two whole numbers, one below 1000, a fraction, an index below 1000.
+/// The first draws with seed 7 in commit 67fc394: two whole numbers, one below 1000, a fraction and an index below 1000.
 const GOLDEN_SEQUENCE: [u64; 3] = [16109554563580082864, 10146017361091682965, 907];
 const GOLDEN_FRACTION: f64 = 0.06939409339529701;
 const GOLDEN_INDEX: usize = 134;
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's JSON: every key lands in its field, and what is missing reads as zero.
+//! Tests that every key of the platform's JSON is read into its field, and that missing keys are read as zero.
 
 use cypresscleat_scheduler::*;
 use cypresscleat_settings::{parse, set_gauge};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_key_lands_in_its_field() {
+fn every_key_is_read_into_its_field() {
     let (settings, names) = parse(ALL_KEYS, 77).expect("good settings");
     let look = class(10_000, 20_000, RetrySafety::Idempotent, 2.0);
     let order = class(3_000, 9_000, RetrySafety::IdempotencyKey, 5.0);
@@ -71,22 +71,22 @@
         pools: Default::default(),
     };
     assert_eq!(format!("{settings:#?}"), format!("{expected:#?}"));
-    let told = format!("{names:?}");
+    let actual = format!("{names:?}");
     for name in ["look", "order", "post", "acme", "zeta", "core_use", "links"] {
-        assert!(told.contains(&format!("{name:?}")), "{name} is missing in {told}");
+        assert!(actual.contains(&format!("{name:?}")), "{name} is missing in {actual}");
     }
 }
 
 #[test]
-fn platform_words_map_to_kinds() {
-    let with = |key: &str, word: &str| {
-        let text = format!(r#"{{"specifics": {{"{key}": "{word}"}}}}"#);
+fn platform_values_map_to_kinds() {
+    let settings_with = |key: &str, value: &str| {
+        let text = format!(r#"{{"specifics": {{"{key}": "{value}"}}}}"#);
         parse(&text, 0).expect("good settings").0
     };
-    for (word, mode) in
+    for (value, mode) in
         [("discard", StopMode::Discard), ("freeze", StopMode::Freeze), ("other", StopMode::Unsupported)]
     {
-        assert_eq!(with("halt", word).stop_mode, mode, "{word}");
+        assert_eq!(settings_with("halt", value).stop_mode, mode, "{value}");
     }
     let feedback = [
         ("floor", LoadFeedbackKind::PriorityFloor),
@@ -94,44 +94,47 @@
         ("weight", LoadFeedbackKind::Weight),
         ("other", LoadFeedbackKind::None),
     ];
-    for (word, kind) in feedback {
-        assert_eq!(with("say", word).load_feedback, kind, "{word}");
+    for (value, kind) in feedback {
+        assert_eq!(settings_with("say", value).load_feedback, kind, "{value}");
     }
-    for (word, kind) in [
+    for (value, kind) in [
         ("tier", DownstreamKind::Tier),
         ("one_for_all", DownstreamKind::Shared),
         ("other", DownstreamKind::None),
     ] {
-        assert_eq!(with("depends_on", word).downstream, kind, "{word}");
+        assert_eq!(settings_with("depends_on", value).downstream, kind, "{value}");
     }
 }
 
 #[test]
-fn retry_after_that_is_not_honoured_is_zero() {
+fn disabled_retry_after_is_read_as_zero() {
     let text = r#"{"limits": {"retry_after": false, "max_retry_after_ns": 3000000000}}"#;
     assert_eq!(parse(text, 0).expect("good settings").0.max_retry_after, 0);
 }
 
 #[test]
-fn faults_name_their_key() {
-    let rows = [
-        (r#"{"categories": [{"aim_ns": 1}]}"#, "categories[0].name is missing or no text"),
-        (r#"{"customers": [{"name": "a"}, {"name": 4}]}"#, "customers[1].name is missing or no text"),
-        (r#"{"categories": [{"name": "a", "effect": "twice"}]}"#, r#"categories[0].effect is "twice""#),
-        (r#"{"categories": [{"name": "a"}]}"#, "categories[0].effect is null"),
+fn errors_name_their_key() {
+    let cases = [
+        (r#"{"categories": [{"aim_ns": 1}]}"#, "categories[0].name is missing or not a string"),
+        (r#"{"customers": [{"name": "a"}, {"name": 4}]}"#, "customers[1].name is missing or not a string"),
+        (
+            r#"{"categories": [{"name": "a", "effect": "twice"}]}"#,
+            r#"categories[0].effect has the unknown value "twice""#,
+        ),
+        (r#"{"categories": [{"name": "a"}]}"#, "categories[0].effect has the unknown value null"),
         ("[", "EOF while parsing a list at line 1 column 1"),
     ];
-    for (text, fault) in rows {
-        assert_eq!(parse(text, 0).expect_err(text).to_string(), fault);
+    for (text, error) in cases {
+        assert_eq!(parse(text, 0).expect_err(text).to_string(), error);
     }
 }
 
 #[test]
-fn gauges_are_known_by_the_platforms_names() {
+fn gauges_are_set_by_the_platforms_names() {
     let mut gauges = Gauges::default();
-    for (at, name) in ["core_use", "on_cores", "heap_share", "links", "unknown"].into_iter().enumerate() {
-        set_gauge(&mut gauges, name, at as f64);
+    for (index, name) in ["core_use", "on_cores", "heap_share", "links", "unknown"].into_iter().enumerate() {
+        set_gauge(&mut gauges, name, index as f64);
     }
-    let told = [gauges.core_utilization, gauges.runnable_tasks, gauges.memory_share, gauges.connections];
-    assert_eq!(told, [Some(0.0), Some(1.0), Some(2.0), Some(3.0)]);
+    let actual = [gauges.core_utilization, gauges.runnable_tasks, gauges.memory_share, gauges.connections];
+    assert_eq!(actual, [Some(0.0), Some(1.0), Some(2.0), Some(3.0)]);
 }
