--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -1,5 +1,6 @@
-//! Pins the decisions: random days, replayed by seed, must give the recorded digest of every call on the host, the texts of
-//! log lines included. The digests were recorded from the code at 67fc394.
+//! Pins the scheduler's decisions: seeded random simulation runs must give the recorded digest of every call on the host,
+//! including the text of log lines. The digests were recorded with the code of commit 67fc394. Guards against unintended
+//! changes of decisions.
 
 use cypresscleat_concurrency::{limit::Limiter, PoolConfig, PoolsConfig};
 use cypresscleat_primitives::SeededRng;
@@ -8,7 +9,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const EVENTS: usize = 6_000;
-/// Digest and number of calls on the host, by kind of day.
+/// Digest and number of calls on the host, by kind of run.
 const RECORDED: [(u64, usize); 8] = [
     (7253437536212375065, 16239),
     (12951868191877931310, 16570),
@@ -57,9 +58,10 @@
         slot
     }
 
-    fn any(&self, rng: &mut SeededRng, fits: impl Fn(RequestPhase) -> bool) -> Option<usize> {
-        let all: Vec<usize> = (0..self.phases.len()).filter(|slot| fits(self.phases[*slot])).collect();
-        all.get(rng.index_below(all.len())).copied()
+    fn random_slot(&self, rng: &mut SeededRng, is_candidate: impl Fn(RequestPhase) -> bool) -> Option<usize> {
+        let candidates: Vec<usize> =
+            (0..self.phases.len()).filter(|slot| is_candidate(self.phases[*slot])).collect();
+        candidates.get(rng.index_below(candidates.len())).copied()
     }
 }
 
@@ -80,28 +82,28 @@
         self.record(("stop", slot));
         self.stopped.push(slot);
     }
-    fn call(&mut self, slot: RequestSlot, within: Time) {
-        self.record(("call", slot, within));
+    fn call(&mut self, slot: RequestSlot, timeout: Time) {
+        self.record(("call", slot, timeout));
         self.phases[slot] = RequestPhase::Calling;
     }
     fn skip_call(&mut self, slot: RequestSlot) {
         self.record(("skip", slot));
         self.phases[slot] = RequestPhase::Running;
     }
-    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
-        self.record(("retain", slot, span));
+    fn retain_for_retries(&mut self, slot: RequestSlot, duration: Time) {
+        self.record(("retain", slot, duration));
     }
     fn replay_result(&mut self, slot: RequestSlot) {
         self.record(("replay", slot));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.record(("health", good, stored));
+    fn set_health(&mut self, healthy: bool, from_cache: bool) {
+        self.record(("health", healthy, from_cache));
     }
     fn send_load_feedback(&mut self, value: f64) {
         self.record(("feedback", value.to_bits()));
     }
-    fn close_idle_connections(&mut self, after: Time) {
-        self.record(("close idle", after));
+    fn close_idle_connections(&mut self, idle_for: Time) {
+        self.record(("close idle", idle_for));
     }
     fn set_timer(&mut self, after: Time) {
         self.record(("timer", after));
@@ -119,23 +121,23 @@
     }
 }
 
-fn classes(rng: &mut SeededRng) -> Vec<RequestClass> {
-    let class = |at: usize, rng: &mut SeededRng| RequestClass {
+fn random_classes(rng: &mut SeededRng) -> Vec<RequestClass> {
+    let class = |index: usize, rng: &mut SeededRng| RequestClass {
         latency_objective: 500 + rng.below(8_000) as Time,
-        objective_per_work: [0.0, 0.5][at % 2],
+        objective_per_work: [0.0, 0.5][index % 2],
         timeout: 4_000 + rng.below(20_000) as Time,
         retry_safety: [RetrySafety::Idempotent, RetrySafety::IdempotencyKey, RetrySafety::NonIdempotent]
-            [at % 3],
+            [index % 3],
         priority_weight: 0.1 + rng.next_f64() * 5.0,
         late_share: [0.0, 0.5][rng.index_below(2)],
         degraded_share: [0.0, 0.4][rng.index_below(2)],
         calls_downstream: rng.one_in(2),
         retry_window: 30_000,
     };
-    (0..5).map(|at| class(at, rng)).collect()
+    (0..5).map(|index| class(index, rng)).collect()
 }
 
-fn pools(rng: &mut SeededRng) -> PoolsConfig {
+fn random_pools(rng: &mut SeededRng) -> PoolsConfig {
     let pool = |name: &str, classes: &[usize], min_share: f64, reserve: f64| PoolConfig {
         name: name.into(),
         classes: classes.to_vec(),
@@ -148,9 +150,9 @@
     PoolsConfig { pools: vec![pool("fast", &[0, 3], 0.4, 0.2), pool("bulk", &[1], 0.3, 0.0)], limiter }
 }
 
-fn settings(kind: usize, rng: &mut SeededRng) -> Settings {
+fn random_settings(kind: usize, rng: &mut SeededRng) -> Settings {
     Settings {
-        classes: classes(rng),
+        classes: random_classes(rng),
         tenant_rates: vec![40.0, 4.0],
         over_quota_share: 0.1,
         weight_per_work: kind.is_multiple_of(2),
@@ -180,15 +182,15 @@
         overload_multiple: [3.0, 8.0][kind % 2],
         max_retry_after: 10_000,
         seed: kind as u64 + 11,
-        pools: if kind >= 4 { pools(rng) } else { PoolsConfig::default() },
+        pools: if kind >= 4 { random_pools(rng) } else { PoolsConfig::default() },
     }
 }
 
-fn arrival(host: &mut Recorder, rng: &mut SeededRng) -> Arrival {
+fn random_arrival(host: &mut Recorder, rng: &mut SeededRng) -> Arrival {
     let earlier_attempt = match rng.below(6) {
         0 => EarlierAttempt::Released,
         1 => host
-            .any(rng, |phase| phase != RequestPhase::Free)
+            .random_slot(rng, |phase| phase != RequestPhase::Free)
             .map_or(EarlierAttempt::Released, EarlierAttempt::Known),
         _ => EarlierAttempt::None,
     };
@@ -208,8 +210,8 @@
     }
 }
 
-fn outcome(rng: &mut SeededRng) -> Outcome {
-    let rare = [
+fn random_outcome(rng: &mut SeededRng) -> Outcome {
+    let other_outcomes = [
         Outcome::Failed,
         Outcome::Rejected,
         Outcome::TimedOut,
@@ -219,15 +221,15 @@
         Outcome::NotStarted,
     ];
     if rng.one_in(4) {
-        rare[rng.index_below(rare.len())]
+        other_outcomes[rng.index_below(other_outcomes.len())]
     } else {
         Outcome::Succeeded
     }
 }
 
-/// In a storm nearly all that wants the cores reads and connects.
-fn gauges(rng: &mut SeededRng, storm: bool) -> Gauges {
-    if storm {
+/// Random gauges. In a connection storm nearly all runnable tasks read requests or accept connections.
+fn random_gauges(rng: &mut SeededRng, is_storm: bool) -> Gauges {
+    if is_storm {
         return Gauges {
             core_utilization: Some(1.0),
             runnable_tasks: Some(60.0),
@@ -244,41 +246,47 @@
     }
 }
 
-/// One event that the state of the host allows.
-fn event(scheduler: &mut Scheduler, now: Time, step: usize, host: &mut Recorder, rng: &mut SeededRng) {
+/// Simulates one random event that the state of the host allows.
+fn simulate_event(
+    scheduler: &mut Scheduler,
+    now: Time,
+    step: usize,
+    host: &mut Recorder,
+    rng: &mut SeededRng,
+) {
     match rng.below(12) {
         0..=4 => {
-            let arrival = arrival(host, rng);
+            let arrival = random_arrival(host, rng);
             scheduler.handle_arrival(now, arrival, host);
         }
         5 | 6 => {
-            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Running) {
-                let how = outcome(rng);
-                scheduler.handle_run_completed(now, slot, how, host);
+            if let Some(slot) = host.random_slot(rng, |phase| phase == RequestPhase::Running) {
+                let outcome = random_outcome(rng);
+                scheduler.handle_run_completed(now, slot, outcome, host);
             }
         }
         7 => {
-            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Running) {
+            if let Some(slot) = host.random_slot(rng, |phase| phase == RequestPhase::Running) {
                 host.phases[slot] = RequestPhase::Parked;
                 scheduler.handle_call_needed(now, slot, host);
             }
         }
         8 | 9 => {
-            if let Some(slot) = host.any(rng, |phase| phase == RequestPhase::Calling) {
-                let (how, took) = (outcome(rng), rng.below(2_500) as Time);
+            if let Some(slot) = host.random_slot(rng, |phase| phase == RequestPhase::Calling) {
+                let (outcome, call_time) = (random_outcome(rng), rng.below(2_500) as Time);
                 host.phases[slot] =
-                    if how == Outcome::Succeeded { RequestPhase::Running } else { RequestPhase::Parked };
-                scheduler.handle_call_completed(now, slot, how, took, host);
+                    if outcome == Outcome::Succeeded { RequestPhase::Running } else { RequestPhase::Parked };
+                scheduler.handle_call_completed(now, slot, outcome, call_time, host);
             }
         }
         10 => {
-            if let Some(slot) = host.any(rng, |phase| phase != RequestPhase::Free) {
+            if let Some(slot) = host.random_slot(rng, |phase| phase != RequestPhase::Free) {
                 scheduler.handle_client_disconnect(now, slot, host);
             }
         }
         _ if step.is_multiple_of(5) => {
             if let Some(slot) =
-                host.any(rng, |phase| matches!(phase, RequestPhase::Parked | RequestPhase::Calling))
+                host.random_slot(rng, |phase| matches!(phase, RequestPhase::Parked | RequestPhase::Calling))
             {
                 scheduler.handle_run_completed(now, slot, Outcome::Cancelled, host);
             }
@@ -287,29 +295,29 @@
     }
 }
 
-fn play(kind: usize) -> Recorder {
+fn simulate(kind: usize) -> Recorder {
     let mut rng = SeededRng::new(kind as u64);
     let (mut host, mut now) = (Recorder::default(), 0);
-    let mut scheduler = Scheduler::start(now, settings(kind, &mut rng), &mut host);
+    let mut scheduler = Scheduler::start(now, random_settings(kind, &mut rng), &mut host);
     let mut next_tick = host.timer;
     for step in 0..EVENTS {
-        // Calm and overloaded spells in turn.
+        // Overloaded and normal periods alternate.
         now += rng.below(if (step / 600) % 2 == 0 { 90 } else { 300 }) as Time;
         while next_tick <= now {
-            scheduler.tick(next_tick, gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
+            scheduler.tick(next_tick, random_gauges(&mut rng, (step / 400) % 4 == 3), &mut host);
             next_tick += host.timer;
         }
         if let Some(slot) = host.stopped.pop() {
-            let how = if rng.one_in(5) { Outcome::Succeeded } else { Outcome::Cancelled };
-            scheduler.handle_run_completed(now, slot, how, &mut host);
+            let outcome = if rng.one_in(5) { Outcome::Succeeded } else { Outcome::Cancelled };
+            scheduler.handle_run_completed(now, slot, outcome, &mut host);
         }
-        event(&mut scheduler, now, step, &mut host, &mut rng);
+        simulate_event(&mut scheduler, now, step, &mut host, &mut rng);
         match step {
             3_000 if kind % 3 == 2 => scheduler.set_granted_slots(now, 2.0, &mut host),
             3_500 if kind % 3 == 2 => scheduler.set_granted_slots(now, 9.0, &mut host),
             4_000 if kind >= 4 => {
-                let setup = pools(&mut rng);
-                scheduler.set_pools(now, &setup, &mut host);
+                let new_pools = random_pools(&mut rng);
+                scheduler.set_pools(now, &new_pools, &mut host);
             }
             5_400 => scheduler.start_draining(now, 40_000, &mut host),
             _ => {}
@@ -322,19 +330,19 @@
 
 #[test]
 fn decides_as_recorded() {
-    let played: Vec<(u64, usize)> = (0..RECORDED.len())
+    let digests: Vec<(u64, usize)> = (0..RECORDED.len())
         .map(|kind| {
-            let host = play(kind);
+            let host = simulate(kind);
             (host.digest.finish(), host.calls)
         })
         .collect();
-    assert_eq!(played, RECORDED);
+    assert_eq!(digests, RECORDED);
 }
 
-/// The days are worth pinning only where every kind of decision and log line occurs in them.
+/// The recorded digests pin a decision or a log line only if it occurs in the simulation runs.
 #[test]
-fn recorded_days_cover_every_log_line() {
-    let logged: Vec<String> = (0..RECORDED.len()).flat_map(|kind| play(kind).logged).collect();
+fn recorded_runs_cover_every_log_line() {
+    let logged: Vec<String> = (0..RECORDED.len()).flat_map(|kind| simulate(kind).logged).collect();
     for start in ["shedding: ", "not shedding: ", "pools: ", "calls slow: ", "calls not slow: ", "draining: "]
     {
         assert!(logged.iter().any(|line| line.starts_with(start)), "{start:?} is missing");
@@ -342,8 +350,8 @@
 }
 
 #[test]
-fn recorded_days_cover_every_reason() {
-    let seen: BTreeSet<String> = (0..RECORDED.len()).flat_map(|kind| play(kind).reasons).collect();
+fn recorded_runs_cover_every_reason() {
+    let seen: BTreeSet<String> = (0..RECORDED.len()).flat_map(|kind| simulate(kind).reasons).collect();
     let rejected = [
         RejectReason::Draining,
         RejectReason::IdempotencyTableFull,
--- a/crates/scheduler/tests/events.rs
+++ b/crates/scheduler/tests/events.rs
@@ -1,9 +1,9 @@
-//! The texts of events are what operators grep for.
+//! Tests the log texts of scheduler events, which operators search for.
 
 use cypresscleat_scheduler::SchedulerEvent;
 
 #[test]
-fn events_render_the_texts_of_the_log() {
+fn events_format_as_log_texts() {
     let shedding = |shedding| SchedulerEvent::SheddingChanged {
         shedding,
         queued: 12,
@@ -14,7 +14,7 @@
     };
     let calls =
         |slow| SchedulerEvent::CallLatencyChanged { slow, mean_call_time: 5_004.0, in_flight: 7, waiting: 2 };
-    let rows = [
+    let cases = [
         (shedding(true), "shedding: held 12 running 3 cap 4.2 pace 1.00 wait 123 ms"),
         (shedding(false), "not shedding: held 12 running 3 cap 4.2 pace 1.00 wait 123 ms"),
         (calls(true), "calls slow: mean 500 ms, 7 out, 2 wait"),
@@ -25,7 +25,7 @@
             "draining: held 5 running 6",
         ),
     ];
-    for (event, text) in rows {
+    for (event, text) in cases {
         assert_eq!(event.to_string(), text);
     }
 }
