--- a/crates/scheduler/src/admission/mod.rs
+++ b/crates/scheduler/src/admission/mod.rs
@@ -19,7 +19,7 @@
 /// is usually sent again and must be read again, a rejected retry seldom.
 const RETRY_WEIGHT_FACTOR: f64 = 0.3;
 /// Transit time of a response to the client, in tenths of a millisecond; subtracted from the latency objective.
-const ANSWER_TRANSIT_TIME: Time = 100;
+const RESPONSE_TRANSIT_TIME: Time = 100;
 
 /// The result of an admission stage for an arriving request.
 pub(crate) enum AdmissionStep {
@@ -57,7 +57,7 @@
         let client_deadline = arrival.remaining_timeout.map(|timeout| now + timeout);
         let deadline = client_deadline.unwrap_or(arrived_at + class.timeout).max(now);
         let objective_at = arrived_at + class.latency_objective + (class.objective_per_work * work) as Time
-            - ANSWER_TRANSIT_TIME;
+            - RESPONSE_TRANSIT_TIME;
         let retry_factor = if arrival.is_retry { RETRY_WEIGHT_FACTOR } else { 1.0 };
         let priority_divisor = if self.weight_per_work { 1.0 } else { work };
         RequestState {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts instances of the scheduler on the simulator's line protocol: reads batches of events, writes one reply to each.
-//! The platform's words end here. Decides nothing.
+//! Runs instances of the scheduler behind the simulator's line protocol: reads batches of events and writes one response to each
+//! batch. Translates between the protocol's names and the scheduler's types; makes no decisions of its own.
 
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_scheduler::*;
@@ -8,137 +8,139 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-/// The requests of one instance: ids on the wire to slots and back; a freed slot is used again.
+/// The open requests of one instance: maps ids on the wire to slots and back. Released slots are reused.
 #[derive(Default)]
-struct Ids {
+struct RequestIds {
     slots: HashMap<String, RequestSlot>,
-    words: Vec<String>,
-    free: Vec<RequestSlot>,
+    ids: Vec<String>,
+    free_slots: Vec<RequestSlot>,
 }
 
-impl Ids {
-    fn open(&mut self, word: &str) -> RequestSlot {
-        let slot = self.free.pop().unwrap_or_else(|| {
-            self.words.push(String::new());
-            self.words.len() - 1
+impl RequestIds {
+    fn open(&mut self, id: &str) -> RequestSlot {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.ids.push(String::new());
+            self.ids.len() - 1
         });
-        self.words[slot] = word.to_string();
-        self.slots.insert(word.to_string(), slot);
+        self.ids[slot] = id.to_string();
+        self.slots.insert(id.to_string(), slot);
         slot
     }
 }
 
-struct Wire<'a> {
-    out: &'a mut String,
-    who: usize,
-    ids: &'a mut Ids,
+/// Writes the actions of one instance as lines of the protocol.
+struct ActionWriter<'a> {
+    output: &'a mut String,
+    instance_id: usize,
+    request_ids: &'a mut RequestIds,
 }
 
-impl Wire<'_> {
-    fn line(&mut self, name: &str, slot: RequestSlot, rest: std::fmt::Arguments) {
-        let _ = writeln!(self.out, "{name} {} {}{rest}", self.who, self.ids.words[slot]);
+impl ActionWriter<'_> {
+    fn write_action(&mut self, name: &str, slot: RequestSlot, rest: std::fmt::Arguments) {
+        let _ = writeln!(self.output, "{name} {} {}{rest}", self.instance_id, self.request_ids.ids[slot]);
     }
 }
 
-impl Host for Wire<'_> {
+impl Host for ActionWriter<'_> {
     fn run(&mut self, slot: RequestSlot) {
-        self.line("ADMIT", slot, format_args!(""));
+        self.write_action("ADMIT", slot, format_args!(""));
     }
     fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
         let Rejection { retry_after, no_retry_elsewhere, .. } = rejection;
-        self.line(
+        self.write_action(
             "REJECT",
             slot,
             format_args!(" {} {}", retry_after * NANOS_PER_TIME_UNIT, no_retry_elsewhere as u8),
         );
     }
     fn fail(&mut self, slot: RequestSlot, _: FailReason) {
-        self.line("DROP_REQUEST", slot, format_args!(""));
+        self.write_action("DROP_REQUEST", slot, format_args!(""));
     }
     fn stop(&mut self, slot: RequestSlot) {
-        self.line("YANK", slot, format_args!(""));
+        self.write_action("YANK", slot, format_args!(""));
     }
-    fn call(&mut self, slot: RequestSlot, within: Time) {
-        self.line("REACH_OUT", slot, format_args!(" {}", within * NANOS_PER_TIME_UNIT));
+    fn call(&mut self, slot: RequestSlot, timeout: Time) {
+        self.write_action("REACH_OUT", slot, format_args!(" {}", timeout * NANOS_PER_TIME_UNIT));
     }
     fn skip_call(&mut self, slot: RequestSlot) {
-        self.line("SKIP", slot, format_args!(""));
+        self.write_action("SKIP", slot, format_args!(""));
     }
-    fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
-        self.line("RETAIN", slot, format_args!(" {}", span * NANOS_PER_TIME_UNIT));
+    fn retain_for_retries(&mut self, slot: RequestSlot, duration: Time) {
+        self.write_action("RETAIN", slot, format_args!(" {}", duration * NANOS_PER_TIME_UNIT));
     }
     fn replay_result(&mut self, slot: RequestSlot) {
-        self.line("ANSWER_FROM", slot, format_args!(""));
+        self.write_action("ANSWER_FROM", slot, format_args!(""));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        let _ = writeln!(self.out, "SET_HEALTH {} {} {}", self.who, good as u8, stored as u8);
+    fn set_health(&mut self, healthy: bool, from_cache: bool) {
+        let _ =
+            writeln!(self.output, "SET_HEALTH {} {} {}", self.instance_id, healthy as u8, from_cache as u8);
     }
     fn send_load_feedback(&mut self, value: f64) {
-        let _ = writeln!(self.out, "HINT_OUT {} {value:.4}", self.who);
+        let _ = writeln!(self.output, "HINT_OUT {} {value:.4}", self.instance_id);
     }
-    fn close_idle_connections(&mut self, after: Time) {
-        let _ = writeln!(self.out, "CLOSE_IDLE {} {}", self.who, after * NANOS_PER_TIME_UNIT);
+    fn close_idle_connections(&mut self, idle_for: Time) {
+        let _ = writeln!(self.output, "CLOSE_IDLE {} {}", self.instance_id, idle_for * NANOS_PER_TIME_UNIT);
     }
     fn set_timer(&mut self, after: Time) {
-        let _ = writeln!(self.out, "SET_TIMER {} {} 1", self.who, after * NANOS_PER_TIME_UNIT);
+        let _ = writeln!(self.output, "SET_TIMER {} {} 1", self.instance_id, after * NANOS_PER_TIME_UNIT);
     }
     fn log(&mut self, event: &SchedulerEvent) {
-        let _ = writeln!(self.out, "EMIT {} {event}", self.who);
+        let _ = writeln!(self.output, "EMIT {} {event}", self.instance_id);
     }
     fn release(&mut self, slot: RequestSlot) {
-        self.ids.slots.remove(&self.ids.words[slot]);
-        self.ids.free.push(slot);
+        self.request_ids.slots.remove(&self.request_ids.ids[slot]);
+        self.request_ids.free_slots.push(slot);
     }
 }
 
 struct Instance {
     scheduler: Scheduler,
-    ids: Ids,
+    request_ids: RequestIds,
     names: Names,
 }
 
-/// The values of one line, taken in order.
+/// The values of one line, read in order.
 struct Values<'a>(std::str::Split<'a, char>);
 
 impl<'a> Values<'a> {
-    fn word(&mut self, what: &str) -> Result<&'a str, String> {
-        self.0.next().filter(|word| !word.is_empty()).ok_or_else(|| format!("{what} is missing"))
+    fn read_value(&mut self, field: &str) -> Result<&'a str, String> {
+        self.0.next().filter(|value| !value.is_empty()).ok_or_else(|| format!("{field} is missing"))
     }
-    /// A value that may be absent: `-` or nothing more on the line.
-    fn maybe(&mut self) -> Option<&'a str> {
-        self.0.next().filter(|word| *word != "-" && !word.is_empty())
+    /// Reads a value that may be absent: `-`, or the end of the line.
+    fn read_optional_value(&mut self) -> Option<&'a str> {
+        self.0.next().filter(|value| *value != "-" && !value.is_empty())
     }
-    fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
-        parse(self.word(what)?, what)
+    fn read_number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, String> {
+        parse(self.read_value(field)?, field)
     }
-    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        self.maybe().map(|word| parse(word, what)).transpose()
+    fn read_optional_number<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+        self.read_optional_value().map(|value| parse(value, field)).transpose()
     }
-    fn span(&mut self, what: &str) -> Result<Time, String> {
-        Ok(self.optional::<i64>(what)?.unwrap_or(0) / NANOS_PER_TIME_UNIT)
+    fn read_duration(&mut self, field: &str) -> Result<Time, String> {
+        Ok(self.read_optional_number::<i64>(field)?.unwrap_or(0) / NANOS_PER_TIME_UNIT)
     }
-    fn flag(&mut self, what: &str) -> Result<bool, String> {
-        match self.maybe() {
+    fn read_flag(&mut self, field: &str) -> Result<bool, String> {
+        match self.read_optional_value() {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(word) => Err(format!("{what} is {word:?}, neither 0 nor 1")),
+            Some(value) => Err(format!("{field} is {value:?}, neither 0 nor 1")),
         }
     }
 }
 
-fn parse<T: std::str::FromStr>(word: &str, what: &str) -> Result<T, String> {
-    word.parse().map_err(|_| format!("{what} is {word:?}"))
+fn parse<T: std::str::FromStr>(value: &str, field: &str) -> Result<T, String> {
+    value.parse().map_err(|_| format!("{field} has the invalid value {value:?}"))
 }
 
-fn index_of(names: &[String], word: &str, what: &str) -> Result<usize, String> {
+fn find_index(names: &[String], wanted: &str, kind: &str) -> Result<usize, String> {
     names
         .iter()
-        .position(|name| name == word)
-        .ok_or_else(|| format!("no {what} named {word:?} in the settings"))
+        .position(|name| name == wanted)
+        .ok_or_else(|| format!("no {kind} named {wanted:?} in the settings"))
 }
 
-fn outcome(word: &str) -> Result<Outcome, String> {
-    Ok(match word {
+fn parse_outcome(code: &str) -> Result<Outcome, String> {
+    Ok(match code {
         "served" => Outcome::Succeeded,
         "server_error" => Outcome::Failed,
         "turned_away" => Outcome::Rejected,
@@ -147,43 +149,49 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotStarted,
-        _ => return Err(format!("outcome is {word:?}")),
+        _ => return Err(format!("unknown outcome {code:?}")),
     })
 }
 
-fn gauges(pairs: Option<&str>) -> Result<Gauges, String> {
-    let mut read = Gauges::default();
+fn parse_gauges(pairs: Option<&str>) -> Result<Gauges, String> {
+    let mut gauges = Gauges::default();
     for pair in pairs.unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or_else(|| format!("gauge {pair:?} has no value"))?;
-        settings::set_gauge(&mut read, name, parse(value, name)?);
+        settings::set_gauge(&mut gauges, name, parse(value, name)?);
     }
-    Ok(read)
+    Ok(gauges)
 }
 
-fn arrival(instance: &mut Instance, word: &str, values: &mut Values) -> Result<Arrival, String> {
-    let is_retry = values.flag("resent")?;
-    let remaining_timeout =
-        values.optional::<i64>("budget_ns")?.filter(|ns| *ns > 0).map(|ns| ns / NANOS_PER_TIME_UNIT);
-    let client_priority = values.optional("prio")?.unwrap_or(0.0);
-    let earlier_attempt = match values.maybe().filter(|word| *word != "0") {
+fn parse_arrival(instance: &mut Instance, request_id: &str, values: &mut Values) -> Result<Arrival, String> {
+    let is_retry = values.read_flag("resent")?;
+    let remaining_timeout = values
+        .read_optional_number::<i64>("budget_ns")?
+        .filter(|ns| *ns > 0)
+        .map(|ns| ns / NANOS_PER_TIME_UNIT);
+    let client_priority = values.read_optional_number("prio")?.unwrap_or(0.0);
+    let earlier_attempt = match values.read_optional_value().filter(|earlier_id| *earlier_id != "0") {
         None => EarlierAttempt::None,
-        Some(word) => {
-            instance.ids.slots.get(word).map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot))
-        }
+        Some(earlier_id) => instance
+            .request_ids
+            .slots
+            .get(earlier_id)
+            .map_or(EarlierAttempt::Released, |slot| EarlierAttempt::Known(*slot)),
     };
-    let class = index_of(&instance.names.classes, values.word("profile")?, "operation")?;
-    let has_idempotency_key = values.maybe().is_some();
-    let time_unread = values.span("unread_for_ns")?;
-    values.maybe(); // the client's number
-    let is_write = values.flag("write")?;
-    let expected_work =
-        values.optional::<f64>("cost_ns")?.filter(|ns| *ns > 0.0).map(|ns| ns / NANOS_PER_TIME_UNIT as f64);
-    let memory_kb = values.optional("kb")?.unwrap_or(0.0);
-    let tenant = match values.maybe() {
+    let class = find_index(&instance.names.classes, values.read_value("profile")?, "operation")?;
+    let has_idempotency_key = values.read_optional_value().is_some();
+    let time_unread = values.read_duration("unread_for_ns")?;
+    values.read_optional_value(); // the client's id is not used
+    let is_write = values.read_flag("write")?;
+    let expected_work = values
+        .read_optional_number::<f64>("cost_ns")?
+        .filter(|ns| *ns > 0.0)
+        .map(|ns| ns / NANOS_PER_TIME_UNIT as f64);
+    let memory_kb = values.read_optional_number("kb")?.unwrap_or(0.0);
+    let tenant = match values.read_optional_value() {
         None | Some("0") => None,
-        Some(name) => Some(index_of(&instance.names.tenants, name, "customer")?),
+        Some(name) => Some(find_index(&instance.names.tenants, name, "customer")?),
     };
-    let slot = instance.ids.open(word);
+    let slot = instance.request_ids.open(request_id);
     Ok(Arrival {
         slot,
         class,
@@ -200,155 +208,170 @@
     })
 }
 
-/// Starts an instance with the settings on the line.
+/// Starts an instance with the settings that the line contains.
 fn open_instance(
     now: Time,
     line: &str,
-    (who, seed): (usize, u64),
-    pooled: bool,
-    out: &mut String,
+    (instance_id, seed): (usize, u64),
+    use_pools: bool,
+    output: &mut String,
 ) -> Result<Instance, String> {
-    let wrong = |what: &dyn std::fmt::Display| format!("boot_info: {what}");
+    let with_field = |error: &dyn std::fmt::Display| format!("boot_info: {error}");
     let start = line.find('{').ok_or("boot_info is missing")?;
-    let (mut settings, names) = settings::parse(&line[start..], seed).map_err(|what| wrong(&what))?;
-    if pooled {
+    let (mut settings, names) = settings::parse(&line[start..], seed).map_err(|error| with_field(&error))?;
+    if use_pools {
         let classes = &settings.classes;
         let objectives: Vec<Time> = classes.iter().map(|class| class.latency_objective).collect();
         let weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
         settings.pools = PoolsConfig::derive(&objectives, &weights);
     }
-    settings.validate().map_err(|what| wrong(&what))?;
-    let mut ids = Ids::default();
-    let scheduler = Scheduler::start(now, settings, &mut Wire { out, who, ids: &mut ids });
-    Ok(Instance { scheduler, ids, names })
+    settings.validate().map_err(|error| with_field(&error))?;
+    let mut request_ids = RequestIds::default();
+    let scheduler = Scheduler::start(
+        now,
+        settings,
+        &mut ActionWriter { output, instance_id, request_ids: &mut request_ids },
+    );
+    Ok(Instance { scheduler, request_ids, names })
 }
 
-/// Handles one message of a batch.
-fn event(
-    hosted: &mut HashMap<usize, Instance>,
-    pooled: bool,
+/// Handles one event of a batch.
+fn handle_event(
+    instances: &mut HashMap<usize, Instance>,
+    use_pools: bool,
     now: Time,
     line: &str,
-    out: &mut String,
+    output: &mut String,
 ) -> Result<(), String> {
     let mut values = Values(line.split(' '));
-    let name = values.word("message name")?;
-    let who: usize = values.number("who")?;
+    let name = values.read_value("event name")?;
+    let instance_id: usize = values.read_number("who")?;
     if name == "OPEN_INSTANCE" {
-        let seed: u64 = values.number("salt")?;
-        hosted.insert(who, open_instance(now, line, (who, seed), pooled, out)?);
+        let seed: u64 = values.read_number("salt")?;
+        instances.insert(instance_id, open_instance(now, line, (instance_id, seed), use_pools, output)?);
         return Ok(());
     }
-    let instance = hosted.get_mut(&who).ok_or_else(|| format!("no instance {who} is open"))?;
+    let instance =
+        instances.get_mut(&instance_id).ok_or_else(|| format!("instance {instance_id} is not open"))?;
     match name {
         "STOP" => {
-            hosted.remove(&who);
+            instances.remove(&instance_id);
             Ok(())
         }
         "REMINDER" => {
-            values.maybe(); // the timer's key: there is one timer
-            let read = gauges(values.maybe());
-            // The timer must go on whatever the gauges say.
-            let known = read.as_ref().copied().unwrap_or_default();
-            instance.scheduler.tick(now, known, &mut Wire { out, who, ids: &mut instance.ids });
-            read.map(|_| ())
+            values.read_optional_value(); // the timer's key is not used: an instance has one timer
+            let parsed = parse_gauges(values.read_optional_value());
+            // The timer must continue even if the gauges are invalid.
+            let gauges = parsed.as_ref().copied().unwrap_or_default();
+            instance.scheduler.tick(
+                now,
+                gauges,
+                &mut ActionWriter { output, instance_id, request_ids: &mut instance.request_ids },
+            );
+            parsed.map(|_| ())
         }
         "LEAVING" => {
-            let within = values.span("budget_ns")?;
-            instance.scheduler.start_draining(now, within, &mut Wire { out, who, ids: &mut instance.ids });
+            let within = values.read_duration("budget_ns")?;
+            instance.scheduler.start_draining(
+                now,
+                within,
+                &mut ActionWriter { output, instance_id, request_ids: &mut instance.request_ids },
+            );
             Ok(())
         }
         "ACCEPT" => {
-            let word = values.word("corr")?;
-            // A request that cannot be understood still gets its answer.
-            let answer_and_pass_on = |what| {
-                let _ = writeln!(out, "DROP_REQUEST {who} {word}");
-                what
+            let request_id = values.read_value("corr")?;
+            // An invalid request still gets its final response.
+            let drop_request = |error| {
+                let _ = writeln!(output, "DROP_REQUEST {instance_id} {request_id}");
+                error
             };
-            let arrival = arrival(instance, word, &mut values).map_err(answer_and_pass_on)?;
-            let mut host = Wire { out, who, ids: &mut instance.ids };
+            let arrival = parse_arrival(instance, request_id, &mut values).map_err(drop_request)?;
+            let mut host = ActionWriter { output, instance_id, request_ids: &mut instance.request_ids };
             instance.scheduler.handle_arrival(now, arrival, &mut host);
             Ok(())
         }
-        _ => request_event(instance, now, name, &mut values, (who, out)),
+        _ => handle_request_event(instance, now, name, &mut values, (instance_id, output)),
     }
 }
 
-/// Handles a message about an open request. An id that is no longer known was released: its late events concern nobody.
-fn request_event(
+/// Handles an event of an open request. Late events of a request whose id is no longer known are ignored: it was released.
+fn handle_request_event(
     instance: &mut Instance,
     now: Time,
     name: &str,
     values: &mut Values,
-    (who, out): (usize, &mut String),
+    (instance_id, output): (usize, &mut String),
 ) -> Result<(), String> {
-    let word = values.word("corr")?;
-    let slot = instance.ids.slots.get(word).copied();
-    let mut host = Wire { out, who, ids: &mut instance.ids };
+    let request_id = values.read_value("corr")?;
+    let slot = instance.request_ids.slots.get(request_id).copied();
+    let mut host = ActionWriter { output, instance_id, request_ids: &mut instance.request_ids };
     let scheduler = &mut instance.scheduler;
     match name {
         "NEEDS_DEP" => slot.map(|slot| scheduler.handle_call_needed(now, slot, &mut host)),
         "CLIENT_LEFT" => slot.map(|slot| scheduler.handle_client_disconnect(now, slot, &mut host)),
         "CALL_DONE" | "DONE" => {
-            let how = outcome(values.word("code")?)?;
-            let took = values.span("time_taken_ns")?;
+            let outcome = parse_outcome(values.read_value("code")?)?;
+            let call_time = values.read_duration("time_taken_ns")?;
             match name {
-                "DONE" => slot.map(|slot| scheduler.handle_run_completed(now, slot, how, &mut host)),
-                _ => slot.map(|slot| scheduler.handle_call_completed(now, slot, how, took, &mut host)),
+                "DONE" => slot.map(|slot| scheduler.handle_run_completed(now, slot, outcome, &mut host)),
+                _ => {
+                    slot.map(|slot| scheduler.handle_call_completed(now, slot, outcome, call_time, &mut host))
+                }
             }
         }
-        _ => return Err(format!("unknown message {name:?}")),
+        _ => return Err(format!("unknown event {name:?}")),
     };
     Ok(())
 }
 
-fn complain(what: String) {
-    eprintln!("cypresscleat-simulator-adapter: {what}");
+fn log_error(error: String) {
+    eprintln!("cypresscleat-simulator-adapter: {error}");
 }
 
-/// Ends with the input, or where batches can no longer be told apart.
-fn serve(input: impl BufRead, mut output: impl Write, pooled: bool) -> Result<(), String> {
-    let mut hosted = HashMap::new();
+/// Handles batches until the input ends, or until a batch is malformed so that the next one can't be located.
+fn serve(input: impl BufRead, mut output: impl Write, use_pools: bool) -> Result<(), String> {
+    let mut instances = HashMap::new();
     let mut now: Option<Time> = None;
-    let mut out = String::new();
-    let mut count = 0;
+    let mut response = String::new();
+    let mut line_number = 0;
     for line in input.lines() {
-        count += 1;
-        let wrong = |what: String| format!("line {count}: {what}");
-        let line = line.map_err(|error| wrong(error.to_string()))?;
+        line_number += 1;
+        let with_line = |error: String| format!("line {line_number}: {error}");
+        let line = line.map_err(|error| with_line(error.to_string()))?;
         match (line.strip_prefix("TURN "), now) {
             (Some(clock), None) => {
-                now = Some(parse::<i64>(clock, "clock").map_err(wrong)? / NANOS_PER_TIME_UNIT)
+                now = Some(parse::<i64>(clock, "clock").map_err(with_line)? / NANOS_PER_TIME_UNIT)
             }
-            (Some(_), Some(_)) => return Err(wrong("TURN inside a batch".into())),
+            (Some(_), Some(_)) => return Err(with_line("TURN inside a batch".into())),
             (None, None) if line.is_empty() => {}
-            (None, None) => return Err(wrong(format!("expected TURN, found {line:?}"))),
+            (None, None) => return Err(with_line(format!("expected TURN, found {line:?}"))),
             (None, Some(_)) if line == "EOB" => {
-                out.push_str("DONE\n");
+                response.push_str("DONE\n");
                 output
-                    .write_all(out.as_bytes())
+                    .write_all(response.as_bytes())
                     .and_then(|()| output.flush())
-                    .map_err(|e| wrong(e.to_string()))?;
-                out.clear();
+                    .map_err(|error| with_line(error.to_string()))?;
+                response.clear();
                 now = None;
             }
-            // A message that is not understood is skipped: the other instances are served all the same.
-            (None, Some(now)) => {
-                event(&mut hosted, pooled, now, &line, &mut out).map_err(wrong).unwrap_or_else(complain)
-            }
+            // An invalid event is skipped, so that the other instances continue.
+            (None, Some(now)) => handle_event(&mut instances, use_pools, now, &line, &mut response)
+                .map_err(with_line)
+                .unwrap_or_else(log_error),
         }
     }
     match now {
-        Some(_) => Err(format!("line {count}: input ended inside a batch")),
+        Some(_) => Err(format!("line {line_number}: input ended inside a batch")),
         None => Ok(()),
     }
 }
 
-/// With `--pools` the request classes are pooled by the rule of `PoolsConfig::derive`.
+/// With `--pools`, the pools are derived from the request classes by `PoolsConfig::derive`.
 fn main() {
-    let pooled = std::env::args().any(|word| word == "--pools");
-    if let Err(what) = serve(io::stdin().lock(), io::stdout().lock(), pooled) {
-        complain(what);
+    let use_pools = std::env::args().any(|argument| argument == "--pools");
+    if let Err(error) = serve(io::stdin().lock(), io::stdout().lock(), use_pools) {
+        log_error(error);
         std::process::exit(1);
     }
 }
