--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -1,6 +1,6 @@
-//! The one owner of the module: ids and indices, the open invocations, the table of calls. No I/O and no
-//! clock: each message that the queue brings becomes one call on the `Scheduler`, and what the `Scheduler` asks of
-//! its `Host` goes straight to the outboxes of those concerned. Decides nothing.
+//! Owns the scheduler and its bookkeeping: request slots, open requests and pending downstream calls. Performs no I/O
+//! and reads no clock: each event from the queue becomes one call to the `Scheduler`, and what the `Scheduler` requests
+//! of its `Host` goes straight into the outboxes of the peers concerned. Makes no decisions of its own.
 
 use crate::clock::MS;
 use crate::counters::{add, Counters};
@@ -29,49 +29,50 @@
 pub mod incoming;
 pub mod persistence;
 
-/// Invocations a connection may have open.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_STREAMS: usize = 32;
-/// The module's timer waits this long for the gauges asked for when it came due, and then goes on with the last
-/// ones, or, where these are older than that, without.
+/// How long the scheduler's timer waits for gauges that were requested when it fired. After that the tick uses the last
+/// gauges, or none if those are older than `MAX_GAUGES_AGE`.
 const GAUGES_TIMEOUT: Time = 3 * MS;
 const MAX_GAUGES_AGE: Time = 200 * MS;
-/// A call is given up from here when its reply is this late: the ledger tells of its end by itself.
+/// A call is abandoned here when its reply is this late; normally the downstream proxy reports its end itself.
 const CALL_REPLY_MARGIN: Time = 50 * MS;
-/// Answers sent into a closing connection are kept this long, and so many with their bodies: the invocation may come again. Of
-/// more, so many in all, it is known that they were answered.
+/// Responses written to a closing connection are saved for this long, since the request may be sent again. At most
+/// `MAX_SAVED_BODIES` are saved with their bodies; beyond those, up to `MAX_SAVED_RESPONSES` in all, only the fact that
+/// they were sent is remembered.
 const RESEND_WINDOW: Time = 1000 * MS;
 const MAX_SAVED_BODIES: usize = 64;
 const MAX_SAVED_RESPONSES: usize = 4096;
-/// While the store can't keep anything and nothing may be served without, callers are to come back after this long.
+/// Retry delay for clients while the store can't persist anything and requests must not be served without it.
 const STORE_FAILURE_RETRY_AFTER: Time = 1000 * MS;
-/// While this instance is out of service, or has no room for what it holds, callers are to come back after this long.
+/// Retry delay for clients while this instance is out of service, or can't hold another request during a policy change.
 const OUT_OF_SERVICE_RETRY_AFTER: Time = 1000 * MS;
-/// Invocations held while a change of policy stops all for a moment.
+/// Maximum number of requests held while a policy change pauses admission.
 const MAX_HELD_REQUESTS: usize = 256;
-/// What is held is turned away so long before its client's time is over.
+/// A held request is rejected this long before its client's timeout.
 const HELD_REJECT_MARGIN: Time = 50 * MS;
-/// No gauges are asked for while more than this waits for the kernel to read.
+/// No gauges are requested while more than this many bytes wait for the executor to read.
 const MAX_EXECUTOR_BACKLOG_BYTES: usize = 65_536;
 
-/// What the module says of itself: set by the core, sent along by the front.
+/// The state this server reports to clients and to the registry: set by the core, sent by the frontends.
 pub struct ServerStatus {
     pub is_healthy: Cell<bool>,
     pub load_feedback: Cell<Option<f64>>,
-    /// Connections idle for longer are to be closed.
+    /// Connections that are idle for longer than this are closed.
     pub idle_timeout: Cell<Option<Time>>,
-    /// What the roster is told, where it is fit as well.
+    /// Reported to the registry, together with `is_in_service`.
     pub accepts_work: Cell<bool>,
-    /// A policy of the fleet lets it serve, or there is none.
+    /// The fleet's active policy allows this server to serve, or there is no policy.
     pub is_in_service: Cell<bool>,
-    /// The grace of a drain is over: connections without an open invocation are to go.
+    /// The grace period of a drain is over: connections without an open request are closed.
     pub is_closing: Cell<bool>,
-    /// What all callers together may have here, while that is less than what the module's limits let in.
+    /// Concurrency limit for all clients together, while it is below what the scheduler's own limits admit.
     pub slow_start_limit: Cell<Option<f64>>,
 }
 
-/// What the core wants of the tier below.
+/// A command from the core to the downstream tier.
 pub enum DownstreamCommand {
-    /// A call is to be made, and given up after `within`.
+    /// Makes a call, which is abandoned after `timeout`.
     Call {
         request_id: RequestId,
         number: u64,
@@ -97,12 +98,12 @@
     }
 }
 
-/// The messages read from sockets, in the order of the one queue.
+/// An event for the core: messages read from sockets, and completions. All events pass through one queue, in order.
 pub enum CoreEvent {
     RequestArrived {
         peer: Rc<Peer>,
         stream: u32,
-        /// Or what can't be carried out about it.
+        /// The request, or why it can't be carried out.
         request: Result<IncomingRequest, String>,
     },
     ClientLeft {
@@ -113,7 +114,7 @@
         peer: Rc<Peer>,
     },
     ExecutorNotice(Notice),
-    /// A new link has told all notices that were missed; commands go here now.
+    /// A new link has delivered all missed notices; commands go to this outbox from now on.
     ExecutorConnected(Rc<Outbox>),
     ExecutorDisconnected,
     CallCompleted {
@@ -125,43 +126,43 @@
     Drain {
         within: Time,
     },
-    /// Other pools of the instance's own from now on.
+    /// The instance's own pools have changed.
     PoolsChanged(PoolsConfig),
-    /// A policy is in force, with its pools, or the instance's own.
+    /// A policy is active, with its pools; without any, the instance's own pools apply.
     PolicyActivated {
         number: u64,
         pools: Option<PoolsConfig>,
     },
-    /// The gate stands otherwise: what is held is looked at again.
+    /// The gate has changed its state: held requests are evaluated again.
     GateChanged,
-    /// A run at a worker is over; `said` is what its worker said of one that it turned away: when to come back, and whether not to
-    /// try elsewhere.
+    /// A run at a worker has ended. If the worker rejected it, `retry_after` is the worker's retry delay and whether
+    /// the client should not try another server.
     RunCompleted {
         request_id: RequestId,
         outcome: Outcome,
         body: Buf,
         retry_after: Option<(Time, bool)>,
     },
-    /// All jobs for the store up to this one are done with; why some of them failed.
+    /// All batches for the store up to this number are finished; `failure` tells why some of them failed.
     Persisted {
         acknowledged_through: u64,
         failure: Option<String>,
     },
 }
 
-/// What the kernel was last asked to do with an invocation.
+/// The last command to the executor about a request.
 #[derive(Clone, Copy, PartialEq)]
 enum RunState {
     Idle,
     Run,
-    /// It waits for a call: the next word is ours.
+    /// The request waits for a downstream call; the next command comes from this side.
     AwaitingCall,
     Resume,
 }
 
 struct OpenRequest {
     request_id: RequestId,
-    /// Whom the answer is owed.
+    /// The client and stream that are owed the response.
     client: Option<(Rc<Peer>, u32)>,
     class: usize,
     payload: Buf,
@@ -169,25 +170,25 @@
     fingerprint: u64,
     run_state: RunState,
     stop_requested: bool,
-    /// The number of the last command about it.
+    /// Number of the last command about this request.
     command_number: u64,
-    /// The body of the call it waits for, then the reply.
+    /// Body of the pending call, then of its reply.
     call_body: Option<Buf>,
     call: Option<(u64, Time)>,
-    /// Its last call failed, and not for want of time.
+    /// The last call failed for a reason other than a timeout.
     call_failed: bool,
     tenant: Option<usize>,
-    /// Unix time at which it came, in tenths of a millisecond.
+    /// Unix time of arrival, in tenths of a millisecond.
     arrived_at: Time,
     idempotency_key: Option<Box<str>>,
-    /// Its run was asked for, and waits for word of the store.
+    /// The run was requested and waits until the store has persisted its start.
     is_starting: bool,
     has_run: bool,
-    /// Its bytes are a frame's payload.
+    /// `payload` is the payload of a frame.
     is_frame_payload: bool,
     deadline: Time,
     subject: Option<u64>,
-    /// What the worker that turned it away said.
+    /// Retry delay reported by the worker that rejected the request.
     retry_after: Option<(Time, bool)>,
     client_priority: f64,
     expected_work: Option<f64>,
@@ -196,7 +197,7 @@
 
 struct Executor {
     outbox: Option<Rc<Outbox>>,
-    /// Commands told, and those known to have been read.
+    /// Number of commands sent, and of those known to have been read.
     sent_commands: u64,
     read_commands: u64,
 }
@@ -210,26 +211,26 @@
     body: Buf,
 }
 
-/// Whether an invocation's id was seen before: on the same invocation, or on another that is open.
+/// Result of looking up a request id: new, the same request again, or the id of another known request.
 enum DuplicateCheck {
     New,
     SameRequest,
     Conflict,
 }
 
-/// What makes two invocations of one id the same.
+/// Two requests with the same id are the same request if their fingerprints are equal.
 fn fingerprint(class: usize, body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     (class, body).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Nothing lies unread for longer and is still worth an answer.
+/// Upper bound of the time that a request can lie unread and still be worth a response.
 fn max_unread_time(settings: &Settings) -> Time {
     settings.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
 }
 
-/// All but the `Scheduler`: what its `Host` needs.
+/// Everything except the `Scheduler`: the state behind its `Host`.
 struct CoreHost {
     names: Rc<Names>,
     pool: Rc<BufferPool>,
@@ -241,7 +242,7 @@
     slots_by_id: HashMap<RequestId, RequestSlot>,
     requests: Vec<Option<OpenRequest>>,
     free_slots: Vec<RequestSlot>,
-    /// Calls that are out, by the time they are given up from here.
+    /// Pending calls, ordered by the time at which they are abandoned here.
     pending_calls: BTreeSet<(Time, u64, RequestSlot)>,
     call_number: u64,
     sent_responses: VecDeque<SentResponse>,
@@ -252,35 +253,36 @@
     unix_time: Time,
     persistence: Option<Persistence>,
     dispatcher: Option<Rc<dyn Dispatcher>>,
-    /// Answered by a result that was kept: the module is told that nobody waits.
+    /// Requests answered by a stored result: the scheduler is told that their clients have left.
     replayed: Vec<RequestSlot>,
-    /// Whether something may be admitted, where a policy of the fleet says so.
+    /// Decides whether requests may be admitted, where a fleet policy is in force.
     gate: Option<Rc<Gate>>,
-    /// A drain is under way: what is owed is in the store.
+    /// A drain is under way: open requests are recorded in the store.
     is_draining: bool,
-    /// What the settings say of billed value: each operation's, its objective, what is left of it behind that.
+    /// Billing terms of each request class: its value, its latency objective and the share billed when late.
     class_values: Vec<(f64, Time, f64)>,
-    /// When the module's timer is due, and when it goes on at the latest once the gauges were asked for.
+    /// When the scheduler's timer fires, and when a tick goes ahead without the requested gauges.
     wake_at: Time,
     gauges_deadline: Option<Time>,
 }
 
+/// Owns the scheduler and handles all events of the server.
 pub struct Core {
     scheduler: Option<Scheduler>,
     settings: Settings,
-    /// When the notice to leave came, and how long after it the process is stopped.
+    /// When the termination notice came, and how long after it the process is stopped.
     drain_notice: Option<(Time, Time)>,
-    /// When a drain's grace is over.
+    /// When the grace period of a drain ends.
     closes_at: Time,
-    /// Read and not admitted yet, while a change of policy stops all for a moment.
+    /// Requests read but not admitted yet, while a policy change pauses admission.
     held_requests: VecDeque<(Time, Rc<Peer>, u32, IncomingRequest)>,
-    /// The policy's pools, in place of the instance's own.
+    /// The pools of the active policy, in place of the instance's own.
     policy_pools: Option<PoolsConfig>,
     own_pools: PoolsConfig,
     host: CoreHost,
 }
 
-/// What the core shares with the tasks round it.
+/// State shared by the core and the tasks around it.
 #[derive(Clone)]
 pub struct Shared {
     pub pool: Rc<BufferPool>,
@@ -291,6 +293,7 @@
 }
 
 impl Shared {
+    /// Creates the state with a pool of at most `buffers` buffers.
     pub fn new(buffers: usize) -> Shared {
         Shared {
             readiness: Readiness::new(std::time::Instant::now()),
@@ -303,7 +306,7 @@
                 accepts_work: Cell::new(true),
                 is_in_service: Cell::new(true),
                 is_closing: Cell::new(false),
-                slow_start_limit: Cell::new(Some(0.0)), // nothing before the kernel is up
+                slow_start_limit: Cell::new(Some(0.0)), // no capacity before the executor is up
             }),
             downstream: Rc::default(),
         }
@@ -311,6 +314,7 @@
 }
 
 impl Core {
+    /// Creates a core without a scheduler, which starts when the executor boots.
     pub fn new(settings: Settings, names: Rc<Names>, shared: &Shared) -> Core {
         let Shared { pool, counters, server_status, downstream: downstream_commands, readiness } =
             shared.clone();
@@ -346,7 +350,7 @@
             wake_at: Time::MAX,
             gauges_deadline: None,
         };
-        // Without a store to keep them in, tokens are known in this life.
+        // Without a store, idempotency keys are known only while the process lives.
         if settings.classes.iter().any(|class| class.retry_safety == RetrySafety::IdempotencyKey) {
             host.persistence.insert(Persistence::in_memory()).max_unread_time = max_unread_time(&settings);
         }
@@ -363,38 +367,38 @@
         }
     }
 
-    /// Runs go to workers; to be said before the first message.
+    /// Sends runs to workers; to be called before the first event.
     pub fn set_dispatcher(&mut self, dispatcher: Rc<dyn Dispatcher>) {
         self.host.dispatcher = Some(dispatcher);
     }
 
-    /// Rows are kept from now on; to be said before the first message.
+    /// Persists rows from now on; to be called before the first event.
     pub fn set_persistence(&mut self, persistence: Persistence) {
         let max_unread_time = max_unread_time(&self.settings);
         self.host.persistence.insert(persistence).max_unread_time = max_unread_time;
     }
 
-    /// A policy of the fleet says whether anything may be admitted; to be said before the first message.
+    /// Lets a fleet policy decide whether requests may be admitted; to be called before the first event.
     pub fn set_gate(&mut self, gate: Rc<Gate>) {
         self.host.gate = Some(gate);
         self.host.server_status.is_in_service.set(false);
     }
 
-    /// When `tick` is due.
+    /// When `tick` must be called next.
     pub fn wake_at(&self) -> Time {
         let held = self.held_requests.iter().map(|held| held.0).min().unwrap_or(Time::MAX);
         self.host.gauges_deadline.unwrap_or(self.host.wake_at).min(held)
     }
-    /// Nothing is run any more, and nobody waits.
+    /// Nothing runs any more, and no client waits.
     pub fn is_done(&self) -> bool {
         self.host.server_status.is_closing.get() && self.host.pending_responses == 0
     }
-    /// Answers that are owed.
+    /// Number of responses owed.
     pub fn pending_responses(&self) -> usize {
         self.host.pending_responses
     }
 
-    /// One message from the queue; `unix` is the system's clock in tenths of a millisecond.
+    /// Handles one event from the queue; `unix_time` is the system clock in tenths of a millisecond.
     pub fn handle_event(&mut self, now: Time, unix_time: Time, event: CoreEvent) {
         (self.host.now, self.host.unix_time) = (now, unix_time);
         match event {
@@ -448,7 +452,7 @@
             CoreEvent::PoolsChanged(pools) => {
                 self.own_pools = pools;
                 match &self.policy_pools {
-                    Some(_) => log!("the pools are those of the policy in force"),
+                    Some(_) => log!("own pools have changed; the pools of the active policy stay in effect"),
                     None => self.apply_pools(),
                 }
             }
@@ -468,33 +472,34 @@
                 self.host.server_status.accepts_work.set(false);
                 self.drain_notice = Some((now, within));
                 self.closes_at = now + self.settings.drain_grace;
-                self.host.server_status.is_closing.set(self.scheduler.is_none()); // nothing to wait for
+                self.host.server_status.is_closing.set(self.scheduler.is_none()); // nothing to wait for without a scheduler
                 self.host.persist_open_requests();
                 self.with_scheduler(|scheduler, now, host| scheduler.start_draining(now, within, host));
             }
         }
     }
 
-    /// The gate stands otherwise: the roster and health checks are told, and what is held is looked at again.
+    /// Handles a changed gate: updates the state reported to the registry and to health checks, and evaluates held
+    /// requests again.
     fn handle_gate_change(&mut self, unix_time: Time) {
         let is_in_service = self.host.gate.as_ref().is_none_or(|gate| gate.may() != AdmissionPermit::Deny);
         self.host.server_status.is_in_service.set(is_in_service);
         self.admit_held(unix_time);
     }
 
-    /// The pools that hold now; what is held is counted where it belongs then, and no run is ended by it.
+    /// Applies the pools now in force. Requests in progress are counted in their new pools; no run is ended.
     fn apply_pools(&mut self) {
         let pools = self.policy_pools.clone().unwrap_or_else(|| self.own_pools.clone());
         self.with_scheduler(|scheduler, now, host| scheduler.set_pools(now, &pools, host));
-        self.settings.pools = pools; // where the module has not begun
+        self.settings.pools = pools; // for a scheduler that has not started yet
     }
 
-    /// The module's timer is due: first the gauges are asked for, then it goes on with them or without.
+    /// The scheduler's timer has fired: requests the gauges first, then runs the tick with or without them.
     pub fn tick(&mut self, now: Time) {
-        // The system's clock was last told with a message; since then it has moved on as ours has.
+        // The Unix time was last set by an event; since then it has advanced as much as the monotonic clock.
         self.host.unix_time += (now - self.host.now).max(0);
         self.host.now = now;
-        // Guards the client's time against a change that takes longer: none is held past it.
+        // Protects the client's timeout from a slow policy change: no request is held past it.
         for at in (0..self.held_requests.len())
             .rev()
             .filter(|at| self.held_requests[*at].0 <= now)
@@ -535,7 +540,8 @@
         latest.set(latest.get().max(late as u64));
         self.host.wake_at = Time::MAX;
         self.host.gauges_deadline = None;
-        // Guards runs whose call was lost without a word: the ledger tells of the end of each in time.
+        // Protects runs whose call was lost without a report; normally the downstream proxy reports the end of each
+        // call in time.
         while let Some((_, number, slot)) =
             self.host.pending_calls.first().copied().filter(|call| call.0 <= now)
         {
@@ -575,7 +581,7 @@
         }
     }
 
-    // ---- routers ----
+    // ---- clients ----
 
     fn handle_arrival(
         &mut self,
@@ -589,7 +595,7 @@
         if peer.is_closed.get() {
             return;
         }
-        // It came whole, ahead of what ended its connection: an answer is owed, a run is not.
+        // The request arrived whole before its connection was ended: a response is owed, a run is not.
         if peer.is_closing.get() {
             if stream > peer.last_stream.replace(stream.max(peer.last_stream.get())) {
                 add(&host.counters.errored);
@@ -598,7 +604,7 @@
             return;
         }
         let counters = host.counters.clone();
-        // Streams count up: on one that was used before, an answer could be taken for that to another invocation.
+        // Stream numbers increase: on a stream used before, a response could be taken for that of another request.
         if stream <= peer.last_stream.replace(stream.max(peer.last_stream.get())) {
             let what = format!("stream {stream} was used before");
             return peer.close_on_violation(&counters, 0, RequestError::Malformed, &what);
@@ -608,7 +614,7 @@
                 &counters,
                 stream,
                 RequestError::Malformed,
-                "more streams than may be open",
+                "too many open streams",
             );
         }
         let request = match request {
@@ -616,19 +622,19 @@
             Err(what) => return peer.reject_invalid(&counters, stream, &what),
         };
         let request_id = request.request_id;
-        // Ids are new with every try: whoever sends one again that was turned away heeds nothing.
+        // Each attempt has a new id: a client that sends a rejected id again ignores responses.
         if peer.last_rejected.get() == Some(request_id) {
             return peer.close_on_violation(
                 &counters,
                 stream,
                 RequestError::Malformed,
-                "an id that was turned away",
+                "the id of a rejected request",
             );
         }
         self.admit(unix_time, peer, stream, request);
     }
 
-    /// What was held while a change stopped all is looked at again, in its order.
+    /// Evaluates the held requests again, in their order of arrival.
     fn admit_held(&mut self, unix_time: Time) {
         for (_, peer, stream, request) in std::mem::take(&mut self.held_requests) {
             peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
@@ -640,19 +646,19 @@
         }
     }
 
-    /// What was read becomes an invocation that is open, or is answered at once.
+    /// Admits a request, which then is an open request, or answers it at once.
     fn admit(&mut self, unix_time: Time, peer: Rc<Peer>, stream: u32, request: IncomingRequest) {
         let host = &mut self.host;
         let counters = host.counters.clone();
         let request_id = request.request_id;
         let fingerprint = fingerprint(request.class, request.body());
-        let tokened = self
+        let requires_key = self
             .settings
             .classes
             .get(request.class)
             .is_some_and(|class| class.retry_safety == RetrySafety::IdempotencyKey);
-        if tokened && request.idempotency_key.is_none() {
-            return peer.reject_invalid(&counters, stream, "a tokened operation without its token");
+        if requires_key && request.idempotency_key.is_none() {
+            return peer.reject_invalid(&counters, stream, "the request class requires an idempotency key");
         }
         if host
             .persistence
@@ -661,9 +667,9 @@
         {
             return host.reject_before_admission(&peer, stream, STORE_FAILURE_RETRY_AFTER);
         }
-        // Guards the table of tokens: a token that is not kept could not be told from its repeat, and would run twice. May hurt
-        // where more tokens come in their window than the table has room for.
-        let new = |persistence: &Persistence| {
+        // Protects the table of idempotency keys: a key that is not stored could not be recognized on a retry, and its
+        // request would run twice. The limit hurts where more keys arrive within their window than the table can hold.
+        let is_new = |persistence: &Persistence| {
             request
                 .idempotency_key
                 .as_deref()
@@ -672,23 +678,23 @@
         let full_until = host
             .persistence
             .as_ref()
-            .filter(|persistence| tokened && new(persistence))
+            .filter(|persistence| requires_key && is_new(persistence))
             .and_then(Persistence::full_until);
         if let Some(expires_at) = full_until {
             add(&counters.tokens_refused);
             let retry_after = (expires_at - unix_time).clamp(MS, self.settings.max_retry_after.max(MS));
             return host.reject_before_admission(&peer, stream, retry_after);
         }
-        // Under a token that is known it is a repeat, if it says the same.
+        // A request under a known key is a retry if its fingerprint matches.
         let arrived_at = request.arrived_at.min(unix_time);
-        let idempotency_key = request.idempotency_key.as_deref().filter(|_| tokened);
+        let idempotency_key = request.idempotency_key.as_deref().filter(|_| requires_key);
         let known = idempotency_key.and_then(|idempotency_key| {
             host.persistence.as_ref()?.find_repeated(idempotency_key, arrived_at)
         });
         let earlier_attempt = match known {
             None => EarlierAttempt::None,
             Some(record) if record.fingerprint != fingerprint => {
-                let what = "the token of another invocation";
+                let what = "the idempotency key of another request";
                 return peer.reject_malformed(&counters, stream, RequestError::Malformed, what);
             }
             Some(IdempotencyRecord { state: KeyState::Open(first), .. }) => EarlierAttempt::Known(*first),
@@ -708,7 +714,7 @@
             }
         }
         let Some(scheduler) = self.scheduler.as_mut() else {
-            let what = "an invocation before the kernel is up";
+            let what = "a request before the kernel is up";
             return peer.reject_malformed(&counters, stream, RequestError::NotReady, what);
         };
         if let Some(gate) = &host.gate {
@@ -716,7 +722,7 @@
                 AdmissionPermit::Admit(_) => gate.asked(),
                 AdmissionPermit::Hold if self.held_requests.len() < MAX_HELD_REQUESTS => {
                     add(&host.counters.policy_held);
-                    peer.queued_requests.set(peer.queued_requests.get() + 1); // it counts as on its way, so its connection stays
+                    peer.queued_requests.set(peer.queued_requests.get() + 1); // counts as queued, so that its connection stays open
                     let remaining_timeout = request.remaining_timeout.or(self
                         .settings
                         .classes
@@ -740,7 +746,7 @@
             remaining_timeout: request.remaining_timeout,
             client_priority: request.client_priority,
             earlier_attempt,
-            has_idempotency_key: request.has_item || tokened,
+            has_idempotency_key: request.has_item || requires_key,
             time_unread: (unix_time - request.arrived_at).max(0),
             expected_work: request.expected_work,
             memory_kb: request.memory_kb,
@@ -780,14 +786,14 @@
         self.release_replayed();
     }
 
-    /// What was answered by another's result is over for the module too.
+    /// Releases requests that were answered by another request's result: the scheduler is done with them too.
     fn release_replayed(&mut self) {
         while let Some(slot) = self.host.replayed.pop() {
             self.with_scheduler(|scheduler, now, host| scheduler.handle_client_disconnect(now, slot, host));
         }
     }
 
-    /// The store has word: answers leave, tokened ones run.
+    /// Handles finished batches of the store: deferred responses are sent, and requests with an idempotency key run.
     fn handle_persisted(&mut self, acknowledged_through: u64, failure: Option<String>) {
         let Some(persistence) = self.host.persistence.as_mut() else { return };
         let actions = persistence.acknowledge(acknowledged_through);
@@ -821,7 +827,7 @@
                         continue;
                     }
                     if failure.is_some() || self.host.request(slot).stop_requested {
-                        // It never ran: nothing of it may be taken for begun.
+                        // The request never ran: its key must not be recorded as started.
                         let empty = self.host.pool.take();
                         self.host.request(slot).has_run = false;
                         self.handle_run_completed(
@@ -841,7 +847,8 @@
     fn handle_client_left(&mut self, slot: RequestSlot) {
         add(&self.host.counters.caller_left);
         self.host.detach_client(slot);
-        // Whoever waits for its answer takes its place: it goes on for them, and is not over with its first caller.
+        // A client that waits for this request's result takes over: the request continues and does not end with its
+        // first client.
         if let Some(next) =
             self.host.persistence.as_mut().and_then(|persistence| persistence.take_follower(slot))
         {
@@ -855,8 +862,8 @@
         self.with_scheduler(|scheduler, now, host| scheduler.handle_client_disconnect(now, slot, host));
     }
 
-    /// All that is open on a connection is errored. Guards the line and the run cap against a sender whose other
-    /// invocations can't be carried out either.
+    /// Fails all open requests of a connection. Protects the queue and the concurrency limit from a client whose other
+    /// requests can't be carried out either.
     fn fail_open_requests(&mut self, peer: &Rc<Peer>) {
         let open_slots: Vec<RequestSlot> =
             peer.open_requests.borrow().iter().map(|(_, slot)| *slot).collect();
@@ -866,7 +873,7 @@
         }
     }
 
-    // ---- the kernel ----
+    // ---- executor ----
 
     fn handle_notice(&mut self, notice: Notice) {
         match notice {
@@ -896,13 +903,13 @@
             Notice::Rejected { command, call } => {
                 add(&self.host.counters.kernel_rejected);
                 log!("the kernel would not carry out {command} {call}");
-                // A run that never started, or can't go on, would else hold its place until it is due.
+                // A run that never started, or can't continue, would otherwise hold its slot until its deadline.
                 let ends_run = matches!(command.as_str(), "SCHED" | "IODONE");
                 if let (true, Some(slot)) = (ends_run, self.host.find_request(&call)) {
                     let empty = self.host.pool.take();
                     let from = self.host.request(slot).client.clone();
                     self.handle_run_completed(slot, Outcome::Failed, empty);
-                    // The kernel knows every invocation that a router sent here: this sender is none.
+                    // The executor knows every request that a router sent here: this client is not a router.
                     if let (Some((peer, _)), "SCHED") = (from, command.as_str()) {
                         let what = "an invocation that the kernel doesn't know";
                         peer.close_on_violation(&self.host.counters, 0, RequestError::Malformed, what);
@@ -914,7 +921,7 @@
         }
     }
 
-    /// The module starts when the kernel does, and believes it about being cold.
+    /// Starts the scheduler when the executor boots, with the executor's own report of being cold.
     fn handle_booted(&mut self, cold: bool, age: Time) {
         if self.scheduler.is_some() {
             return;
@@ -924,7 +931,7 @@
         log!("kernel up for {} ms, {}", age / MS, if cold { "cold" } else { "warm" });
         let mut scheduler = Scheduler::start(now - age, settings, &mut self.host);
         self.host.wake_at = now;
-        // The notice came before the kernel was up: it holds for what comes now.
+        // The termination notice came before the executor was up: it applies to the new scheduler.
         if let Some((at, within)) = self.drain_notice {
             scheduler.start_draining(at, within, &mut self.host);
         }
@@ -933,7 +940,7 @@
         self.update_slow_start_limit();
     }
 
-    /// The run is over: the first answer to its invocation, if none was given, is how it ended.
+    /// The run has ended: if the request has no response yet, the outcome decides it.
     fn handle_run_completed(&mut self, slot: RequestSlot, outcome: Outcome, body: Buf) {
         let counters = self.host.counters.clone();
         if self.host.request(slot).client.is_none() {
@@ -958,14 +965,14 @@
         (request.run_state, request.stop_requested) = (RunState::Idle, false);
         self.with_scheduler(|scheduler, now, host| scheduler.handle_run_completed(now, slot, outcome, host));
         self.release_replayed();
-        // Its entry may live on for as long as a repeat can come, its bytes need not.
+        // The entry may stay for as long as a retry can arrive; its buffers are released.
         if let Some(request) = self.host.requests[slot].as_mut().filter(|request| request.client.is_none()) {
             request.payload.release();
             request.call_body = None;
         }
     }
 
-    // ---- calls ----
+    // ---- downstream calls ----
 
     fn handle_call_completed(&mut self, slot: RequestSlot, outcome: Outcome, reply: Option<Buf>) {
         let counters = &self.host.counters;
@@ -982,7 +989,7 @@
         request.call_failed = !matches!(outcome, Outcome::Succeeded | Outcome::TimedOut);
         let is_pending = request.client.is_some();
         self.host.pending_calls.retain(|call| call.1 != number);
-        // One that is answered or whose caller left is ended by the kernel itself.
+        // A run whose request is answered, or whose client has left, is ended by the executor itself.
         if let (Some(reply), Outcome::Succeeded, true) = (reply, outcome, is_pending) {
             let request = self.host.request(slot);
             (request.run_state, request.call_body) = (RunState::Resume, Some(reply));
@@ -995,12 +1002,13 @@
 }
 
 impl CoreHost {
-    /// Indices come from the module and from `index`: each names an open one.
+    /// Slots come from the scheduler and from `slots_by_id`: each refers to an open request.
     fn request(&mut self, slot: RequestSlot) -> &mut OpenRequest {
-        self.requests[slot].as_mut().expect("an index in use")
+        self.requests[slot].as_mut().expect("the slot is in use")
     }
 
-    /// Answers with an error. The scheduler fails what can't be answered in its time, unless a call told it to.
+    /// Responds with an error. The scheduler fails requests that can't be answered before their deadline, except where
+    /// a failed call caused it.
     fn respond_failed(&mut self, slot: RequestSlot) {
         let cause = if self.request(slot).call_failed {
             FailureCause::ExecutionFailed
@@ -1024,7 +1032,8 @@
         slot
     }
 
-    /// Rejects a request ahead of the scheduler, to be sent again after `back`. It counts as taken in, as each that is answered does.
+    /// Rejects a request before it reaches the scheduler. It counts as an incoming request, as each answered request
+    /// does.
     fn reject_before_admission(&self, peer: &Peer, stream: u32, retry_after: Time) {
         add(&self.counters.invocations);
         add(&self.counters.throttled);
@@ -1040,7 +1049,7 @@
         self.counters.open_most.set(self.counters.open_most.get().max(self.pending_responses as u64));
     }
 
-    /// Nothing is owed for it any more; returns to whom it was.
+    /// Clears the response owed for a request; returns the client and stream that waited for it.
     fn detach_client(&mut self, slot: RequestSlot) -> Option<(Rc<Peer>, u32)> {
         let (peer, stream) = self.request(slot).client.take()?;
         peer.open_requests.borrow_mut().retain(|(known, _)| *known != stream);
@@ -1049,8 +1058,8 @@
         Some((peer, stream))
     }
 
-    /// The final answer, if it is still owed: the one place where what is owed is settled. One that succeeded may wait for
-    /// its row to be kept.
+    /// Sends the final response, if it is still owed: the only place where a response is settled. A success may wait
+    /// until its billing row is persisted.
     fn respond(&mut self, slot: RequestSlot, status: ResponseStatus, body: &[u8]) {
         let Some((peer, stream)) = self.detach_client(slot) else { return };
         let counters = &self.counters;
@@ -1081,11 +1090,11 @@
             }
         }
         self.write_response(request_id, fingerprint, peer, stream, status, body);
-        // It was never run, and now never is.
+        // The request was never run and never will be.
         let request = self.request(slot);
         if request.run_state == RunState::Idle && !request.has_run {
             request.payload.release();
-            // Its token is free at once: what overload turns away takes no room of what ran.
+            // Frees its idempotency key at once: requests shed under overload take no capacity from those that ran.
             if let (Some(idempotency_key), Some(persistence)) =
                 (request.idempotency_key.clone(), self.persistence.as_mut())
             {
@@ -1094,7 +1103,8 @@
         }
     }
 
-    /// A run is over for which nobody waits: what a repeat of it may ask for is noted, and those that follow it are answered.
+    /// Handles a run that ended without a client: stores its result for retries, and answers the requests that follow
+    /// it.
     fn complete_without_client(&mut self, slot: RequestSlot, outcome: Outcome, result: &[u8]) {
         let Some(idempotency_key) = self.request(slot).idempotency_key.clone() else { return };
         let Some(persistence) = self.persistence.as_mut() else { return };
@@ -1103,7 +1113,7 @@
                 persistence.record_result(&idempotency_key, result);
                 ResponseStatus::Succeeded
             }
-            _ => ResponseStatus::Failed(FailureCause::ExecutionFailed), // some of it may have run: nobody is turned away for it
+            _ => ResponseStatus::Failed(FailureCause::ExecutionFailed), // it may have run in part, so it is no rejection
         };
         self.respond_to_followers(
             slot,
@@ -1112,7 +1122,7 @@
         );
     }
 
-    /// Lets an answer wait until a job is done with, where answers do.
+    /// Defers a response until a batch is finished, where responses wait for the commit.
     fn respond_after_commit(
         &mut self,
         number: u64,
@@ -1126,18 +1136,18 @@
         else {
             return false;
         };
-        // It counts as on its way, so its connection stays.
+        // The response counts as queued, so that its connection stays open.
         peer.queued_requests.set(peer.queued_requests.get() + 1);
         self.pending_responses += 1;
         let mut saved_body = self.pool.take();
         saved_body.push(body);
-        // Those that follow it wait for the same job; it is the last one that was sent.
+        // Followers wait for the same batch, which is the last one sent.
         persistence
             .defer(number, DeferredAction::Respond { peer: peer.clone(), stream, status, body: saved_body });
         true
     }
 
-    /// An answer that waited for its row.
+    /// Writes a response that waited for its billing row.
     fn write_deferred_response(&mut self, peer: &Rc<Peer>, stream: u32, status: ResponseStatus, body: &[u8]) {
         peer.queued_requests.set(peer.queued_requests.get().saturating_sub(1));
         self.pending_responses -= 1;
@@ -1175,7 +1185,7 @@
                 self.server_status.load_feedback.get(),
             );
         }
-        // Guards an invocation that crossed the close of its connection, after this answer: it comes once more.
+        // Protects a request that crossed the close of its connection, after this response: it will be sent once more.
         if peer.is_closed.get() || peer.close_announced_at.get().is_some() {
             let mut saved_body = self.pool.take();
             saved_body.push(body);
@@ -1188,8 +1198,8 @@
                 status,
                 body: saved_body,
             });
-            // Guards the memory against a crowd that closes at once, and effects against a second run: one whose body had to go is
-            // errored when it comes again.
+            // Bounds the memory when many clients close at once, and prevents a second run: a request whose saved body
+            // was released fails when it is sent again.
             if let Some(at) = self.sent_responses.len().checked_sub(MAX_SAVED_BODIES + 1) {
                 let old = &mut self.sent_responses[at];
                 old.body.release();
@@ -1203,7 +1213,7 @@
         }
     }
 
-    /// The number under which word of its row comes.
+    /// Hands a billing row to the store; returns the number of its batch.
     fn record_billing(&mut self, slot: RequestSlot, body: &[u8]) -> Option<u64> {
         let request = self.requests[slot].as_ref()?;
         let (value, objective, late_share) = self.class_values.get(request.class).copied()?;
@@ -1225,7 +1235,7 @@
         number
     }
 
-    /// Those that wait for this one's answer get the same.
+    /// Sends the same response to the requests that wait for this one's result.
     fn respond_to_followers(&mut self, first: RequestSlot, status: ResponseStatus, body: &[u8]) {
         let Some(persistence) = self.persistence.as_mut() else { return };
         let all = std::mem::take(&mut persistence.followers);
@@ -1236,12 +1246,12 @@
         }
     }
 
-    /// A repeat's answer: nothing of it runs, nothing is billed.
+    /// Answers a retry with a known result: nothing runs, nothing is billed.
     fn replay_response(&mut self, slot: RequestSlot, status: ResponseStatus, body: &[u8]) {
         let Some((peer, stream)) = self.detach_client(slot) else { return };
         add(&self.counters.repeated);
         let OpenRequest { request_id, fingerprint, .. } = *self.request(slot);
-        // What it repeats may not be kept yet: who is told of it now must be told the same in the next life.
+        // The result may not be persisted yet: a client that receives it now must receive the same after a restart.
         let batch = self
             .persistence
             .as_ref()
@@ -1253,7 +1263,7 @@
         self.replayed.push(slot);
     }
 
-    /// What is open when a drain begins is put on record, so that whoever looks later knows what was cut off.
+    /// Records what is open when a drain begins, so that the requests cut off can be found later.
     fn persist_open_requests(&mut self) {
         self.is_draining = true;
         let Some(persistence) = self.persistence.as_mut() else { return };
@@ -1268,10 +1278,10 @@
         }));
     }
 
-    /// Guards against an invocation that crossed the close of its connection and was sent once more: under an id
-    /// that is open or answered it is the same invocation, if it says the same and its first connection was
-    /// closing. It is not run again; its answer goes where it came from last, at most once on a connection. Nobody
-    /// else gets an answer by naming its id.
+    /// Handles a request that crossed the close of its connection and was sent once more. Under the id of an open or
+    /// answered request it is the same request if its fingerprint matches and its first connection was closing. It does
+    /// not run again; the response goes to the connection that sent it last, at most once to each connection. No other
+    /// client receives a response by naming its id.
     fn check_duplicate(
         &mut self,
         request_id: RequestId,
@@ -1314,9 +1324,9 @@
         DuplicateCheck::SameRequest
     }
 
-    // ---- commands to the kernel ----
+    // ---- commands to the executor ----
 
-    /// Tells the kernel what is asked of an invocation now; without a link it is told once there is one.
+    /// Sends the executor the current command for a request. Without a link the command is sent once there is one.
     fn send_command(&mut self, slot: RequestSlot) {
         self.executor.sent_commands += 1;
         self.request(slot).command_number = self.executor.sent_commands;
@@ -1350,9 +1360,9 @@
         }
     }
 
-    /// What a worker is sent: the frame's payload as it came, or one of the same meaning.
+    /// Builds the request for a worker: the original frame payload, or an equivalent one.
     fn forwarded_request(&self, slot: RequestSlot) -> ForwardedRequest {
-        let request = self.requests[slot].as_ref().expect("an index in use");
+        let request = self.requests[slot].as_ref().expect("the slot is in use");
         let payload = if request.is_frame_payload {
             request.payload.to_vec()
         } else {
@@ -1386,10 +1396,10 @@
         }
     }
 
-    /// On a new link all missed notices have been seen: what was told after the last command known to have
-    /// been read is told again. Guards runs and stops against a link that broke; a run that goes on already is
-    /// not started twice, as the kernel's notices would have told of its end. It may hurt where a reply was
-    /// read, and the run waits for its next call in that very moment.
+    /// A new link has delivered all missed notices: commands sent after the last one known to have been read are sent
+    /// again. Protects runs and stops from a broken link. A run that is already going is not started twice, as the
+    /// executor's notices would have reported its end. A resent reply does harm if the executor had read it and the run
+    /// waits for its next call at that very moment.
     fn reconnect(&mut self, outbox: Rc<Outbox>) {
         self.executor.outbox = Some(outbox);
         for slot in 0..self.requests.len() {
@@ -1398,7 +1408,7 @@
                 continue;
             }
             if request.stop_requested && request.run_state != RunState::Idle {
-                request.stop_requested = false; // what came before the stop, first
+                request.stop_requested = false; // first the command that preceded the stop
                 self.send_current_command(slot);
                 self.request(slot).stop_requested = true;
             }
@@ -1407,8 +1417,8 @@
         }
     }
 
-    /// The gauges come back with the number of the last command told: what the kernel has read. False where they
-    /// can't be asked for.
+    /// Requests the gauges. They return with the number of the last command sent, which shows what the executor has
+    /// read. Returns false where they can't be requested.
     fn request_gauges(&mut self) -> bool {
         if let Some(dispatcher) = &self.dispatcher {
             (self.gauges, self.gauges_at) = (dispatcher.gauges(), self.now);
@@ -1420,7 +1430,7 @@
             .is_some()
     }
 
-    // ---- calls ----
+    // ---- downstream calls ----
 
     fn cancel_call(&mut self, slot: RequestSlot) {
         let request = self.request(slot);
@@ -1439,7 +1449,7 @@
         let request = self.request(slot);
         (request.has_run, request.stop_requested) = (true, false);
         let (request_id, idempotency_key) = (request.request_id, request.idempotency_key.clone());
-        // A tokened one runs once it is on record that it does.
+        // A request with an idempotency key runs once its start is on record.
         if let (Some(idempotency_key), Some(persistence)) = (idempotency_key, self.persistence.as_mut()) {
             if let Some(number) = persistence.record_start(&idempotency_key) {
                 persistence.defer(number, DeferredAction::Run(slot, request_id));
@@ -1451,7 +1461,7 @@
         self.send_command(slot);
     }
     fn reject(&mut self, slot: RequestSlot, rejection: Rejection) {
-        // A worker's word goes through as it was said.
+        // A worker's retry delay is passed on unchanged.
         let own = (rejection.retry_after, rejection.no_retry_elsewhere);
         let (retry_after, no_retry_elsewhere) = self.request(slot).retry_after.unwrap_or(own);
         self.respond(slot, ResponseStatus::Rejected { retry_after, no_retry_elsewhere }, b"");
@@ -1471,16 +1481,16 @@
         self.call_number += 1;
         let (number, now) = (self.call_number, self.now);
         let mut body = self.pool.take();
-        let request = self.requests[slot].as_mut().expect("an index in use");
+        let request = self.requests[slot].as_mut().expect("the slot is in use");
         body.push(request.call_body.as_deref().unwrap_or(&[]));
         request.call = Some((number, now));
         let (request_id, class) = (request.request_id, request.class);
         self.pending_calls.insert((now + timeout + CALL_REPLY_MARGIN, number, slot));
         self.downstream_commands.push(DownstreamCommand::Call { request_id, number, class, timeout, body });
     }
-    /// Settings that would let the module skip a call, keep an entry or use one again end the start.
+    /// Settings that would let the scheduler skip a call or reuse results of other requests are refused at startup.
     fn skip_call(&mut self, _inv: RequestSlot) {
-        log!("skipping a call is not offered here");
+        log!("skipping a downstream call is not supported");
     }
     fn retain_for_retries(&mut self, slot: RequestSlot, span: Time) {
         let request = self.request(slot);
@@ -1504,7 +1514,8 @@
             Some(KeyState::Completed(result)) => {
                 self.replay_response(slot, ResponseStatus::Succeeded, &result)
             }
-            // It ran, or began to, and nobody knows how it ended: not again, and not as if it had succeeded.
+            // The request ran or started to, and its outcome is unknown: it must neither run again nor count as
+            // succeeded.
             Some(KeyState::Started) | None => {
                 self.replay_response(slot, ResponseStatus::Failed(FailureCause::ExecutionFailed), b"")
             }
@@ -1530,9 +1541,9 @@
     fn log(&mut self, event: &SchedulerEvent) {
         log!("{event}");
     }
-    /// The one place where an index and all that hangs on it is given back.
+    /// The only place where a slot and everything attached to it is released.
     fn release(&mut self, slot: RequestSlot) {
-        self.respond_failed(slot); // where no answer was given: none is left without
+        self.respond_failed(slot); // no request is released without a response
         self.cancel_call(slot);
         if let Some(request) = self.requests[slot].take() {
             if let Some(persistence) = self.persistence.as_mut() {
--- a/crates/server/src/core/incoming.rs
+++ b/crates/server/src/core/incoming.rs
@@ -1,5 +1,5 @@
-//! What fronts and the core say to each other: one neutral invocation in, one neutral answer out. The core knows no
-//! protocol's bytes; a front's `Wire` writes them.
+//! The interface between frontends and the core: a protocol-neutral request in, a protocol-neutral response out. The
+//! core knows no protocol's bytes; a frontend's `ResponseWriter` writes them.
 
 use crate::counters::{add, Counters};
 use crate::log;
@@ -9,53 +9,54 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// An invocation's id, as the kernel and the tier below know it too.
+/// Id of a request, as the executor and the downstream tier know it too.
 pub type RequestId = [u8; 16];
 
-/// Invocations of one connection that can't be carried out, with no success between, before it is ended.
+/// Invalid requests on one connection, without a success in between, after which the connection is closed.
 const MAX_INVALID_REQUESTS: u32 = 3;
 
-/// An invocation as a front read it: names are places in the settings, the body stands in the buffer it came in.
+/// A request as read by a frontend: class and tenant are indices into the settings, and the body is a range of `bytes`.
 pub struct IncomingRequest {
     pub request_id: RequestId,
     pub class: usize,
     pub tenant: Option<usize>,
-    /// When it came to the machine: Unix time, in tenths of a millisecond.
+    /// Unix time of arrival at this machine, in tenths of a millisecond.
     pub arrived_at: Time,
-    /// How long the caller still waits, where it says so.
+    /// How long the client still waits, where the client states it.
     pub remaining_timeout: Option<Time>,
     pub client_priority: f64,
     pub expected_work: Option<f64>,
     pub memory_kb: f64,
     pub has_item: bool,
-    /// Under which it is run once only, where the front carries one.
+    /// Idempotency key, where the frontend carries one: the request runs at most once under it.
     pub idempotency_key: Option<Box<str>>,
-    /// What it is about, hashed, where the front says so.
+    /// Hash of the item that the request concerns, where the client names one.
     pub subject: Option<u64>,
-    /// `bytes` are a frame's payload.
+    /// `bytes` are the payload of a frame.
     pub is_frame_payload: bool,
     pub bytes: Buf,
     pub body: Range<usize>,
 }
 
-/// What is to be run somewhere else than at the kernel.
+/// A request that runs at a worker instead of at the executor.
 pub struct ForwardedRequest {
     pub request_id: RequestId,
     pub class: usize,
-    /// Fields and body, as a router's frame has them.
+    /// Fields and body, in the format of a router's frame.
     pub payload: Vec<u8>,
     pub deadline: Time,
-    /// What it is about, where it says so.
+    /// Hash of the item that the request concerns, where the client names one.
     pub subject: Option<u64>,
 }
 
-/// Where runs go in place of the kernel. Ends of runs come back through the queue, as `Note::Ran`, once for each that was asked for.
+/// Runs requests in place of the executor. The end of each run comes back through the queue as one
+/// `CoreEvent::RunCompleted`.
 pub trait Dispatcher {
-    /// Places that may be used now.
+    /// Number of slots that may be used now.
     fn granted_slots(&self) -> f64;
     fn gauges(&self) -> Gauges;
     fn run(self: Rc<Self>, request: ForwardedRequest);
-    /// Nobody waits for it any more.
+    /// Stops a run whose result no client waits for.
     fn stop(self: Rc<Self>, request_id: RequestId);
 }
 
@@ -65,20 +66,21 @@
     }
 }
 
-/// Why an invocation errored.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// Its run or its call did.
+    /// The run or its downstream call failed.
     ExecutionFailed,
-    /// Its time, or that of its call, was over.
+    /// The deadline of the request, or the timeout of its call, has passed.
     DeadlineExceeded,
 }
 
-/// How an invocation is answered.
+/// The final status of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseStatus {
     Succeeded,
-    /// Come back after so long, where it is a millisecond or more; `give_up` asks not to try elsewhere.
+    /// The client may retry after `retry_after`, where that is a millisecond or more; `no_retry_elsewhere` tells it not
+    /// to try another server meanwhile.
     Rejected {
         retry_after: Time,
         no_retry_elsewhere: bool,
@@ -86,20 +88,20 @@
     Failed(FailureCause),
 }
 
-/// Why something never became an invocation.
+/// Why a message never became a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// It can't be understood.
+    /// The message can't be parsed.
     Malformed,
-    /// It did not come whole in time.
+    /// The message was not complete in time.
     TimedOut,
-    /// The kernel is not up yet.
+    /// The executor is not up yet.
     NotReady,
 }
 
-/// What a front writes for the core.
+/// Writes responses in the protocol of a frontend.
 pub trait ResponseWriter {
-    /// The final answer on a stream; `body` is the result of one that succeeded, else empty.
+    /// Writes the final response on a stream; `body` is the result of a success, else empty.
     fn write_response(
         &self,
         outbox: &Outbox,
@@ -108,32 +110,32 @@
         body: &[u8],
         feedback: Option<f64>,
     );
-    /// Errored, on stream 0 where it belongs to no invocation.
+    /// Reports an error, on stream 0 where it belongs to no request.
     fn write_error(&self, outbox: &Outbox, stream: u32, error: RequestError);
-    /// No new invocation is to be sent; true where the connection is over with that.
+    /// Tells the client to send no new request; returns true where that ends the connection.
     fn write_close_notice(&self, outbox: &Outbox) -> bool;
 }
 
-/// A caller's connection, as far as the core deals with it.
+/// A client's connection, as seen by the core.
 pub struct Peer {
     pub outbox: Outbox,
     pub writer: Rc<dyn ResponseWriter>,
-    /// Streams that are owed an answer.
+    /// Streams that are owed a response, with the slots of their requests.
     pub open_requests: RefCell<Vec<(u32, RequestSlot)>>,
-    /// The newest stream of it.
+    /// The highest stream number used so far.
     pub last_stream: Cell<u32>,
-    /// Invocations of it that stand in the queue.
+    /// Requests of this connection that stand in the queue.
     pub queued_requests: Cell<u32>,
     pub active_at: Cell<Time>,
-    /// It was told to send no new invocation.
+    /// When the client was told to send no new request.
     pub close_announced_at: Cell<Option<Time>>,
-    /// A whole frame or request has come on it.
+    /// A complete frame or request has been received.
     pub has_received_message: Cell<bool>,
-    /// Nothing more is read, and it ends once all that is open on it is answered.
+    /// Nothing more is read; the connection ends once all its open requests are answered.
     pub is_closing: Cell<bool>,
-    /// Invocations that could not be carried out since the last success.
+    /// Invalid requests since the last success.
     pub invalid_requests: Cell<u32>,
-    /// The last that was turned away here.
+    /// The last request rejected on this connection.
     pub last_rejected: Cell<Option<RequestId>>,
     pub is_closed: Cell<bool>,
 }
@@ -155,7 +157,7 @@
             is_closed: Cell::new(false),
         }
     }
-    /// It is to send no new invocation.
+    /// Tells the client to send no new request.
     pub fn announce_close(&self, now: Time) {
         if self.close_announced_at.replace(self.close_announced_at.get().or(Some(now))).is_none()
             && self.writer.write_close_notice(&self.outbox)
@@ -163,27 +165,27 @@
             self.close();
         }
     }
-    /// Not to be understood: an answer is owed all the same, on stream 0 where it belongs to no invocation.
+    /// Reports a message that can't be parsed: a response is owed all the same, on stream 0 where it belongs to no
+    /// request.
     pub fn reject_malformed(&self, counters: &Counters, stream: u32, error: RequestError, what: &str) {
         add(&counters.malformed);
         log!("from a caller, stream {stream}: {what}");
         self.writer.write_error(&self.outbox, stream, error);
     }
-    /// It broke the protocol. Guards the time and room of all others against peers that would go on for ever: it is
-    /// told so, and read no more. Holds against any sender of nonsense; may hurt where a router has such a fault:
-    /// it has to connect anew.
+    /// Reports a protocol violation and reads no more from the connection. Protects the time and capacity of all other
+    /// clients from one that would send invalid messages forever. A router with a fault of this kind has to reconnect.
     pub fn close_on_violation(&self, counters: &Counters, stream: u32, error: RequestError, what: &str) {
         if !self.is_closing.get() {
             self.reject_malformed(counters, stream, error, what);
         }
         self.close();
     }
-    /// The one way in which a connection is closed from here; wakes its task, which would else not look.
+    /// Closes the connection. Wakes its task, which would otherwise not notice.
     pub fn close(&self) {
         self.is_closing.set(true);
         self.outbox.wake.notify_one();
     }
-    /// An invocation that can't be carried out: errored; the connection goes on until there were several.
+    /// Fails a request that can't be carried out; after `MAX_INVALID_REQUESTS` in a row the connection is closed.
     pub fn reject_invalid(&self, counters: &Counters, stream: u32, what: &str) {
         self.invalid_requests.set(self.invalid_requests.get() + 1);
         if self.invalid_requests.get() >= MAX_INVALID_REQUESTS {
@@ -192,7 +194,7 @@
             self.reject_malformed(counters, stream, RequestError::Malformed, what);
         }
     }
-    /// Nothing is open on it, nothing on its way.
+    /// No request is open or queued, and nothing waits to be written.
     pub fn is_idle(&self) -> bool {
         self.queued_requests.get() == 0 && self.open_requests.borrow().is_empty() && self.outbox.is_empty()
     }
--- a/crates/server/src/core/persistence.rs
+++ b/crates/server/src/core/persistence.rs
@@ -1,6 +1,7 @@
-//! What of the core's work outlives an invocation: tokens with their results, and, with a store, billing rows and what was owed
-//! at a drain, which outlive the process too. No I/O: jobs go out, word of what was kept comes in. A row's key begins with `b/`
-//! (billing), `t/` (token) or `o/` (owed).
+//! The core's state that outlives a request: idempotency keys with their results, and, with a store, billing rows and
+//! the requests open at a drain, which outlive the process too. Performs no I/O: batches of writes go out, and
+//! acknowledgements of the store come in. The key of a row begins with `b/` (billing), `t/` (idempotency key) or `o/`
+//! (open request).
 
 use super::incoming::{Peer, RequestId, ResponseStatus};
 use crate::pool::Buf;
@@ -11,31 +12,33 @@
 use std::rc::Rc;
 use std::sync::mpsc::SyncSender;
 
-/// Writes that are kept together, one commit for all.
+/// Writes that are persisted together in one commit.
 pub struct WriteBatch {
     pub number: u64,
     pub writes: Vec<(Vec<u8>, Option<Vec<u8>>)>,
 }
 
-/// Results of tokens in memory, in bytes, at the most; what is more is known to have run, and its result is not.
+/// Maximum size of all results in memory, in bytes. A request beyond it is known to have run, but its result is not
+/// retained.
 const MAX_RESULT_BYTES: usize = 4 << 20;
-/// Tokens known at once. One more could not be told from its repeat, so it is turned away until one goes.
+/// Maximum number of idempotency keys known at once. A retry under a key beyond it could not be recognized, so requests
+/// with new keys are rejected until an entry expires.
 const MAX_IDEMPOTENCY_KEYS: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyState {
-    /// Known to the module under this index.
+    /// The scheduler knows the request under this slot.
     Open(RequestSlot),
-    /// It was begun, and how it ended is not known: it may have had its effect.
+    /// The run has started, and its outcome is not known: it may have had its effect.
     Started,
     Completed(Vec<u8>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotencyRecord {
-    /// What the invocation said, to tell it from another under the same token.
+    /// Fingerprint of the request, to tell it from another under the same key.
     pub fingerprint: u64,
-    /// Unix time, in tenths of a millisecond, until which a repeat may come.
+    /// Unix time, in tenths of a millisecond, until which a retry may arrive.
     pub expires_at: Time,
     pub state: KeyState,
 }
@@ -73,15 +76,16 @@
     [&b"o/"[..], request_id].concat()
 }
 
-/// What the last life left.
+/// State left in the store by the previous run of the program.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
     pub records: Vec<(String, IdempotencyRecord)>,
-    /// Taken in and not answered: what is known of each.
+    /// Requests that were open and never answered: the key and a description of each.
     pub interrupted: Vec<(Vec<u8>, String)>,
 }
 
 impl RecoveredState {
+    /// Reads idempotency keys and open requests from the store.
     pub fn load(store: &mut Store<impl Disk>) -> Result<RecoveredState> {
         let snapshot = store.snapshot();
         let mut recovered = RecoveredState::default();
@@ -105,7 +109,7 @@
     }
 }
 
-/// What goes on once a job was kept.
+/// An action that waits until a batch is persisted.
 pub enum DeferredAction {
     Respond {
         peer: Rc<Peer>,
@@ -113,11 +117,11 @@
         status: ResponseStatus,
         body: Buf,
     },
-    /// A tokened one that is to run.
+    /// Runs a request with an idempotency key.
     Run(RequestSlot, RequestId),
 }
 
-/// What of an invocation billing knows.
+/// Billing data of a request.
 pub struct BillingRow<'a> {
     pub request_id: &'a RequestId,
     pub class: &'a str,
@@ -128,29 +132,30 @@
     pub completed_at: Time,
 }
 
+/// Idempotency keys, deferred actions, and the queue to the store.
 pub struct Persistence {
-    /// Without a store tokens are known for as long as the process lives.
+    /// Without a store, idempotency keys are known only while the process lives.
     sender: Option<SyncSender<WriteBatch>>,
     last_batch: u64,
     deferred: VecDeque<(u64, DeferredAction)>,
-    /// Answers leave behind the commit of their row, else before.
+    /// Responses are sent after the commit of their billing row, else before it.
     pub respond_after_commit: bool,
-    /// While the store fails nothing is served that could not be recorded.
+    /// While the store fails, requests that could not be recorded are not served.
     pub reject_on_failure: bool,
     pub is_failing: bool,
     records: HashMap<String, IdempotencyRecord>,
     expirations: BTreeSet<(Time, String)>,
-    /// What waits for the answer of another: the first, and those that follow.
+    /// Pairs of requests: the first, and the one that waits for its result.
     pub followers: Vec<(RequestSlot, RequestSlot)>,
     result_bytes: usize,
-    /// All jobs up to this one are done with.
+    /// All batches up to this number are finished.
     acknowledged_through: u64,
-    /// A repeat may be read so long after it came.
+    /// Maximum time between the arrival of a retry and its reading.
     pub max_unread_time: Time,
 }
 
 impl Persistence {
-    /// Tokens only, for this life of the process.
+    /// Keeps idempotency keys only, for the lifetime of the process.
     pub fn in_memory() -> Persistence {
         Persistence {
             sender: None,
@@ -168,6 +173,7 @@
         }
     }
 
+    /// Restores recovered keys; also returns a description of each request that was cut off.
     pub fn new(
         sender: SyncSender<WriteBatch>,
         respond_after_commit: bool,
@@ -183,7 +189,7 @@
         for (idempotency_key, record) in recovered.records {
             persistence.insert_record(idempotency_key, record);
         }
-        // Told to the operator now, and then forgotten.
+        // Reported to the operator once, and then removed from the store.
         let (keys, interrupted): (Vec<_>, Vec<_>) = recovered.interrupted.into_iter().unzip();
         if !keys.is_empty() {
             persistence.send(keys.into_iter().map(|key| (key, None)).collect());
@@ -191,12 +197,12 @@
         (persistence, interrupted)
     }
 
-    /// Whether rows are to outlive the process.
+    /// Whether rows outlive the process.
     pub fn has_store(&self) -> bool {
         self.sender.is_some()
     }
 
-    /// The number under which word of it comes; `None` without a store, or where it is too far behind.
+    /// Sends a batch to the store and returns its number; `None` without a store, or where its queue is full.
     fn send(&mut self, writes: Vec<(Vec<u8>, Option<Vec<u8>>)>) -> Option<u64> {
         let number = self.last_batch + 1;
         self.sender.as_ref()?.try_send(WriteBatch { number, writes }).ok()?;
@@ -204,7 +210,7 @@
         Some(number)
     }
 
-    /// Those that go on, as all jobs up to this one are done with.
+    /// Marks all batches up to this number as finished; returns the actions that waited for them.
     pub fn acknowledge(&mut self, acknowledged_through: u64) -> Vec<DeferredAction> {
         let mut actions = Vec::new();
         self.acknowledged_through = acknowledged_through;
@@ -214,7 +220,8 @@
         actions
     }
 
-    /// A row for one that succeeded, with its result where it has a token. True where word of it will come.
+    /// Records the billing row of a success, and its result where it has a key. Returns the number of the batch, where
+    /// the store took it.
     pub fn record_billing(
         &mut self,
         row: &BillingRow,
@@ -236,14 +243,14 @@
         self.send(writes)
     }
 
-    /// One with a token succeeded, and nobody waits for it any more: a repeat may still come.
+    /// Records the result of a request with a key whose client has left: a retry may still arrive.
     pub fn record_result(&mut self, idempotency_key: &str, result: &[u8]) {
         if let Some(write) = self.set_result(idempotency_key, result) {
             self.send(vec![write]);
         }
     }
 
-    /// The result of a token. Followers may have it at once; others once it is released.
+    /// Sets the result of a key. Followers may have it at once; later retries once the request is released.
     fn set_result(&mut self, idempotency_key: &str, result: &[u8]) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
         let record = self.records.get_mut(idempotency_key)?;
         let completed = IdempotencyRecord { state: KeyState::Completed(result.to_vec()), ..record.clone() };
@@ -258,43 +265,45 @@
         write
     }
 
-    /// `number` is that of the last job, or of one before.
+    /// Defers an action until batch `number` is finished: the last batch sent, or an earlier one.
     pub fn defer(&mut self, number: u64, action: DeferredAction) {
         debug_assert!(self.deferred.back().is_none_or(|(earlier, _)| *earlier <= number));
         self.deferred.push_back((number, action));
     }
 
-    /// A job behind which all that is known now is kept; `None` where that is so already.
+    /// The batch after which everything known now is persisted; `None` where that is already so.
     pub fn pending_batch(&self) -> Option<u64> {
         (self.respond_after_commit && self.last_batch > self.acknowledged_through).then_some(self.last_batch)
     }
 
-    // ---- tokens ----
+    // ---- idempotency keys ----
 
+    /// Returns the record of a key.
     pub fn record(&self, idempotency_key: &str) -> Option<&IdempotencyRecord> {
         self.records.get(idempotency_key)
     }
 
-    /// What an invocation that came at `came` under that token repeats: its window counts from when it came, not from when it was
-    /// read. One that is still open is always repeated.
+    /// Finds the request that a retry under this key repeats. The window is compared with the time at which the retry
+    /// arrived, not with the time at which it was read. A request that is still open is always repeated.
     pub fn find_repeated(&self, idempotency_key: &str, arrived_at: Time) -> Option<&IdempotencyRecord> {
         self.records
             .get(idempotency_key)
             .filter(|record| arrived_at < record.expires_at || matches!(record.state, KeyState::Open(_)))
     }
 
-    /// When the next token goes, in Unix time, where no more can be known until then.
+    /// When the next key expires, in Unix time, where no more keys can be stored until then.
     pub fn full_until(&self) -> Option<Time> {
         (self.records.len() >= MAX_IDEMPOTENCY_KEYS)
             .then(|| self.expirations.first().map_or(0, |(expires_at, _)| *expires_at))
     }
 
-    /// Whoever waits for this one's answer first stops waiting, and takes its place.
+    /// Removes the first follower of a request, which takes the request's place.
     pub fn take_follower(&mut self, first: RequestSlot) -> Option<RequestSlot> {
         let at = self.followers.iter().position(|(known, _)| *known == first)?;
         Some(self.followers.remove(at).1)
     }
 
+    /// Stores the record of a key, in place of an earlier one.
     pub fn insert_record(&mut self, idempotency_key: String, record: IdempotencyRecord) {
         self.remove_record(&idempotency_key);
         if let KeyState::Completed(result) = &record.state {
@@ -313,14 +322,15 @@
         }
     }
 
-    /// That it is begun has to be on the disk before it is: else one cut off in its run could run twice.
+    /// Records the start of a run. The record must be on disk before the run starts: otherwise a run cut off by a crash
+    /// could run twice.
     pub fn record_start(&mut self, idempotency_key: &str) -> Option<u64> {
         let record =
             IdempotencyRecord { state: KeyState::Started, ..self.records.get(idempotency_key)?.clone() };
         self.send(vec![(idempotency_key_row(idempotency_key), Some(record.encode()))])
     }
 
-    /// The module knows the invocation no more. One that never ran leaves its token free.
+    /// The scheduler has released the request. The key of a request that never ran is free again.
     pub fn release_key(&mut self, idempotency_key: &str, slot: RequestSlot, has_run: bool) {
         let is_open =
             self.records.get(idempotency_key).is_some_and(|record| record.state == KeyState::Open(slot));
@@ -335,7 +345,7 @@
         }
     }
 
-    /// Tokens whose window is over go, here and from the store, once no repeat that came inside it can be unread.
+    /// Removes expired keys from memory and from the store, once no retry that arrived in their window can lie unread.
     pub fn expire(&mut self, unix_time: Time) {
         let unix_time = unix_time - self.max_unread_time;
         let mut writes = Vec::new();
@@ -347,7 +357,7 @@
                 .get(&idempotency_key)
                 .is_some_and(|record| matches!(record.state, KeyState::Open(_)))
             {
-                break; // it goes with its invocation
+                break; // the entry goes when its request is released
             }
             debug_assert!(expires_at <= unix_time);
             writes.push((idempotency_key_row(&idempotency_key), None));
@@ -361,8 +371,9 @@
         }
     }
 
-    // ---- a drain ----
+    // ---- drain ----
 
+    /// Records requests that are open when a drain begins, with a description of each.
     pub fn record_open_requests(&mut self, requests: impl Iterator<Item = (RequestId, String)>) {
         let writes: Vec<_> = requests
             .map(|(request_id, description)| (open_request_row(&request_id), Some(description.into_bytes())))
@@ -372,6 +383,7 @@
         }
     }
 
+    /// Removes the record of an open request that has been answered.
     pub fn clear_open_request(&mut self, request_id: &RequestId) {
         self.send(vec![(open_request_row(request_id), None)]);
     }
