--- a/crates/server/src/listeners/frames.rs
+++ b/crates/server/src/listeners/frames.rs
@@ -1,4 +1,4 @@
-//! The routers' front: frames to neutral invocations, neutral answers to frames.
+//! The frontend for routers: translates frames to requests, and responses to frames.
 
 use super::{Connection, Frontend, CAPACITY_RETRY_DELAY, MAX_OUTBOX_BYTES, NO_MESSAGE, PARTIAL_MESSAGE};
 use crate::clock::MS;
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Writes frames.
+/// Writes responses as frames.
 pub struct FrameWriter;
 
-/// Writes one answer, with what is to be said besides behind its own fields.
+/// Writes one message, with the load feedback after its own fields.
 fn write_message(
     outbox: &Outbox,
     kind: u8,
@@ -81,7 +81,7 @@
     hasher.finish()
 }
 
-/// The invocation in a frame's payload.
+/// Parses the request in a frame's payload.
 pub fn read_request(bytes: Buf, names: &Names) -> Result<IncomingRequest, String> {
     let fields = frames::parse_request(&bytes)?;
     let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
@@ -129,8 +129,8 @@
     ended: bool,
 }
 
-/// Reads and writes one connection until it ends. After its end of input, or once it broke the protocol and
-/// is read no more, what is open on it is still answered.
+/// Reads and writes one connection until it ends. After the end of its input, or once it broke the protocol and is read
+/// no more, its open requests are still answered.
 pub async fn run_connection(
     frontend: &Frontend,
     names: &Names,
@@ -157,7 +157,7 @@
             continue;
         }
         if peer.is_closing.get() {
-            reader.partial = None; // nothing more is read into it
+            reader.partial = None; // nothing more is read
         }
         let can_write = !peer.outbox.is_empty();
         let can_read = !reader.ended && !peer.is_closing.get() && peer.outbox.len() < MAX_OUTBOX_BYTES;
@@ -175,14 +175,14 @@
         }
     }
     if reader.ended {
-        return Ok(()); // nothing can stand unread
+        return Ok(()); // the input has ended: nothing can be unread
     }
     drop(reader);
     frontend.begin_lingering(connection);
     linger(stream, &peer.outbox.wake, || connection.end_now.get()).await
 }
 
-/// What a read brought; whether it brought anything.
+/// Handles the result of a read; returns whether it brought anything.
 async fn handle_read(
     frontend: &Frontend,
     names: &Names,
@@ -211,8 +211,8 @@
     Ok(brought)
 }
 
-/// It is asked to close: not with something unread in the socket, which the close would lose. What comes from here on crosses it,
-/// and is sent again by the protocol.
+/// Closes a connection on request, but not with unread data in the socket, which the close would lose. A request that
+/// arrives later crosses the close, and the client sends it again by the protocol.
 async fn close_if_unused(
     frontend: &Frontend,
     names: &Names,
@@ -224,9 +224,10 @@
     let mut buf = reader.partial.take().unwrap_or_else(|| frontend.shared.pool.take());
     let read = look(stream, buf.spare());
     let brought = handle_read(frontend, names, connection, reader, buf, read).await?;
-    // Guards what is sent while a request is open: a connection that is to be closed and not read any more would lose it.
+    // Protects messages sent while a request is open: a connection that is about to close and is not read any more
+    // would lose them.
     if brought || reader.ended || peer.is_closing.get() || !peer.is_idle() {
-        frontend.connection_closed.notify_one(); // whoever waits for its place looks for another
+        frontend.connection_closed.notify_one(); // a task that waits for capacity looks for another connection
         return Ok(());
     }
     if peer.close_announced_at.get().is_none() {
@@ -237,8 +238,9 @@
     Ok(())
 }
 
-/// Its silence has lasted too long by the clock. What stands in the socket came before that was seen: after a pause of the machine the
-/// timers run ahead of what came in it, and while there was no buffer nothing was read. A message that is whole with it counts.
+/// Ends a connection whose silence has lasted too long by the clock, unless the socket holds the rest of its message.
+/// Such data arrived before the timer fired: after a pause of the machine timers run ahead of received data, and
+/// without a free buffer nothing was read.
 async fn close_if_silent(
     frontend: &Frontend,
     names: &Names,
@@ -264,7 +266,7 @@
     Ok(())
 }
 
-/// Takes all whole frames from the buffer.
+/// Handles all complete frames in the buffer.
 async fn handle_frames(frontend: &Frontend, names: &Names, connection: &Connection, buf: &mut Buf) {
     let (peer, counters) = (&connection.peer, &frontend.shared.counters);
     let mut at = 0;
@@ -306,7 +308,7 @@
     stream: u32,
     payload: &[u8],
 ) {
-    // A check asks for no work: it does not keep a connection that was told to send no more.
+    // A health check requests no work: it does not keep a connection open whose client was told to send no more.
     if kind != frames::HEALTH_CHECK || peer.close_announced_at.get().is_none() {
         peer.active_at.set(frontend.clock.now());
     }
@@ -328,8 +330,8 @@
     let _ = frontend.queue.send(event).await;
 }
 
-/// Health checks are answered here and at once, with what the module said last. A forwarder names itself and what it has out here;
-/// while this server is cold it is told in the same answer how much it may have.
+/// Answers a health check at once, with the scheduler's last state. A forwarder names itself and its requests in flight
+/// here; while this server is warming up, the same response tells the forwarder how many slots it may use.
 fn answer_health_check(frontend: &Frontend, peer: &Peer, stream: u32, payload: &[u8]) {
     peer.has_received_message.set(true);
     add(&frontend.shared.counters.checks);
--- a/crates/server/src/listeners/mod.rs
+++ b/crates/server/src/listeners/mod.rs
@@ -1,5 +1,6 @@
-//! What all fronts have in common: accepts connections, keeps each front within its own room, closes what idles or is
-//! stuck. How a connection is read and written is its front's: `frames` for routers, `scgi` for gateways.
+//! The parts that all frontends share: accepting connections, holding each frontend to its own capacity, and closing
+//! idle or stuck connections. Each protocol reads and writes its own connections: `frames` for routers, `scgi` for
+//! gateways.
 
 pub mod frames;
 pub mod routes;
@@ -22,65 +23,68 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc::Sender, Notify};
 
-/// Nothing more is read from a connection while more than this waits to be written to it.
+/// Nothing more is read from a connection while more than this many bytes wait to be written to it.
 const MAX_OUTBOX_BYTES: usize = 4 * BUFFER_BYTES;
-/// An outbox of which nothing is read for longer than this ends its connection.
+/// A connection is ended when its client reads nothing of a non-empty outbox for longer than this.
 const WRITE_STALL_TIMEOUT: Time = 15_000 * MS;
-/// A connection on which no whole frame has come after this long, or half a frame stands for this long, is ended.
+/// A connection is ended when no complete frame has arrived after this long, or an incomplete one stands for this long.
 const MESSAGE_TIMEOUT: Time = 2_000 * MS;
-/// Idle connections are closed while more than this part of all that may be held are open: routers take no more.
+/// Idle connections are closed while more than 1/`IDLE_CLOSE_DIVISOR` of the maximum are open, so that there is
+/// capacity for other routers.
 const IDLE_CLOSE_DIVISOR: usize = 2;
-/// One that was used this short a time ago is the last to be closed for room.
+/// Connections used within this time are the last to be closed for capacity.
 const RECENT_USE: Time = 300 * MS;
-/// A connection told to take no new invocation is closed from here once it has rested for this long. One that goes on sending stays
-/// until the process ends, as what it sends would cross the close.
+/// A connection whose client was told to send no new request is closed once it has been idle for this long. A
+/// connection whose client goes on sending stays until the process ends, since its requests would cross the close.
 const ANNOUNCED_CLOSE_DELAY: Time = 1_000 * MS;
-/// A new connection may be silent this long before it is the first to go at the limit of descriptors.
+/// A new connection may be silent for this long before it is the first to be closed at the limit of descriptors.
 const NEW_CONNECTION_GRACE: Time = 100 * MS;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Half messages that give up their buffers at once while none is left to be read into.
+/// Maximum number of incomplete messages per sweep that release their buffers while no buffer is left for reading.
 const MAX_PARTIAL_EVICTIONS: usize = 16;
 const CAPACITY_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The part of the connections of routers that may stand in a lingering close.
+/// At most 1/`LINGERING_DIVISOR` of the routers' connections may be in a lingering close.
 const LINGERING_DIVISOR: usize = 16;
 
+/// One client connection of a frontend.
 pub struct Connection {
     pub peer: Rc<Peer>,
     opened_at: Time,
-    /// The connection is to end at once.
+    /// The connection must end at once.
     end_now: Cell<bool>,
     partial_since: Cell<Option<Time>>,
     last_written: Cell<(u64, Time)>,
-    /// It is to be closed, unless something has come on it.
+    /// The connection must be closed, unless something has arrived on it.
     close_requested: Cell<bool>,
-    /// It is to be ended for its silence, unless the rest has come.
+    /// The connection must be ended for its silence, unless the rest of its message has arrived.
     silence_expired: Cell<bool>,
 }
 
 impl Connection {
-    /// Nothing is open or under way, and none of it stands half read.
+    /// Nothing is open or queued, and no message is read in part.
     fn is_fully_idle(&self) -> bool {
         self.peer.is_idle() && self.partial_since.get().is_none()
     }
-    /// Asks it to close. Guards a request that came in this moment: its task looks into the socket first, and where something
-    /// stands there it stays. What comes later crosses the close.
+    /// Requests a close of the connection. Protects a request that arrives at this moment: the connection's task first
+    /// looks into the socket, and keeps the connection if something is there. A request that arrives later crosses the
+    /// close.
     fn request_close(&self) {
         self.close_requested.set(true);
         self.peer.outbox.wake.notify_one();
     }
 }
 
-/// A message that is not all there.
+/// Reasons for ending a silent connection: an incomplete message, or none at all.
 const PARTIAL_MESSAGE: &str = "half a message";
 const NO_MESSAGE: &str = "nothing was sent";
 
-/// What a front speaks.
+/// The protocol that a frontend speaks.
 pub enum Protocol {
     Frames(Rc<Names>),
     Scgi(Rc<scgi::ScgiContext>),
 }
 
-/// One listener's connections. Each front has room of its own, so that none takes another's.
+/// The connections of one listener. Each frontend has its own capacity, so that no frontend takes another's.
 pub struct Frontend {
     shared: Shared,
     queue: Sender<CoreEvent>,
@@ -88,15 +92,15 @@
     protocol: Protocol,
     max_connections: usize,
     connections: RefCell<Vec<Rc<Connection>>>,
-    /// Those in a lingering close, in the order in which they began it, and how many there may be: they hold descriptors, but no
-    /// room of others.
+    /// Connections in a lingering close, oldest first, and their maximum. They hold descriptors, but no capacity of
+    /// other connections.
     lingering: RefCell<VecDeque<Rc<Connection>>>,
     max_lingering: usize,
     connection_closed: Notify,
-    /// What forwarders were promised, and how many callers the settings tell of.
+    /// Capacity reserved for forwarders during slow start, and the number of clients in the settings.
     slow_start: RefCell<SlowStart>,
     client_count: usize,
-    /// The listener is to go, and is gone.
+    /// Signals the listener to close, and whether it is closed.
     shutdown: Notify,
     is_listener_closed: Cell<bool>,
 }
@@ -132,19 +136,19 @@
         })
     }
 
-    /// Connections that take room of others.
+    /// Number of connections that count against the capacity.
     fn active_connections(&self) -> usize {
         self.connections.borrow().len() - self.lingering.borrow().len()
     }
 
-    /// Nobody is connected, and nobody can connect any more.
+    /// Returns whether no client is connected and none can connect any more.
     pub fn is_closed(&self) -> bool {
         self.is_listener_closed.get() && self.connections.borrow().is_empty()
     }
 
-    /// Takes connections for as long as the listener stands, which is until the grace of a drain is over. Gateways know nothing of
-    /// the roster, so theirs goes at once then: whoever finds it closed knows that nothing ran, and asks elsewhere. That of
-    /// routers goes once none is connected.
+    /// Accepts connections until the grace period of a drain is over. Gateways don't know the service registry, so
+    /// their listener then closes at once: a gateway that finds it closed knows that nothing ran, and tries another
+    /// server. The routers' listener closes once none is connected.
     pub async fn accept(self: Rc<Frontend>, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -166,8 +170,9 @@
                 }
             }
         }
-        // Guards those that stood in line, perhaps with a whole request: the machine has accepted them, and would reset them when
-        // the listener goes. All are taken, with nothing between the last look into the line and its end.
+        // Protects connections in the backlog, perhaps with a complete request: the operating system has accepted them,
+        // and would reset them when the listener closes. All of them are served, and nothing happens between the last
+        // look into the backlog and its end.
         if let Ok(listener) = listener.into_std() {
             while let Ok((stream, _)) = listener.accept() {
                 let prepared = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
@@ -182,8 +187,8 @@
         self.is_listener_closed.set(true);
     }
 
-    /// Waits for room for one more. A router keeps its connection and waits; a gateway that finds all places taken by
-    /// others' invocations is told so.
+    /// Waits for capacity for one more connection. A router keeps its connection and waits; a gateway that finds the
+    /// capacity taken by requests of others is rejected.
     async fn wait_for_capacity(&self) -> bool {
         while self.active_connections() >= self.max_connections {
             let is_closing_one = self.close_one_idle();
@@ -195,9 +200,9 @@
         true
     }
 
-    /// Guards the descriptors: at their limit a new connection takes the place of one that was silent from the
-    /// start, or else of the one that idles longest, never of one with an open invocation. Those just come or just
-    /// used stay longest. May hurt where routers come back at once.
+    /// Protects the descriptors: at their limit a new connection takes the place of one that was silent from the start,
+    /// or else of the one idle for longest, never of one with an open request. Connections just accepted or just used
+    /// go last. Does harm where routers reconnect at once.
     fn close_one_idle(&self) -> bool {
         let (now, connections) = (self.clock.now(), self.connections.borrow());
         let order = |connection: &&Rc<Connection>| {
@@ -206,7 +211,7 @@
             let is_recent = now - since < if has_spoken { RECENT_USE } else { NEW_CONNECTION_GRACE };
             (is_recent, has_spoken, since)
         };
-        // Half a message is no rest, unless it has stood for long.
+        // An incomplete message is not idle, unless it has stood for long.
         let is_partial = |connection: &Connection| {
             connection.partial_since.get().is_some_and(|since| now - since < RECENT_USE)
         };
@@ -226,7 +231,8 @@
         true
     }
 
-    /// A connection begins its lingering close; where too many do, the oldest of them ends it. Its place goes to the next.
+    /// Starts the lingering close of a connection, which frees its capacity for the next. Beyond the maximum, the
+    /// oldest lingering connection ends.
     fn begin_lingering(&self, connection: &Rc<Connection>) {
         let mut lingering = self.lingering.borrow_mut();
         lingering.push_back(connection.clone());
@@ -239,7 +245,7 @@
         self.connection_closed.notify_one();
     }
 
-    /// Looks at all connections from time to time: those that idle, half-sent frames, peers that never read.
+    /// Checks all connections periodically for idleness, incomplete frames, and clients that never read.
     pub async fn sweep(self: Rc<Frontend>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -255,7 +261,8 @@
             if is_closing && (connections.is_empty() || matches!(self.protocol, Protocol::Scgi(_))) {
                 self.shutdown.notify_one();
             }
-            // Guards the room of routers against others that ask once and stay: the longest idle go first.
+            // Reserves capacity for routers against others that send one request and stay: the longest idle are closed
+            // first.
             let excess = self.active_connections().saturating_sub(self.max_connections / IDLE_CLOSE_DIVISOR);
             let mut idle: Vec<&Rc<Connection>> = Vec::new();
             if excess > 0 {
@@ -279,8 +286,8 @@
                 }
                 let is_stuck = now - connection.last_written.get().1 > WRITE_STALL_TIMEOUT;
                 let partial_for = connection.partial_since.get().map_or(0, |since| now - since);
-                // Guards those that wait to be read: where no buffer is left, half messages that have stood for a while give theirs
-                // up, a few at a time. May hurt where all write slowly.
+                // Protects connections that wait to be read: while no buffer is left, incomplete messages that have
+                // stood for a while release theirs, a few at a time. Does harm where all clients write slowly.
                 let is_evicted = evictions_left > 0
                     && partial_for > RECENT_USE.min(silence_limit)
                     && !peer.is_closing.get();
@@ -321,14 +328,14 @@
         add(&self.shared.counters.connections);
         let _ = stream.set_nodelay(true);
         let frontend = self.clone();
-        // A task of its own kind each: one that could be either would hold the state of both.
+        // Each protocol has its own kind of task: a task for both would hold the state of both.
         match &self.protocol {
             Protocol::Frames(names) => {
                 let (names, connection) = (names.clone(), self.register(Rc::new(frames::FrameWriter)));
                 let mut stream = stream;
                 tokio::task::spawn_local(async move {
                     let ended = frames::run_connection(&frontend, &names, &mut stream, &connection).await;
-                    drop(stream); // its descriptor before its room
+                    drop(stream); // releases the descriptor before the capacity
                     frontend.unregister(&connection, ended).await;
                 });
             }
@@ -344,10 +351,10 @@
         }
     }
 
-    fn register(&self, wire: Rc<dyn ResponseWriter>) -> Rc<Connection> {
+    fn register(&self, writer: Rc<dyn ResponseWriter>) -> Rc<Connection> {
         let now = self.clock.now();
         let connection = Rc::new(Connection {
-            peer: Rc::new(Peer::new(&self.shared.pool, wire, now)),
+            peer: Rc::new(Peer::new(&self.shared.pool, writer, now)),
             opened_at: now,
             end_now: Cell::new(false),
             partial_since: Cell::new(None),
@@ -359,11 +366,11 @@
         connection
     }
 
-    /// The one place where a connection's room is given back; the core is told that it is gone.
+    /// The only place where a connection's capacity is released; tells the core that the connection is closed.
     async fn unregister(&self, connection: &Rc<Connection>, ended: io::Result<()>) {
         if let Err(error) = ended {
             if error.kind() != ErrorKind::ConnectionReset && error.kind() != ErrorKind::BrokenPipe {
-                log!("a caller's connection: {error}");
+                log!("a client's connection: {error}");
             }
         }
         self.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
--- a/crates/server/src/listeners/routes.rs
+++ b/crates/server/src/listeners/routes.rs
@@ -1,5 +1,4 @@
-//! From a gateway's request to an invocation: which route, what its headers say, what holds where they say nothing.
-//! No I/O.
+//! Translates a gateway's request: finds its route, reads its headers, and applies defaults. Performs no I/O.
 
 use crate::core::incoming::{IncomingRequest, RequestId};
 use crate::frames::{is_visible_ascii, MAX_IDEMPOTENCY_KEY_BYTES};
@@ -8,7 +7,7 @@
 use cypresscleat_scheduler::Time;
 use std::rc::Rc;
 
-/// A header, as the gateway names it, and what holds without it.
+/// A header, by its name at the gateway, and the value that applies without it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeaderOr<T> {
     pub header: Option<String>,
@@ -17,64 +16,65 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Matches itself and all below it.
+    /// Matches this path and all paths below it.
     pub path: String,
     pub methods: Vec<String>,
     pub class: usize,
     pub tenant: HeaderOr<Option<usize>>,
-    /// From 0 to under 1.
+    /// From 0 to less than 1.
     pub client_priority: HeaderOr<f64>,
-    /// How long the caller still waits; the header tells milliseconds.
+    /// How long the client still waits; the header is in milliseconds.
     pub timeout: HeaderOr<Option<Time>>,
-    /// Work to expect; the header tells milliseconds on one core.
+    /// Expected work; the header is in milliseconds on one core.
     pub expected_work: HeaderOr<Option<Time>>,
-    /// Memory booked while it is held, in KB.
+    /// Memory reserved while the request is held, in KB.
     pub memory_kb: f64,
     pub content_type: String,
-    /// The header that brings the token of a tokened operation; without it a request is none.
+    /// The header with the idempotency key, for a class that requires one; a request without it is invalid.
     pub idempotency_key_header: Option<String>,
 }
 
-/// The longest path comes first.
+/// Routes, with the longest path first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
     all: Vec<Rc<Route>>,
     tenants: Vec<String>,
 }
 
-/// Why a request is no invocation.
+/// Why a request has no route or is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteError {
     /// No route has this path.
     UnknownPath,
-    /// A route has this path, for these methods.
+    /// A route has this path, for the methods listed.
     MethodNotAllowed(String),
-    /// What is wrong with it.
+    /// The request is invalid, for this reason.
     Invalid(String),
 }
 
-/// An hour: nobody waits longer, no run takes longer.
+/// Maximum timeout and expected work, an hour in milliseconds: no client waits longer, no run takes longer.
 const MAX_TIMEOUT_MS: f64 = 3.6e6;
 
 impl Routes {
-    /// `customers` by their names in the settings.
+    /// `tenants` are the names in the settings.
     pub fn new(routes: Vec<Route>, tenants: &[String]) -> Routes {
         let mut all: Vec<Rc<Route>> = routes.into_iter().map(Rc::new).collect();
         all.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
         Routes { all, tenants: tenants.to_vec() }
     }
 
-    /// Whether a route to this operation asks for no token.
+    /// Returns whether a route to this class reads no idempotency key.
     pub fn lacks_idempotency_key(&self, class: usize) -> bool {
         self.all.iter().any(|route| route.class == class && route.idempotency_key_header.is_none())
     }
 
+    /// Finds the route for a path and a method.
     pub fn find(&self, path: &str, method: &str) -> Result<&Rc<Route>, RouteError> {
         let covers = |route: &&Rc<Route>| match path.strip_prefix(route.path.as_str()) {
             Some(rest) => rest.is_empty() || rest.starts_with('/') || route.path.ends_with('/'),
             None => false,
         };
-        // Of the longest path that fits, all methods; a shorter one never stands in for it.
+        // Considers all methods of the longest matching path; a shorter path never takes its place.
         let first = self.all.iter().find(covers).ok_or(RouteError::UnknownPath)?;
         let mut same = self.all.iter().filter(|route| route.path == first.path);
         let allows_method = |route: &&Rc<Route>| route.methods.iter().any(|known| known == method);
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The invocation in `bytes`, of which `request` is read, and its route.
+    /// Parses the request in `bytes`, which `request` refers to, and finds its route.
     pub fn parse_request(
         &self,
         request_id: RequestId,
@@ -101,7 +101,7 @@
             },
         };
         let method = text_field("REQUEST_METHOD")?.ok_or(RouteError::Invalid("no REQUEST_METHOD".into()))?;
-        // Gateways tell the path in one of three ways; with a mount point it is that and what stands behind it.
+        // Gateways pass the path in one of three ways; with a mount point it is the mount point and the rest behind it.
         let path = match (
             text_field("SCRIPT_NAME")?,
             text_field("PATH_INFO")?,
@@ -162,7 +162,7 @@
                 None => return Err(RouteError::Invalid(format!("no {name}"))),
             },
         };
-        // What was sent, or else what was asked: a GET has no content, its question stands behind the path.
+        // The body is the content, or else the query: a GET has no content, and its parameters follow the path.
         let body = match request.body {
             b"" => request.field("QUERY_STRING").unwrap_or(b""),
             body => body,
@@ -184,7 +184,7 @@
     }
 }
 
-/// An invocation without the buffer that it stands in.
+/// A parsed request without the buffer that holds its body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
     request_id: RequestId,
@@ -200,6 +200,7 @@
 }
 
 impl ParsedRequest {
+    /// Adds the buffer that was parsed.
     pub fn with_buffer(self, bytes: Buf) -> IncomingRequest {
         let ParsedRequest {
             request_id,
--- a/crates/server/src/listeners/scgi.rs
+++ b/crates/server/src/listeners/scgi.rs
@@ -1,4 +1,4 @@
-//! The gateways' front: one SCGI request a connection to a neutral invocation, a neutral answer to a CGI response.
+//! The frontend for gateways: translates one SCGI request per connection, and its response to a CGI response.
 
 use super::routes::{Route, RouteError, Routes};
 use super::{Connection, Frontend, CAPACITY_RETRY_DELAY};
@@ -19,26 +19,27 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Of what stands behind a request so much is read and dropped before its answer; then reading waits for it.
+/// Maximum number of bytes behind a request that are read and dropped before its response; then reading stops until it
+/// is sent.
 const MAX_EXTRA_BYTES: usize = 64 * 1024;
-/// The time to come back for one that finds no room at all, in milliseconds.
+/// Retry delay for a client that finds no capacity at all.
 const OVERLOADED_RETRY_AFTER: Time = 1000 * MS;
-/// The first line of an answer to a caller that has ended its input, written before the answer is known.
+/// The first header field of a response to a client that has ended its input, written before the response is known.
 const FIRST_FIELD: (&str, &str) = ("Cache-Control", "no-store");
 
-/// What all connections of the front share.
+/// State shared by all connections of the frontend.
 pub struct ScgiContext {
     routes: RefCell<Rc<Routes>>,
     bounds: Cell<Bounds>,
     request_timeout: Cell<Time>,
-    /// Ids minted here begin with these; no router's id does, as those are hexadecimal digits.
+    /// Ids assigned here begin with these bytes; no router's id does, as those are hexadecimal digits.
     id_prefix: [u8; 8],
     last_id: Cell<u32>,
 }
 
 impl ScgiContext {
-    /// `name` and `start` keep the ids of this start apart from those of others. A forwarder's look like a router's, as
-    /// workers take them for such.
+    /// `name` and `start` distinguish the ids of this start from those of others. A forwarder's ids look like a
+    /// router's, since workers accept only those.
     pub fn new(
         name: &str,
         start: Time,
@@ -65,18 +66,18 @@
         context.clamp_bounds();
         context
     }
-    /// As the fleet's policy has it.
+    /// Sets the timeout of the fleet's policy.
     pub fn set_request_timeout(&self, request_timeout: Time) {
         self.request_timeout.set(request_timeout);
     }
-    /// From the next request on.
+    /// Replaces the configuration, from the next request on.
     pub fn reconfigure(&self, routes: Rc<Routes>, bounds: Bounds, request_timeout: Time) {
         *self.routes.borrow_mut() = routes;
         self.bounds.set(bounds);
         self.request_timeout.set(request_timeout);
         self.clamp_bounds();
     }
-    /// A request stands in one buffer, whatever is asked for.
+    /// Lowers the bounds so that a request fits one buffer, whatever is configured.
     fn clamp_bounds(&self) {
         let mut bounds = self.bounds.get();
         bounds.body = bounds.body.min(crate::frames::MAX_BODY_BYTES);
@@ -85,7 +86,7 @@
         }
         self.bounds.set(bounds);
     }
-    /// How long a request may take to come.
+    /// How long a request may take to arrive.
     pub fn request_timeout(&self) -> Time {
         self.request_timeout.get()
     }
@@ -102,16 +103,16 @@
 #[derive(Default)]
 pub struct ScgiResponder {
     route: RefCell<Option<Rc<Route>>>,
-    /// Its answer asks for no body.
+    /// The response must have no body.
     is_head: Cell<bool>,
-    /// Its first line was written already.
+    /// The first header field has been written already.
     has_begun: Cell<bool>,
     has_responded: Cell<bool>,
 }
 
 impl ScgiResponder {
     fn respond(&self, outbox: &Outbox, status: u16, fields: &[(&str, &str)], body: &[u8]) {
-        // Guards against a second answer on a connection that carries one.
+        // Prevents a second response on the connection.
         if self.has_responded.replace(true) {
             return;
         }
@@ -127,7 +128,7 @@
         all.extend(fields);
         let mut bytes = Vec::with_capacity(256 + body.len());
         if !response::write(&mut bytes, status, &all, body) {
-            log!("a response of {status} went without a field that can't stand in one");
+            log!("response {status}: a header field with invalid characters was left out");
         }
         if self.is_head.get() {
             bytes.truncate(bytes.len() - body.len());
@@ -135,8 +136,8 @@
         outbox.push(&bytes);
     }
 
-    /// Tells a caller that reads on from one that has closed: the first line of its answer, which the system of one that
-    /// has closed answers with a reset.
+    /// Distinguishes a client that still reads from one that has closed: writes the first header field of the response,
+    /// which the operating system of a closed client answers with a reset.
     fn begin_response(&self, outbox: &Outbox) {
         if !self.has_responded.get() && !self.has_begun.replace(true) {
             outbox.push(format!("{}: {}\r\n", FIRST_FIELD.0, FIRST_FIELD.1).as_bytes());
@@ -154,7 +155,7 @@
     }
 }
 
-/// When to come back, in whole seconds and in milliseconds; both empty where nothing is said.
+/// The retry delay in whole seconds and in milliseconds; `None` below a millisecond.
 fn retry_after_values(retry_after: Time) -> Option<(String, String)> {
     let ms = retry_after / MS;
     (ms > 0).then(|| (((ms + 999) / 1000).to_string(), ms.to_string()))
@@ -201,7 +202,7 @@
             RequestError::NotReady => self.respond_overloaded(outbox),
         }
     }
-    /// Nothing of it ran.
+    /// The request, if there is one, has not run.
     fn write_close_notice(&self, outbox: &Outbox) -> bool {
         self.respond_overloaded(outbox);
         true
@@ -217,7 +218,7 @@
     }
 }
 
-/// The status for what is no request.
+/// The status for an invalid request.
 pub fn status_for(fault: request::Fault) -> u16 {
     match fault {
         request::Fault::HeaderTooLarge(_) | request::Fault::TooManyFields(_) => 431,
@@ -227,7 +228,8 @@
     }
 }
 
-/// One that finds the front full, with nobody to give way: told at once, as far as its socket takes it.
+/// Rejects a connection when the frontend is full and none can be closed: the response is sent at once, as far as the
+/// socket takes it.
 pub fn reject_connection(stream: &TcpStream, shared: &Shared) {
     add(&shared.counters.turned_away);
     let (responder, outbox) = (ScgiResponder::default(), Outbox::new(&shared.pool));
@@ -237,7 +239,8 @@
     let _ = outbox.flush(|bytes| stream.try_write(bytes));
 }
 
-/// Reads one request, passes it on, waits for its answer, and writes it. An error is the caller's reset: it has left.
+/// Reads one request, passes it on, waits for its response, and writes it. An error is a reset by the client, which has
+/// left.
 pub async fn run_connection(
     frontend: &Frontend,
     context: &ScgiContext,
@@ -248,9 +251,10 @@
     let (peer, pool, counters) = (&connection.peer, &frontend.shared.pool, &frontend.shared.counters);
     let mut reader = Reader::new(context.bounds.get());
     let mut buf = None;
-    // The request has gone to the core; the caller has ended its input; bytes that belong to nothing.
+    // Whether the request has gone to the core, whether the client has ended its input, and the number of bytes behind
+    // the request.
     let (mut passed, mut ended, mut extra) = (false, false, 0);
-    // All that came was one request.
+    // The client has sent exactly one request.
     let mut whole = false;
     loop {
         peer.outbox.flush(|bytes| stream.try_write(bytes))?;
@@ -267,7 +271,7 @@
         tokio::select! {
             () = peer.outbox.wake.notified() => continue,
             ready = stream.writable(), if can_write => { ready?; continue }
-            // Behind the end of its input only a reset can come: it has closed, and waits no longer.
+            // After the end of its input only a reset can arrive: the client has closed, and waits no longer.
             ready = stream.ready(Interest::ERROR), if ended => {
                 ready?;
                 return Err(stream.take_error()?.unwrap_or_else(|| ErrorKind::ConnectionReset.into()));
@@ -299,7 +303,7 @@
             Ok(0) if bytes.is_empty() => return Ok(()),
             Ok(0) => {
                 ended = true;
-                peer.reject_malformed(counters, 1, RequestError::Malformed, "a request cut short");
+                peer.reject_malformed(counters, 1, RequestError::Malformed, "the request is incomplete");
                 continue;
             }
             Ok(count) => bytes.advance(count),
@@ -352,10 +356,10 @@
         }
         connection.partial_since.set(None);
     }
-    // Whoever has sent no more than its request is let go at once.
+    // A client that has sent no more than its request needs no lingering close.
     if whole || ended {
         return Ok(());
     }
-    // A wake may be that of the answer; only an end from here ends it early.
+    // A wake may be that of the response; only a close from here ends the lingering early.
     linger(&mut stream, &peer.outbox.wake, || peer.is_closing.get()).await
 }
