--- a/crates/server/src/downstream/ledger.rs
+++ b/crates/server/src/downstream/ledger.rs
@@ -1,4 +1,5 @@
-//! The connections to the ledger: posts calls, one at a time on each, tells how each ended and whether it ran.
+//! Connections to the downstream proxy: send calls, one at a time on each, and report how each ended and whether it
+//! ran.
 
 use crate::clock::MS;
 use crate::config::Addresses;
@@ -21,11 +22,11 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Closed from here well before the ledger closes it, so that no call crosses that close.
+/// Idle connections are closed well before the downstream proxy closes them, so that no call crosses that close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A reply that has begun and doesn't go on for this long never ends: its length was wrong.
+/// A reply that has begun and stalls for this long never completes: its length was wrong.
 const PARTIAL_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Replies to nobody that may stand before the one that is waited for.
+/// Maximum number of replies to unknown calls that may precede the expected one.
 const MAX_UNEXPECTED_REPLIES: u32 = 4;
 
 struct Call {
@@ -34,14 +35,14 @@
     bytes: Buf,
 }
 
-/// One connection. Guards calls against each other: a reply that is spoilt, late or never comes, or a connection
-/// that breaks, costs the one call on it. May hurt where connections are dear: under load there are as many as calls.
+/// One connection, which carries one call at a time. Isolates calls from each other: a corrupt, late or missing reply,
+/// or a broken connection, costs one call only. The price is one connection for each concurrent call under load.
 struct Connection {
     address: SocketAddr,
     call: RefCell<Option<Call>>,
-    /// The last that was put on it: a second copy of its reply may still come.
+    /// Request of the last call on this connection: a second copy of its reply may still arrive.
     last_call: Cell<Option<RequestId>>,
-    /// It ends now; a call on it is given up by that.
+    /// The connection is ending, which abandons a call on it.
     is_closed: Cell<bool>,
     wake: Notify,
 }
@@ -53,8 +54,8 @@
     }
 }
 
-/// Carries out the core's commands on `most` connections. Without an address, or a connection for it, a call ends as
-/// one that found nobody.
+/// Carries out the core's commands on at most `max_connections` connections. Without an address, or a free connection,
+/// a call ends as one whose connection failed.
 pub async fn run(addresses: Rc<Addresses>, shared: Shared, queue: Sender<CoreEvent>, max_connections: usize) {
     let mut connections: Vec<Rc<Connection>> = Vec::new();
     loop {
@@ -64,7 +65,7 @@
             connections.retain(|connection| !connection.is_closed.get());
             match command {
                 DownstreamCommand::Call { request_id, number, timeout, body, .. } => {
-                    // Where the ledger has moved, the old connections end with the calls that are on them.
+                    // After an address change the old connections end with the calls that are on them.
                     let is_idle = |connection: &&Rc<Connection>| connection.call.borrow().is_none();
                     let has_moved =
                         |connection: &&Rc<Connection>| Some(connection.address) != addresses.ledger.get();
@@ -76,7 +77,7 @@
                     let is_usable = |connection: &&Rc<Connection>| {
                         !connection.is_closed.get() && connection.last_call.get() != Some(request_id)
                     };
-                    // The one used last: the others idle until they are closed.
+                    // Prefers the connection used last: the others stay idle until they are closed.
                     let reused = connections.iter().filter(is_idle).rfind(is_usable).cloned();
                     let (Some(address), true) =
                         (addresses.ledger.get(), reused.is_some() || connections.len() < max_connections)
@@ -127,7 +128,7 @@
     }
 }
 
-/// One connection from its start to its end, where a call that is still on it gets its outcome.
+/// Runs one connection from its start to its end, and reports the outcome of a call that is still on it.
 async fn run_connection(
     connection: Rc<Connection>,
     addresses: Rc<Addresses>,
@@ -150,12 +151,12 @@
     if let Err(error) = result {
         log!("a connection to the ledger with a call: {error}");
     }
-    // Of which nothing was written, that surely never ran; nothing is known of another.
+    // A call of which nothing was written surely never ran; otherwise it may have run.
     let outcome = if written { Outcome::ConnectionLost } else { Outcome::ConnectFailed };
     let _ = queue.send(CoreEvent::CallCompleted { request_id, number, outcome, reply: None }).await;
 }
 
-/// Ends without an error where no call is on it any more.
+/// Exchanges calls and replies. Returns `Ok` when the connection can end without a call on it.
 async fn exchange(
     connection: &Connection,
     addresses: &Addresses,
@@ -174,8 +175,9 @@
         }
         let has_call = connection.call.borrow().is_some();
         let unsent = connection.call.borrow().as_ref().map_or(0, |call| call.bytes.len() - sent);
-        // Guards a call on a connection that rested: where it has been closed meanwhile, or noise stands on it, the call is not
-        // written, so it is known not to have run, and may be made again whatever its effect.
+        // Protects a call on a connection that was idle: if it has been closed meanwhile, or unexpected bytes have
+        // arrived, the call is not written. It is then known not to have run, and may be repeated even if it is not
+        // idempotent.
         if unsent > 0 && sent == 0 && was_idle {
             was_idle = false;
             match look(stream, buf.spare()) {
@@ -210,7 +212,7 @@
             Err(error) => return Err(error),
         }
         last_received = Instant::now();
-        // What comes without a call is a copy of a reply, or noise: this connection is not used again.
+        // Bytes without a call are a copy of a reply, or invalid: this connection is not reused.
         if !has_call {
             return Ok(());
         }
@@ -230,7 +232,7 @@
                         let _ =
                             queue.send(CoreEvent::CallCompleted { request_id, number, outcome, reply }).await;
                         if buf.len() > at + size || addresses.ledger.get() != Some(connection.address) {
-                            return Ok(()); // more than is its own, or the ledger has moved
+                            return Ok(()); // extra bytes, or the address has changed
                         }
                     } else {
                         unexpected += 1;
@@ -238,7 +240,10 @@
                     }
                     at += size;
                     if unexpected > MAX_UNEXPECTED_REPLIES {
-                        return Err(io::Error::new(ErrorKind::InvalidData, "replies to nobody"));
+                        return Err(io::Error::new(
+                            ErrorKind::InvalidData,
+                            "too many replies to unknown calls",
+                        ));
                     }
                 }
                 NextReply::Invalid(what) => {
--- a/crates/server/src/downstream/mod.rs
+++ b/crates/server/src/downstream/mod.rs
@@ -1,6 +1,6 @@
-//! Calls to the tier below, by one of two protocols: the ledger's lines, or SCGI. Whichever it is, the number of
-//! connections is bounded, each carries one call, a call is given up by closing its connection, and what the core is told
-//! says truly whether the call ran, surely never ran, or nothing is known.
+//! Calls to the downstream tier, over one of two protocols: the downstream proxy's lines, or SCGI. With either, the
+//! number of connections is bounded, each connection carries one call at a time, a call is abandoned by closing its
+//! connection, and the reported outcome is exact about whether the call ran, surely never ran, or may have run.
 
 pub mod ledger;
 pub mod scgi;
--- a/crates/server/src/downstream/scgi.rs
+++ b/crates/server/src/downstream/scgi.rs
@@ -1,4 +1,4 @@
-//! Calls as SCGI requests to a backend: a connection each, as the protocol has it.
+//! Downstream calls as SCGI requests to a backend: one connection for each, as the protocol requires.
 
 use crate::clock::MS;
 use crate::core::incoming::RequestId;
@@ -21,18 +21,18 @@
 use tokio::time::timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A response's header and the 4 KiB of a result fit one buffer.
+/// A response's header and a result of 4 KiB fit one buffer.
 const BOUNDS: Bounds =
     Bounds { header: BUFFER_BYTES - MAX_RESULT_BYTES - 16, fields: 64, body: MAX_RESULT_BYTES };
 
-/// Where the calls go, and as what.
+/// Where calls go: the backend's address and the path of its service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     pub address: SocketAddr,
     pub path: String,
 }
 
-/// The backend as the operator's file has it now.
+/// The backend currently set in the operator's file.
 pub struct CurrentBackend(pub RefCell<Backend>);
 
 struct Call {
@@ -41,18 +41,18 @@
     wake: Notify,
 }
 
-/// What a status says of the call.
+/// Maps a response status to the outcome of the call.
 pub fn outcome(status: u16) -> Outcome {
     match status {
         200..=299 => Outcome::Succeeded,
-        // The one that says that nothing was done.
+        // The only status which says that the call did not run.
         503 => Outcome::Rejected,
         504 => Outcome::TimedOut,
         _ => Outcome::Failed,
     }
 }
 
-/// Carries out the core's commands on `most` connections.
+/// Carries out the core's commands on at most `max_connections` connections.
 pub async fn run(
     current: Rc<CurrentBackend>,
     names: Rc<Names>,
@@ -74,7 +74,7 @@
                             .await;
                         continue;
                     }
-                    // A second call of one invocation gives up the first.
+                    // A second call of one request cancels the first.
                     cancel_calls(&calls, request_id);
                     let backend = current.0.borrow().clone();
                     let bytes =
@@ -123,12 +123,12 @@
     ];
     let mut out = Vec::new();
     if let Err(fault) = request::write(&mut out, &fields, body) {
-        log!("a call that can't be written: {fault}");
+        log!("a call can't be encoded: {fault}");
     }
     out
 }
 
-/// One call from its connection to its outcome; `None` where it was given up.
+/// Runs one call from its connection to its outcome; `None` where the call was cancelled.
 async fn run_call(
     call: &Call,
     address: SocketAddr,
@@ -148,7 +148,7 @@
         }
         Err(error) => {
             log!("a call to the backend at {address}: {error}");
-            // Of which nothing was written, that surely never ran; nothing is known of another.
+            // A call of which nothing was written surely never ran; otherwise it may have run.
             Some((if written > 0 { Outcome::ConnectionLost } else { Outcome::ConnectFailed }, None))
         }
     }
--- a/crates/server/src/frames.rs
+++ b/crates/server/src/frames.rs
@@ -1,8 +1,9 @@
-//! The routers' binary frames: read from bytes, written to bytes. No I/O.
+//! The binary frames of the router protocol: parsed from bytes, written to bytes. Performs no I/O.
 
 use crate::core::incoming::RequestId;
 use cypresscleat_scheduler::Time;
 
+// Types of frames.
 pub const REQUEST: u8 = 2;
 pub const RESPONSE: u8 = 4;
 pub const CLIENT_LEFT: u8 = 8;
@@ -10,26 +11,27 @@
 pub const HEALTH_RESPONSE: u8 = 32;
 pub const CLOSING: u8 = 64;
 
+// Status codes of responses.
 pub const SUCCEEDED: u8 = 79;
 pub const REJECTED: u8 = 66;
 pub const FAILED: u8 = 69;
 
-/// Bounds of a frame's length, of an invocation's body and of a result.
+/// Bounds of a frame's length, of a request's body and of a result, in bytes.
 const FRAME_LENGTH: std::ops::RangeInclusive<usize> = 5..=262_144;
 pub const MAX_BODY_BYTES: usize = 2048;
 pub const MAX_RESULT_BYTES: usize = 4096;
-/// Most that an invocation may say: an hour of work in milliseconds, memory in KB, a Unix time in milliseconds.
+/// Maximum values in a request: an hour of work in milliseconds, memory in KB, a Unix time in milliseconds.
 const MAX_WORK_MS: f64 = 3.6e6;
 const MAX_MEMORY_KB: f64 = 2000.0;
 const MAX_ARRIVAL_MS: f64 = 1e14;
-/// Longest idempotency key, in bytes, whichever front brings it.
+/// Maximum length of an idempotency key, in bytes, for all frontends.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 200;
 /// Bytes of a frame before its payload: length, type, stream.
 const HEADER_BYTES: usize = 9;
 
 #[derive(Debug, PartialEq)]
 pub enum NextFrame<'a> {
-    /// Not all of it is here.
+    /// The frame is not complete yet.
     Incomplete,
     Frame {
         kind: u8,
@@ -37,19 +39,19 @@
         payload: &'a [u8],
         size: usize,
     },
-    /// Too large to be held, though not against the protocol: to be skipped.
+    /// The frame is valid but too large for a buffer.
     TooLarge {
         kind: u8,
         stream: u32,
         size: usize,
     },
-    /// Where the next frame begins can't be known any more.
+    /// The length is invalid, so the start of the next frame is unknown.
     Invalid {
         length: usize,
     },
 }
 
-/// The first frame in `bytes`, of which `most` fit a buffer.
+/// Finds the first frame in `bytes`; a frame of at most `max_frame_bytes` fits a buffer.
 pub fn next_frame(bytes: &[u8], max_frame_bytes: usize) -> NextFrame<'_> {
     let Some(head) = bytes.get(..HEADER_BYTES) else {
         return match bytes.get(..4).map(frame_length) {
@@ -77,7 +79,7 @@
 /// Name and value.
 type Field<'a> = (&'a str, &'a str);
 
-/// Splits a payload into its fields and the body behind them.
+/// Splits a payload into its fields and the body after them.
 pub fn parse_fields(payload: &[u8]) -> Option<(Vec<Field<'_>>, &[u8])> {
     let (count, mut rest) = payload.split_first()?;
     let mut fields = Vec::with_capacity(*count as usize);
@@ -92,12 +94,12 @@
     Some((fields, rest))
 }
 
-/// Whether it is visible ASCII.
+/// Returns whether the text is visible ASCII only.
 pub fn is_visible_ascii(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// What the fields of an invocation say; names are those of the settings.
+/// The fields of a request, with names as in the settings.
 #[derive(Debug, PartialEq)]
 pub struct Request<'a> {
     pub request_id: RequestId,
@@ -109,19 +111,20 @@
     pub memory_kb: f64,
     pub client_priority: f64,
     pub item: Option<&'a str>,
-    /// The idempotency key of a tokened operation: each try of one invocation brings the same.
+    /// The idempotency key of a request class that requires one: all attempts of a request carry the same key.
     pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
 }
 
+/// Parses a request; an error names the field that is missing or out of bounds.
 pub fn parse_request(payload: &[u8]) -> Result<Request<'_>, String> {
-    let (fields, body) = parse_fields(payload).ok_or("fields that can't be read")?;
+    let (fields, body) = parse_fields(payload).ok_or("malformed fields")?;
     if body.len() > MAX_BODY_BYTES {
         return Err(format!("a body of {} bytes", body.len()));
     }
     let get = |name: &str| fields.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
     let required = |name: &str| get(name).ok_or_else(|| format!("no {name}"));
-    // Sums are made of these: out of bounds, one would spoil them for all that come after.
+    // These numbers are summed up: a value out of bounds would spoil the sums for all later requests.
     let number = |name: &str, value: &str, max: f64| match value.parse::<f64>() {
         Ok(number) if (0.0..=max).contains(&number) => Ok(number),
         _ => Err(format!("{name} {value:?}")),
@@ -156,11 +159,13 @@
     })
 }
 
-/// Between the levels of our own: a forwarder's health check names it and what it has out at the worker; the answer of one that is
-/// cold tells the places that it may use there. Routers send and are sent none of these.
+/// Slow start between the program's own levels: a forwarder's health check names the forwarder and its requests in
+/// flight at the worker; the response of a worker that is warming up tells how many slots the forwarder may use there.
+/// Routers neither send nor receive these fields.
 pub const SLOW_START_FIELD: &str = "ramp";
 const IN_FLIGHT_FIELD: &str = "out";
 
+/// Builds the fields of a forwarder's health check.
 pub fn slow_start_request(forwarder: u64, in_flight: u32) -> Vec<u8> {
     let mut payload = Vec::new();
     write_fields(
@@ -170,20 +175,20 @@
     payload
 }
 
-/// Who asks, and what it has out here.
+/// Parses the forwarder that sent a health check and its requests in flight here.
 pub fn parse_slow_start_request(payload: &[u8]) -> Option<(u64, u32)> {
     let (all, _) = parse_fields(payload)?;
     let get = |name: &str| all.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
     Some((u64::from_str_radix(get(SLOW_START_FIELD)?, 16).ok()?, get(IN_FLIGHT_FIELD)?.parse().ok()?))
 }
 
-/// The places that a health check's answer promises, where it speaks of any.
+/// Parses the slots that a health check's response reserves, where it names any.
 pub fn parse_slow_start_response(payload: &[u8]) -> Option<u32> {
     let (all, _) = parse_fields(payload.get(1..)?)?;
     all.iter().find(|(known, _)| *known == SLOW_START_FIELD).and_then(|(_, value)| value.parse().ok())
 }
 
-/// A frame with its payload.
+/// Appends a frame with its payload.
 pub fn write_frame(out: &mut Vec<u8>, kind: u8, stream: u32, payload: &[u8]) {
     out.extend((payload.len() as u32 + 5).to_be_bytes());
     out.push(kind);
@@ -191,6 +196,7 @@
     out.extend(payload);
 }
 
+/// Appends the number of fields and the fields.
 pub fn write_fields(out: &mut Vec<u8>, fields: &[Field]) {
     out.push(fields.len() as u8);
     for (name, value) in fields {
@@ -201,7 +207,7 @@
     }
 }
 
-/// An answer, or with `CHECKED` that to a health check, as far as its body of `size` bytes: code, fields.
+/// Builds a response, or with `HEALTH_RESPONSE` that to a health check, up to its body of `size` bytes: code, fields.
 pub fn response_head(kind: u8, stream: u32, code: u8, fields: &[Field], size: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADER_BYTES + 64);
     write_frame(&mut out, kind, stream, &[code]);
--- a/crates/server/src/kernel.rs
+++ b/crates/server/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The link to the kernel: keeps it up, numbers the notices, passes them on in order.
+//! The link to the executor: keeps the connection up, checks the numbers of notices and passes the notices on in order.
 
 use crate::config::Addresses;
 use crate::core::{CoreEvent, Shared};
@@ -16,12 +16,13 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A kernel that is up answers each question for the gauges: silent for this long, the link is made anew.
+/// An executor that is up answers each request for gauges: after this time without any message the link is replaced.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Asked for once the kernel is up (before, it would not be carried out); the answer comes behind all notices
-/// that were missed.
+/// Cookie of the gauges requested once the executor is up (before, the request would be rejected). The response follows
+/// all notices that were missed.
 const SYNC_COOKIE: &str = "sync";
 
+/// Keeps a link to the executor until the core is gone.
 pub async fn run(addresses: Rc<Addresses>, shared: Shared, queue: Sender<CoreEvent>) {
     let mut link =
         Link { addresses: addresses.clone(), shared, queue, last_serial: 0, requested_gap: 0, is_up: false };
@@ -31,14 +32,14 @@
         let dial = async { timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await };
         let connected = tokio::select! {
             connected = dial => connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())),
-            // Somebody who never answers is dialled no longer than the kernel is there.
+            // An address that never answers is dialed only while the executor is configured there.
             () = address_changed(&addresses, address) => continue,
         };
         let stream = match connected {
             Ok(stream) => stream,
             Err(error) => {
                 if std::mem::take(&mut was_reachable) {
-                    log!("the kernel at {address} can't be reached: {error}; trying on");
+                    log!("the kernel at {address} can't be reached: {error}; retrying");
                 }
                 tokio::time::sleep(RETRY_DELAY).await;
                 continue;
@@ -55,14 +56,14 @@
         if link.queue.send(CoreEvent::ExecutorDisconnected).await.is_err() {
             return;
         }
-        // One that was up is made anew at once: until then nothing is run.
+        // A link that was up is replaced at once: until then nothing runs.
         if !std::mem::take(&mut link.is_up) {
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Comes back once the kernel is somewhere else.
+/// Completes once the executor's configured address differs from `address`.
 async fn address_changed(addresses: &Addresses, address: SocketAddr) {
     while addresses.kernel.get() == address {
         addresses.kernel_moved.notified().await;
@@ -73,11 +74,11 @@
     addresses: Rc<Addresses>,
     shared: Shared,
     queue: Sender<CoreEvent>,
-    /// The last notice that was read.
+    /// Number of the last notice read.
     last_serial: u64,
-    /// A gap after this notice was asked for once already.
+    /// The notice before a gap for which the missing notices were already requested once.
     requested_gap: u64,
-    /// The present link has told that the kernel is up.
+    /// The present link has reported that the executor is up.
     is_up: bool,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl Link {
-    /// Ends with an error when the link does, without one when the core is gone.
+    /// Runs the link until it ends. Returns an error when the link fails, and `Ok` when the core is gone.
     async fn run_connection(&mut self, stream: &TcpStream, address: SocketAddr) -> io::Result<()> {
         let outbox = Rc::new(Outbox::new(&self.shared.pool));
         outbox.push(lines::open(self.last_serial).as_bytes());
@@ -97,8 +98,8 @@
             outbox.flush(|bytes| stream.try_write(bytes))?;
             tokio::select! {
                 () = outbox.wake.notified() => continue,
-                // Its runs and the numbers of its notices go on at the new address.
-                () = address_changed(&self.addresses, address) => return Err(invalid_data("it has moved")),
+                // Runs and the numbers of notices continue at the new address.
+                () = address_changed(&self.addresses, address) => return Err(invalid_data("the address has changed")),
                 ready = stream.writable(), if !outbox.is_empty() => { ready?; continue }
                 () = sleep_until(last_received + SILENCE_TIMEOUT), if self.is_up => return Err(ErrorKind::TimedOut.into()),
                 ready = stream.readable() => ready?,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// One line: `None` where it says nothing new.
+    /// Reads one line; returns `None` where it contains nothing new.
     fn read_notice(&mut self, line: &[u8]) -> io::Result<Option<Notice>> {
         let (serial, notice) = lines::parse_notice(line, &self.shared.pool);
         if let Some(serial) = serial {
@@ -144,7 +145,7 @@
             }
             if serial > self.last_serial + 1 && self.requested_gap != self.last_serial {
                 self.requested_gap = self.last_serial;
-                return Err(invalid_data(format!("notice {serial} came next")));
+                return Err(invalid_data(format!("received notice {serial} after a gap")));
             }
             if serial > self.last_serial + 1 {
                 log!("the kernel no longer has the notices {} to {}", self.last_serial + 1, serial - 1);
--- a/crates/server/src/lines.rs
+++ b/crates/server/src/lines.rs
@@ -1,4 +1,4 @@
-//! The kernel's JSON lines and the ledger's lines: read from bytes, written to bytes. No I/O.
+//! The executor's JSON lines and the downstream proxy's lines: parsed from bytes, written to bytes. Performs no I/O.
 
 use crate::pool::{Buf, BufferPool};
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -6,15 +6,16 @@
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// The first line in `bytes` without its end, and the size with it.
+/// Returns the first line in `bytes` without its line ending, and its size including it.
 pub fn next_line(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let line = &bytes[..end];
     Some((line.strip_suffix(b"\r").unwrap_or(line), end + 1))
 }
 
-// ---- the kernel ----
+// ---- executor ----
 
+/// A notice of the executor.
 pub enum Notice {
     Booted { cold: bool, age_ms: f64 },
     Reap { call: String, outcome: Outcome, body: Buf },
@@ -24,7 +25,7 @@
     Remark(String),
 }
 
-/// The number of a notice, where it has one, and what it says.
+/// Parses a notice: its number, where it has one, and its content.
 pub fn parse_notice(line: &[u8], pool: &Rc<BufferPool>) -> (Option<u64>, Result<Notice, String>) {
     match serde_json::from_slice::<Value>(line) {
         Ok(all) => (all["serial"].as_u64(), notice_from_json(&all, pool)),
@@ -75,24 +76,30 @@
     format!("{value}\n")
 }
 
+/// Opens a link; the executor sends all notices after `serial`.
 pub fn open(serial: u64) -> String {
     json_line(json!({"msg": "OPEN", "serial": serial}))
 }
+/// Starts a run.
 pub fn sched(call: &str, service: &str, body: &[u8]) -> String {
     json_line(json!({"msg": "SCHED", "call": call, "service": service, "blob": STANDARD.encode(body)}))
 }
+/// Stops a run.
 pub fn preempt(call: &str) -> String {
     json_line(json!({"msg": "PREEMPT", "call": call}))
 }
+/// Resumes a run with the reply of its downstream call.
 pub fn io_done(call: &str, reply: &[u8]) -> String {
     json_line(json!({"msg": "IODONE", "call": call, "blob": STANDARD.encode(reply)}))
 }
+/// Requests the gauges; the response carries the cookie.
 pub fn sysinfo(cookie: &str) -> String {
     json_line(json!({"msg": "SYSINFO", "cookie": cookie}))
 }
 
-// ---- the ledger ----
+// ---- downstream proxy ----
 
+/// Builds a call, which the downstream proxy abandons after `within_ms`.
 pub fn post(call: &str, within_ms: i64, body: &[u8]) -> Vec<u8> {
     let mut out = format!("post {call} {within_ms} {}\r\n", body.len()).into_bytes();
     out.extend(body);
@@ -100,7 +107,7 @@
     out
 }
 
-/// How a call ended, told truly of whether it ran, with the body of its reply.
+/// How a call ended, exact about whether it ran, with the body of its reply.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
     pub call: &'a str,
@@ -112,18 +119,22 @@
 pub enum NextReply<'a> {
     Incomplete,
     Reply(Reply<'a>, usize),
-    /// A line that means nothing, or where the next reply begins can't be known any more.
+    /// An invalid line, after which the start of the next reply is unknown.
     Invalid(String),
 }
 
-/// The first line of a reply is shorter than this.
+/// Maximum length of the first line of a reply, in bytes.
 const MAX_LINE_BYTES: usize = 64;
 
-/// The first reply in `bytes`, of which `most` fit a buffer.
+/// Finds the first reply in `bytes`; a reply of at most `max_reply_bytes` fits a buffer.
 pub fn parse_reply(bytes: &[u8], max_reply_bytes: usize) -> NextReply<'_> {
     let Some((line, size)) = next_line(&bytes[..bytes.len().min(MAX_LINE_BYTES)]) else {
         let invalid = bytes.len() >= MAX_LINE_BYTES;
-        return if invalid { NextReply::Invalid("a line without end".into()) } else { NextReply::Incomplete };
+        return if invalid {
+            NextReply::Invalid("the line is too long".into())
+        } else {
+            NextReply::Incomplete
+        };
     };
     let invalid = || NextReply::Invalid(format!("{:?}", String::from_utf8_lossy(line)));
     let Ok(text) = std::str::from_utf8(line) else { return invalid() };
--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -1,4 +1,4 @@
-//! Buffers of one size, used again, and the outboxes made of them. A buffer goes back where it is dropped.
+//! A pool of buffers of one size, and the outboxes built on it. A buffer returns to the pool when it is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,11 +7,12 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Holds any frame or line that the protocol allows: a result of 4 KiB, in base64 too.
+/// Fits any frame or line that the protocols allow: a result of 4 KiB, also in base64.
 pub const BUFFER_BYTES: usize = 8192;
 
 type Block = Box<[u8; BUFFER_BYTES]>;
 
+/// The free buffers, and the number of buffers in use.
 pub struct BufferPool {
     free: RefCell<Vec<Block>>,
     in_use: Cell<usize>,
@@ -27,24 +28,26 @@
         })
     }
 
-    /// A buffer for what must be written: answers and commands are bounded by what was taken in.
+    /// Takes a buffer for data that must be written: responses and commands are bounded by the requests read.
     pub fn take(self: &Rc<BufferPool>) -> Buf {
         let block = self.free.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
         self.in_use.set(self.in_use.get() + 1);
         Buf { block: Some(block), len: 0, pool: self.clone() }
     }
 
-    /// Whether more may be read: the last eighth is left to what must be written. Guards memory against more
-    /// input than can be held; then reading waits, as behind a slow server.
+    /// Returns whether more may be read: the last eighth of the pool is reserved for data that must be written. Bounds
+    /// the memory of unread input; beyond the bound reading waits, as at a slow server.
     pub fn has_capacity(&self) -> bool {
         self.in_use.get() < self.max_buffers - self.max_buffers / 8
     }
 
+    /// Number of buffers in use.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 }
 
+/// A buffer of `BUFFER_BYTES`, filled from the front.
 pub struct Buf {
     block: Option<Block>,
     len: usize,
@@ -52,26 +55,28 @@
 }
 
 impl Buf {
-    /// Adds what fits; returns how much that was.
+    /// Appends what fits; returns the number of bytes appended.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
         let count = bytes.len().min(BUFFER_BYTES - self.len);
         self.spare()[..count].copy_from_slice(&bytes[..count]);
         self.len += count;
         count
     }
+    /// The unfilled rest, to be read into.
     pub fn spare(&mut self) -> &mut [u8] {
         let len = self.len;
         self.block.as_mut().map_or(&mut [], |block| &mut block[len..])
     }
+    /// Counts bytes that were read into the spare part.
     pub fn advance(&mut self, more: usize) {
         self.len = (self.len + more).min(BUFFER_BYTES);
     }
-    /// Goes back to the pool before it is dropped; nothing stands in it any more.
+    /// Returns the buffer to the pool before it is dropped, and leaves it empty.
     pub fn release(&mut self) {
         let pool = self.pool.clone();
         drop(std::mem::replace(self, Buf { block: None, len: 0, pool }));
     }
-    /// Drops the first bytes; the rest moves to the front.
+    /// Removes the first bytes; the rest moves to the front.
     pub fn consume(&mut self, count: usize) {
         let (count, len) = (count.min(self.len), self.len);
         if let Some(block) = self.block.as_mut() {
@@ -100,7 +105,7 @@
     }
 }
 
-/// What waits to be written to one peer, in order.
+/// Bytes that wait to be written to one peer, in order.
 pub struct Outbox {
     pool: Rc<BufferPool>,
     chunks: RefCell<VecDeque<Buf>>,
@@ -122,6 +127,7 @@
         }
     }
 
+    /// Appends bytes, and wakes the task that writes them.
     pub fn push(&self, mut bytes: &[u8]) {
         let mut chunks = self.chunks.borrow_mut();
         self.bytes.set(self.bytes.get() + bytes.len());
@@ -141,11 +147,11 @@
     pub fn is_empty(&self) -> bool {
         self.bytes.get() == 0
     }
-    /// Bytes that have left it since its start.
+    /// Number of bytes written since the outbox was created.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
-    /// Where the next byte pushed will stand, counted like `written`.
+    /// Position of the next byte pushed, counted as in `written`.
     pub fn end(&self) -> u64 {
         self.written.get() + self.bytes.get() as u64
     }
@@ -155,7 +161,7 @@
         self.bytes.set(0);
     }
 
-    /// Writes until the peer takes no more; `write` is a socket's non-blocking write.
+    /// Writes until the socket accepts no more; `write` is a socket's non-blocking write.
     pub fn flush(&self, mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> io::Result<()> {
         let mut chunks = self.chunks.borrow_mut();
         while let Some(first) = chunks.front() {
--- a/crates/server/src/ready.rs
+++ b/crates/server/src/ready.rs
@@ -1,5 +1,5 @@
-//! How long the start takes, told in one line: from the start of the program until it listens, until its kernel is up, until the
-//! roster has taken a report. A start that takes too long says what it waits for.
+//! Measures how long startup takes and logs one line: the time from the start of the program until it listens, until
+//! its executor is up, and until the service registry has accepted a report. A slow startup logs what it waits for.
 
 use crate::log;
 use std::cell::Cell;
@@ -7,16 +7,17 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
 
-/// Nine in ten processes of a fleet are to be ready by then, and all by the second.
+/// Startup times that a fleet is expected to keep: nine of ten processes are ready by the first, all by the second.
 const FIRST_WARNING: Duration = Duration::from_secs(10);
 const SECOND_WARNING: Duration = Duration::from_secs(30);
 
+/// The steps of startup, and when each was reached.
 pub struct Readiness {
     started: Instant,
     listening: Cell<Option<Duration>>,
     executor: Cell<Option<Duration>>,
     report: Cell<Option<Duration>>,
-    /// Without a roster nobody is told.
+    /// Without a registry no report is expected.
     expects_report: Cell<bool>,
     was_logged: Cell<bool>,
 }
@@ -34,7 +35,7 @@
             self.log_when_ready();
         }
     }
-    /// All listeners stand; `reports` where there is a roster.
+    /// Marks all listeners as listening; `expects_report` where a registry is configured.
     pub fn mark_listening(&self, expects_report: bool) {
         self.expects_report.set(expects_report);
         self.mark(&self.listening);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Says what a late start waits for, twice at the most.
+    /// Logs what a slow startup waits for, at most twice.
     pub async fn watch(self: Rc<Readiness>) {
         for at in [FIRST_WARNING, SECOND_WARNING] {
             sleep_until((self.started + at).into()).await;
--- a/crates/server/src/roster.rs
+++ b/crates/server/src/roster.rs
@@ -1,4 +1,5 @@
-//! Reports to the roster: one short of a second apart, on a connection of its own that delays nothing else.
+//! Reports to the service registry, less than a second apart, on a connection of their own so that they are not delayed
+//! by other messages.
 
 use crate::config::Addresses;
 use crate::core::Shared;
@@ -14,15 +15,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An entry lapses 3 s after its last report: two lost ones leave time for a third.
+/// A registry entry expires 3 s after its last report: after two lost reports there is time for a third.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Backoff after a lost report: doubled with each up to the most, and of that a half to the whole by chance. A roster that returns
-/// hears of each server within `ANSWER` and the most, 1.5 s, and not of all at once.
+/// Backoff after a lost report: doubles with each loss up to the maximum, and is multiplied by a random factor from 0.5
+/// to 1. A registry that returns hears from each server within `RESPONSE_TIMEOUT` and `MAX_BACKOFF`, 1.5 s together,
+/// and not from all at once.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// How long to wait after so many lost reports in a row. The name tells servers apart that were given one seed.
+/// Delay after `lost` lost reports in a row. The name makes servers with the same seed differ.
 pub fn backoff(seed: u64, name: &str, lost: u32) -> Duration {
     let mut hasher = DefaultHasher::new();
     (seed, name, lost).hash(&mut hasher);
@@ -30,6 +32,7 @@
     MIN_BACKOFF.saturating_mul(1 << lost.saturating_sub(1).min(16)).min(MAX_BACKOFF).mul_f64(jitter)
 }
 
+/// Reports to the registry for as long as the program runs.
 pub async fn run(addresses: Rc<Addresses>, name: String, seed: u64, shared: Shared) {
     let mut stream: Option<TcpStream> = None;
     let mut lost_in_a_row = 0;
@@ -40,7 +43,7 @@
             continue;
         };
         if last_address.replace(address) != Some(address) {
-            stream = None; // it has moved: nothing more is sent where it was
+            stream = None; // the address has changed: nothing more is sent to the old one
         }
         let text = http::report_request(
             &address.to_string(),
@@ -65,16 +68,16 @@
                         Ok(Err(error)) => error.to_string(),
                         _ => "no answer in time".to_string(),
                     };
-                    log!("a report to the roster at {address} was lost: {why}; trying on");
+                    log!("a report to the roster at {address} was lost: {why}; retrying");
                 }
-                // One that has moved is told at once.
+                // A registry at a new address is reported to at once.
                 let _ = timeout(backoff(seed, &name, lost_in_a_row), addresses.roster_moved.notified()).await;
             }
         }
     }
 }
 
-/// One report; returns the connection where it may be used again.
+/// Sends one report; returns the connection if it can be reused.
 async fn send_report(
     connection: Option<TcpStream>,
     address: SocketAddr,
