--- a/crates/rollout-relay/src/lib.rs
+++ b/crates/rollout-relay/src/lib.rs
@@ -1,16 +1,19 @@
-//! Relays by zone between the keepers and the members of a change of policy: a keeper speaks to tens, a member to one or two. Without
-//! I/O or clock: time is an argument, letters come back as plain values, the same events give the same actions.
+//! Relays by zone between the control replicas and the members of a rollout: the leader exchanges messages with tens of relays, a member
+//! with one or two. No I/O, no clock: time is an argument, messages are plain values, the same events give the same actions.
 //!
-//! | module | question |
+//! | module | job |
 //! | --- | --- |
-//! | [`relay`] | what a relay may say for those below it, and which leases it may give them |
-//! | [`simulation`] | keepers, relays and members in one simulated net |
+//! | [`relay`] | what a relay may report for its members, and which leases it may give them |
+//! | `simulation` | replicas, relays and members in one simulated network (feature `simulation`) |
 //!
-//! What members and keepers say is `rollout::said`, unchanged: a member is given its zone's relays in place of the keepers, so programs
-//! that know nothing of relays stand below them, and beside them at the keepers. `docs/design/relays.md` says what was compared.
+//! The messages are those of `cypresscleat_rollout::messages`, unchanged: a member is given the relays of its zone in place of the
+//! replicas. So earlier versions of the program, which know nothing of relays, run below relays, and beside them at the replicas.
+//! `docs/design/relays.md` compares this with other designs.
+//!
+//! Times are in tenths of a millisecond.
 
 pub mod relay;
 #[cfg(feature = "simulation")]
 pub mod simulation;
 
-pub use relay::{Out, Relay};
+pub use relay::{Relay, RelayOutput};
--- a/crates/rollout-relay/src/relay.rs
+++ b/crates/rollout-relay/src/relay.rs
@@ -1,29 +1,35 @@
-//! One relay: to the keepers a member under its own name, to its members a desk.
+//! One relay: towards the control replicas a member under its own name, towards the members of its zone a coordinator.
 //!
-//! # Why nobody below outlives its lease
+//! # Why no member outlives the relay's lease
 //!
-//! A relay holds its lease L, counted from its own asking, to be over after L - early(L) by its own clock; a keeper counts L from when
-//! it heard that asking. A member that is given l holds it to be over l - early(l) after its own asking, by its own clock. Clocks run
-//! apart by one part in 40 at the most between any two, and l + 1 is at most what is left to the relay: (l - l/40 + 39/40) * 41/40 is
-//! less than l + 1, so a member has stopped before its relay's lease is over by the relay's clock, and for the same reason that is
-//! before it is over by the keeper's. Each of the two hops has its own `early`, and needs no more than that.
+//! A relay counts its lease `L` from when it sent the heartbeat, and takes it to be over after `L - m(L)` by its own clock, where `m` is
+//! [`clock_drift_margin`](cypresscleat_rollout::expiry::clock_drift_margin). The leader counts `L` from when it received that heartbeat. A
+//! member that is given a lease `l` takes it to be over `l - m(l)` after it sent its heartbeat, by its own clock. Any two clocks run apart
+//! by at most one part in 40, and `l + 1` is at most what is left of the relay's lease. As `m(l)` is at least `l/40 - 39/40`, a member
+//! stops after at most `(l - l/40 + 39/40) * 41/40` by the relay's clock, which is less than `l + 1`: before the relay's lease is over by
+//! the relay's clock. For the same reason that is before it is over by the leader's clock. Each of the two hops has its own margin, and
+//! needs no more than that.
 //!
-//! Where changes wait for everybody the relay's lease has no end until its yes; then `l` is the lease of the version in force, and is
-//! never counted from later than the yes: the keepers, who count that lease from hearing the yes, hold the relay for gone no sooner.
+//! Where changes wait for every member ([`UnreachableMembers::Wait`]) the relay's lease has no end until its vote. From then on `l` is the
+//! lease of the active version, and is never counted from later than the vote. The leader counts that lease from when it received the
+//! vote, so it takes the relay to be gone no sooner.
 //!
-//! # What a word upward says
+//! # What a relay reports to the replicas
 //!
-//! A yes: each member that holds a lease of this relay has said yes; from then on until that change is over, one that has not is given
-//! none. So whoever admits at the moment of the decision has the text. A pause is the same with "has stopped". One that asks another
-//! relay of its zone counts here until its lease from here is over, as that lease can't be called back.
+//! A vote to commit: each member that holds a lease of this relay has voted. From then on until that change is over, a member that has
+//! not voted is given no lease. So each member that admits at the moment of the decision has the document. A pause works the same way,
+//! with "has stopped" in place of the vote. A member that moves to another relay of its zone counts here until its lease from here is
+//! over, since a lease cannot be revoked.
 //!
-//! # A new life
+//! # Restart
 //!
-//! Its table is empty while members may hold leases of the former life. Under [`UnreachableMembers::Fence`] that life is a member of its own at the
-//! keepers until its lease is over, and by then those of its members are: nothing has to be waited for. Under [`UnreachableMembers::Wait`] the new
-//! life takes the former's place as soon as it joins: it says neither yes nor that all have stopped, nor does it leave, until the longest
-//! lease that a former life can have given (`most`) is over by its own clock; nor where it doesn't know yet by which rule it joined. No version comes in force in between, as that needs its word. Leases
-//! it may give at once in both cases: they are in its table.
+//! After a restart the table of members is empty, while members may still hold leases that the former incarnation gave. Under
+//! [`UnreachableMembers::Fence`] the former incarnation is a member of its own at the replicas until its lease is over, and by then the
+//! leases of its members are over too: the new incarnation has nothing to wait for. Under [`UnreachableMembers::Wait`] the new incarnation
+//! replaces the former one as soon as it joins. It neither votes, nor reports that all have stopped, nor leaves, until the longest lease
+//! that a former incarnation can have given (`max_lease`) is over by its own clock. The same holds while it does not know yet under which
+//! rule it joined. No version becomes active in between, as that needs its vote. Under both rules it may give leases at once: those are
+//! in its table.
 
 use cypresscleat_rollout::member::{AdmissionPermit, MemberEvent, RolloutMember};
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
@@ -35,241 +41,271 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Members of one relay; one more is not answered, and asks another.
+/// Members of one relay. Further members get no response, and poll another relay.
 pub const MAX_MEMBERS: usize = 4_096;
-/// Texts in memory, and as many on their way to the disk.
-const TEXTS: usize = 6;
-/// Members that are told of news in one step.
-const PUSHED: usize = 256;
-/// Lives that left and are remembered: as many as may leave while a letter is on its way.
-const LEFT: usize = 1_024;
-const LINES: usize = 256;
-/// Those that lag are told again so often, a part of the lease apart: the letter may be lost, or they ask another relay by now.
-const AGAIN: u32 = 8;
-const AGAIN_AFTER: Time = 8;
-/// A member is asked to come no more often than this part of the lease, so that a relay whose own lease is short is not asked by all.
-const OFTEN: Time = 16;
+/// Documents in memory; the same bound holds for documents that are being persisted.
+const MAX_DOCUMENTS: usize = 6;
+/// Members that are notified of a change in one step.
+const MAX_NOTIFICATIONS_PER_STEP: usize = 256;
+/// Incarnations that left and are remembered: as many as may leave while a message is under way.
+const MAX_DEPARTED_MEMBERS: usize = 1_024;
+/// Log lines that wait for [`Relay::drain_log`].
+const MAX_LOG_LINES: usize = 256;
+/// Reminders to members that lag: the notification may be lost, or the member polls another relay by now.
+const MAX_REMINDERS: u32 = 8;
+/// Reminders are this part of the lease apart.
+const REMINDER_INTERVAL_DIVISOR: Time = 8;
+/// The period of heartbeats that members are told is at least this part of the full lease, so that a relay whose own lease is nearly over
+/// is not polled by all members at once.
+const MIN_PERIOD_DIVISOR: Time = 16;
 
-/// What is to be done: words to keepers, words to members, texts to be put on the disk (`kept` says how that went).
+/// What the caller has to do after a step.
 #[derive(Clone, Debug)]
-pub struct Out<A> {
-    pub up: Vec<(NodeId, Request)>,
-    pub down: Vec<(A, Response)>,
-    pub keep: Vec<Version>,
+pub struct RelayOutput<A> {
+    /// Requests to control replicas.
+    pub upstream: Vec<(NodeId, Request)>,
+    /// Responses to members, by their addresses.
+    pub downstream: Vec<(A, Response)>,
+    /// Versions to be put on the disk; [`Relay::record_persisted`] takes the result.
+    pub persist: Vec<Version>,
 }
 
-impl<A> Default for Out<A> {
-    fn default() -> Out<A> {
-        Out { up: Vec::new(), down: Vec::new(), keep: Vec::new() }
+impl<A> Default for RelayOutput<A> {
+    fn default() -> RelayOutput<A> {
+        RelayOutput { upstream: Vec::new(), downstream: Vec::new(), persist: Vec::new() }
     }
 }
 
-/// Guards that tests take out.
+/// Safeguards that tests disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Broken {
-    /// It says yes before all below have.
-    pub yes_alone: bool,
-    /// Leases below go on past its own.
-    pub longer: bool,
-    /// After its yes it gives leases to members that have not said yes.
-    pub to_all: bool,
-    /// It says that all have stopped once it has heard that they are to.
-    pub stops_alone: bool,
-    /// A new life speaks for all below at once, also where the former's place was taken.
-    pub no_wait: bool,
+pub struct DisabledSafeguards {
+    /// The relay votes before all its members have.
+    pub vote_before_members: bool,
+    /// Leases of members outlast the relay's own lease.
+    pub outlast_own_lease: bool,
+    /// After its vote the relay gives leases to members that have not voted.
+    pub lease_without_vote: bool,
+    /// The relay reports that all have stopped as soon as it learns of the pause.
+    pub stop_before_members: bool,
+    /// A new incarnation reports for all members at once, also where it replaces the former one.
+    pub skip_recovery_wait: bool,
 }
 
-/// A member, as it was last heard.
+/// A member, as of its last heartbeat.
 #[derive(Debug)]
-struct Below<A> {
-    at: A,
+struct MemberRecord<A> {
+    address: A,
     name: String,
-    heard: Time,
-    /// It may hold a lease of this relay until then.
-    until: Time,
-    /// Nothing is known of it after that.
-    goes: Time,
-    /// The newest change to which it said yes, and the newest for which it has stopped.
-    good: u64,
+    last_contact: Time,
+    /// Until then the member may hold a lease of this relay.
+    lease_ends_at: Time,
+    /// The record is removed then.
+    forget_at: Time,
+    /// The newest change that the member has voted for.
+    voted: u64,
+    /// The newest change for which the member has stopped.
     paused: u64,
-    has: u64,
-    seen: ServiceTotals,
+    /// The version under which the member admits.
+    active: u64,
+    totals: ServiceTotals,
 }
 
-/// `A` is where a member hears.
+/// A relay between control replicas and members. `A` is the address of a member.
 #[derive(Debug)]
 pub struct Relay<A> {
-    up: RolloutMember,
-    started: Time,
-    /// It knows what is in force, and so by which rule it joined.
-    heard: bool,
-    most: Time,
-    looked: Time,
-    below: BTreeMap<MemberKey, Below<A>>,
-    /// The same by when they are forgotten.
-    oldest: BTreeSet<(Time, MemberKey)>,
-    left: BTreeSet<MemberKey>,
-    left_first: VecDeque<MemberKey>,
-    texts: BTreeMap<u64, Version>,
-    /// On their way to the disk.
-    keeping: BTreeMap<u64, Version>,
-    /// The newest change that was heard of: an older one in a letter that came late is none.
-    newest: u64,
-    /// The change that members are asked about, and those with a lease that may not have said yes yet.
+    upstream: RolloutMember,
+    started_at: Time,
+    /// The relay knows the active version, and so under which rule it joined.
+    has_joined: bool,
+    max_lease: Time,
+    last_step_at: Time,
+    members: BTreeMap<MemberKey, MemberRecord<A>>,
+    /// The members by when they are forgotten.
+    forget_order: BTreeSet<(Time, MemberKey)>,
+    departed: BTreeSet<MemberKey>,
+    departure_order: VecDeque<MemberKey>,
+    documents: BTreeMap<u64, Version>,
+    /// Documents on their way to the disk.
+    persisting: BTreeMap<u64, Version>,
+    /// The newest change that the leader told of. An older change in a delayed response is ignored.
+    newest_change: u64,
+    /// The change that members are told to check; 0 for none.
     change: u64,
-    without: BTreeSet<MemberKey>,
-    refused: u64,
-    /// The change for which all are to stop, those that may not have, and the last for which all had.
+    /// Members with a lease that may not have voted for the change yet.
+    awaited_votes: BTreeSet<MemberKey>,
+    refused_change: u64,
+    /// The change for which all are to stop; 0 for none.
     pause: u64,
-    going: BTreeSet<MemberKey>,
-    stopped: u64,
-    /// Version, change and pause that members were told of last, and who is still to be told.
-    told: (u64, u64, u64),
-    to_tell: VecDeque<MemberKey>,
-    /// Since when that stands, when those that lag are told again, and how often still.
-    since: Time,
-    again: (Time, u32),
-    /// It gives no more leases; and has said so above, as the last is over.
-    leaving: bool,
-    gone: bool,
-    full: bool,
+    /// Members with a lease that may not have stopped yet.
+    awaited_stops: BTreeSet<MemberKey>,
+    /// The last change for which all had stopped.
+    all_stopped_for: u64,
+    /// Version, change and pause of the last notification.
+    announced: (u64, u64, u64),
+    /// Members that are still to be notified.
+    to_notify: VecDeque<MemberKey>,
+    announced_at: Time,
+    /// When members that lag are reminded next, and how many reminders are left.
+    next_reminder: (Time, u32),
+    /// The relay gives no more leases.
+    is_leaving: bool,
+    /// The last lease is over, and the relay has asked the replicas to leave.
+    has_sent_leave: bool,
+    is_full: bool,
     log: Vec<String>,
-    pub broken: Broken,
+    /// Safeguards that are disabled.
+    pub safeguards: DisabledSafeguards,
 }
 
 impl<A: Copy + Ord> Relay<A> {
-    /// `most` is the longest lease that it gives, in any of its lives: to be raised by a restart, and lowered only after a wait.
-    pub fn new(now: Time, name: &str, key: MemberKey, keepers: Vec<NodeId>, most: Time) -> Relay<A> {
-        let mut up = RolloutMember::new(now, name, key, keepers);
-        up.speak_for_others();
+    /// A relay that asks to join.
+    ///
+    /// `max_lease` is the longest lease that the relay gives in any of its incarnations. A restart may raise it; it may be lowered only
+    /// after leases of the former length are over.
+    pub fn new(now: Time, name: &str, key: MemberKey, replicas: Vec<NodeId>, max_lease: Time) -> Relay<A> {
+        let mut upstream = RolloutMember::new(now, name, key, replicas);
+        upstream.speak_for_others();
         Relay {
-            up,
-            started: now,
-            heard: false,
-            most: most.max(1),
-            looked: now,
-            below: BTreeMap::new(),
-            oldest: BTreeSet::new(),
-            left: BTreeSet::new(),
-            left_first: VecDeque::new(),
-            texts: BTreeMap::new(),
-            keeping: BTreeMap::new(),
-            newest: 0,
+            upstream,
+            started_at: now,
+            has_joined: false,
+            max_lease: max_lease.max(1),
+            last_step_at: now,
+            members: BTreeMap::new(),
+            forget_order: BTreeSet::new(),
+            departed: BTreeSet::new(),
+            departure_order: VecDeque::new(),
+            documents: BTreeMap::new(),
+            persisting: BTreeMap::new(),
+            newest_change: 0,
             change: 0,
-            without: BTreeSet::new(),
-            refused: 0,
+            awaited_votes: BTreeSet::new(),
+            refused_change: 0,
             pause: 0,
-            going: BTreeSet::new(),
-            stopped: 0,
-            told: (0, 0, 0),
-            to_tell: VecDeque::new(),
-            since: now,
-            again: (Time::MAX, 0),
-            leaving: false,
-            gone: false,
-            full: false,
+            awaited_stops: BTreeSet::new(),
+            all_stopped_for: 0,
+            announced: (0, 0, 0),
+            to_notify: VecDeque::new(),
+            announced_at: now,
+            next_reminder: (Time::MAX, 0),
+            is_leaving: false,
+            has_sent_leave: false,
+            is_full: false,
             log: Vec::new(),
-            broken: Broken::default(),
+            safeguards: DisabledSafeguards::default(),
         }
     }
 
-    pub fn left(&self) -> bool {
-        self.up.has_left()
+    /// Whether the leader has confirmed that the relay left.
+    pub fn has_left(&self) -> bool {
+        self.upstream.has_left()
     }
-    pub fn log(&mut self) -> impl Iterator<Item = String> + '_ {
+    /// Log lines since the last call.
+    pub fn drain_log(&mut self) -> impl Iterator<Item = String> + '_ {
         self.log.drain(..)
     }
-    pub fn members(&self) -> usize {
-        self.below.len()
+    /// Number of members that the relay knows.
+    pub fn member_count(&self) -> usize {
+        self.members.len()
     }
-    pub fn in_force(&self) -> Option<u64> {
-        self.up.active()
+    /// The version under which members are given leases.
+    pub fn active(&self) -> Option<u64> {
+        self.upstream.active()
     }
-    pub fn learns(&mut self, keeper: NodeId) {
-        self.up.add_replica(keeper);
+    /// Learns of a control replica that joined after the relay was started.
+    pub fn add_replica(&mut self, replica: NodeId) {
+        self.upstream.add_replica(replica);
     }
 
-    /// A text that an earlier life kept.
-    pub fn knows(&mut self, version: Version) {
-        self.texts.insert(version.number, version);
-        self.cuts_texts();
+    /// Restores a version that an earlier incarnation persisted.
+    pub fn restore(&mut self, version: Version) {
+        self.documents.insert(version.number, version);
+        self.discard_old_documents();
     }
 
-    /// When it has to look again, at the latest.
-    pub fn due(&self) -> Time {
-        if !self.to_tell.is_empty() {
-            return self.looked;
+    /// When [`Relay::tick`] has something to do, at the latest.
+    pub fn next_deadline(&self) -> Time {
+        if !self.to_notify.is_empty() {
+            return self.last_step_at;
         }
-        let goes = self.oldest.first().map_or(Time::MAX, |first| first.0);
-        // What waits for the first of those that have not answered waits for the end of its lease, or of the wait of a new life.
-        let waits =
-            |set: &BTreeSet<MemberKey>, ready: bool| match set.first().and_then(|key| self.below.get(key)) {
-                Some(one) if ready => one.until.max(self.looked + 1).max(self.ready_at()),
-                None if ready && self.looked < self.ready_at() => self.ready_at(),
-                _ => Time::MAX,
-            };
-        let asked = self.change != 0 && self.up.verdict(self.change).is_none();
-        let stops = self.pause != 0 && self.stopped != self.pause;
-        let ends = if self.leaving && !self.gone { self.lease_ends() } else { Time::MAX };
-        let own = waits(&self.without, asked).min(waits(&self.going, stops)).min(ends);
-        self.up.next_deadline().min(goes).min(own).min(self.again.0)
+        let forget_at = self.forget_order.first().map_or(Time::MAX, |first| first.0);
+        // A report that waits for the first member without an answer waits for the end of that member's lease, or of the recovery wait.
+        let wait_ends_at = |awaited: &BTreeSet<MemberKey>, is_waiting: bool| match awaited
+            .first()
+            .and_then(|key| self.members.get(key))
+        {
+            Some(member) if is_waiting => {
+                member.lease_ends_at.max(self.last_step_at + 1).max(self.recovery_ends_at())
+            }
+            None if is_waiting && self.last_step_at < self.recovery_ends_at() => self.recovery_ends_at(),
+            _ => Time::MAX,
+        };
+        let vote_missing = self.change != 0 && self.upstream.verdict(self.change).is_none();
+        let stop_missing = self.pause != 0 && self.all_stopped_for != self.pause;
+        let leave_at =
+            if self.is_leaving && !self.has_sent_leave { self.last_lease_ends_at() } else { Time::MAX };
+        let own = wait_ends_at(&self.awaited_votes, vote_missing)
+            .min(wait_ends_at(&self.awaited_stops, stop_missing))
+            .min(leave_at);
+        self.upstream.next_deadline().min(forget_at).min(own).min(self.next_reminder.0)
     }
 
-    /// From when on it may speak for all below.
-    fn ready_at(&self) -> Time {
-        let (wanted, ..) = self.up.told();
-        let known = self.heard && (wanted == 0 || self.texts.contains_key(&wanted));
-        let fence = known && self.rules(wanted).unreachable == UnreachableMembers::Fence;
-        if fence || self.broken.no_wait {
-            self.started
+    /// From then on the relay may report for all members.
+    fn recovery_ends_at(&self) -> Time {
+        let (target, ..) = self.upstream.told();
+        let is_known = self.has_joined && (target == 0 || self.documents.contains_key(&target));
+        let is_fenced = is_known && self.rules_of(target).unreachable == UnreachableMembers::Fence;
+        if is_fenced || self.safeguards.skip_recovery_wait {
+            self.started_at
         } else {
-            self.started + self.most
+            self.started_at + self.max_lease
         }
     }
 
-    fn rules(&self, number: u64) -> Rules {
-        self.texts.get(&number).map_or(Rules::default(), |version| version.rules)
+    fn rules_of(&self, number: u64) -> Rules {
+        self.documents.get(&number).map_or(Rules::default(), |version| version.rules)
     }
 
-    /// When the last lease below is over, those of a former life too; now where there is none.
-    fn lease_ends(&self) -> Time {
-        let last = self.below.values().map(|one| one.until).max().unwrap_or(Time::MIN);
-        last.max(self.ready_at()).max(self.looked)
+    /// When the last lease that this relay gave is over, also in a former incarnation; the current time where there is none.
+    fn last_lease_ends_at(&self) -> Time {
+        let last = self.members.values().map(|member| member.lease_ends_at).max().unwrap_or(Time::MIN);
+        last.max(self.recovery_ends_at()).max(self.last_step_at)
     }
 
-    fn says(&mut self, line: String) {
-        if self.log.len() < LINES {
+    fn push_log_line(&mut self, line: String) {
+        if self.log.len() < MAX_LOG_LINES {
             self.log.push(line);
         }
     }
 
-    pub fn tick(&mut self, now: Time) -> Out<A> {
-        let asks = self.up.tick(now);
-        self.settles(now, asks, Out::default())
+    /// Does what is due.
+    pub fn tick(&mut self, now: Time) -> RelayOutput<A> {
+        let requests = self.upstream.tick(now);
+        self.finish_step(now, requests, RelayOutput::default())
     }
 
-    /// A keeper's word.
-    pub fn from_above(&mut self, now: Time, from: NodeId, answer: Response) -> Out<A> {
-        let asks = self.up.handle(now, from, answer);
-        // Guards the wait of a new life against an answer that came too late to be taken: it tells nothing of what is in force.
-        self.heard |= self.up.has_joined();
-        self.settles(now, asks, Out::default())
+    /// Handles a response of a control replica.
+    pub fn handle_response(&mut self, now: Time, from: NodeId, response: Response) -> RelayOutput<A> {
+        let requests = self.upstream.handle(now, from, response);
+        // Guards the recovery wait against a response that came too late to be accepted: such a response does not tell the active version.
+        self.has_joined |= self.upstream.has_joined();
+        self.finish_step(now, requests, RelayOutput::default())
     }
 
-    /// A text of `Out::keep` is on the disk, or can't be.
-    pub fn kept(&mut self, now: Time, number: u64, kept: Result<(), String>) -> Out<A> {
-        let mut asks = Vec::new();
-        match (self.keeping.remove(&number), kept) {
+    /// Records that a version of [`RelayOutput::persist`] is on the disk, or could not be put there.
+    pub fn record_persisted(&mut self, now: Time, number: u64, result: Result<(), String>) -> RelayOutput<A> {
+        let mut requests = Vec::new();
+        match (self.persisting.remove(&number), result) {
             (Some(version), Ok(())) => {
-                self.texts.insert(number, version);
-                self.cuts_texts();
+                self.documents.insert(number, version);
+                self.discard_old_documents();
             }
             (_, Ok(())) => {}
             (_, Err(why)) => {
-                self.says(format!("policy {number} can't be kept: {why}"));
-                // What is in force can't be refused any more: it is fetched again after a while.
-                if number > self.up.told().0 {
-                    asks = self.up.record_verdict(
+                self.push_log_line(format!("policy {number} can't be kept: {why}"));
+                // The active version can't be refused any more: its document is fetched again after a while.
+                if number > self.upstream.told().0 {
+                    requests = self.upstream.record_verdict(
                         now,
                         number,
                         Verdict::Refused(truncate(&why, MAX_REASON_BYTES)),
@@ -277,95 +313,110 @@
                 }
             }
         }
-        self.settles(now, asks, Out::default())
+        self.finish_step(now, requests, RelayOutput::default())
     }
 
-    /// No more leases; its members ask another, and it goes once the last lease is over.
-    pub fn leaves(&mut self, now: Time) -> Out<A> {
-        self.leaving = true;
-        self.settles(now, Vec::new(), Out::default())
+    /// Gives no more leases: members poll another relay, and this one leaves once the last lease is over.
+    pub fn leave(&mut self, now: Time) -> RelayOutput<A> {
+        self.is_leaving = true;
+        self.finish_step(now, Vec::new(), RelayOutput::default())
     }
 
-    /// A member's word.
-    pub fn from_below(&mut self, now: Time, from: A, ask: Request) -> Out<A> {
-        let mut out = Out::default();
-        if !ask.is_within_bounds() {
-            return out;
+    /// Handles a request of a member or an operator.
+    pub fn handle_request(&mut self, now: Time, from: A, request: Request) -> RelayOutput<A> {
+        let mut output = RelayOutput::default();
+        if !request.is_within_bounds() {
+            return output;
         }
-        let mut asks = Vec::new();
-        match ask {
-            Request::Heartbeat { key, name, number, verdict, paused, active: has, totals: seen, .. } => {
-                if self.hears(now, (from, key, &name), (paused, has, seen)) {
-                    asks = self.finds(now, key, verdict);
-                    // First what this letter changes, as its answer says how things stand after it.
-                    out = self.settles(now, std::mem::take(&mut asks), out);
-                    out.down.extend(self.holds(now, key, number).map(|answer| (from, answer)));
+        let mut requests = Vec::new();
+        match request {
+            Request::Heartbeat {
+                key,
+                name,
+                number,
+                verdict,
+                paused,
+                active: active_version,
+                totals: new_totals,
+                ..
+            } => {
+                if self.record_heartbeat(now, (from, key, &name), (paused, active_version, new_totals)) {
+                    requests = self.record_verdict(now, key, verdict);
+                    // The step is finished before the response is made, so that the response tells the state after this request.
+                    output = self.finish_step(now, std::mem::take(&mut requests), output);
+                    output
+                        .downstream
+                        .extend(self.renew_lease(now, key, number).map(|response| (from, response)));
                 }
             }
-            // Silence where it is not here: the member asks again, and another one by then.
+            // No response where the document is not here: the member retries, and polls another relay by then.
             Request::FetchDocument { number, version } => {
-                if let Some(version) = self.texts.get(&version).cloned().map(Box::new) {
-                    out.down.push((from, Response::Document { number, version: Some(version) }));
+                if let Some(version) = self.documents.get(&version).cloned().map(Box::new) {
+                    output.downstream.push((from, Response::Document { number, version: Some(version) }));
                 }
             }
             Request::Leave { key, number } => {
-                self.forgets(key);
-                if self.left.insert(key) {
-                    self.left_first.push_back(key);
+                self.forget_member(key);
+                if self.departed.insert(key) {
+                    self.departure_order.push_back(key);
                 }
-                if self.left_first.len() > LEFT {
-                    self.left_first.pop_front().map(|first| self.left.remove(&first));
+                if self.departure_order.len() > MAX_DEPARTED_MEMBERS {
+                    self.departure_order.pop_front().map(|first| self.departed.remove(&first));
                 }
-                out.down.push((from, Response::Done { number }));
+                output.downstream.push((from, Response::Done { number }));
+            }
+            Request::Status { number, from: first } => {
+                output.downstream.push((from, self.status(now, number, first)))
             }
-            Request::Status { number, from: first } => out.down.push((from, self.status(now, number, first))),
             Request::Propose { .. } | Request::Forget { .. } | Request::History { .. } => {
-                out.down.push((from, Response::NotLeader { leader: 0 }));
+                output.downstream.push((from, Response::NotLeader { leader: 0 }));
             }
         }
-        self.settles(now, asks, out)
+        self.finish_step(now, requests, output)
     }
 
-    /// Takes down that a member is here; false where it is not to be heard.
-    fn hears(
+    /// Records a member's heartbeat; false where the member gets no response.
+    fn record_heartbeat(
         &mut self,
         now: Time,
-        (at, key, name): (A, MemberKey, &str),
-        said: (u64, u64, ServiceTotals),
+        (address, key, name): (A, MemberKey, &str),
+        reported: (u64, u64, ServiceTotals),
     ) -> bool {
-        let (paused, has, seen) = said;
-        // Guards against a letter from before it left that comes late: nothing would end the wait for it but its lease.
-        if self.left.contains(&key) {
+        let (paused, active, totals) = reported;
+        // Guards against a delayed heartbeat from before the member left: only the end of its lease would end the wait for that member.
+        if self.departed.contains(&key) {
             return false;
         }
-        if !self.below.contains_key(&key) && self.below.len() >= MAX_MEMBERS {
-            if !std::mem::replace(&mut self.full, true) {
-                self.says(format!("{MAX_MEMBERS} members: no more are heard"));
+        if !self.members.contains_key(&key) && self.members.len() >= MAX_MEMBERS {
+            if !std::mem::replace(&mut self.is_full, true) {
+                self.push_log_line(format!("{MAX_MEMBERS} members: no more are heard"));
             }
             return false;
         }
-        let goes = now + self.rules(self.up.active().unwrap_or(0)).lease;
-        let one = self.below.entry(key).or_insert_with(|| Below {
-            at,
+        let forget_at = now + self.rules_of(self.upstream.active().unwrap_or(0)).lease;
+        let member = self.members.entry(key).or_insert_with(|| MemberRecord {
+            address,
             name: truncate(name, MAX_NAME_BYTES),
-            heard: now,
-            until: Time::MIN,
-            goes,
-            good: 0,
+            last_contact: now,
+            lease_ends_at: Time::MIN,
+            forget_at,
+            voted: 0,
             paused: 0,
-            has,
-            seen,
+            active,
+            totals,
         });
-        self.oldest.remove(&(one.goes, key));
-        one.goes = one.until.max(goes);
-        self.oldest.insert((one.goes, key));
-        (one.at, one.heard, one.has, one.paused) = (at, now, has, one.paused.max(paused));
-        // Sums only grow: what a member did since it was last heard here, and nothing for one that is new or counts anew.
-        let sum = &mut self.up.totals;
+        self.forget_order.remove(&(member.forget_at, key));
+        member.forget_at = member.lease_ends_at.max(forget_at);
+        self.forget_order.insert((member.forget_at, key));
+        (member.address, member.last_contact, member.active, member.paused) =
+            (address, now, active, member.paused.max(paused));
+        // Totals only grow: what the member served since its last heartbeat here is added. A member that is new, or counts from 0 again,
+        // adds nothing.
+        let sum = &mut self.upstream.totals;
         for (sum, last, new) in [
-            (&mut sum.requests, &mut one.seen.requests, seen.requests),
-            (&mut sum.succeeded_in_time, &mut one.seen.succeeded_in_time, seen.succeeded_in_time),
-            (&mut sum.billed_milli, &mut one.seen.billed_milli, seen.billed_milli),
+            (&mut sum.requests, &mut member.totals.requests, totals.requests),
+            (&mut sum.succeeded_in_time, &mut member.totals.succeeded_in_time, totals.succeeded_in_time),
+            (&mut sum.billed_milli, &mut member.totals.billed_milli, totals.billed_milli),
         ] {
             *sum = sum.saturating_add(new.saturating_sub(*last));
             *last = new.max(*last);
@@ -373,236 +424,279 @@
         true
     }
 
-    fn finds(
+    /// Records a member's vote. The first refusal of a change is reported to the replicas.
+    fn record_verdict(
         &mut self,
         now: Time,
         key: MemberKey,
         verdict: Option<(u64, Verdict)>,
     ) -> Vec<(NodeId, Request)> {
-        let Some(one) = self.below.get_mut(&key) else { return Vec::new() };
+        let Some(member) = self.members.get_mut(&key) else { return Vec::new() };
         match verdict {
-            Some((of, Verdict::Prepared)) => one.good = one.good.max(of),
-            Some((of, Verdict::Refused(why))) if of == self.change && of != 0 && self.refused != of => {
-                let why = truncate(&format!("{}: {why}", one.name), MAX_REASON_BYTES);
-                self.refused = of;
-                self.says(format!("policy {of} is refused: {why}"));
-                return self.up.record_verdict(now, of, Verdict::Refused(why));
+            Some((change, Verdict::Prepared)) => member.voted = member.voted.max(change),
+            Some((change, Verdict::Refused(why)))
+                if change == self.change && change != 0 && self.refused_change != change =>
+            {
+                let why = truncate(&format!("{}: {why}", member.name), MAX_REASON_BYTES);
+                self.refused_change = change;
+                self.push_log_line(format!("policy {change} is refused: {why}"));
+                return self.upstream.record_verdict(now, change, Verdict::Refused(why));
             }
             _ => {}
         }
         Vec::new()
     }
 
-    fn forgets(&mut self, key: MemberKey) {
-        if let Some(one) = self.below.remove(&key) {
-            self.oldest.remove(&(one.goes, key));
+    fn forget_member(&mut self, key: MemberKey) {
+        if let Some(member) = self.members.remove(&key) {
+            self.forget_order.remove(&(member.forget_at, key));
         }
-        self.without.remove(&key);
-        self.going.remove(&key);
+        self.awaited_votes.remove(&key);
+        self.awaited_stops.remove(&key);
     }
 
-    /// The lease that a member may be given: none at all, so that it asks another; or none before it has said what all have said.
-    fn lease(&self, now: Time, one: &Below<A>) -> Option<Time> {
-        let number = self.up.active()?;
-        if self.leaving || (self.up.permit(now) == AdmissionPermit::Deny && !self.broken.longer) {
+    /// The lease that a member may be given. `None` is no response, so that the member polls another relay. 0 is no lease until the member
+    /// has voted, or stopped, as the relay has reported for all.
+    fn available_lease(&self, now: Time, member: &MemberRecord<A>) -> Option<Time> {
+        let number = self.upstream.active()?;
+        if self.is_leaving
+            || (self.upstream.permit(now) == AdmissionPermit::Deny && !self.safeguards.outlast_own_lease)
+        {
             return None;
         }
-        // One that is further than this relay would not take its word: it is to ask another.
-        if one.has > number {
+        // A member under a newer version than the relay's would ignore the response: it is to poll another relay.
+        if member.active > number {
             return None;
         }
-        let whole = self.rules(number).lease.min(self.most);
-        let rest =
-            if self.broken.longer { whole } else { self.up.lease_ends_at().saturating_sub(now).min(whole) };
+        let full_lease = self.rules_of(number).lease.min(self.max_lease);
+        let rest = if self.safeguards.outlast_own_lease {
+            full_lease
+        } else {
+            self.upstream.lease_ends_at().saturating_sub(now).min(full_lease)
+        };
         let lease = rest - 1;
         if lease <= 0 {
             return None;
         }
-        let yes = self.up.vote().is_none_or(|of| of <= number || one.good >= of || self.broken.to_all);
-        let stopped = self.stopped <= number || one.paused >= self.stopped || self.broken.to_all;
-        Some(if yes && stopped { lease } else { 0 })
+        let has_voted = self.upstream.vote().is_none_or(|change| {
+            change <= number || member.voted >= change || self.safeguards.lease_without_vote
+        });
+        let has_stopped = self.all_stopped_for <= number
+            || member.paused >= self.all_stopped_for
+            || self.safeguards.lease_without_vote;
+        Some(if has_voted && has_stopped { lease } else { 0 })
     }
 
-    fn holds(&mut self, now: Time, key: MemberKey, number: u32) -> Option<Response> {
-        let version = self.up.active()?;
-        let lease = self.lease(now, self.below.get(&key)?)?;
-        let whole = self.rules(version).lease.min(self.most);
-        let one = self.below.get_mut(&key)?;
+    /// Gives a member the lease that is available, and records it. Returns the response to the member.
+    fn renew_lease(&mut self, now: Time, key: MemberKey, number: u32) -> Option<Response> {
+        let version = self.upstream.active()?;
+        let lease = self.available_lease(now, self.members.get(&key)?)?;
+        let full_lease = self.rules_of(version).lease.min(self.max_lease);
+        let member = self.members.get_mut(&key)?;
         if lease > 0 {
-            one.until = one.until.max(now + lease);
-            if self.change != 0 && one.good != self.change {
-                self.without.insert(key);
+            member.lease_ends_at = member.lease_ends_at.max(now + lease);
+            if self.change != 0 && member.voted != self.change {
+                self.awaited_votes.insert(key);
             }
-            if self.pause != 0 && one.paused != self.pause {
-                self.going.insert(key);
+            if self.pause != 0 && member.paused != self.pause {
+                self.awaited_stops.insert(key);
             }
-            self.oldest.remove(&(one.goes, key));
-            one.goes = one.goes.max(one.until);
-            self.oldest.insert((one.goes, key));
+            self.forget_order.remove(&(member.forget_at, key));
+            member.forget_at = member.forget_at.max(member.lease_ends_at);
+            self.forget_order.insert((member.forget_at, key));
         }
         let (check, pause) = (self.change, self.pause);
-        let period = (lease.max(whole / (OFTEN / 4)) / 4).max(8);
+        let period = (lease.max(full_lease / (MIN_PERIOD_DIVISOR / 4)) / 4).max(8);
         Some(Response::Renewed { key, number, lease: Some(lease), period, version, check, pause })
     }
 
+    /// The rollout as this relay sees it, with its members from `first` on.
     fn status(&self, now: Time, number: u32, first: MemberKey) -> Response {
-        let line = |(key, one): (&MemberKey, &Below<A>)| MemberStatus {
+        let line = |(key, member): (&MemberKey, &MemberRecord<A>)| MemberStatus {
             key: *key,
-            name: one.name.clone(),
-            active: one.has,
-            verdict: (self.change != 0 && one.good == self.change).then_some(Verdict::Prepared),
-            paused: self.pause != 0 && one.paused == self.pause,
-            silent: now - one.heard,
+            name: member.name.clone(),
+            active: member.active,
+            verdict: (self.change != 0 && member.voted == self.change).then_some(Verdict::Prepared),
+            paused: self.pause != 0 && member.paused == self.pause,
+            silent: now - member.last_contact,
         };
         let mut lines: Vec<MemberStatus> =
-            self.below.range(first..).take(MAX_MEMBERS_PER_MESSAGE / 4 + 1).map(line).collect();
+            self.members.range(first..).take(MAX_MEMBERS_PER_MESSAGE / 4 + 1).map(line).collect();
         let more = lines.len() > MAX_MEMBERS_PER_MESSAGE / 4;
         lines.truncate(MAX_MEMBERS_PER_MESSAGE / 4);
         let stage = if self.pause == self.change { Stage::Barrier } else { Stage::Preparing };
         let change = (self.change != 0).then_some((self.change, stage));
-        Response::Status { number, active: self.up.active().unwrap_or(0), change, generation: 0, lines, more }
+        Response::Status {
+            number,
+            active: self.upstream.active().unwrap_or(0),
+            change,
+            generation: 0,
+            lines,
+            more,
+        }
     }
 
-    /// What follows from what was just heard: to be called at the end of each step.
-    fn settles(&mut self, now: Time, mut asks: Vec<(NodeId, Request)>, mut out: Out<A>) -> Out<A> {
-        self.looked = self.looked.max(now);
-        while let Some((_, key)) = self.oldest.first().copied().filter(|first| first.0 <= now) {
-            self.forgets(key);
+    /// Carries out what follows from the event of a step: events of the upstream member, votes and stops, notifications, expired records.
+    /// To be called at the end of each step.
+    fn finish_step(
+        &mut self,
+        now: Time,
+        mut requests: Vec<(NodeId, Request)>,
+        mut output: RelayOutput<A>,
+    ) -> RelayOutput<A> {
+        self.last_step_at = self.last_step_at.max(now);
+        while let Some((_, key)) = self.forget_order.first().copied().filter(|first| first.0 <= now) {
+            self.forget_member(key);
         }
-        // Guards the log against one that leaves and comes again and again at the bound.
-        self.full &= self.below.len() >= MAX_MEMBERS - MAX_MEMBERS / 8;
-        let events: Vec<MemberEvent> = self.up.events().collect();
+        // Guards the log against a member that leaves and joins over and over at the bound.
+        self.is_full &= self.members.len() >= MAX_MEMBERS - MAX_MEMBERS / 8;
+        let events: Vec<MemberEvent> = self.upstream.events().collect();
         for event in events {
             match event {
                 MemberEvent::Check { version } => {
-                    let known = self.texts.contains_key(&version.number);
-                    if !known && (self.keeping.len() < TEXTS || self.keeping.contains_key(&version.number)) {
-                        self.keeping.insert(version.number, (*version).clone());
-                        out.keep.push(*version);
+                    let is_known = self.documents.contains_key(&version.number);
+                    if !is_known
+                        && (self.persisting.len() < MAX_DOCUMENTS
+                            || self.persisting.contains_key(&version.number))
+                    {
+                        self.persisting.insert(version.number, (*version).clone());
+                        output.persist.push(*version);
                     }
                 }
-                MemberEvent::Activated { number } => self.says(format!("policy {number} is in force")),
+                MemberEvent::Activated { number } => {
+                    self.push_log_line(format!("policy {number} is in force"))
+                }
                 MemberEvent::LeaseExpired { number } => {
-                    self.says(format!("no lease on policy {number}: no members are answered"))
+                    self.push_log_line(format!("no lease on policy {number}: no members are answered"))
                 }
-                MemberEvent::Paused { change } => self.says(format!("all stop for policy {change}")),
+                MemberEvent::Paused { change } => self.push_log_line(format!("all stop for policy {change}")),
             }
         }
-        let (wanted, check, pause) = self.up.told();
-        // What is in force has been checked by whoever had to, and one that refuses it now has no lease: only the text has to be here.
-        let has = self.up.verdict(wanted) == Some(Verdict::Prepared);
-        if wanted != 0 && !has && self.texts.contains_key(&wanted) {
-            asks.extend(self.up.record_verdict(now, wanted, Verdict::Prepared));
-            return self.settles(now, asks, out);
+        let (target, check, pause) = self.upstream.told();
+        // The active version was checked by each member that had to, and a member that refuses it now has no lease: the relay needs only
+        // the document.
+        let is_prepared = self.upstream.verdict(target) == Some(Verdict::Prepared);
+        if target != 0 && !is_prepared && self.documents.contains_key(&target) {
+            requests.extend(self.upstream.record_verdict(now, target, Verdict::Prepared));
+            return self.finish_step(now, requests, output);
         }
-        // Guards a zone against a disk that failed once, as the text was proposed: it came in force without this relay.
-        if wanted != 0 && !self.texts.contains_key(&wanted) && self.up.verdict(wanted).is_some() {
-            self.up.forget_verdict(wanted);
+        // Guards a zone against a disk that failed once while the version was proposed: the version became active without this relay.
+        if target != 0 && !self.documents.contains_key(&target) && self.upstream.verdict(target).is_some() {
+            self.upstream.forget_verdict(target);
         }
-        self.newest = self.newest.max(check);
-        let change =
-            if check == self.newest && check > wanted && self.texts.contains_key(&check) { check } else { 0 };
+        self.newest_change = self.newest_change.max(check);
+        let change = if check == self.newest_change && check > target && self.documents.contains_key(&check) {
+            check
+        } else {
+            0
+        };
         if change != self.change {
             self.change = change;
-            let lacks = |(key, one): (&MemberKey, &Below<A>)| {
-                (change != 0 && one.until > now && one.good != change).then_some(*key)
+            let lacks_vote = |(key, member): (&MemberKey, &MemberRecord<A>)| {
+                (change != 0 && member.lease_ends_at > now && member.voted != change).then_some(*key)
             };
-            self.without = self.below.iter().filter_map(lacks).collect();
+            self.awaited_votes = self.members.iter().filter_map(lacks_vote).collect();
         }
         if pause != self.pause {
             self.pause = pause;
-            let goes = |(key, one): (&MemberKey, &Below<A>)| {
-                (pause != 0 && one.until > now && one.paused != pause).then_some(*key)
+            let lacks_stop = |(key, member): (&MemberKey, &MemberRecord<A>)| {
+                (pause != 0 && member.lease_ends_at > now && member.paused != pause).then_some(*key)
             };
-            self.going = self.below.iter().filter_map(goes).collect();
+            self.awaited_stops = self.members.iter().filter_map(lacks_stop).collect();
         }
-        asks.extend(self.speaks(now));
-        let stands = (self.up.active().unwrap_or(0), self.change, self.pause);
-        if stands != self.told {
-            if stands.0 != self.told.0 || stands.1 > self.told.1 || stands.2 > self.told.2 {
-                self.to_tell = self.below.keys().copied().collect();
+        requests.extend(self.report_upstream(now));
+        let current = (self.upstream.active().unwrap_or(0), self.change, self.pause);
+        if current != self.announced {
+            if current.0 != self.announced.0 || current.1 > self.announced.1 || current.2 > self.announced.2 {
+                self.to_notify = self.members.keys().copied().collect();
             }
-            self.told = stands;
-            (self.since, self.again) = (now, (now + self.again_after(), AGAIN));
+            self.announced = current;
+            (self.announced_at, self.next_reminder) = (now, (now + self.reminder_interval(), MAX_REMINDERS));
         }
-        if now >= self.again.0 {
-            self.to_tell.extend(self.lag(now));
-            let left = self.again.1 - 1;
-            let next =
-                if self.to_tell.is_empty() || left == 0 { Time::MAX } else { now + self.again_after() };
-            self.again = (next, left);
+        if now >= self.next_reminder.0 {
+            self.to_notify.extend(self.lagging_members(now));
+            let left = self.next_reminder.1 - 1;
+            let next = if self.to_notify.is_empty() || left == 0 {
+                Time::MAX
+            } else {
+                now + self.reminder_interval()
+            };
+            self.next_reminder = (next, left);
         }
-        for key in self.to_tell.drain(..self.to_tell.len().min(PUSHED)) {
-            if let Some(one) = self.below.get(&key) {
-                out.down.push((one.at, Response::Changed));
+        for key in self.to_notify.drain(..self.to_notify.len().min(MAX_NOTIFICATIONS_PER_STEP)) {
+            if let Some(member) = self.members.get(&key) {
+                output.downstream.push((member.address, Response::Changed));
             }
         }
-        if self.leaving && !self.gone && self.lease_ends() <= now {
-            self.gone = true;
-            asks.extend(self.up.leave(now));
+        if self.is_leaving && !self.has_sent_leave && self.last_lease_ends_at() <= now {
+            self.has_sent_leave = true;
+            requests.extend(self.upstream.leave(now));
         }
-        // What is on its own disk or on its way there is not asked for.
-        let here = |ask: &Request| matches!(ask, Request::FetchDocument { version, .. } if self.texts.contains_key(version));
-        out.up.extend(asks.into_iter().filter(|(_, ask)| !here(ask)));
-        out
+        // A document that is on the relay's own disk is not fetched.
+        let is_stored = |request: &Request| matches!(request, Request::FetchDocument { version, .. } if self.documents.contains_key(version));
+        output.upstream.extend(requests.into_iter().filter(|(_, request)| !is_stored(request)));
+        output
     }
 
-    fn again_after(&self) -> Time {
-        (self.rules(self.up.active().unwrap_or(0)).lease / AGAIN_AFTER).max(8)
+    fn reminder_interval(&self) -> Time {
+        (self.rules_of(self.upstream.active().unwrap_or(0)).lease / REMINDER_INTERVAL_DIVISOR).max(8)
     }
 
-    /// Members whose word is waited for, or that have not asked since something changed.
-    fn lag(&self, now: Time) -> Vec<MemberKey> {
-        let lags = |one: &Below<A>| {
-            let asked = self.change != 0 && one.good != self.change;
-            let stops = self.pause != 0 && one.paused != self.pause;
-            one.until > now && (asked || stops || one.heard < self.since)
+    /// Members with a lease whose vote or stop is awaited, or that have sent no heartbeat since the last notification.
+    fn lagging_members(&self, now: Time) -> Vec<MemberKey> {
+        let is_lagging = |member: &MemberRecord<A>| {
+            let lacks_vote = self.change != 0 && member.voted != self.change;
+            let lacks_stop = self.pause != 0 && member.paused != self.pause;
+            member.lease_ends_at > now
+                && (lacks_vote || lacks_stop || member.last_contact < self.announced_at)
         };
-        self.below.iter().filter(|(_, one)| lags(one)).map(|(key, _)| *key).collect()
+        self.members.iter().filter(|(_, member)| is_lagging(member)).map(|(key, _)| *key).collect()
     }
 
-    /// Its words upward for all below, where they can be said.
-    fn speaks(&mut self, now: Time) -> Vec<(NodeId, Request)> {
-        let mut asks = Vec::new();
-        if now < self.ready_at() {
-            return asks;
+    /// Votes, or reports that all have stopped, once that holds for all members.
+    fn report_upstream(&mut self, now: Time) -> Vec<(NodeId, Request)> {
+        let mut requests = Vec::new();
+        if now < self.recovery_ends_at() {
+            return requests;
         }
         let (change, pause) = (self.change, self.pause);
-        let below = &self.below;
-        // The first that still has to answer is looked at, and no other: whoever is given a lease later comes in again.
-        let drain = |set: &mut BTreeSet<MemberKey>, done: &dyn Fn(&Below<A>) -> bool| {
-            while let Some(key) = set.first().copied() {
-                if below.get(&key).is_some_and(|one| one.until > now && !done(one)) {
+        let members = &self.members;
+        // Looks at the first member that still has to answer, and at no other: a member that is given a lease later is inserted again.
+        let are_all_done = |awaited: &mut BTreeSet<MemberKey>, is_done: &dyn Fn(&MemberRecord<A>) -> bool| {
+            while let Some(key) = awaited.first().copied() {
+                if members.get(&key).is_some_and(|member| member.lease_ends_at > now && !is_done(member)) {
                     return false;
                 }
-                set.pop_first();
+                awaited.pop_first();
             }
             true
         };
-        let asked = change != 0 && self.up.verdict(change).is_none();
-        let all = asked && drain(&mut self.without, &|one| one.good == change);
-        let stops = pause != 0 && self.stopped != pause;
-        let still = stops && drain(&mut self.going, &|one| one.paused == pause);
-        if asked && (all || self.broken.yes_alone) {
-            asks.extend(self.up.record_verdict(now, change, Verdict::Prepared));
-            self.says(format!("policy {change} is good for {} members", self.below.len()));
+        let vote_missing = change != 0 && self.upstream.verdict(change).is_none();
+        let all_voted =
+            vote_missing && are_all_done(&mut self.awaited_votes, &|member| member.voted == change);
+        let stop_missing = pause != 0 && self.all_stopped_for != pause;
+        let all_stopped =
+            stop_missing && are_all_done(&mut self.awaited_stops, &|member| member.paused == pause);
+        if vote_missing && (all_voted || self.safeguards.vote_before_members) {
+            requests.extend(self.upstream.record_verdict(now, change, Verdict::Prepared));
+            self.push_log_line(format!("policy {change} is good for {} members", self.members.len()));
         }
-        if stops && (still || self.broken.stops_alone) {
-            self.stopped = pause;
-            asks.extend(self.up.all_stopped(now, pause));
+        if stop_missing && (all_stopped || self.safeguards.stop_before_members) {
+            self.all_stopped_for = pause;
+            requests.extend(self.upstream.all_stopped(now, pause));
         }
-        asks
+        requests
     }
 
-    /// Drops the oldest texts that nobody can ask for any more.
-    fn cuts_texts(&mut self) {
-        let (wanted, check, _) = self.up.told();
-        let keep = [wanted, check, self.up.active().unwrap_or(0)];
-        while self.texts.len() > TEXTS {
-            let Some(first) = self.texts.keys().copied().find(|number| !keep.contains(number)) else {
+    /// Discards the oldest documents that no member can fetch any more.
+    fn discard_old_documents(&mut self) {
+        let (target, check, _) = self.upstream.told();
+        let needed = [target, check, self.upstream.active().unwrap_or(0)];
+        while self.documents.len() > MAX_DOCUMENTS {
+            let Some(first) = self.documents.keys().copied().find(|number| !needed.contains(number)) else {
                 return;
             };
-            self.texts.remove(&first);
+            self.documents.remove(&first);
         }
     }
 }
--- a/crates/rollout-relay/src/simulation.rs
+++ b/crates/rollout-relay/src/simulation.rs
@@ -1,44 +1,55 @@
-//! Keepers, relays and members in one simulated net: each with a clock and a disk of its own, letters lost, doubled and late, links
-//! between regions slower, zones with two relays, members directly at the keepers beside them. The rules are checked as it goes, at
-//! what changes and not by looks at everybody, so that thousands can be played. Deterministic by seed.
+//! Control replicas, relays and members in one simulated network. Each process has its own clock and disk. Messages are lost, doubled and
+//! late; links between regions are slower; zones have two relays; some members ask the replicas directly. The invariants are checked as
+//! the simulation runs, where a member's permit changes and not by a scan of all members, so that thousands can be simulated.
+//! Deterministic by seed.
 
-use crate::relay::{self, Out, Relay};
+use crate::relay::{self, Relay, RelayOutput};
 use cypresscleat_consensus::message;
 use cypresscleat_consensus::sim::Simulation as ConsensusSimulation;
 use cypresscleat_consensus::{ProposalResponse, RaftConfig};
 use cypresscleat_rollout::coordinator::RolloutCoordinator;
-use cypresscleat_rollout::member::{self, AdmissionPermit, MemberEvent as Happens, RolloutMember};
+use cypresscleat_rollout::member::{self, AdmissionPermit, MemberEvent, RolloutMember};
 use cypresscleat_rollout::messages::{Request, Response, Verdict};
 use cypresscleat_rollout::state::{PolicyState, RolloutEvent, Rules, Version};
 use cypresscleat_rollout::{NodeId, SeededRng, Time, UnreachableMembers, MS, SECOND};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
+/// Size and timing of a simulated cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
+    /// Control replicas.
     pub replicas: usize,
+    /// Regions; zones and replicas are spread over them.
     pub regions: usize,
+    /// Zones; members are spread over them.
     pub zones: usize,
-    /// Relays of each zone; without any, all members are at the keepers.
+    /// Relays of each zone. Without any, all members ask the replicas.
     pub relays: usize,
+    /// Members at the start.
     pub members: usize,
-    /// So many of them are at the keepers all the same.
+    /// Members among them that ask the replicas although their zone has relays.
     pub direct_members: usize,
-    /// Every second member is a program of before relays.
-    pub older: bool,
+    /// Every second member runs an earlier version of the program, which knows nothing of relays.
+    pub older_members: bool,
+    /// Rules of the versions that are proposed.
     pub rules: Rules,
-    /// Time that a member takes to check a text and keep it, and a relay to keep it.
-    pub check: Time,
-    pub keep: Time,
-    /// A letter's way inside a region, and between two.
+    /// Time that a member takes to check and store a document.
+    pub check_time: Time,
+    /// Time that a relay takes to store a document.
+    pub persist_time: Time,
+    /// Delay of a message inside a region.
     pub intra_region_delay: Time,
+    /// Delay of a message between two regions.
     pub inter_region_delay: Time,
-    /// And between two keepers.
+    /// Delay of a message between two replicas.
     pub replica_delay: Time,
     /// The longest lease that a relay gives.
     pub max_lease: Time,
+    /// Safeguards that are disabled at members.
     pub member: member::DisabledSafeguards,
-    pub relay: relay::Broken,
+    /// Safeguards that are disabled at relays.
+    pub relay: relay::DisabledSafeguards,
 }
 
 impl Default for SimulationConfig {
@@ -50,614 +61,688 @@
             relays: 2,
             members: 8,
             direct_members: 1,
-            older: false,
+            older_members: false,
             rules: Rules { lease: SECOND, decision_timeout: 8 * SECOND, ..Rules::default() },
-            check: 5 * MS,
-            keep: 2 * MS,
+            check_time: 5 * MS,
+            persist_time: 2 * MS,
             intra_region_delay: MS,
             inter_region_delay: 10 * MS,
             replica_delay: 10 * MS,
             max_lease: SECOND,
             member: member::DisabledSafeguards::default(),
-            relay: relay::Broken::default(),
+            relay: relay::DisabledSafeguards::default(),
         }
     }
 }
 
-/// Letters and bytes of one place, in all and in its busiest second.
+/// Messages and bytes of one process, in all and in its busiest second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
+    /// Messages that were sent.
     pub sent: u64,
+    /// Their bytes.
     pub sent_bytes: u64,
+    /// Messages that arrived.
     pub received: u64,
+    /// Their bytes.
     pub received_bytes: u64,
-    second: Time,
-    now: [u64; 2],
+    /// The second of the last message.
+    current_second: Time,
+    /// Messages and bytes in that second.
+    current_sums: [u64; 2],
+    /// Messages in the busiest second, sent and received.
     pub peak_messages: u64,
+    /// Bytes in the busiest second, sent and received.
     pub peak_bytes: u64,
 }
 
 impl Traffic {
-    fn counts(&mut self, now: Time, bytes: u64, sent: bool) {
-        let (letters, sum) = match sent {
+    fn record(&mut self, now: Time, bytes: u64, is_sent: bool) {
+        let (messages, sum) = match is_sent {
             true => (&mut self.sent, &mut self.sent_bytes),
             false => (&mut self.received, &mut self.received_bytes),
         };
-        (*letters, *sum) = (*letters + 1, *sum + bytes);
-        if self.second != now / SECOND {
-            (self.second, self.now) = (now / SECOND, [0; 2]);
+        (*messages, *sum) = (*messages + 1, *sum + bytes);
+        if self.current_second != now / SECOND {
+            (self.current_second, self.current_sums) = (now / SECOND, [0; 2]);
         }
-        self.now = [self.now[0] + 1, self.now[1] + bytes];
-        self.peak_messages = self.peak_messages.max(self.now[0]);
-        self.peak_bytes = self.peak_bytes.max(self.now[1]);
+        self.current_sums = [self.current_sums[0] + 1, self.current_sums[1] + bytes];
+        self.peak_messages = self.peak_messages.max(self.current_sums[0]);
+        self.peak_bytes = self.peak_bytes.max(self.current_sums[1]);
     }
 }
 
-enum Process {
+/// What a process runs; `None` while it is dead.
+enum Role {
     Relay(Option<Box<Relay<usize>>>),
-    RolloutMember(Option<Box<RolloutMember>>),
+    Member(Option<Box<RolloutMember>>),
 }
 
-/// A process and its disk: relays come first, then members.
+/// A process, its clock and its disk, which survives it.
 pub struct SimulatedProcess {
-    process: Process,
+    role: Role,
+    /// The name under which it joins.
     pub name: String,
     id: NodeId,
-    lives: u64,
+    incarnations: u64,
+    /// The region of its zone.
     pub region: usize,
-    /// Whom it asks.
-    above: Vec<NodeId>,
-    /// Stands still until then.
-    pub stopped: Time,
-    /// Parts in a thousand by which its clock runs faster; and how far it is ahead.
+    /// The relays or replicas that it asks.
+    upstream: Vec<NodeId>,
+    /// The process stands still until then.
+    pub stopped_until: Time,
+    /// Thousandths by which its clock runs fast or, where negative, slow.
     pub rate: i64,
+    /// How far its clock is ahead.
     pub ahead: Time,
-    kept: BTreeMap<u64, Version>,
+    /// Versions on its disk.
+    stored: BTreeMap<u64, Version>,
     /// Checks and writes under way: when they end, and of what.
     checks: Vec<(Time, Version)>,
-    letters: Vec<Letter>,
-    /// It refuses these.
+    /// Messages that wait for the process.
+    inbox: Vec<Message>,
+    /// Versions that it refuses.
     pub refuses: BTreeSet<u64>,
     /// It was told to leave.
-    pub drained: bool,
+    pub is_drained: bool,
     /// Nothing comes from it or to it.
-    pub cut: bool,
-    /// The earliest look that is in the heap.
-    planned: Time,
-    /// What it admits under, and the last version that it began with, with the time.
-    admits: Option<u64>,
+    pub is_cut: bool,
+    /// Its earliest wake-up among the scheduled events.
+    wake_at: Time,
+    /// The version under which it admits.
+    admitting: Option<u64>,
+    /// The last version under which it began to admit, and when.
     pub last_activation: (u64, Time),
+    /// Its messages.
     pub traffic: Traffic,
 }
 
 #[derive(Clone, Debug)]
-enum Letter {
+enum Message {
     Request(usize, Request),
     Response(NodeId, Response),
 }
 
 enum Event {
-    /// To a keeper.
-    Asks {
-        to: usize,
-        from: usize,
-        ask: Request,
-        bytes: u64,
-    },
-    Arrives {
-        to: usize,
-        life: u64,
-        letter: Letter,
-        bytes: u64,
-    },
-    Looks(usize),
-    /// Nobody may admit under the second any more, as the first was taken.
-    Rule(u64, u64),
+    /// A request arrives at a replica.
+    ReplicaRequest { to: usize, from: usize, request: Request, bytes: u64 },
+    /// A message arrives at a relay or a member.
+    Delivery { to: usize, incarnation: u64, message: Message, bytes: u64 },
+    /// A process has something to do.
+    Wake(usize),
+    /// The first version is committed, and leases on the second are over: no member may admit under the second any more.
+    LeasesEnd(u64, u64),
 }
 
-struct Planned(Time, u64, Event);
+/// When an event is due, its number in the order of scheduling, and the event.
+struct Scheduled(Time, u64, Event);
 
-impl PartialEq for Planned {
-    fn eq(&self, other: &Planned) -> bool {
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Scheduled) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Planned {}
-impl PartialOrd for Planned {
-    fn partial_cmp(&self, other: &Planned) -> Option<Ordering> {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Scheduled) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Planned {
-    /// The earliest is the greatest.
-    fn cmp(&self, other: &Planned) -> Ordering {
+impl Ord for Scheduled {
+    /// The earliest event is the greatest, as the heap pops the greatest.
+    fn cmp(&self, other: &Scheduled) -> Ordering {
         (other.0, other.1).cmp(&(self.0, self.1))
     }
 }
 
+/// Address of the operator; those of processes are their indexes.
 const OPERATOR: usize = usize::MAX;
-const RELAY: NodeId = 100;
-const MEMBER: NodeId = 100_000;
+/// Ids of relays begin here; those of replicas are lower.
+const FIRST_RELAY_ID: NodeId = 100;
+/// Ids of members begin here.
+const FIRST_MEMBER_ID: NodeId = 100_000;
 
+/// The simulated cluster.
 pub struct Simulation {
+    /// What it was made with.
     pub config: SimulationConfig,
+    /// The replicas and their network.
     pub consensus: ConsensusSimulation<PolicyState>,
+    /// The coordinator of each replica.
     pub coordinators: Vec<RolloutCoordinator<usize>>,
+    /// Relays first, then members.
     pub processes: Vec<SimulatedProcess>,
-    /// Places of relays come before this one.
+    /// Index of the first member.
     pub first_member: usize,
-    events: BinaryHeap<Planned>,
-    posted: u64,
+    events: BinaryHeap<Scheduled>,
+    scheduled_events: u64,
     rng: SeededRng,
-    /// Regions that reach no other.
-    pub apart: BTreeSet<usize>,
+    /// Regions that reach no other region.
+    pub isolated_regions: BTreeSet<usize>,
+    /// Messages of each replica with relays and members.
     pub replica_traffic: Vec<Traffic>,
+    /// When each version was proposed.
     pub proposed: BTreeMap<u64, Time>,
+    /// When each version was decided, and whether it was committed.
     pub decided: BTreeMap<u64, (Time, bool)>,
+    /// Why versions were aborted.
     pub reasons: BTreeMap<u64, String>,
-    /// When each version was first in force anywhere.
-    pub first: BTreeMap<u64, Time>,
-    /// How many admit under which version.
-    admit: BTreeMap<u64, usize>,
+    /// When each version was first active anywhere.
+    pub first_active_at: BTreeMap<u64, Time>,
+    /// How many members admit under each version.
+    admitting: BTreeMap<u64, usize>,
+    /// Rules of each version, by its number.
     rules: BTreeMap<u64, Rules>,
-    /// What was wrong, the first of it.
+    /// The first invariant that was violated.
     pub violation: Option<String>,
+    /// Log lines.
     pub log: Vec<String>,
-    stuck: (Time, u64),
+    /// A moment, and the steps that were done in it.
+    steps_at: (Time, u64),
 }
 
 impl Simulation {
+    /// A cluster whose faults and delays are drawn from `seed`.
     pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
         let mut consensus =
             ConsensusSimulation::new(config.replicas, PolicyState::default(), RaftConfig::default(), seed);
         consensus.network.delay = config.replica_delay;
-        let mut play = Simulation {
+        let mut simulation = Simulation {
             config,
             consensus,
             coordinators: (0..config.replicas).map(|_| RolloutCoordinator::default()).collect(),
             processes: Vec::new(),
             first_member: config.zones * config.relays,
             events: BinaryHeap::new(),
-            posted: 0,
+            scheduled_events: 0,
             rng: SeededRng::new(seed ^ 0x5e1a),
-            apart: BTreeSet::new(),
+            isolated_regions: BTreeSet::new(),
             replica_traffic: vec![Traffic::default(); config.replicas],
             proposed: BTreeMap::new(),
             decided: BTreeMap::new(),
             reasons: BTreeMap::new(),
-            first: BTreeMap::new(),
-            admit: BTreeMap::new(),
+            first_active_at: BTreeMap::new(),
+            admitting: BTreeMap::new(),
             rules: BTreeMap::from([(0, Rules::default())]),
             violation: None,
             log: Vec::new(),
-            stuck: (0, 0),
+            steps_at: (0, 0),
         };
-        let keepers: Vec<NodeId> = (1..=config.replicas as NodeId).collect();
-        for at in 0..play.first_member {
-            let zone = at / config.relays;
-            let name = format!("r{zone}{}", (b'a' + (at % config.relays) as u8) as char);
-            play.adds(Process::Relay(None), name, RELAY + at as NodeId, zone, keepers.clone());
-        }
-        for at in 0..config.members {
-            play.adds_member(at, at + config.direct_members >= config.members);
-        }
-        play
-    }
-
-    fn adds_member(&mut self, at: usize, direct: bool) {
-        let (zone, each) = (at % self.config.zones, self.config.relays);
-        let above: Vec<NodeId> = match direct || each == 0 {
+        let replicas: Vec<NodeId> = (1..=config.replicas as NodeId).collect();
+        for index in 0..simulation.first_member {
+            let zone = index / config.relays;
+            let name = format!("r{zone}{}", (b'a' + (index % config.relays) as u8) as char);
+            simulation.add_process(
+                Role::Relay(None),
+                name,
+                FIRST_RELAY_ID + index as NodeId,
+                zone,
+                replicas.clone(),
+            );
+        }
+        for index in 0..config.members {
+            simulation.add_member(index, index + config.direct_members >= config.members);
+        }
+        simulation
+    }
+
+    /// Adds a member. `index` counts members only.
+    fn add_member(&mut self, index: usize, is_direct: bool) {
+        let (zone, relays) = (index % self.config.zones, self.config.relays);
+        let upstream: Vec<NodeId> = match is_direct || relays == 0 {
             true => (1..=self.config.replicas as NodeId).collect(),
-            false => (0..each).map(|one| RELAY + (zone * each + one) as NodeId).collect(),
+            false => (0..relays).map(|relay| FIRST_RELAY_ID + (zone * relays + relay) as NodeId).collect(),
         };
-        self.adds(Process::RolloutMember(None), format!("m{at}"), MEMBER + at as NodeId, zone, above);
+        self.add_process(
+            Role::Member(None),
+            format!("m{index}"),
+            FIRST_MEMBER_ID + index as NodeId,
+            zone,
+            upstream,
+        );
     }
 
-    fn adds(&mut self, process: Process, name: String, id: NodeId, zone: usize, above: Vec<NodeId>) {
+    fn add_process(&mut self, role: Role, name: String, id: NodeId, zone: usize, upstream: Vec<NodeId>) {
         self.processes.push(SimulatedProcess {
-            process,
+            role,
             name,
             id,
-            lives: 0,
+            incarnations: 0,
             region: zone % self.config.regions,
-            above,
-            stopped: 0,
+            upstream,
+            stopped_until: 0,
             rate: 0,
             ahead: 0,
-            kept: BTreeMap::new(),
+            stored: BTreeMap::new(),
             checks: Vec::new(),
-            letters: Vec::new(),
+            inbox: Vec::new(),
             refuses: BTreeSet::new(),
-            drained: false,
-            cut: false,
-            planned: Time::MAX,
-            admits: None,
+            is_drained: false,
+            is_cut: false,
+            wake_at: Time::MAX,
+            admitting: None,
             last_activation: (0, 0),
             traffic: Traffic::default(),
         });
         self.start(self.processes.len() - 1);
     }
 
-    /// One more member joins; its place.
+    /// One more member joins; returns its index.
     pub fn join(&mut self) -> usize {
-        self.adds_member(self.processes.len() - self.first_member, false);
+        self.add_member(self.processes.len() - self.first_member, false);
         self.processes.len() - 1
     }
 
-    fn clock(&self, at: usize) -> Time {
-        let one = &self.processes[at];
-        self.consensus.now + self.consensus.now * one.rate / 1000 + one.ahead
+    /// What the clock of a process shows now.
+    fn clock(&self, index: usize) -> Time {
+        let process = &self.processes[index];
+        self.consensus.now + self.consensus.now * process.rate / 1000 + process.ahead
     }
 
-    /// When its clock shows `time`.
-    fn when(&self, at: usize, time: Time) -> Time {
-        let one = &self.processes[at];
+    /// When the clock of a process shows `time`.
+    fn time_when_clock_shows(&self, index: usize, time: Time) -> Time {
+        let process = &self.processes[index];
         if time >= Time::MAX / 4 {
             return Time::MAX;
         }
-        let mut when = (time - one.ahead) * 1000 / (1000 + one.rate);
-        while when + when * one.rate / 1000 + one.ahead < time {
+        let mut when = (time - process.ahead) * 1000 / (1000 + process.rate);
+        while when + when * process.rate / 1000 + process.ahead < time {
             when += 1;
         }
         when
     }
 
-    pub fn start(&mut self, at: usize) {
-        self.kill(at);
-        let now = self.clock(at);
-        let (most, member, relay) = (self.config.max_lease, self.config.member, self.config.relay);
-        let one = &mut self.processes[at];
-        one.lives += 1;
-        (one.stopped, one.drained) = (0, false);
-        let (key, above) = ((one.id, one.lives), one.above.clone());
-        match &mut one.process {
-            Process::Relay(process) => {
-                let mut new = Box::new(Relay::new(now, &one.name, key, above, most));
-                new.broken = relay;
-                one.kept.values().for_each(|version| new.knows(version.clone()));
-                *process = Some(new);
+    /// Starts a process, after a kill where it runs.
+    pub fn start(&mut self, index: usize) {
+        self.kill(index);
+        let now = self.clock(index);
+        let (max_lease, member, relay) = (self.config.max_lease, self.config.member, self.config.relay);
+        let process = &mut self.processes[index];
+        process.incarnations += 1;
+        (process.stopped_until, process.is_drained) = (0, false);
+        let (key, upstream) = ((process.id, process.incarnations), process.upstream.clone());
+        match &mut process.role {
+            Role::Relay(running) => {
+                let mut new = Box::new(Relay::new(now, &process.name, key, upstream, max_lease));
+                new.safeguards = relay;
+                process.stored.values().for_each(|version| new.restore(version.clone()));
+                *running = Some(new);
             }
-            Process::RolloutMember(process) => {
-                let mut new = Box::new(RolloutMember::new(now, &one.name, key, above));
+            Role::Member(running) => {
+                let mut new = Box::new(RolloutMember::new(now, &process.name, key, upstream));
                 new.safeguards = member;
-                new.older = self.config.older && (at / 2) % 2 == 1;
-                one.kept.keys().for_each(|number| new.restore(*number));
-                *process = Some(new);
+                new.older = self.config.older_members && (index / 2) % 2 == 1;
+                process.stored.keys().for_each(|number| new.restore(*number));
+                *running = Some(new);
             }
         }
-        self.plans(at);
+        self.schedule_wake(index);
     }
 
-    pub fn kill(&mut self, at: usize) {
-        let one = &mut self.processes[at];
-        match &mut one.process {
-            Process::Relay(process) => *process = None,
-            Process::RolloutMember(process) => *process = None,
+    /// Kills a process; its disk stays.
+    pub fn kill(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        match &mut process.role {
+            Role::Relay(running) => *running = None,
+            Role::Member(running) => *running = None,
         }
-        one.letters.clear();
-        one.checks.clear();
-        self.judges(at);
+        process.inbox.clear();
+        process.checks.clear();
+        self.check_permit(index);
     }
 
-    pub fn lose_disk(&mut self, at: usize) {
-        self.kill(at);
-        self.processes[at].kept.clear();
+    /// Kills a process and empties its disk.
+    pub fn lose_disk(&mut self, index: usize) {
+        self.kill(index);
+        self.processes[index].stored.clear();
     }
 
-    pub fn is_running(&self, at: usize) -> bool {
-        match &self.processes[at].process {
-            Process::Relay(process) => process.is_some(),
-            Process::RolloutMember(process) => process.is_some(),
+    /// Whether a process is started and not killed.
+    pub fn is_running(&self, index: usize) -> bool {
+        match &self.processes[index].role {
+            Role::Relay(running) => running.is_some(),
+            Role::Member(running) => running.is_some(),
         }
     }
 
-    /// It stands still for so long; letters wait for it.
-    pub fn stop(&mut self, at: usize, time: Time) {
-        self.processes[at].stopped = self.consensus.now + time;
-        self.judges(at);
-        self.plans(at);
+    /// A process stands still for this long; messages wait for it.
+    pub fn stop(&mut self, index: usize, time: Time) {
+        self.processes[index].stopped_until = self.consensus.now + time;
+        self.check_permit(index);
+        self.schedule_wake(index);
     }
 
-    pub fn drain(&mut self, at: usize) {
-        let now = self.clock(at);
-        self.processes[at].drained = true;
-        match &mut self.processes[at].process {
-            Process::Relay(Some(relay)) => {
-                let out = relay.leaves(now);
-                self.carries(at, out);
+    /// Tells a process to leave.
+    pub fn drain(&mut self, index: usize) {
+        let now = self.clock(index);
+        self.processes[index].is_drained = true;
+        match &mut self.processes[index].role {
+            Role::Relay(Some(relay)) => {
+                let output = relay.leave(now);
+                self.process_output(index, output);
             }
-            Process::RolloutMember(Some(member)) => {
-                let asks = member.leave(now);
-                self.asks(at, asks);
+            Role::Member(Some(member)) => {
+                let requests = member.leave(now);
+                self.send_requests(index, requests);
             }
             _ => {}
         }
-        self.judges(at);
-        self.plans(at);
+        self.check_permit(index);
+        self.schedule_wake(index);
     }
 
-    pub fn relay(&self, at: usize) -> Option<&Relay<usize>> {
-        match &self.processes[at].process {
-            Process::Relay(process) => process.as_deref(),
-            Process::RolloutMember(_) => None,
+    /// The relay at an index, where it runs.
+    pub fn relay(&self, index: usize) -> Option<&Relay<usize>> {
+        match &self.processes[index].role {
+            Role::Relay(running) => running.as_deref(),
+            Role::Member(_) => None,
         }
     }
 
-    /// An operator proposes a version, made from `parent`, to the keeper that leads; or to any, where none does.
-    pub fn propose(&mut self, parent: u64, rules: Rules, text: &str) {
+    /// An operator proposes a version, made from `parent`, to the leader; to any replica where none leads.
+    pub fn propose(&mut self, parent: u64, rules: Rules, document: &str) {
         let to = self.consensus.leader().unwrap_or(0);
         let at_ms = self.consensus.now as u64;
-        let (by, hash) = ("operator".to_string(), self.posted);
-        let version = Version { parent, rules, document: text.into(), by, at_ms, hash, ..Version::default() };
-        let ask = Request::Propose { number: 1, version };
-        self.plan(
+        let (by, hash) = ("operator".to_string(), self.scheduled_events);
+        let version =
+            Version { parent, rules, document: document.into(), by, at_ms, hash, ..Version::default() };
+        let request = Request::Propose { number: 1, version };
+        self.schedule(
             self.consensus.now + self.config.intra_region_delay,
-            Event::Asks { to, from: OPERATOR, ask, bytes: 0 },
+            Event::ReplicaRequest { to, from: OPERATOR, request, bytes: 0 },
         );
     }
 
     /// An operator says that a process will not come back.
-    pub fn forget(&mut self, at: usize) {
+    pub fn forget(&mut self, index: usize) {
         let to = self.consensus.leader().unwrap_or(0);
-        let ask = Request::Forget { number: 2, member: self.processes[at].id };
-        self.plan(
+        let request = Request::Forget { number: 2, member: self.processes[index].id };
+        self.schedule(
             self.consensus.now + self.config.intra_region_delay,
-            Event::Asks { to, from: OPERATOR, ask, bytes: 0 },
+            Event::ReplicaRequest { to, from: OPERATOR, request, bytes: 0 },
         );
     }
 
-    /// The version in force as the keepers have it.
+    /// The active version, as the leader has it.
     pub fn active_version(&self) -> u64 {
-        let leader = self.consensus.leader().and_then(|at| self.consensus.nodes[at].replica.as_ref());
-        leader.map_or(0, |keeper| keeper.state_machine().active().number)
+        let leader = self.consensus.leader().and_then(|index| self.consensus.nodes[index].replica.as_ref());
+        leader.map_or(0, |replica| replica.state_machine().active().number)
     }
 
-    /// Lives that count at the keepers.
+    /// Number of members that the leader counts: relays, and members that ask the replicas.
     pub fn counted_members(&self) -> usize {
-        let leader = self.consensus.leader().and_then(|at| self.consensus.nodes[at].replica.as_ref());
-        leader.map_or(0, |keeper| keeper.state_machine().members().len())
+        let leader = self.consensus.leader().and_then(|index| self.consensus.nodes[index].replica.as_ref());
+        leader.map_or(0, |replica| replica.state_machine().members().len())
     }
 
-    pub fn permit(&self, at: usize) -> AdmissionPermit {
-        match &self.processes[at].process {
-            Process::RolloutMember(Some(member)) => member.permit(self.clock(at)),
+    /// Whether a member may admit now.
+    pub fn permit(&self, index: usize) -> AdmissionPermit {
+        match &self.processes[index].role {
+            Role::Member(Some(member)) => member.permit(self.clock(index)),
             _ => AdmissionPermit::Deny,
         }
     }
 
-    /// How many admit under it.
+    /// How many members admit under a version.
     pub fn admitting_members(&self, number: u64) -> usize {
-        self.admit.get(&number).copied().unwrap_or(0)
+        self.admitting.get(&number).copied().unwrap_or(0)
     }
 
-    fn plan(&mut self, time: Time, event: Event) {
-        self.posted += 1;
-        self.events.push(Planned(time, self.posted, event));
+    fn schedule(&mut self, time: Time, event: Event) {
+        self.scheduled_events += 1;
+        self.events.push(Scheduled(time, self.scheduled_events, event));
     }
 
-    fn region(&self, keeper: usize) -> usize {
-        keeper % self.config.regions
+    fn replica_region(&self, replica: usize) -> usize {
+        replica % self.config.regions
     }
 
-    /// Whether a letter gets through, how long it takes, and how often it comes.
-    fn way(&mut self, from: usize, to: usize) -> Option<Vec<Time>> {
-        let weather = self.consensus.network;
-        let far = from != to;
-        let cut = far && (self.apart.contains(&from) || self.apart.contains(&to));
-        if (weather.loss_one_in > 0 && self.rng.one_in(weather.loss_one_in)) || cut {
+    /// Delay of each copy of a message between two regions that arrives; `None` where the message is lost.
+    fn delivery_delays(&mut self, from: usize, to: usize) -> Option<Vec<Time>> {
+        let network = self.consensus.network;
+        let crosses_regions = from != to;
+        let is_cut =
+            crosses_regions && (self.isolated_regions.contains(&from) || self.isolated_regions.contains(&to));
+        if (network.loss_one_in > 0 && self.rng.one_in(network.loss_one_in)) || is_cut {
             return None;
         }
-        let twice = weather.duplicate_one_in > 0 && self.rng.one_in(weather.duplicate_one_in);
-        let base = if far { self.config.inter_region_delay } else { self.config.intra_region_delay };
-        let ways = (0..1 + usize::from(twice)).map(|_| {
-            let mut way = base + self.rng.below(self.config.intra_region_delay.max(1) as u64) as Time;
-            if weather.max_extra_delay > 0 && self.rng.one_in(20) {
-                way += self.rng.below(weather.max_extra_delay as u64) as Time;
+        let is_duplicated = network.duplicate_one_in > 0 && self.rng.one_in(network.duplicate_one_in);
+        let base =
+            if crosses_regions { self.config.inter_region_delay } else { self.config.intra_region_delay };
+        let delays = (0..1 + usize::from(is_duplicated)).map(|_| {
+            let mut delay = base + self.rng.below(self.config.intra_region_delay.max(1) as u64) as Time;
+            if network.max_extra_delay > 0 && self.rng.one_in(20) {
+                delay += self.rng.below(network.max_extra_delay as u64) as Time;
             }
-            way
+            delay
         });
-        Some(ways.collect())
+        Some(delays.collect())
     }
 
-    fn asks(&mut self, from: usize, asks: Vec<(NodeId, Request)>) {
+    /// Sends requests of a relay or a member, to replicas or relays.
+    fn send_requests(&mut self, from: usize, requests: Vec<(NodeId, Request)>) {
         let now = self.consensus.now;
-        for (to, ask) in asks {
-            let bytes = message::encode(&ask).map_or(0, |bytes| bytes.len() as u64);
-            self.processes[from].traffic.counts(now, bytes, true);
-            let (own, cut) = (self.processes[from].region, self.processes[from].cut);
-            let keeper = (to < RELAY).then_some(to as usize - 1);
-            let region = match keeper {
-                Some(at) => self.region(at),
-                None => self.processes[(to - RELAY) as usize].region,
+        for (to, request) in requests {
+            let bytes = message::encode(&request).map_or(0, |bytes| bytes.len() as u64);
+            self.processes[from].traffic.record(now, bytes, true);
+            let (own_region, is_cut) = (self.processes[from].region, self.processes[from].is_cut);
+            let replica = (to < FIRST_RELAY_ID).then_some(to as usize - 1);
+            let region = match replica {
+                Some(index) => self.replica_region(index),
+                None => self.processes[(to - FIRST_RELAY_ID) as usize].region,
             };
-            for way in self.way(own, region).filter(|_| !cut).unwrap_or_default() {
-                let event = match keeper {
-                    Some(to) => Event::Asks { to, from, ask: ask.clone(), bytes },
+            for delay in self.delivery_delays(own_region, region).filter(|_| !is_cut).unwrap_or_default() {
+                let event = match replica {
+                    Some(to) => Event::ReplicaRequest { to, from, request: request.clone(), bytes },
                     None => {
-                        let (to, letter) = ((to - RELAY) as usize, Letter::Request(from, ask.clone()));
-                        Event::Arrives { to, life: 0, letter, bytes }
+                        let (to, message) =
+                            ((to - FIRST_RELAY_ID) as usize, Message::Request(from, request.clone()));
+                        Event::Delivery { to, incarnation: 0, message, bytes }
                     }
                 };
-                self.plan(now + way, event);
+                self.schedule(now + delay, event);
             }
         }
     }
 
-    fn answers(&mut self, from: NodeId, region: usize, to: usize, answer: &Response) -> u64 {
-        let bytes = message::encode(answer).map_or(0, |bytes| bytes.len() as u64);
+    /// Sends a response to a relay or a member; returns its bytes.
+    fn send_response(&mut self, from: NodeId, region: usize, to: usize, response: &Response) -> u64 {
+        let bytes = message::encode(response).map_or(0, |bytes| bytes.len() as u64);
         let now = self.consensus.now;
-        for way in self.way(region, self.processes[to].region).unwrap_or_default() {
-            let (life, letter) = (self.processes[to].lives, Letter::Response(from, answer.clone()));
-            self.plan(now + way, Event::Arrives { to, life, letter, bytes });
+        for delay in self.delivery_delays(region, self.processes[to].region).unwrap_or_default() {
+            let (incarnation, message) =
+                (self.processes[to].incarnations, Message::Response(from, response.clone()));
+            self.schedule(now + delay, Event::Delivery { to, incarnation, message, bytes });
         }
         bytes
     }
 
-    fn carries(&mut self, at: usize, out: Out<usize>) {
-        let (now, keep) = (self.consensus.now, self.config.keep);
-        self.processes[at].checks.extend(out.keep.into_iter().map(|version| (now + keep, version)));
-        self.asks(at, out.up);
-        let (id, region, cut) = (self.processes[at].id, self.processes[at].region, self.processes[at].cut);
-        for (to, answer) in out.down {
-            let bytes = if cut { 0 } else { self.answers(id, region, to, &answer) };
-            self.processes[at].traffic.counts(now, bytes, true);
+    /// Carries out what a relay's step asks for.
+    fn process_output(&mut self, index: usize, output: RelayOutput<usize>) {
+        let (now, persist_time) = (self.consensus.now, self.config.persist_time);
+        self.processes[index]
+            .checks
+            .extend(output.persist.into_iter().map(|version| (now + persist_time, version)));
+        self.send_requests(index, output.upstream);
+        let (id, region, is_cut) =
+            (self.processes[index].id, self.processes[index].region, self.processes[index].is_cut);
+        for (to, response) in output.downstream {
+            let bytes = if is_cut { 0 } else { self.send_response(id, region, to, &response) };
+            self.processes[index].traffic.record(now, bytes, true);
         }
     }
 
-    /// What a keeper's step asks for, its desk's words with it.
-    fn after(&mut self, at: usize) {
+    /// Carries out what a replica's step asks for, and what its coordinator adds.
+    fn finish_replica_step(&mut self, index: usize) {
         let now = self.consensus.now;
-        let (own, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.consensus.responses).into_iter().partition(|one| one.0 == at);
+        let (own, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.consensus.responses)
+            .into_iter()
+            .partition(|response| response.0 == index);
         self.consensus.responses = others;
-        let answers: Vec<ProposalResponse> = own.into_iter().map(|one| one.1).collect();
-        let Some(keeper) = self.consensus.nodes[at].replica.as_mut() else { return };
-        let (out, said) = self.coordinators[at].poll(now, keeper, answers);
-        self.coordinators[at].events().for_each(drop);
-        for news in keeper.state_machine_mut().take_events() {
-            match news {
+        let proposal_responses: Vec<ProposalResponse> = own.into_iter().map(|response| response.1).collect();
+        let Some(replica) = self.consensus.nodes[index].replica.as_mut() else { return };
+        let (ready, responses) = self.coordinators[index].poll(now, replica, proposal_responses);
+        self.coordinators[index].events().for_each(drop);
+        for event in replica.state_machine_mut().take_events() {
+            match event {
                 RolloutEvent::Proposed { number, .. } => drop(self.proposed.entry(number).or_insert(now)),
-                RolloutEvent::Committed { number } => self.decides(at, number, true),
+                RolloutEvent::Committed { number } => self.record_decision(index, number, true),
                 RolloutEvent::Aborted { number, reason } => {
-                    self.decides(at, number, false);
+                    self.record_decision(index, number, false);
                     self.reasons.insert(number, reason);
                 }
                 _ => {}
             }
         }
-        self.keeper_says(at, out, said);
+        self.send_replica_output(index, ready, responses);
     }
 
-    fn keeper_says(&mut self, at: usize, out: cypresscleat_consensus::Ready, said: Vec<(usize, Response)>) {
-        self.consensus.process_ready(at, out);
-        for (to, answer) in said {
+    fn send_replica_output(
+        &mut self,
+        index: usize,
+        ready: cypresscleat_consensus::Ready,
+        responses: Vec<(usize, Response)>,
+    ) {
+        self.consensus.process_ready(index, ready);
+        for (to, response) in responses {
             if to != OPERATOR {
-                let cut = self.processes[to].cut;
-                let bytes =
-                    if cut { 0 } else { self.answers(at as NodeId + 1, self.region(at), to, &answer) };
-                self.replica_traffic[at].counts(self.consensus.now, bytes, true);
+                let is_cut = self.processes[to].is_cut;
+                let bytes = if is_cut {
+                    0
+                } else {
+                    self.send_response(index as NodeId + 1, self.replica_region(index), to, &response)
+                };
+                self.replica_traffic[index].record(self.consensus.now, bytes, true);
             }
         }
-        if self.consensus.responses.iter().any(|one| one.0 == at) {
-            self.after(at);
+        if self.consensus.responses.iter().any(|response| response.0 == index) {
+            self.finish_replica_step(index);
         }
     }
 
-    fn decides(&mut self, keeper: usize, number: u64, taken: bool) {
+    /// A version was decided, as some replica has it.
+    fn record_decision(&mut self, replica: usize, number: u64, is_committed: bool) {
         let now = self.consensus.now;
         if let Some(known) = self.decided.get(&number) {
-            if known.1 != taken {
+            if known.1 != is_committed {
                 self.violation.get_or_insert(format!("version {number} was decided both ways"));
             }
             return;
         }
-        self.decided.insert(number, (now, taken));
-        let agreed = self.consensus.nodes[keeper].replica.as_ref().map(|keeper| keeper.state_machine());
-        let rules = agreed.and_then(|agreed| agreed.version(number)).map(|version| version.rules);
+        self.decided.insert(number, (now, is_committed));
+        let state = self.consensus.nodes[replica].replica.as_ref().map(|replica| replica.state_machine());
+        let rules = state.and_then(|state| state.version(number)).map(|version| version.rules);
         self.rules.insert(number, rules.unwrap_or_default());
-        if !taken {
+        if !is_committed {
             return;
         }
-        // Whoever may admit now, or holds for the change, has it on its disk.
-        for at in self.first_member..self.processes.len() {
-            if self.processes[at].stopped <= now && self.permit(at) != AdmissionPermit::Deny {
-                let one = &self.processes[at];
-                if !one.kept.contains_key(&number) {
-                    let wrong =
-                        format!("version {number} was taken, and {} admits without having it", one.name);
-                    self.violation.get_or_insert(wrong);
+        // Each member that may admit now, or that holds requests for the change, has the version on its disk.
+        for index in self.first_member..self.processes.len() {
+            if self.processes[index].stopped_until <= now && self.permit(index) != AdmissionPermit::Deny {
+                let process = &self.processes[index];
+                if !process.stored.contains_key(&number) {
+                    let violation = format!(
+                        "version {number} was committed, and {} admits without having stored it",
+                        process.name
+                    );
+                    self.violation.get_or_insert(violation);
                 }
             }
         }
-        // And under an older one for no longer than its lease.
+        // No member admits under an older version for longer than that version's lease.
         let older: Vec<(u64, Time)> =
             self.rules.range(..number).map(|(older, rules)| (*older, rules.lease)).collect();
         for (older, lease) in older {
-            self.plan(now + lease + 1, Event::Rule(number, older));
+            self.schedule(now + lease + 1, Event::LeasesEnd(number, older));
         }
     }
 
-    /// Follows what a member admits under, and looks at the rules where that changed.
-    fn judges(&mut self, at: usize) {
-        if at < self.first_member {
+    /// Follows the version under which a member admits, and checks the invariants where that version changed.
+    fn check_permit(&mut self, index: usize) {
+        if index < self.first_member {
             return;
         }
         let now = self.consensus.now;
-        let stands = self.processes[at].stopped > now;
-        let admits = match self.permit(at) {
-            AdmissionPermit::Admit(number) if !stands => Some(number),
+        let is_stopped = self.processes[index].stopped_until > now;
+        let admitting = match self.permit(index) {
+            AdmissionPermit::Admit(number) if !is_stopped => Some(number),
             _ => None,
         };
-        let before = std::mem::replace(&mut self.processes[at].admits, admits);
-        if before == admits {
+        let before = std::mem::replace(&mut self.processes[index].admitting, admitting);
+        if before == admitting {
             return;
         }
-        if let Some(many) = before.and_then(|before| self.admit.get_mut(&before)) {
-            *many -= 1;
+        if let Some(count) = before.and_then(|before| self.admitting.get_mut(&before)) {
+            *count -= 1;
         }
-        let Some(number) = admits else { return };
-        *self.admit.entry(number).or_insert(0) += 1;
-        if self.processes[at].last_activation.0 != number {
-            self.processes[at].last_activation = (number, now);
+        let Some(number) = admitting else { return };
+        *self.admitting.entry(number).or_insert(0) += 1;
+        if self.processes[index].last_activation.0 != number {
+            self.processes[index].last_activation = (number, now);
         }
         if number != 0 && !self.decided.get(&number).is_some_and(|decided| decided.1) {
-            let name = &self.processes[at].name;
-            self.violation.get_or_insert(format!("{name} goes by version {number}, which was not taken"));
+            let name = &self.processes[index].name;
+            self.violation
+                .get_or_insert(format!("{name} admits under version {number}, which was not committed"));
         }
-        let newest = self.first.keys().next_back().copied().unwrap_or(0);
+        let newest = self.first_active_at.keys().next_back().copied().unwrap_or(0);
         if number > newest {
-            self.first.insert(number, now);
+            self.first_active_at.insert(number, now);
             if self.rules.get(&number).is_some_and(|rules| rules.barrier) {
-                let older: Vec<u64> = self.admit.range(..number).map(|one| *one.0).collect();
-                older.into_iter().for_each(|older| self.nobody(older, number));
+                let older: Vec<u64> = self.admitting.range(..number).map(|entry| *entry.0).collect();
+                older.into_iter().for_each(|older| self.check_none_admits(older, number));
             }
         } else if number < newest {
             let lease = self.rules.get(&number).map_or(SECOND, |rules| rules.lease);
-            let together = self.rules.get(&newest).is_some_and(|rules| rules.barrier);
-            let late = self.decided.range(number + 1..).any(|(_, one)| one.1 && now > one.0 + lease);
-            if together || late {
-                let name = &self.processes[at].name;
+            let has_barrier = self.rules.get(&newest).is_some_and(|rules| rules.barrier);
+            let is_late =
+                self.decided.range(number + 1..).any(|(_, decided)| decided.1 && now > decided.0 + lease);
+            if has_barrier || is_late {
+                let name = &self.processes[index].name;
                 self.violation
-                    .get_or_insert(format!("{name} begins to admit under {number}, {newest} is in force"));
+                    .get_or_insert(format!("{name} begins to admit under {number} while {newest} is active"));
             }
         }
     }
 
-    /// Nobody may admit under `older` at this moment, as `number` is there.
-    fn nobody(&mut self, older: u64, number: u64) {
+    /// No member may admit under `older` now, because of `number`.
+    fn check_none_admits(&mut self, older: u64, number: u64) {
         if self.admitting_members(older) == 0 {
             return;
         }
         let now = self.consensus.now;
-        let one = (self.first_member..self.processes.len()).find(|at| {
-            self.processes[*at].stopped <= now && self.permit(*at) == AdmissionPermit::Admit(older)
+        let member = (self.first_member..self.processes.len()).find(|index| {
+            self.processes[*index].stopped_until <= now
+                && self.permit(*index) == AdmissionPermit::Admit(older)
         });
-        if let Some(at) = one {
-            let since = self.decided.get(&number).map_or(0, |decided| (now - decided.0) / MS);
-            let name = &self.processes[at].name;
-            let wrong = format!("{name} admits under {older} beside {number}, {since} ms after it was taken");
-            self.violation.get_or_insert(wrong);
+        if let Some(index) = member {
+            let since_ms = self.decided.get(&number).map_or(0, |decided| (now - decided.0) / MS);
+            let name = &self.processes[index].name;
+            let violation =
+                format!("{name} admits under {older} beside {number}, {since_ms} ms after it was committed");
+            self.violation.get_or_insert(violation);
         }
     }
 
-    /// Puts its next look into the heap.
-    fn plans(&mut self, at: usize) {
-        let due = match &self.processes[at].process {
-            Process::Relay(Some(relay)) => relay.due(),
-            Process::RolloutMember(Some(member)) => member.next_deadline(),
+    /// Schedules the next wake-up of a process.
+    fn schedule_wake(&mut self, index: usize) {
+        let deadline = match &self.processes[index].role {
+            Role::Relay(Some(relay)) => relay.next_deadline(),
+            Role::Member(Some(member)) => member.next_deadline(),
             _ => Time::MAX,
         };
-        let due = self.when(at, due);
-        let one = &self.processes[at];
-        let check = one.checks.iter().map(|check| check.0).min().unwrap_or(Time::MAX);
-        let letter = if one.letters.is_empty() { Time::MAX } else { 0 };
-        let due = due.min(check).min(letter).max(one.stopped).max(self.consensus.now);
-        if due < one.planned && due < Time::MAX {
-            self.processes[at].planned = due;
-            self.plan(due, Event::Looks(at));
+        let deadline = self.time_when_clock_shows(index, deadline);
+        let process = &self.processes[index];
+        let check = process.checks.iter().map(|check| check.0).min().unwrap_or(Time::MAX);
+        let message = if process.inbox.is_empty() { Time::MAX } else { 0 };
+        let deadline = deadline.min(check).min(message).max(process.stopped_until).max(self.consensus.now);
+        if deadline < process.wake_at && deadline < Time::MAX {
+            self.processes[index].wake_at = deadline;
+            self.schedule(deadline, Event::Wake(index));
         }
     }
 
+    /// Runs until the given moment.
     pub fn run(&mut self, until: Time) {
         while self.consensus.now < until {
             self.step(until);
@@ -665,167 +750,168 @@
     }
 
     fn step(&mut self, until: Time) {
-        let again = if self.stuck.0 == self.consensus.now { self.stuck.1 + 1 } else { 0 };
-        self.stuck = (self.consensus.now, again);
-        assert!(again < 1_000_000, "time stands still at {}", self.consensus.now);
+        let steps = if self.steps_at.0 == self.consensus.now { self.steps_at.1 + 1 } else { 0 };
+        self.steps_at = (self.consensus.now, steps);
+        assert!(steps < 1_000_000, "time stands still at {}", self.consensus.now);
         let event = self.events.peek().map_or(until, |event| event.0);
-        let desk = self.coordinators.iter().map(RolloutCoordinator::next_deadline).min().unwrap_or(until);
-        let next = until.min(event).min(desk).max(self.consensus.now);
+        let coordinator =
+            self.coordinators.iter().map(RolloutCoordinator::next_deadline).min().unwrap_or(until);
+        let next = until.min(event).min(coordinator).max(self.consensus.now);
         if self.consensus.step(next) {
-            (0..self.config.replicas).for_each(|at| self.after(at));
+            (0..self.config.replicas).for_each(|index| self.finish_replica_step(index));
             return;
         }
         self.consensus.now = self.consensus.now.max(next);
-        if desk <= next {
-            (0..self.config.replicas).for_each(|at| self.after(at));
+        if coordinator <= next {
+            (0..self.config.replicas).for_each(|index| self.finish_replica_step(index));
         }
         if event > next || next >= until {
             return;
         }
-        let Some(Planned(time, _, event)) = self.events.pop() else { return };
+        let Some(Scheduled(time, _, event)) = self.events.pop() else { return };
         match event {
-            Event::Asks { to, from, ask, bytes } => {
-                self.replica_traffic[to].counts(next, bytes, false);
-                let Some(keeper) = self.consensus.nodes[to].replica.as_mut() else { return };
-                let (out, said) = self.coordinators[to].handle(next, keeper, from, ask);
-                self.keeper_says(to, out, said);
-                self.after(to);
+            Event::ReplicaRequest { to, from, request, bytes } => {
+                self.replica_traffic[to].record(next, bytes, false);
+                let Some(replica) = self.consensus.nodes[to].replica.as_mut() else { return };
+                let (ready, responses) = self.coordinators[to].handle(next, replica, from, request);
+                self.send_replica_output(to, ready, responses);
+                self.finish_replica_step(to);
             }
-            Event::Arrives { to, life, letter, bytes } => {
-                let one = &mut self.processes[to];
-                // A member's socket is new with each life; a relay's has its place in the operator's file.
-                let other = life != one.lives && to >= self.first_member;
-                if one.cut || other {
+            Event::Delivery { to, incarnation, message, bytes } => {
+                let process = &mut self.processes[to];
+                // A member's socket is new with each incarnation; a relay's address is fixed in the operator's file.
+                let is_outdated = incarnation != process.incarnations && to >= self.first_member;
+                if process.is_cut || is_outdated {
                     return;
                 }
-                one.traffic.counts(next, bytes, false);
-                one.letters.push(letter);
-                if one.stopped <= next {
-                    self.acts(to);
+                process.traffic.record(next, bytes, false);
+                process.inbox.push(message);
+                if process.stopped_until <= next {
+                    self.wake(to);
                 }
             }
-            Event::Looks(at) => {
-                if self.processes[at].planned == time {
-                    self.processes[at].planned = Time::MAX;
+            Event::Wake(index) => {
+                if self.processes[index].wake_at == time {
+                    self.processes[index].wake_at = Time::MAX;
                 }
-                if self.processes[at].stopped <= next {
-                    self.acts(at);
+                if self.processes[index].stopped_until <= next {
+                    self.wake(index);
                 } else {
-                    self.plans(at);
+                    self.schedule_wake(index);
                 }
             }
-            Event::Rule(number, older) => self.nobody(older, number),
+            Event::LeasesEnd(number, older) => self.check_none_admits(older, number),
         }
     }
 
-    /// As a process that wakes: its own time first, then what waits for it.
-    fn acts(&mut self, at: usize) {
-        let (now, clock) = (self.consensus.now, self.clock(at));
-        let one = &mut self.processes[at];
-        let letters = std::mem::take(&mut one.letters);
+    /// Runs a process: first what is due by its clock, then its inbox, then checks and writes that are done.
+    fn wake(&mut self, index: usize) {
+        let (now, clock) = (self.consensus.now, self.clock(index));
+        let process = &mut self.processes[index];
+        let inbox = std::mem::take(&mut process.inbox);
         let done: Vec<Version> =
-            one.checks.iter().filter(|check| check.0 <= now).map(|check| check.1.clone()).collect();
-        one.checks.retain(|check| check.0 > now);
-        match &mut one.process {
-            Process::Relay(Some(relay)) => {
-                let mut outs = Vec::new();
-                if clock >= relay.due() {
-                    outs.push(relay.tick(clock));
+            process.checks.iter().filter(|check| check.0 <= now).map(|check| check.1.clone()).collect();
+        process.checks.retain(|check| check.0 > now);
+        match &mut process.role {
+            Role::Relay(Some(relay)) => {
+                let mut outputs = Vec::new();
+                if clock >= relay.next_deadline() {
+                    outputs.push(relay.tick(clock));
                 }
-                outs.extend(letters.into_iter().map(|letter| match letter {
-                    Letter::Request(from, ask) => relay.from_below(clock, from, ask),
-                    Letter::Response(from, answer) => relay.from_above(clock, from, answer),
+                outputs.extend(inbox.into_iter().map(|message| match message {
+                    Message::Request(from, request) => relay.handle_request(clock, from, request),
+                    Message::Response(from, response) => relay.handle_response(clock, from, response),
                 }));
                 for version in done {
                     let number = version.number;
-                    one.kept.insert(number, version);
-                    outs.push(relay.kept(clock, number, Ok(())));
+                    process.stored.insert(number, version);
+                    outputs.push(relay.record_persisted(clock, number, Ok(())));
                 }
-                while one.kept.len() > 4 {
-                    one.kept.pop_first();
+                while process.stored.len() > 4 {
+                    process.stored.pop_first();
                 }
-                relay.log().for_each(drop);
-                outs.into_iter().for_each(|out| self.carries(at, out));
+                relay.drain_log().for_each(drop);
+                outputs.into_iter().for_each(|output| self.process_output(index, output));
             }
-            Process::RolloutMember(Some(member)) => {
-                let mut asks = member.tick(clock);
-                for letter in letters {
-                    if let Letter::Response(from, answer) = letter {
-                        asks.extend(member.handle(clock, from, answer));
+            Role::Member(Some(member)) => {
+                let mut requests = member.tick(clock);
+                for message in inbox {
+                    if let Message::Response(from, response) = message {
+                        requests.extend(member.handle(clock, from, response));
                     }
                 }
                 for version in done {
                     let number = version.number;
-                    let verdict = match one.refuses.contains(&number) {
+                    let verdict = match process.refuses.contains(&number) {
                         true => Verdict::Refused("line 1: no such thing".into()),
                         false => Verdict::Prepared,
                     };
                     if verdict == Verdict::Prepared {
-                        one.kept.insert(number, version);
+                        process.stored.insert(number, version);
                     }
-                    asks.extend(member.record_verdict(clock, number, verdict));
+                    requests.extend(member.record_verdict(clock, number, verdict));
                 }
                 for event in member.events() {
-                    if let Happens::Check { version } = event {
-                        one.checks.push((now + self.config.check, *version));
+                    if let MemberEvent::Check { version } = event {
+                        process.checks.push((now + self.config.check_time, *version));
                     }
                 }
-                self.asks(at, asks);
-                self.judges(at);
+                self.send_requests(index, requests);
+                self.check_permit(index);
             }
             _ => {}
         }
-        self.plans(at);
+        self.schedule_wake(index);
     }
 
-    /// Faults of all kinds drawn from the play's chance, changes proposed every few seconds, for so long.
+    /// Random faults of all kinds for this long, with changes proposed every few seconds.
     pub fn inject_faults(&mut self, time: Time) {
         let end = self.consensus.now + time;
-        let mut text = 0;
-        for at in 0..self.processes.len() {
-            // Two of them are apart by less than one part in 40.
-            self.processes[at].rate = self.rng.below(25) as i64 - 12;
-            // So that no clock jumps as its rate changes.
-            self.processes[at].ahead -= self.consensus.now * self.processes[at].rate / 1000;
-            self.plans(at);
+        let mut proposals = 0;
+        for index in 0..self.processes.len() {
+            // Any two clocks run apart by less than one part in 40.
+            self.processes[index].rate = self.rng.below(25) as i64 - 12;
+            // No clock jumps as its rate changes.
+            self.processes[index].ahead -= self.consensus.now * self.processes[index].rate / 1000;
+            self.schedule_wake(index);
         }
         while self.consensus.now < end && self.violation.is_none() && self.consensus.violation.is_none() {
             let until = self.consensus.now + 50 * MS + self.rng.below(500) as Time * MS;
             let any = self.rng.below(self.processes.len() as u64) as usize;
-            // Relays as often as all members.
+            // Half of the faults hit a relay.
             let relay = self.rng.below(self.first_member.max(1) as u64) as usize;
-            let at = if self.first_member > 0 && self.rng.one_in(2) { relay } else { any };
-            let keeper = self.rng.below(self.config.replicas as u64) as usize;
+            let index = if self.first_member > 0 && self.rng.one_in(2) { relay } else { any };
+            let replica = self.rng.below(self.config.replicas as u64) as usize;
             match self.rng.below(18) {
-                0 => self.kill(at),
+                0 => self.kill(index),
                 1 | 2 => {
-                    if !self.is_running(at) || self.processes[at].drained {
-                        self.start(at);
+                    if !self.is_running(index) || self.processes[index].is_drained {
+                        self.start(index);
                     }
                 }
                 3 => {
                     let time = self.rng.below(40) as Time * SECOND / 10;
-                    self.stop(at, time);
+                    self.stop(index, time);
                 }
-                4 => self.processes[at].cut = true,
-                5 => self.processes.iter_mut().for_each(|one| one.cut = false),
+                4 => self.processes[index].is_cut = true,
+                5 => self.processes.iter_mut().for_each(|process| process.is_cut = false),
                 6 => {
-                    self.lose_disk(at);
+                    self.lose_disk(index);
                     if self.rng.one_in(2) {
-                        self.start(at);
+                        self.start(index);
                     }
                 }
-                7 => self.drain(at),
-                8 => self.consensus.crash(keeper),
+                7 => self.drain(index),
+                8 => self.consensus.crash(replica),
                 9 => {
-                    for at in 0..self.config.replicas {
-                        if self.consensus.nodes[at].replica.is_none() {
-                            self.consensus.start(at);
+                    for index in 0..self.config.replicas {
+                        if self.consensus.nodes[index].replica.is_none() {
+                            self.consensus.start(index);
                         }
                     }
                 }
-                // At once again, as a supervisor does it.
-                10 => self.start(at),
+                // A restart without a pause, as by a supervisor.
+                10 => self.start(index),
                 11 => {
                     let region = self.rng.below(self.config.regions as u64) as usize;
                     self.isolate_region(region);
@@ -833,7 +919,7 @@
                 12 => self.reconnect_regions(),
                 13 if self.processes.len() < self.first_member + self.config.members + 4 => drop(self.join()),
                 _ => {
-                    text += 1;
+                    proposals += 1;
                     let mut rules = self.config.rules;
                     rules.barrier = self.rng.one_in(2);
                     if self.rng.one_in(4) {
@@ -849,55 +935,57 @@
                     if self.rng.one_in(4) && any >= self.first_member {
                         self.processes[any].refuses.insert(next);
                     }
-                    self.propose(self.active_version(), rules, &format!("text {text}"));
+                    self.propose(self.active_version(), rules, &format!("text {proposals}"));
                 }
             }
             self.run(until);
         }
     }
 
-    /// A region reaches no other.
+    /// Cuts a region off from all others.
     pub fn isolate_region(&mut self, region: usize) {
-        self.apart.insert(region);
+        self.isolated_regions.insert(region);
         for (one, other) in
             (0..self.config.replicas).flat_map(|one| (0..self.config.replicas).map(move |other| (one, other)))
         {
-            if (self.region(one) == region) != (self.region(other) == region) {
+            if (self.replica_region(one) == region) != (self.replica_region(other) == region) {
                 self.consensus.blocked_links.insert((one as NodeId + 1, other as NodeId + 1));
             }
         }
     }
 
-    /// All regions are together again.
+    /// Mends the links between all regions.
     pub fn reconnect_regions(&mut self) {
-        self.apart.clear();
+        self.isolated_regions.clear();
         self.consensus.blocked_links.clear();
     }
 
-    /// All links as new, all processes there and awake.
+    /// Mends all links; all processes run and are awake. Messages are lost and late as before.
     pub fn heal(&mut self) {
         self.reconnect_regions();
-        for at in 0..self.config.replicas {
-            if self.consensus.nodes[at].replica.is_none() {
-                self.consensus.start(at);
+        for index in 0..self.config.replicas {
+            if self.consensus.nodes[index].replica.is_none() {
+                self.consensus.start(index);
             }
         }
-        for at in 0..self.processes.len() {
-            let one = &mut self.processes[at];
-            (one.cut, one.stopped) = (false, one.stopped.min(self.consensus.now));
-            if !self.is_running(at) || self.processes[at].drained {
-                self.start(at);
+        for index in 0..self.processes.len() {
+            let process = &mut self.processes[index];
+            (process.is_cut, process.stopped_until) = (false, process.stopped_until.min(self.consensus.now));
+            if !self.is_running(index) || self.processes[index].is_drained {
+                self.start(index);
             }
-            self.plans(at);
+            self.schedule_wake(index);
         }
     }
 
-    /// Whether all members admit under the version that is in force, but for those that can't carry it out.
+    /// Whether all members admit under the active version, but for those that refuse it.
     pub fn is_settled(&self) -> bool {
-        let now = self.active_version();
-        (self.first_member..self.processes.len()).all(|at| match self.processes[at].refuses.contains(&now) {
-            false => self.permit(at) == AdmissionPermit::Admit(now),
-            true => self.permit(at) == AdmissionPermit::Deny,
+        let active = self.active_version();
+        (self.first_member..self.processes.len()).all(|index| {
+            match self.processes[index].refuses.contains(&active) {
+                false => self.permit(index) == AdmissionPermit::Admit(active),
+                true => self.permit(index) == AdmissionPermit::Deny,
+            }
         })
     }
 }
--- a/crates/rollout-relay/tests/properties.rs
+++ b/crates/rollout-relay/tests/properties.rs
@@ -1,11 +1,12 @@
-//! One relay by itself, in any order of events: what it says upward holds for whoever holds a lease of it, and no lease outlives its own.
-//! The harness stands in for the keepers and keeps its own account of what was given, also over lives that take a former one's place.
+//! One relay by itself, in any order of events: its reports hold for each member that holds a lease of it, and no lease of a member
+//! outlasts the relay's own. The test setup stands in for the control replicas and keeps its own account of the leases that were given,
+//! also over incarnations that replace a former one.
 
 use cypresscleat_rollout::messages::{Request, Response, Verdict};
 use cypresscleat_rollout::state::{Rules, UnreachableMembers, Version};
 use cypresscleat_rollout::watch::ServiceTotals;
 use cypresscleat_rollout::{MemberKey, Time, MS, SECOND};
-use cypresscleat_rollout_relay::relay::{Broken, Out, Relay, MAX_MEMBERS};
+use cypresscleat_rollout_relay::relay::{DisabledSafeguards, Relay, RelayOutput, MAX_MEMBERS};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,348 +14,397 @@
 const LEASE: Time = SECOND;
 
 #[derive(Clone, Copy, Debug)]
-enum Op {
-    Time(Time),
-    /// A member asks; says yes or no to what it was told of, or nothing; and that it has stopped.
-    Asks {
-        at: usize,
-        yes: Option<bool>,
-        stopped: bool,
+enum Step {
+    AdvanceTime(Time),
+    /// A member sends a heartbeat: with its vote for or against the change that it was told of, or none; and whether it has stopped.
+    Heartbeat {
+        member: usize,
+        vote: Option<bool>,
+        has_stopped: bool,
     },
-    Goes(usize),
-    /// Its process is another one.
-    Starts(usize),
-    /// The keepers answer the oldest asking, or the newest and forget the others.
-    Answers(bool),
-    Keeps(bool),
-    Proposes(bool),
-    Drops,
-    /// Taken, or opened, where the relay's word allows it.
-    Decides,
-    /// The relay's process is another one.
-    Restarts,
+    MemberLeaves(usize),
+    /// A member's process is replaced by another one.
+    MemberRestarts(usize),
+    /// The replicas answer the oldest heartbeat; or, where true, the newest, and forget the others.
+    Respond(bool),
+    /// The newest document that waits for the disk is persisted; or, where false, can't be.
+    Persist(bool),
+    /// A change is proposed; with a barrier, where true.
+    Propose(bool),
+    Abort,
+    /// The change is committed, or its barrier ends, where the relay's report allows it.
+    Decide,
+    /// The relay's process is replaced by another one.
+    RestartRelay,
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (1..400i64).prop_map(|ms| Op::Time(ms * MS)),
-        8 => (0..3usize, 0..9u8, any::<bool>()).prop_map(|(at, yes, stopped)| {
-            Op::Asks { at, yes: (yes > 3).then_some(yes < 8), stopped }
+        4 => (1..400i64).prop_map(|ms| Step::AdvanceTime(ms * MS)),
+        8 => (0..3usize, 0..9u8, any::<bool>()).prop_map(|(member, vote, has_stopped)| {
+            Step::Heartbeat { member, vote: (vote > 3).then_some(vote < 8), has_stopped }
         }),
-        1 => (0..3usize).prop_map(Op::Goes),
-        1 => (0..3usize).prop_map(Op::Starts),
-        6 => any::<bool>().prop_map(Op::Answers),
-        3 => (0..8u8).prop_map(|bad| Op::Keeps(bad > 0)),
-        2 => any::<bool>().prop_map(Op::Proposes),
-        1 => Just(Op::Drops),
-        2 => Just(Op::Decides),
-        1 => Just(Op::Restarts),
+        1 => (0..3usize).prop_map(Step::MemberLeaves),
+        1 => (0..3usize).prop_map(Step::MemberRestarts),
+        6 => any::<bool>().prop_map(Step::Respond),
+        3 => (0..8u8).prop_map(|outcome| Step::Persist(outcome > 0)),
+        2 => any::<bool>().prop_map(Step::Propose),
+        1 => Just(Step::Abort),
+        2 => Just(Step::Decide),
+        1 => Just(Step::RestartRelay),
     ]
 }
 
-/// What a member has said in this life, and what it was told.
+/// What a member has reported in this incarnation, and what it was told.
 #[derive(Clone, Copy, Default)]
-struct One {
-    life: u64,
+struct Member {
+    incarnation: u64,
+    /// The change that it was told to check.
     check: u64,
+    /// The change for which it was told to stop.
     pause: u64,
-    good: u64,
+    voted: u64,
     stopped: u64,
-    asked: u32,
+    heartbeats: u32,
 }
 
 #[derive(Default)]
 struct Harness {
     now: Time,
-    missing: UnreachableMembers,
+    unreachable: UnreachableMembers,
     relay: Option<Relay<usize>>,
-    life: u64,
-    broken: Broken,
-    ones: [One; 3],
-    /// Until when each life may hold a lease, and what it said: good to, stopped for.
-    given: BTreeMap<MemberKey, (Time, u64, u64)>,
-    /// Askings that wait at the keepers: number, when.
-    asked: VecDeque<(u32, Time)>,
-    keeping: Vec<Version>,
-    /// Of the relay; and what the keepers have.
+    incarnation: u64,
+    safeguards: DisabledSafeguards,
+    members: [Member; 3],
+    /// Of each incarnation of a member: until when it may hold a lease, the newest change that it voted for, and the newest for which it
+    /// has stopped.
+    leases: BTreeMap<MemberKey, (Time, u64, u64)>,
+    /// Heartbeats that wait at the replicas: number, and when they were sent.
+    heartbeats: VecDeque<(u32, Time)>,
+    /// Versions that wait for the relay's disk.
+    persisting: Vec<Version>,
+    /// Versions on the relay's disk.
     disk: BTreeMap<u64, Version>,
-    texts: BTreeMap<u64, Version>,
+    /// Versions that the replicas have.
+    documents: BTreeMap<u64, Version>,
     version: u64,
     change: Option<Version>,
-    closing: bool,
-    numbers: u64,
-    /// The relay's words, as the keepers have them; and the yes that binds it, with the asking that said it.
-    good: u64,
+    is_barrier: bool,
+    last_number: u64,
+    /// The newest change that the relay voted for, as the replicas have it.
+    voted: u64,
+    /// The last change for which the relay reported that all have stopped.
     stopped: u64,
-    bound: Option<(u64, u32)>,
-    /// The keepers hold the relay for gone after that.
-    own: Time,
-    seen: u64,
-    wrong: Option<String>,
+    /// The vote that binds the relay: the change, and the number of the heartbeat that carried it first.
+    binding_vote: Option<(u64, u32)>,
+    /// After that the replicas take the relay to be gone.
+    relay_lease_ends_at: Time,
+    reported_requests: u64,
+    violation: Option<String>,
 }
 
 impl Harness {
-    fn new(missing: UnreachableMembers, broken: Broken) -> Harness {
-        let mut one = Harness { missing, broken, version: 1, numbers: 1, ..Harness::default() };
-        one.texts.insert(1, one.text(1, false));
-        one.restarts();
-        one
+    fn new(unreachable: UnreachableMembers, safeguards: DisabledSafeguards) -> Harness {
+        let mut harness =
+            Harness { unreachable, safeguards, version: 1, last_number: 1, ..Harness::default() };
+        harness.documents.insert(1, harness.make_version(1, false));
+        harness.restart_relay();
+        harness
     }
 
-    fn text(&self, number: u64, together: bool) -> Version {
-        let rules = Rules { unreachable: self.missing, lease: LEASE, barrier: together, ..Rules::default() };
+    fn make_version(&self, number: u64, has_barrier: bool) -> Version {
+        let rules =
+            Rules { unreachable: self.unreachable, lease: LEASE, barrier: has_barrier, ..Rules::default() };
         Version { number, rules, ..Version::default() }
     }
 
-    fn steps(&mut self, step: impl FnOnce(&mut Relay<usize>, Time) -> Out<usize>) {
-        let out = self.relay.as_mut().map(|relay| step(relay, self.now));
-        self.takes(out.unwrap_or_default());
+    fn run_relay(&mut self, event: impl FnOnce(&mut Relay<usize>, Time) -> RelayOutput<usize>) {
+        let output = self.relay.as_mut().map(|relay| event(relay, self.now));
+        self.process_output(output.unwrap_or_default());
     }
 
-    fn restarts(&mut self) {
-        self.life += 1;
-        let mut relay = Relay::new(self.now, "r", (7, self.life), vec![1], LEASE);
-        relay.broken = self.broken;
-        self.disk.values().for_each(|version| relay.knows(version.clone()));
+    fn restart_relay(&mut self) {
+        self.incarnation += 1;
+        let mut relay = Relay::new(self.now, "r", (7, self.incarnation), vec![1], LEASE);
+        relay.safeguards = self.safeguards;
+        self.disk.values().for_each(|version| relay.restore(version.clone()));
         self.relay = Some(relay);
-        self.asked.clear();
-        self.keeping.clear();
-        (self.good, self.stopped, self.bound, self.own, self.seen) = (0, 0, None, Time::MIN, 0);
-        if self.missing == UnreachableMembers::Fence {
-            // The former life counts by itself until its lease is over, which is after these are.
-            self.given.clear();
+        self.heartbeats.clear();
+        self.persisting.clear();
+        (self.voted, self.stopped, self.binding_vote, self.relay_lease_ends_at, self.reported_requests) =
+            (0, 0, None, Time::MIN, 0);
+        if self.unreachable == UnreachableMembers::Fence {
+            // The former incarnation counts by itself until its lease is over, which is after these leases are.
+            self.leases.clear();
         }
-        self.steps(|relay, now| relay.tick(now));
+        self.run_relay(|relay, now| relay.tick(now));
     }
 
-    fn fails(&mut self, what: String) {
-        self.wrong.get_or_insert(what);
+    fn record_violation(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 
-    fn takes(&mut self, out: Out<usize>) {
-        for (_, ask) in out.up {
-            match ask {
-                Request::Heartbeat { number, verdict, paused, totals: seen, .. } => {
-                    self.asked.push_back((number, self.now));
-                    if std::mem::replace(&mut self.seen, seen.requests) > seen.requests {
-                        self.fails("sums fell".into());
+    fn process_output(&mut self, output: RelayOutput<usize>) {
+        for (_, request) in output.upstream {
+            match request {
+                Request::Heartbeat { number, verdict, paused, totals: reported, .. } => {
+                    self.heartbeats.push_back((number, self.now));
+                    if std::mem::replace(&mut self.reported_requests, reported.requests) > reported.requests {
+                        self.record_violation("totals decreased".into());
                     }
-                    if let Some((of, Verdict::Prepared)) = verdict.filter(|verdict| verdict.0 > self.version)
+                    if let Some((change, Verdict::Prepared)) =
+                        verdict.filter(|verdict| verdict.0 > self.version)
                     {
-                        self.says_yes(of, number);
+                        self.check_vote(change, number);
                     }
                     if paused > self.version {
-                        self.says_stopped(paused);
+                        self.check_stop(paused);
                     }
                 }
                 Request::FetchDocument { version, .. } => {
-                    if let Some(text) = self.texts.get(&version).cloned() {
-                        let answer = Response::Document { number: 0, version: Some(Box::new(text)) };
-                        self.steps(|relay, now| relay.from_above(now, 1, answer));
+                    if let Some(document) = self.documents.get(&version).cloned() {
+                        let response = Response::Document { number: 0, version: Some(Box::new(document)) };
+                        self.run_relay(|relay, now| relay.handle_response(now, 1, response));
                     }
                 }
                 _ => {}
             }
         }
-        self.keeping.extend(out.keep);
-        for (at, answer) in out.down {
-            if let Response::Renewed { key, lease, check, pause, version, .. } = answer {
-                self.gives(key, lease.unwrap_or(Time::MAX), version);
-                if key.1 == self.ones[at].life {
-                    (self.ones[at].check, self.ones[at].pause) = (check, pause);
+        self.persisting.extend(output.persist);
+        for (member, response) in output.downstream {
+            if let Response::Renewed { key, lease, check, pause, version, .. } = response {
+                self.check_lease(key, lease.unwrap_or(Time::MAX), version);
+                if key.1 == self.members[member].incarnation {
+                    (self.members[member].check, self.members[member].pause) = (check, pause);
                 }
             }
         }
     }
 
-    /// One that may hold a lease and of which this is so.
-    fn live(&self, so: impl Fn(&(Time, u64, u64)) -> bool) -> Option<(MemberKey, u64)> {
-        let mut live = self.given.iter().filter(|(_, one)| one.0 > self.now);
-        live.find(|(_, one)| so(one)).map(|(key, one)| (*key, one.1))
+    /// A member that may hold a lease and satisfies `predicate`, and the newest change that it voted for.
+    fn find_lease(&self, predicate: impl Fn(&(Time, u64, u64)) -> bool) -> Option<(MemberKey, u64)> {
+        let mut valid = self.leases.iter().filter(|(_, lease)| lease.0 > self.now);
+        valid.find(|(_, lease)| predicate(lease)).map(|(key, lease)| (*key, lease.1))
     }
 
-    fn says_yes(&mut self, of: u64, number: u32) {
-        if self.bound.is_none_or(|bound| bound.0 < of) {
-            if let Some((key, one)) = self.live(|one| one.1 < of) {
-                self.fails(format!("yes to {of} while {key:?} has a lease and said yes to {one}"));
+    /// The relay votes for a change.
+    fn check_vote(&mut self, change: u64, number: u32) {
+        if self.binding_vote.is_none_or(|vote| vote.0 < change) {
+            if let Some((key, voted)) = self.find_lease(|lease| lease.1 < change) {
+                self.record_violation(format!(
+                    "vote for {change} while {key:?} has a lease and voted for {voted} at most"
+                ));
             }
-            self.bound = Some((of, number));
-            if self.missing == UnreachableMembers::Wait {
-                self.own = self.own.min(self.now + LEASE);
+            self.binding_vote = Some((change, number));
+            if self.unreachable == UnreachableMembers::Wait {
+                self.relay_lease_ends_at = self.relay_lease_ends_at.min(self.now + LEASE);
             }
         }
-        self.good = of;
+        self.voted = change;
     }
 
-    fn says_stopped(&mut self, of: u64) {
-        if let Some((key, _)) = self.live(|one| one.2 < of) {
-            self.fails(format!("stopped for {of} while {key:?} has a lease and has not"));
+    /// The relay reports that all have stopped for a change.
+    fn check_stop(&mut self, change: u64) {
+        if let Some((key, _)) = self.find_lease(|lease| lease.2 < change) {
+            self.record_violation(format!(
+                "stopped for {change} while {key:?} has a lease and has not stopped"
+            ));
         }
-        self.stopped = of;
+        self.stopped = change;
     }
 
-    fn gives(&mut self, key: MemberKey, lease: Time, version: u64) {
+    /// The relay gives a member a lease.
+    fn check_lease(&mut self, key: MemberKey, lease: Time, version: u64) {
         if lease <= 0 {
             return;
         }
         let end = self.now.saturating_add(lease);
-        if end >= self.own || lease > LEASE {
-            self.fails(format!("a lease until {end}, its own ends at {}", self.own));
+        if end >= self.relay_lease_ends_at || lease > LEASE {
+            self.record_violation(format!(
+                "a lease until {end}, the relay's own ends at {}",
+                self.relay_lease_ends_at
+            ));
         }
-        let one = self.given.entry(key).or_default();
-        let (good, stopped) = (one.1, one.2);
-        one.0 = one.0.max(end);
-        if self.bound.is_some_and(|bound| bound.0 > self.version && good < bound.0) {
-            self.fails(format!("a lease to {key:?} after a yes to {:?}", self.bound));
+        let given = self.leases.entry(key).or_default();
+        let (voted, stopped) = (given.1, given.2);
+        given.0 = given.0.max(end);
+        if self.binding_vote.is_some_and(|vote| vote.0 > self.version && voted < vote.0) {
+            self.record_violation(format!("a lease to {key:?} after a vote for {:?}", self.binding_vote));
         }
         if self.stopped > version.max(self.version) && stopped < self.stopped {
-            self.fails(format!("a lease to {key:?} after all have stopped for {}", self.stopped));
+            self.record_violation(format!("a lease to {key:?} after all have stopped for {}", self.stopped));
         }
     }
 
-    fn asks(&mut self, at: usize, verdict: Option<(u64, Verdict)>, stopped: bool) {
-        let one = &mut self.ones[at];
-        one.asked += 1;
-        if let Some((of, Verdict::Prepared)) = &verdict {
-            one.good = one.good.max(*of);
+    fn send_heartbeat(&mut self, index: usize, verdict: Option<(u64, Verdict)>, has_stopped: bool) {
+        let member = &mut self.members[index];
+        member.heartbeats += 1;
+        if let Some((change, Verdict::Prepared)) = &verdict {
+            member.voted = member.voted.max(*change);
         }
-        if stopped {
-            one.stopped = one.stopped.max(one.pause);
+        if has_stopped {
+            member.stopped = member.stopped.max(member.pause);
         }
-        let key = (at as u64, one.life);
-        let seen = ServiceTotals { requests: one.asked.into(), ..ServiceTotals::default() };
-        let (number, paused) = (one.asked, one.stopped);
-        let given = self.given.entry(key).or_default();
-        (given.1, given.2) = (one.good, one.stopped);
-        let name = format!("m{at}");
-        let ask =
-            Request::Heartbeat { key, name, joins: true, number, verdict, paused, active: 0, totals: seen };
-        self.steps(|relay, now| relay.from_below(now, at, ask));
+        let key = (index as u64, member.incarnation);
+        let reported = ServiceTotals { requests: member.heartbeats.into(), ..ServiceTotals::default() };
+        let (number, paused) = (member.heartbeats, member.stopped);
+        let lease = self.leases.entry(key).or_default();
+        (lease.1, lease.2) = (member.voted, member.stopped);
+        let name = format!("m{index}");
+        let request = Request::Heartbeat {
+            key,
+            name,
+            joins: true,
+            number,
+            verdict,
+            paused,
+            active: 0,
+            totals: reported,
+        };
+        self.run_relay(|relay, now| relay.handle_request(now, index, request));
     }
 
-    fn answers(&mut self, newest: bool) {
-        let asked = if newest { self.asked.pop_back() } else { self.asked.pop_front() };
-        let Some((number, at)) = asked else { return };
-        if newest {
-            self.asked.clear();
+    fn respond(&mut self, is_newest: bool) {
+        let heartbeat = if is_newest { self.heartbeats.pop_back() } else { self.heartbeats.pop_front() };
+        let Some((number, sent_at)) = heartbeat else { return };
+        if is_newest {
+            self.heartbeats.clear();
         }
         let check = self.change.as_ref().map_or(0, |change| change.number);
-        let leased =
-            self.missing == UnreachableMembers::Fence || self.closing || (check != 0 && self.good == check);
-        // Over for the relay with this word, and not before.
-        if self.bound.is_some_and(|(of, since)| of <= self.version || (of != check && number >= since)) {
-            self.bound = None;
+        let has_lease_end = self.unreachable == UnreachableMembers::Fence
+            || self.is_barrier
+            || (check != 0 && self.voted == check);
+        // The vote binds the relay until this response, and not for a shorter time.
+        if self
+            .binding_vote
+            .is_some_and(|(change, since)| change <= self.version || (change != check && number >= since))
+        {
+            self.binding_vote = None;
         }
-        self.own = match (leased, self.bound) {
+        self.relay_lease_ends_at = match (has_lease_end, self.binding_vote) {
             (false, None) => Time::MAX,
-            _ if self.own == Time::MAX => at + LEASE,
-            _ => self.own.max(at + LEASE),
+            _ if self.relay_lease_ends_at == Time::MAX => sent_at + LEASE,
+            _ => self.relay_lease_ends_at.max(sent_at + LEASE),
         };
-        let answer = Response::Renewed {
-            key: (7, self.life),
+        let response = Response::Renewed {
+            key: (7, self.incarnation),
             number,
-            lease: leased.then_some(LEASE),
+            lease: has_lease_end.then_some(LEASE),
             period: LEASE / 4,
             version: self.version,
             check,
-            pause: if self.closing { check } else { 0 },
+            pause: if self.is_barrier { check } else { 0 },
         };
-        self.steps(|relay, now| relay.from_above(now, 1, answer));
+        self.run_relay(|relay, now| relay.handle_response(now, 1, response));
     }
 
-    fn step(&mut self, op: Op) {
-        match op {
-            Op::Time(time) => {
+    fn run_step(&mut self, step: Step) {
+        match step {
+            Step::AdvanceTime(time) => {
                 let end = self.now + time;
-                let mut looks = 0;
-                while let Some(due) = self.relay.as_ref().map(Relay::due).filter(|due| *due <= end) {
-                    self.now = self.now.max(due);
-                    self.steps(|relay, now| relay.tick(now));
-                    looks += 1;
-                    if looks > 2_000 {
-                        self.fails("it looks without an end".into());
+                let mut ticks = 0;
+                while let Some(deadline) =
+                    self.relay.as_ref().map(Relay::next_deadline).filter(|deadline| *deadline <= end)
+                {
+                    self.now = self.now.max(deadline);
+                    self.run_relay(|relay, now| relay.tick(now));
+                    ticks += 1;
+                    if ticks > 2_000 {
+                        self.record_violation("the relay has something to do without end".into());
                         break;
                     }
                 }
                 self.now = end;
             }
-            Op::Asks { at, yes, stopped } => {
-                let check = self.ones[at].check;
-                let said = |yes| if yes { Verdict::Prepared } else { Verdict::Refused("no".into()) };
-                self.asks(at, yes.filter(|_| check != 0).map(|yes| (check, said(yes))), stopped);
+            Step::Heartbeat { member, vote, has_stopped } => {
+                let check = self.members[member].check;
+                let verdict = |is_for| if is_for { Verdict::Prepared } else { Verdict::Refused("no".into()) };
+                self.send_heartbeat(
+                    member,
+                    vote.filter(|_| check != 0).map(|is_for| (check, verdict(is_for))),
+                    has_stopped,
+                );
             }
-            Op::Goes(at) => {
-                let key = (at as u64, self.ones[at].life);
-                self.given.remove(&key);
-                self.ones[at] = One { life: key.1 + 1, ..One::default() };
-                self.steps(|relay, now| relay.from_below(now, at, Request::Leave { key, number: 1 }));
+            Step::MemberLeaves(member) => {
+                let key = (member as u64, self.members[member].incarnation);
+                self.leases.remove(&key);
+                self.members[member] = Member { incarnation: key.1 + 1, ..Member::default() };
+                self.run_relay(|relay, now| {
+                    relay.handle_request(now, member, Request::Leave { key, number: 1 })
+                });
             }
-            Op::Starts(at) => self.ones[at] = One { life: self.ones[at].life + 1, ..One::default() },
-            Op::Answers(newest) => self.answers(newest),
-            Op::Keeps(good) => {
-                if let Some(version) = self.keeping.pop() {
-                    let kept = if good { Ok(()) } else { Err("full".to_string()) };
-                    self.steps(|relay, now| relay.kept(now, version.number, kept));
-                    self.disk.extend(good.then_some((version.number, version)));
+            Step::MemberRestarts(member) => {
+                self.members[member] =
+                    Member { incarnation: self.members[member].incarnation + 1, ..Member::default() }
+            }
+            Step::Respond(is_newest) => self.respond(is_newest),
+            Step::Persist(is_persisted) => {
+                if let Some(version) = self.persisting.pop() {
+                    let result = if is_persisted { Ok(()) } else { Err("full".to_string()) };
+                    self.run_relay(|relay, now| relay.record_persisted(now, version.number, result));
+                    self.disk.extend(is_persisted.then_some((version.number, version)));
                 }
             }
-            Op::Proposes(together) if self.change.is_none() => {
-                self.numbers += 1;
-                self.change = Some(self.text(self.numbers, together));
-                self.texts.extend(self.change.clone().map(|change| (change.number, change)));
-                self.steps(|relay, now| relay.from_above(now, 1, Response::Changed));
+            Step::Propose(has_barrier) if self.change.is_none() => {
+                self.last_number += 1;
+                self.change = Some(self.make_version(self.last_number, has_barrier));
+                self.documents.extend(self.change.clone().map(|change| (change.number, change)));
+                self.run_relay(|relay, now| relay.handle_response(now, 1, Response::Changed));
             }
-            Op::Drops if !self.closing => self.change = None,
-            Op::Decides => {
+            Step::Abort if !self.is_barrier => self.change = None,
+            Step::Decide => {
                 let Some(change) = self.change.clone() else { return };
-                let opens = self.closing && self.stopped == change.number;
-                if !self.closing && self.good == change.number {
-                    self.closing = true;
+                let ends_barrier = self.is_barrier && self.stopped == change.number;
+                if !self.is_barrier && self.voted == change.number {
+                    self.is_barrier = true;
                 }
-                if (self.closing && !change.rules.barrier) || opens {
-                    (self.version, self.change, self.closing) = (change.number, None, false);
+                if (self.is_barrier && !change.rules.barrier) || ends_barrier {
+                    (self.version, self.change, self.is_barrier) = (change.number, None, false);
                 }
             }
-            Op::Restarts => self.restarts(),
+            Step::RestartRelay => self.restart_relay(),
             _ => {}
         }
     }
 }
 
 #[test]
-fn more_members_than_it_can_hold_are_not_heard_and_news_go_out_in_parts() {
-    let mut harness = Harness::new(UnreachableMembers::Fence, Broken::default());
-    let steps = [Op::Keeps(true), Op::Answers(false), Op::Keeps(true), Op::Answers(true)];
-    steps.into_iter().for_each(|op| harness.step(op));
-    let mut relay = harness.relay.take().expect("it runs");
+fn members_beyond_the_maximum_get_no_response_and_notifications_go_out_in_parts() {
+    let mut harness = Harness::new(UnreachableMembers::Fence, DisabledSafeguards::default());
+    let steps = [Step::Persist(true), Step::Respond(false), Step::Persist(true), Step::Respond(true)];
+    steps.into_iter().for_each(|step| harness.run_step(step));
+    let mut relay = harness.relay.take().expect("the relay runs");
     let now = harness.now;
-    let (number, name, seen) = (1, String::new(), ServiceTotals::default());
-    let here = |at| Request::Heartbeat {
-        key: (at, 1),
+    let (number, name, reported) = (1, String::new(), ServiceTotals::default());
+    let heartbeat = |member| Request::Heartbeat {
+        key: (member, 1),
         name: name.clone(),
         joins: true,
         number,
         verdict: None,
         paused: 0,
         active: 1,
-        totals: seen,
+        totals: reported,
     };
-    let held =
-        (0..5_000).filter(|at| !relay.from_below(now, *at as usize, here(*at)).down.is_empty()).count();
-    assert_eq!((held, relay.members(), relay.log().count()), (MAX_MEMBERS, MAX_MEMBERS, 2));
-    // One that goes and comes again at the bound fills no log.
-    for life in 0..50 {
-        let (gone, key) = ((u64::from(life > 0) * (9_000 + life - 1), 1), (9_000 + life, 1));
-        relay.from_below(now, 0, Request::Leave { key: gone, number });
-        for at in [key.0, 8_000] {
-            relay.from_below(now, 0, here(at));
+    let answered = (0..5_000)
+        .filter(|member| {
+            !relay.handle_request(now, *member as usize, heartbeat(*member)).downstream.is_empty()
+        })
+        .count();
+    assert_eq!((answered, relay.member_count(), relay.drain_log().count()), (MAX_MEMBERS, MAX_MEMBERS, 2));
+    // A member that leaves and joins over and over at the maximum does not fill the log.
+    for turn in 0..50 {
+        let (former, key) = ((u64::from(turn > 0) * (9_000 + turn - 1), 1), (9_000 + turn, 1));
+        relay.handle_request(now, 0, Request::Leave { key: former, number });
+        for member in [key.0, 8_000] {
+            relay.handle_request(now, 0, heartbeat(member));
         }
     }
-    assert_eq!((relay.members(), relay.log().count()), (MAX_MEMBERS, 0));
-    // A change comes: all are told, in steps, and at once.
-    relay.from_above(now, 1, Response::Changed);
-    let version = harness.text(2, false);
-    let held = |number| Response::Renewed {
+    assert_eq!((relay.member_count(), relay.drain_log().count()), (MAX_MEMBERS, 0));
+    // After a change all members are notified: over several steps, without a delay between them.
+    relay.handle_response(now, 1, Response::Changed);
+    let version = harness.make_version(2, false);
+    let renewed = |number| Response::Renewed {
         key: (7, 1),
         number,
         lease: Some(LEASE),
@@ -363,156 +413,195 @@
         check: 2,
         pause: 0,
     };
-    (0..9).for_each(|number| drop(relay.from_above(now, 1, held(number))));
-    relay.from_above(now, 1, Response::Document { number: 0, version: Some(Box::new(version)) });
-    let mut told = vec![relay.kept(now, 2, Ok(())).down.len()];
-    while relay.due() <= now {
-        told.push(relay.tick(now).down.len());
+    (0..9).for_each(|number| drop(relay.handle_response(now, 1, renewed(number))));
+    relay.handle_response(now, 1, Response::Document { number: 0, version: Some(Box::new(version)) });
+    let mut notified = vec![relay.record_persisted(now, 2, Ok(())).downstream.len()];
+    while relay.next_deadline() <= now {
+        notified.push(relay.tick(now).downstream.len());
     }
-    assert_eq!((told.iter().max(), told.iter().sum()), (Some(&256), MAX_MEMBERS));
-    let ends = relay.due();
-    assert!(ends > now);
+    assert_eq!((notified.iter().max(), notified.iter().sum()), (Some(&256), MAX_MEMBERS));
+    let deadline = relay.next_deadline();
+    assert!(deadline > now);
     relay.tick(now + 2 * LEASE);
-    assert_eq!(relay.members(), 0, "whoever is not heard is forgotten");
+    assert_eq!(relay.member_count(), 0, "members that send no heartbeats are forgotten");
 }
 
-fn held(number: u32, version: u64, check: u64) -> Response {
+fn renewed(number: u32, version: u64, check: u64) -> Response {
     let (key, lease, period) = ((7, 1), Some(LEASE), LEASE / 4);
     Response::Renewed { key, number, lease, period, version, check, pause: 0 }
 }
 
-/// An answer that its member does not take tells nothing: not that nothing was in force when it joined, and so by which rule.
+/// A response that the upstream member ignores does not tell which version was active when the relay joined, and so not under which rule.
 #[test]
-fn an_answer_that_is_not_taken_ends_no_wait_of_a_new_life() {
+fn an_ignored_response_does_not_end_the_wait_of_a_new_incarnation() {
     let mut relay = Relay::<usize>::new(0, "r", (7, 1), vec![1], LEASE);
     relay.tick(0);
-    relay.from_above(10, 1, held(77, 1, 0));
-    let leaves = |out: &Out<usize>| out.up.iter().any(|(_, ask)| matches!(ask, Request::Leave { .. }));
-    assert!(!leaves(&relay.leaves(20)), "leases of its former life may be out");
-    assert!(leaves(&relay.tick(LEASE)), "no longer");
+    relay.handle_response(10, 1, renewed(77, 1, 0));
+    let leaves = |output: &RelayOutput<usize>| {
+        output.upstream.iter().any(|(_, request)| matches!(request, Request::Leave { .. }))
+    };
+    assert!(!leaves(&relay.leave(20)), "leases of its former incarnation may be valid");
+    assert!(leaves(&relay.tick(LEASE)), "those leases are over");
 }
 
-/// A disk that fails once: what is in force all the same is fetched and put there again.
+/// A disk fails once: the version that becomes active all the same is fetched and persisted again.
 #[test]
-fn a_text_in_force_that_could_not_be_kept_is_fetched_again() {
-    for asked_before in [false, true] {
+fn an_active_document_that_could_not_be_persisted_is_fetched_again() {
+    for proposed_before in [false, true] {
         let mut relay = Relay::<usize>::new(0, "r", (7, 1), vec![1], LEASE);
-        let text = Version { number: 1, ..Version::default() };
-        let (mut now, mut fetched, mut failed, mut in_force) = (0, 0, false, None);
-        while now < 60 * SECOND && in_force != Some(1) {
-            let mut outs = vec![relay.tick(now)];
-            while let Some(out) = outs.pop() {
-                for (_, ask) in out.up {
-                    match ask {
-                        // First it is proposed, then taken without this relay, or it is in force from the beginning.
-                        Request::Heartbeat { number, .. } if asked_before && !failed => {
-                            outs.push(relay.from_above(now, 1, held(number, 0, 1)));
+        let document = Version { number: 1, ..Version::default() };
+        let (mut now, mut fetches, mut has_failed, mut active) = (0, 0, false, None);
+        while now < 60 * SECOND && active != Some(1) {
+            let mut outputs = vec![relay.tick(now)];
+            while let Some(output) = outputs.pop() {
+                for (_, request) in output.upstream {
+                    match request {
+                        // The version is proposed, then committed without this relay; or it is active from the beginning.
+                        Request::Heartbeat { number, .. } if proposed_before && !has_failed => {
+                            outputs.push(relay.handle_response(now, 1, renewed(number, 0, 1)));
                         }
                         Request::Heartbeat { number, .. } => {
-                            outs.push(relay.from_above(now, 1, held(number, 1, 0)))
+                            outputs.push(relay.handle_response(now, 1, renewed(number, 1, 0)))
                         }
                         Request::FetchDocument { version: 1, number } => {
-                            fetched += 1;
-                            let version = Some(Box::new(text.clone()));
-                            outs.push(relay.from_above(now, 1, Response::Document { number, version }));
+                            fetches += 1;
+                            let version = Some(Box::new(document.clone()));
+                            outputs.push(relay.handle_response(
+                                now,
+                                1,
+                                Response::Document { number, version },
+                            ));
                         }
                         _ => {}
                     }
                 }
-                for version in out.keep {
-                    let how = if failed { Ok(()) } else { Err("the disk is behind".to_string()) };
-                    failed = true;
-                    outs.push(relay.kept(now, version.number, how));
+                for version in output.persist {
+                    let result = if has_failed {
+                        Ok(())
+                    } else {
+                        Err("too many writes wait for the disk".to_string())
+                    };
+                    has_failed = true;
+                    outputs.push(relay.record_persisted(now, version.number, result));
                 }
             }
-            in_force = relay.in_force();
+            active = relay.active();
             now += 10 * MS;
         }
-        assert_eq!((in_force, fetched), (Some(1), 2), "proposed before: {asked_before}");
+        assert_eq!((active, fetches), (Some(1), 2), "proposed before: {proposed_before}");
     }
 }
 
-fn broken(missing: UnreachableMembers, broken: Broken, cases: u32) -> Result<(), String> {
+/// Runs random steps with these safeguards disabled. The error is the shortest run that violates an invariant.
+fn run_random_steps(
+    unreachable: UnreachableMembers,
+    safeguards: DisabledSafeguards,
+    cases: u32,
+) -> Result<(), String> {
     let mut runner = TestRunner::new(Config { cases, failure_persistence: None, ..Config::default() });
-    let result = runner.run(&proptest::collection::vec(op(), 1..120), |ops| {
-        let mut harness = Harness::new(missing, broken);
-        for op in ops {
-            harness.step(op);
-            prop_assert!(harness.wrong.is_none(), "{:?}", harness.wrong);
+    let result = runner.run(&proptest::collection::vec(any_step(), 1..120), |steps| {
+        let mut harness = Harness::new(unreachable, safeguards);
+        for step in steps {
+            harness.run_step(step);
+            prop_assert!(harness.violation.is_none(), "{:?}", harness.violation);
         }
         Ok(())
     });
     result.map_err(|error| error.to_string())
 }
 
-fn play(missing: UnreachableMembers, steps: &[Op]) {
-    let mut harness = Harness::new(missing, Broken::default());
+fn run_steps(unreachable: UnreachableMembers, steps: &[Step]) {
+    let mut harness = Harness::new(unreachable, DisabledSafeguards::default());
     for step in steps {
-        harness.step(*step);
-        assert_eq!(harness.wrong, None, "{missing:?}, at {step:?}");
+        harness.run_step(*step);
+        assert_eq!(harness.violation, None, "{unreachable:?}, at {step:?}");
     }
 }
 
 /// Guards against a vote that is cast again after a late response, while members that have not voted hold leases.
 #[test]
 fn a_late_response_to_the_vote_brings_no_second_vote_over_leases_below() {
-    let (yes, stopped) = (None, false);
-    let dropped_unheard = [
-        Op::Answers(false),
-        Op::Proposes(false),
-        Op::Keeps(true),
-        Op::Answers(true),
-        Op::Keeps(true),
-        Op::Time(1_670),
-        Op::Time(3_590),
-        Op::Drops,
-        Op::Answers(false),
-        Op::Asks { at: 0, yes, stopped },
-        Op::Time(680),
+    let (vote, has_stopped) = (None, false);
+    let aborted_unheard = [
+        Step::Respond(false),
+        Step::Propose(false),
+        Step::Persist(true),
+        Step::Respond(true),
+        Step::Persist(true),
+        Step::AdvanceTime(1_670),
+        Step::AdvanceTime(3_590),
+        Step::Abort,
+        Step::Respond(false),
+        Step::Heartbeat { member: 0, vote, has_stopped },
+        Step::AdvanceTime(680),
     ];
-    let dropped_and_followed_by_another = [
-        Op::Answers(false),
-        Op::Keeps(true),
-        Op::Proposes(false),
-        Op::Answers(false),
-        Op::Keeps(true),
-        Op::Restarts,
-        Op::Answers(false),
-        Op::Time(2_630),
-        Op::Drops,
-        Op::Time(2_670),
-        Op::Answers(false),
-        Op::Answers(false),
-        Op::Proposes(false),
-        Op::Answers(false),
-        Op::Answers(false),
-        Op::Asks { at: 0, yes, stopped },
+    let aborted_and_followed_by_another = [
+        Step::Respond(false),
+        Step::Persist(true),
+        Step::Propose(false),
+        Step::Respond(false),
+        Step::Persist(true),
+        Step::RestartRelay,
+        Step::Respond(false),
+        Step::AdvanceTime(2_630),
+        Step::Abort,
+        Step::AdvanceTime(2_670),
+        Step::Respond(false),
+        Step::Respond(false),
+        Step::Propose(false),
+        Step::Respond(false),
+        Step::Respond(false),
+        Step::Heartbeat { member: 0, vote, has_stopped },
     ];
-    for missing in [UnreachableMembers::Fence, UnreachableMembers::Wait] {
-        play(missing, &dropped_unheard);
-        play(missing, &dropped_and_followed_by_another);
+    for unreachable in [UnreachableMembers::Fence, UnreachableMembers::Wait] {
+        run_steps(unreachable, &aborted_unheard);
+        run_steps(unreachable, &aborted_and_followed_by_another);
     }
 }
 
-/// `RELAYS_CASES` plays more of them.
+/// `RELAYS_CASES` sets the number of cases.
 #[test]
-fn what_it_says_holds_for_all_below_in_any_order() {
-    let cases = std::env::var("RELAYS_CASES").ok().and_then(|many| many.parse().ok()).unwrap_or(1_500);
-    for missing in [UnreachableMembers::Fence, UnreachableMembers::Wait] {
-        assert_eq!(broken(missing, Broken::default(), cases), Ok(()), "{missing:?}");
+fn reports_of_a_relay_hold_for_all_its_members_in_any_order_of_events() {
+    let cases = std::env::var("RELAYS_CASES").ok().and_then(|value| value.parse().ok()).unwrap_or(1_500);
+    for unreachable in [UnreachableMembers::Fence, UnreachableMembers::Wait] {
+        assert_eq!(
+            run_random_steps(unreachable, DisabledSafeguards::default(), cases),
+            Ok(()),
+            "{unreachable:?}"
+        );
     }
 }
 
 #[test]
-fn each_guard_taken_out_is_found() {
-    for (missing, guard, words) in [
-        (UnreachableMembers::Fence, Broken { yes_alone: true, ..Broken::default() }, "yes to"),
-        (UnreachableMembers::Fence, Broken { longer: true, ..Broken::default() }, "its own ends"),
-        (UnreachableMembers::Wait, Broken { to_all: true, ..Broken::default() }, "a lease to"),
-        (UnreachableMembers::Wait, Broken { stops_alone: true, ..Broken::default() }, "stopped for"),
-        (UnreachableMembers::Wait, Broken { no_wait: true, ..Broken::default() }, "yes to"),
+fn each_disabled_safeguard_is_detected() {
+    for (unreachable, safeguards, message) in [
+        (
+            UnreachableMembers::Fence,
+            DisabledSafeguards { vote_before_members: true, ..DisabledSafeguards::default() },
+            "vote for",
+        ),
+        (
+            UnreachableMembers::Fence,
+            DisabledSafeguards { outlast_own_lease: true, ..DisabledSafeguards::default() },
+            "the relay's own ends",
+        ),
+        (
+            UnreachableMembers::Wait,
+            DisabledSafeguards { lease_without_vote: true, ..DisabledSafeguards::default() },
+            "a lease to",
+        ),
+        (
+            UnreachableMembers::Wait,
+            DisabledSafeguards { stop_before_members: true, ..DisabledSafeguards::default() },
+            "stopped for",
+        ),
+        (
+            UnreachableMembers::Wait,
+            DisabledSafeguards { skip_recovery_wait: true, ..DisabledSafeguards::default() },
+            "vote for",
+        ),
     ] {
-        let found = broken(missing, guard, 20_000);
-        assert!(found.as_ref().is_err_and(|why| why.contains(words)), "{guard:?}: {found:?}");
+        let found = run_random_steps(unreachable, safeguards, 20_000);
+        assert!(found.as_ref().is_err_and(|why| why.contains(message)), "{safeguards:?}: {found:?}");
     }
 }
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! A relay: it stands between the keepers and the members of its zone. What is decided stands in crate `relays`; here are two sockets, the
-//! texts on the disk, time and signals.
+//! Runs a relay between the control replicas and the members of its zone. Crate `rollout-relay` makes the decisions; this module has the
+//! two sockets, the documents on the disk, time and signals.
 
 use crate::counters::{add, counters};
 use crate::leases::known_replicas::KnownReplicas;
@@ -14,7 +14,7 @@
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::messages::{Request, Response};
 use cypresscleat_rollout::{node_id, NodeId, MAX_DOCUMENT_BYTES};
-use cypresscleat_rollout_relay::{Out, Relay};
+use cypresscleat_rollout_relay::{Relay, RelayOutput};
 use cypresscleat_scheduler::Time;
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -25,170 +25,172 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep_until;
 
-/// Datagrams that are read from one side before the other side has its turn: a member that floods delays no keeper's word.
-const BATCH: usize = 64;
-/// It looks up at least this often, in tenths of a millisecond.
-const LOOK: Time = 10_000;
+/// Datagrams that are read from one socket in a row: a member that floods the relay does not delay responses of control replicas.
+const MAX_DATAGRAMS_IN_A_ROW: usize = 64;
+/// The longest sleep of the main loop, in tenths of a millisecond.
+const MAX_SLEEP: Time = 10_000;
 
-/// A relay, as the operator's file has it.
+/// The relay's settings in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayConfig {
-    /// Where members find it.
+    /// Address at which members send requests.
     pub listen: SocketAddr,
-    /// Where it keeps versions.
+    /// Folder for versions.
     pub folder: PathBuf,
-    /// The longest lease that it gives.
+    /// The longest lease that the relay gives to members.
     pub max_lease: Time,
 }
 
 counters! { Counters;
-    asks: "words of members that were understood",
-    told: "words to members",
-    texts: "texts among them",
-    up: "words to keepers",
-    heard: "words of keepers",
-    strangers: "answers from elsewhere than the keeper whose name they bear",
+    asks: "requests of members and operators that were accepted",
+    told: "responses sent to members and operators",
+    texts: "documents among these responses",
+    up: "requests sent to control replicas",
+    heard: "responses received from control replicas",
+    strangers: "responses that came from another address than that of the replica that they name",
     garbled: "datagrams that are no words of a change of policy",
-    unsent: "datagrams that the socket did not take",
-    kept: "texts put on the disk",
-    unkept: "texts that could not be",
+    unsent: "datagrams that the socket did not accept",
+    kept: "documents stored on the disk",
+    unkept: "documents that could not be stored",
 }
 
-/// From the reading of the operator's file to its end.
+/// Reads the operator's file and runs the relay. Returns once the relay has ended.
 pub fn start(path: &Path, name: &str) -> ExitCode {
-    let read = operator::read(path, None).map_err(|wrong| wrong.shown);
+    let read = operator::read(path, None).map_err(|error| error.shown);
     let read = read.and_then(|(operator, _)| match (operator.keepers, operator.relay) {
         _ if name.is_empty() => Err("no name: --name or EDGE_NAME\n".into()),
-        (Some(keepers), Some(relay)) => Ok((keepers, relay)),
+        (Some(keepers), Some(config)) => Ok((keepers, config)),
         _ => Err(format!("{}: no relay\n", path.display())),
     });
     match read {
-        Ok((keepers, set)) => block_on(run(name, &keepers, &set)).unwrap_or_else(|error| {
+        Ok((keepers, config)) => block_on(run(name, &keepers, &config)).unwrap_or_else(|error| {
             log!("{error}");
             ExitCode::FAILURE
         }),
-        Err(what) => {
-            let _ = io::stderr().write_all(what.as_bytes());
+        Err(message) => {
+            let _ = io::stderr().write_all(message.as_bytes());
             ExitCode::from(2)
         }
     }
 }
 
+/// A running relay: sockets, disk, counters.
 struct Task {
     name: String,
-    own: NodeId,
-    below: UdpSocket,
-    above: UdpSocket,
+    id: NodeId,
+    member_socket: UdpSocket,
+    replica_socket: UdpSocket,
     replicas: KnownReplicas,
     clock: Steady,
     relay: Relay<SocketAddr>,
     disk: VersionDisk,
-    /// Texts that the disk's thread had no room for, and that the relay is still to hear of.
-    unkept: VecDeque<Written>,
+    /// Writes that the disk's queue had no room for, of which the relay is still to be told.
+    rejected_writes: VecDeque<Written>,
     counters: Counters,
-    /// Of those that are no letters, as last told.
-    told: u64,
+    /// The counter `garbled` when it was logged last.
+    logged_garbled: u64,
 }
 
-/// Until it is told to stop, and has left or waited long enough for that.
-async fn run(name: &str, keepers: &Keepers, set: &RelayConfig) -> io::Result<()> {
+/// Runs until a signal tells the relay to stop and it has left, or has waited long enough for that.
+async fn run(name: &str, keepers: &Keepers, config: &RelayConfig) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
-    let named = tried(format!("relay {name} on {}", set.listen));
-    let below = UdpSocket::bind(set.listen).await.map_err(named)?;
-    let above = UdpSocket::bind(keepers.from()).await.map_err(tried("the socket to the keepers"))?;
-    // Guards against the loss of the first words: a socket takes none before it is known to.
-    for socket in [&below, &above] {
+    let named = tried(format!("relay {name} on {}", config.listen));
+    let member_socket = UdpSocket::bind(config.listen).await.map_err(named)?;
+    let replica_socket =
+        UdpSocket::bind(keepers.from()).await.map_err(tried("the socket to the control replicas"))?;
+    // Guards against the loss of the first messages: a socket sends nothing before it is known to be writable.
+    for socket in [&member_socket, &replica_socket] {
         socket.writable().await?;
     }
-    log!("relay {name} hears members at {}", below.local_addr()?);
+    log!("relay {name} hears members at {}", member_socket.local_addr()?);
     let clock = Steady::start();
     let key = (node_id(name), drawn(name));
-    let all = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
-    let mut relay = Relay::new(clock.now(), name, key, all, set.max_lease);
-    for version in load(&set.folder) {
-        // What a disk garbled is not handed out: members would refuse it under its number.
+    let replicas = keepers.all.iter().map(|(name, _)| node_id(name)).collect();
+    let mut relay = Relay::new(clock.now(), name, key, replicas, config.max_lease);
+    for version in load(&config.folder) {
+        // A document that the disk corrupted is not handed out: members would refuse that version.
         match check(&version, MAX_DOCUMENT_BYTES, None) {
-            Ok(_) => relay.knows(version),
-            Err(what) => log!("policy {} was kept and is not handed out: {what}", version.number),
+            Ok(_) => relay.restore(version),
+            Err(error) => log!("policy {} was kept and is not handed out: {error}", version.number),
         }
     }
     let mut task = Task {
         name: name.to_string(),
-        own: key.0,
-        below,
-        above,
+        id: key.0,
+        member_socket,
+        replica_socket,
         replicas: KnownReplicas::new(&format!("relay {name}"), keepers.addresses()),
         clock,
         relay,
-        disk: VersionDisk::start(&set.folder)?,
-        unkept: VecDeque::new(),
+        disk: VersionDisk::start(&config.folder)?,
+        rejected_writes: VecDeque::new(),
         counters: Counters::default(),
-        told: 0,
+        logged_garbled: 0,
     };
-    let mut ends = None;
-    let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
+    let mut stop_at = None;
+    let mut buffer = vec![0; message::MAX_DATAGRAM_BYTES + 1];
     loop {
         let now = clock.now();
-        if now >= task.relay.due() {
-            let out = task.relay.tick(now);
-            task.carry(out);
+        if now >= task.relay.next_deadline() {
+            let output = task.relay.tick(now);
+            task.process_output(output);
         }
-        if let Some(unkept) = task.unkept.pop_front() {
-            task.keeps(unkept);
+        if let Some(written) = task.rejected_writes.pop_front() {
+            task.record_written(written);
         }
-        task.tells();
-        if task.relay.left() || ends.is_some_and(|at| now >= at) {
+        task.log_changes();
+        if task.relay.has_left() || stop_at.is_some_and(|stop_at| now >= stop_at) {
             break;
         }
-        let look = if task.unkept.is_empty() { now + LOOK } else { now };
-        let due = task.relay.due().min(ends.unwrap_or(Time::MAX)).min(look);
+        let latest = if task.rejected_writes.is_empty() { now + MAX_SLEEP } else { now };
+        let deadline = task.relay.next_deadline().min(stop_at.unwrap_or(Time::MAX)).min(latest);
         tokio::select! {
-            () = sleep_until(clock.instant(due)) => {}
-            ready = task.above.readable() => ready?,
-            ready = task.below.readable() => ready?,
-            Some(written) = task.disk.next() => task.keeps(written),
-            _ = usr1.recv() => log!("{}", task.line()),
-            _ = term.recv(), if ends.is_none() => {
+            () = sleep_until(clock.instant(deadline)) => {}
+            ready = task.replica_socket.readable() => ready?,
+            ready = task.member_socket.readable() => ready?,
+            Some(written) = task.disk.next() => task.record_written(written),
+            _ = usr1.recv() => log!("{}", task.counter_line()),
+            _ = term.recv(), if stop_at.is_none() => {
                 log!("relay {name} leaves");
-                // Its members hold leases of it for so long at the most.
-                ends = Some(clock.now() + set.max_lease + LEAVES.as_millis() as Time * 10);
-                let out = task.relay.leaves(clock.now());
-                task.carry(out);
+                // Members hold leases of this relay for at most `max_lease`.
+                stop_at = Some(clock.now() + config.max_lease + LEAVES.as_millis() as Time * 10);
+                let output = task.relay.leave(clock.now());
+                task.process_output(output);
             }
         }
-        task.hears_above(&mut bytes);
-        task.hears_below(&mut bytes);
+        task.receive_from_replicas(&mut buffer);
+        task.receive_from_members(&mut buffer);
     }
-    let how = if task.relay.left() { "has left" } else { "goes without the keepers' word" };
-    log!("relay {name} {how}: {}", task.line());
+    let outcome = if task.relay.has_left() { "has left" } else { "goes without the keepers' word" };
+    log!("relay {name} {outcome}: {}", task.counter_line());
     Ok(())
 }
 
-/// The next datagram of a batch; `None` where there is none. What is no datagram is word of an earlier one that found nobody.
-fn next(socket: &UdpSocket, bytes: &mut [u8]) -> Option<io::Result<(usize, SocketAddr)>> {
-    match socket.try_recv_from(bytes) {
+/// The next datagram; `None` where none waits. An error reports that an earlier datagram reached nobody.
+fn receive(socket: &UdpSocket, buffer: &mut [u8]) -> Option<io::Result<(usize, SocketAddr)>> {
+    match socket.try_recv_from(buffer) {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
-        got => Some(got),
+        received => Some(received),
     }
 }
 
 impl Task {
-    fn hears_above(&mut self, bytes: &mut [u8]) {
-        for _ in 0..BATCH {
-            let Some(got) = next(&self.above, bytes) else { return };
-            let Ok((size, by)) = got else { continue };
-            match message::decode::<Wire>(&bytes[..size]) {
-                Ok(Wire::PolicyAnswer { from, .. }) if !self.replicas.accepts(from, by) => {
+    fn receive_from_replicas(&mut self, buffer: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_IN_A_ROW {
+            let Some(received) = receive(&self.replica_socket, buffer) else { return };
+            let Ok((size, sender)) = received else { continue };
+            match message::decode::<Wire>(&buffer[..size]) {
+                Ok(Wire::PolicyAnswer { from, .. }) if !self.replicas.accepts(from, sender) => {
                     add(&self.counters.strangers);
                 }
                 Ok(Wire::PolicyAnswer { from, answer }) => {
                     add(&self.counters.heard);
-                    let out = self.relay.from_above(self.clock.now(), from, answer);
-                    self.carry(out);
+                    let output = self.relay.handle_response(self.clock.now(), from, answer);
+                    self.process_output(output);
                 }
-                Ok(Wire::At { keeper, address }) if self.replicas.learn(by, keeper, address) => {
-                    self.relay.learns(keeper);
+                Ok(Wire::At { keeper, address }) if self.replicas.learn(sender, keeper, address) => {
+                    self.relay.add_replica(keeper);
                 }
                 Ok(Wire::At { .. }) => {}
                 _ => add(&self.counters.garbled),
@@ -196,76 +198,77 @@
         }
     }
 
-    fn hears_below(&mut self, bytes: &mut [u8]) {
-        for _ in 0..BATCH {
-            let Some(got) = next(&self.below, bytes) else { return };
-            let Ok((size, by)) = got else { continue };
-            match message::decode::<Wire>(&bytes[..size]) {
+    fn receive_from_members(&mut self, buffer: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_IN_A_ROW {
+            let Some(received) = receive(&self.member_socket, buffer) else { return };
+            let Ok((size, sender)) = received else { continue };
+            match message::decode::<Wire>(&buffer[..size]) {
                 Ok(Wire::PolicyAsk(ask)) if ask.is_within_bounds() => {
                     add(&self.counters.asks);
-                    let out = self.relay.from_below(self.clock.now(), by, ask);
-                    self.carry(out);
+                    let output = self.relay.handle_request(self.clock.now(), sender, ask);
+                    self.process_output(output);
                 }
                 _ => add(&self.counters.garbled),
             }
         }
     }
 
-    /// Says what is to be said, and hands on what is to be kept.
-    fn carry(&mut self, out: Out<SocketAddr>) {
-        for (to, ask) in out.up {
-            self.says_up(to, ask);
+    /// Sends the messages of a step, and hands documents to the disk.
+    fn process_output(&mut self, output: RelayOutput<SocketAddr>) {
+        for (to, request) in output.upstream {
+            self.send_to_replica(to, request);
         }
-        for (to, answer) in out.down {
-            self.says_down(to, answer);
+        for (to, response) in output.downstream {
+            self.send_to_member(to, response);
         }
-        for version in out.keep {
+        for version in output.persist {
             let number = version.number;
             if !self.disk.write_version(version, None) {
-                self.unkept.push_back(Written { number, result: Err("the disk is behind".into()) });
+                self.rejected_writes
+                    .push_back(Written { number, result: Err("too many writes wait for the disk".into()) });
             }
         }
     }
 
-    fn says_up(&mut self, to: NodeId, ask: Request) {
+    fn send_to_replica(&mut self, to: NodeId, request: Request) {
         if let Some(to) = self.replicas.next_address(to) {
             add(&self.counters.up);
-            self.sends(&self.above, to, &Wire::PolicyAsk(ask));
+            self.send(&self.replica_socket, to, &Wire::PolicyAsk(request));
         }
     }
 
-    fn says_down(&self, to: SocketAddr, answer: Response) {
+    fn send_to_member(&self, to: SocketAddr, answer: Response) {
         add(&self.counters.told);
         if matches!(answer, Response::Document { version: Some(_), .. }) {
             add(&self.counters.texts);
         }
-        self.sends(&self.below, to, &Wire::PolicyAnswer { from: self.own, answer });
+        self.send(&self.member_socket, to, &Wire::PolicyAnswer { from: self.id, answer });
     }
 
-    fn sends(&self, socket: &UdpSocket, to: SocketAddr, datagram: &Wire) {
+    fn send(&self, socket: &UdpSocket, to: SocketAddr, datagram: &Wire) {
         if !leases::send(socket, to, datagram) {
             add(&self.counters.unsent);
         }
     }
 
-    fn keeps(&mut self, Written { number, result }: Written) {
+    fn record_written(&mut self, Written { number, result }: Written) {
         add(if result.is_ok() { &self.counters.kept } else { &self.counters.unkept });
-        let out = self.relay.kept(self.clock.now(), number, result);
-        self.carry(out);
+        let output = self.relay.record_persisted(self.clock.now(), number, result);
+        self.process_output(output);
     }
 
-    /// The relay's own lines: a change of the version in force, of service, what is refused.
-    fn tells(&mut self) {
-        self.relay.log().for_each(|line| log!("{line}"));
+    /// Logs the relay's lines (changes of the active version and of the lease, refusals), and `garbled` at each power of two.
+    fn log_changes(&mut self) {
+        self.relay.drain_log().for_each(|line| log!("{line}"));
         let garbled = self.counters.garbled.get();
-        if garbled.is_power_of_two() && garbled != self.told {
-            self.told = garbled;
+        if garbled.is_power_of_two() && garbled != self.logged_garbled {
+            self.logged_garbled = garbled;
             log!("relay {}: {garbled} datagrams that are no words of a change of policy", self.name);
         }
     }
 
-    fn line(&self) -> String {
-        let in_force = self.relay.in_force().map_or("none".into(), |number| number.to_string());
-        format!("{}, members {}, in_force {in_force}", self.counters.line(), self.relay.members())
+    fn counter_line(&self) -> String {
+        let active = self.relay.active().map_or("none".into(), |number| number.to_string());
+        format!("{}, members {}, in_force {active}", self.counters.line(), self.relay.member_count())
     }
 }
