--- a/crates/server/src/rollout/admission_gate.rs
+++ b/crates/server/src/rollout/admission_gate.rs
@@ -1,5 +1,5 @@
-//! Whether an invocation may be admitted now, and under which version. Set by the member's task, asked by the core at each admission:
-//! the clock is read there, so one that stood still admits nothing more when it wakes.
+//! Decides whether a request may be admitted now, and under which version. The member's task updates the gate, and the core checks it at
+//! each admission. The check reads the clock, so a process that was stalled past its lease admits nothing when it resumes.
 
 use crate::journal::{monotonic, Journal};
 use crate::leases::Steady;
@@ -9,20 +9,23 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
+/// The admission state that the member's task and the core share.
 pub struct AdmissionGate {
     clock: Steady,
     name: String,
-    /// What the member may admit under, until when, and whether it is to hold.
+    /// The version of the member's lease, the end of the lease, and whether the member holds requests.
     leased_version: Cell<Option<u64>>,
     lease_ends_at: Cell<Time>,
     is_paused: Cell<bool>,
-    /// What the core goes by: a version counts once its settings do.
+    /// The version whose settings the core has applied.
     applied_version: Cell<Option<u64>>,
+    /// Totals that the member reports with its heartbeats.
     pub totals: Cell<ServiceTotals>,
-    /// The program ends: the member is to leave.
+    /// Notified at the end of the process: the member leaves the rollout.
     pub leave_requested: Notify,
+    /// Notified once the member has left.
     pub leave_done: Notify,
-    /// Of each admission and each change, in tests.
+    /// Journal of admissions and version changes, used by tests.
     journal: Option<Journal>,
 }
 
@@ -42,14 +45,14 @@
         }
     }
 
-    /// Takes over how the member stands.
+    /// Copies the member's version, lease end and pause.
     pub fn update(&self, member: &RolloutMember) {
         self.is_paused.set(member.is_paused());
         self.lease_ends_at.set(member.lease_ends_at());
         self.leased_version.set(member.active());
     }
 
-    /// To be asked right before each admission.
+    /// Whether a request may be admitted now. Called right before each admission.
     pub fn permit(&self) -> AdmissionPermit {
         let Some(leased_version) =
             self.leased_version.get().filter(|_| self.clock.now() < self.lease_ends_at.get())
@@ -62,7 +65,7 @@
         }
     }
 
-    /// The version whose settings hold from now on.
+    /// Records that the settings of a version apply from now on.
     pub fn apply(&self, number: u64) {
         if self.applied_version.replace(Some(number)) != Some(number) {
             self.record_event("in_force", number);
@@ -70,7 +73,7 @@
         }
     }
 
-    /// The version that is applied and may be served under.
+    /// The version under which requests may be admitted now.
     pub fn version(&self) -> Option<u64> {
         match self.permit() {
             AdmissionPermit::Admit(number) => Some(number),
@@ -78,6 +81,7 @@
         }
     }
 
+    /// Writes an event to the test journal.
     pub fn record_event(&self, event: &str, version: u64) {
         if let Some(journal) = &self.journal {
             let fields = format!("\"member\":\"{}\",\"event\":\"{event}\",\"version\":{version}", self.name);
@@ -85,7 +89,8 @@
         }
     }
 
-    /// The same as `may`, for one that is admitted where it may be: its moment is the one before the gate is asked.
+    /// Returns [`AdmissionGate::permit`] for a request that the caller admits if permitted, and writes the admission to the test journal. The
+    /// journal's time is taken before the check.
     pub fn admit(&self, txn: &[u8]) -> AdmissionPermit {
         let at = self.journal.as_ref().map(|_| monotonic());
         let permit = self.permit();
@@ -100,18 +105,19 @@
         permit
     }
 
-    /// Clears what the core went by: nothing is admitted until a version is applied again.
+    /// Clears the applied version, so that nothing is admitted until a version is applied again.
     pub fn close(&self, number: u64) {
         self.applied_version.set(None);
         self.record_event("out_of_service", number);
     }
 
+    /// Counts an admitted request.
     pub fn count_request(&self) {
         let totals = self.totals.get();
         self.totals.set(ServiceTotals { requests: totals.requests + 1, ..totals });
     }
 
-    /// One succeeded, in time or not, and billed so much.
+    /// Counts a successful request and its billed value.
     pub fn count_success(&self, in_time: bool, billed: f64) {
         let totals = self.totals.get();
         let milli = (billed * 1000.0).round().max(0.0) as u64;
--- a/crates/server/src/rollout/disk.rs
+++ b/crates/server/src/rollout/disk.rs
@@ -1,4 +1,4 @@
-//! A thread for a disk with versions, which may take its time or never answer: nothing that renews a lease waits for it.
+//! A thread that writes versions to the disk. A write may be slow or never finish, so nothing that renews a lease waits for the disk.
 
 use super::document_store::{store_version, write_file, MAX_STORED_VERSIONS};
 use crate::log;
@@ -10,24 +10,24 @@
 use tokio::sync::mpsc::{channel, Receiver};
 use tokio::time::timeout;
 
-/// Time that the disk is given at the end of the process.
+/// Maximum time for pending writes at the end of the process.
 const MAX_FINISH_TIME: Duration = Duration::from_millis(500);
 
-/// What is to be put on the disk.
+/// A write to the disk.
 enum Write {
-    /// A version; `spared` is not removed for it.
+    /// Stores a version; the version `spared` is not removed to make space.
     Version { version: Version, spared: Option<u64> },
-    /// The version that is active.
+    /// Stores the number of the active version.
     Active(u64),
 }
 
-/// A version that is on the disk, or could not be put there.
+/// The result of writing a version.
 pub struct Written {
     pub number: u64,
     pub result: Result<(), String>,
 }
 
-/// The thread's queue, and what it has done.
+/// The queue of the thread, and the results of its writes.
 pub struct VersionDisk {
     writes: SyncSender<Write>,
     written: Receiver<Written>,
@@ -38,15 +38,15 @@
     ///
     /// # Errors
     ///
-    /// The system's, where it gives no thread.
+    /// Returns the system's error if the thread cannot be started.
     pub fn start(folder: &Path) -> io::Result<VersionDisk> {
         let folder = folder.to_path_buf();
         let (writes, queue) = sync_channel::<Write>(MAX_STORED_VERSIONS);
-        let (done, written) = channel(MAX_STORED_VERSIONS);
+        let (results, written) = channel(MAX_STORED_VERSIONS);
         std::thread::Builder::new().name("texts".into()).spawn(move || {
             for write in queue {
                 let Some(result) = perform_write(&folder, write) else { continue };
-                if done.blocking_send(result).is_err() {
+                if results.blocking_send(result).is_err() {
                     return;
                 }
             }
@@ -54,24 +54,24 @@
         Ok(VersionDisk { writes, written })
     }
 
-    /// Puts a version on the disk; false where too much waits for it. [`VersionDisk::next`] tells how it went.
+    /// Queues a version for writing. Returns false if the queue is full. [`VersionDisk::next`] returns the result.
     pub fn write_version(&self, version: Version, spared: Option<u64>) -> bool {
         self.writes.try_send(Write::Version { version, spared }).is_ok()
     }
 
-    /// Notes which version is active, for a start without a leader.
+    /// Queues the number of the active version for writing. A later start without a leader uses it.
     pub fn write_active(&self, number: u64) {
         if self.writes.try_send(Write::Active(number)).is_err() {
-            log!("policy {number} is in force, and the disk is too far behind to note it");
+            log!("policy {number} is in force; its number was not stored, because the disk's write queue is full");
         }
     }
 
-    /// The next version that was put on the disk, or could not be.
+    /// Returns the result of the next version write.
     pub async fn next(&mut self) -> Option<Written> {
         self.written.recv().await
     }
 
-    /// Gives the disk a moment for what waits.
+    /// Waits for pending writes, at most [`MAX_FINISH_TIME`].
     pub async fn finish(self) {
         let VersionDisk { writes, mut written } = self;
         drop(writes);
--- a/crates/server/src/rollout/document_store.rs
+++ b/crates/server/src/rollout/document_store.rs
@@ -1,31 +1,32 @@
-//! Versions on the disk, at members and at relays: each in a file of its own, whole or not there.
+//! Stores versions on the disk of members and relays, each in its own file, which is either complete or absent.
 
 use cypresscleat_rollout::Version;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Versions kept on the disk.
+/// Maximum number of versions on the disk, besides a spared one.
 pub const MAX_STORED_VERSIONS: usize = 4;
 
 fn version_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{number:012}.json"))
 }
 
-/// The whole of a file under its name, or nothing of it, whatever happens in between.
-pub fn write_file(folder: &Path, path: &Path, text: &[u8]) -> io::Result<()> {
+/// Writes a file atomically: after a crash the file has its former or its new content.
+pub fn write_file(folder: &Path, path: &Path, content: &[u8]) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let new = path.with_extension("new");
     let mut file = std::fs::File::create(&new)?;
-    file.write_all(text)?;
+    file.write_all(content)?;
     file.sync_all()?;
     std::fs::rename(&new, path)?;
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// Keeps a version on the disk, before anybody is told so. `spared` is not removed however many come after it, as all may be dropped.
+/// Writes a version to the disk, which has to finish before the member votes for it. The version `spared` is not removed, whatever the
+/// number of later versions, as all of them may be aborted.
 pub fn store_version(folder: &Path, version: &Version, spared: Option<u64>) -> io::Result<()> {
-    let text = serde_json::to_vec(version).map_err(io::Error::other)?;
-    write_file(folder, &version_path(folder, version.number), &text)?;
+    let content = serde_json::to_vec(version).map_err(io::Error::other)?;
+    write_file(folder, &version_path(folder, version.number), &content)?;
     for old in stored_versions(folder)
         .into_iter()
         .rev()
@@ -37,7 +38,7 @@
     Ok(())
 }
 
-/// Numbers of the versions that are kept, in their order.
+/// Returns the numbers of the stored versions, in ascending order.
 pub fn stored_versions(folder: &Path) -> Vec<u64> {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
     let number =
@@ -47,7 +48,7 @@
     all
 }
 
-/// Versions that an earlier life kept, in their order; a file that can't be read, or is not what it was, counts as none.
+/// Loads the versions that an earlier process stored, in ascending order. Files that are unreadable or damaged are skipped.
 pub fn load_versions(folder: &Path) -> impl Iterator<Item = Version> + '_ {
     stored_versions(folder).into_iter().filter_map(|number| {
         let bytes = std::fs::read(version_path(folder, number)).ok()?;
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -1,4 +1,4 @@
-//! The member's task: its socket, its texts on the disk, what is to be done when a version comes in force.
+//! The task of a rollout member: its socket, its versions on the disk, and the activation of a version.
 
 use super::admission_gate::AdmissionGate;
 use super::disk::{VersionDisk, Written};
@@ -23,22 +23,23 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::sleep_until;
 
-/// `CLEAT_TEST_DIES=STEP`, for tests only: the process ends there, at once, in its first change.
+/// Aborts the process at a step of its first change, if the environment variable `CLEAT_TEST_DIES` names that step. For tests only.
 fn abort_at(step: &str) {
     if std::env::var("CLEAT_TEST_DIES").is_ok_and(|at| at == step) {
         std::process::abort();
     }
 }
 
-/// What is done when a version comes in force, beside what the core does.
+/// Applies the settings of an activated version that the core does not apply itself.
 pub type ActivationHook = Box<dyn Fn(&Policy)>;
 
+/// A rollout member: its protocol state, socket, disk and gate.
 pub struct MemberTask {
     name: String,
     settings: RolloutSettings,
     names: Option<Rc<Names>>,
     gate: Rc<AdmissionGate>,
-    /// Where there is a core; a planner goes by the gate alone.
+    /// The queue of the core, if there is one; a planner uses the gate only.
     core_queue: Option<Sender<Note>>,
     apply: ActivationHook,
     socket: UdpSocket,
@@ -47,9 +48,10 @@
     clock: Steady,
     member: RolloutMember,
     policies: BTreeMap<u64, Policy>,
-    /// Checked, and on their way to the disk.
+    /// Checked policies whose versions are being written to the disk.
     pending_writes: BTreeMap<u64, Policy>,
     disk: VersionDisk,
+    /// The version that was active last, also in an earlier process.
     last_active: Option<u64>,
 }
 
@@ -93,7 +95,7 @@
         self.gate.clone()
     }
 
-    /// What an earlier life kept.
+    /// Loads the versions that an earlier process stored.
     fn load_stored_versions(&mut self) {
         for version in load_versions(&self.settings.folder) {
             let number = version.number;
@@ -102,7 +104,7 @@
                     self.policies.insert(number, policy);
                     self.member.restore(number);
                 }
-                Err(what) => log!("policy {number} was kept and can't be carried out: {what}"),
+                Err(what) => log!("stored policy {number} cannot be applied here: {what}"),
             }
         }
         let text = std::fs::read_to_string(self.settings.folder.join("in_force")).unwrap_or_default();
@@ -117,10 +119,10 @@
         }
     }
 
-    /// Lives until the program ends.
+    /// Runs until the member has left the rollout.
     pub async fn run(mut self) {
-        let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
-        let began = self.clock.now();
+        let mut buffer = vec![0; message::MAX_DATAGRAM_BYTES + 1];
+        let started_at = self.clock.now();
         let gate = self.gate.clone();
         let mut is_leaving = false;
         while !self.member.has_left() {
@@ -133,7 +135,7 @@
             let start_alone_at = self
                 .settings
                 .start_alone_after
-                .map(|delay| began + delay)
+                .map(|delay| started_at + delay)
                 .filter(|_| self.member.active().is_none());
             if start_alone_at.is_some_and(|at| now >= at) && !is_leaving {
                 let number = self.last_active.unwrap_or(0);
@@ -143,9 +145,10 @@
             }
             self.gate.update(&self.member);
             self.handle_events().await;
-            let due = self.member.next_deadline().min(start_alone_at.unwrap_or(Time::MAX)).min(now + 10_000);
-            let got = tokio::select! {
-                () = sleep_until(self.clock.instant(due)) => continue,
+            let wake_at =
+                self.member.next_deadline().min(start_alone_at.unwrap_or(Time::MAX)).min(now + 10_000);
+            let received = tokio::select! {
+                () = sleep_until(self.clock.instant(wake_at)) => continue,
                 () = gate.leave_requested.notified(), if !is_leaving => {
                     is_leaving = true;
                     let requests = self.member.leave(self.clock.now());
@@ -157,10 +160,10 @@
                     self.handle_written(written);
                     continue;
                 }
-                got = self.socket.recv_from(&mut bytes) => got,
+                received = self.socket.recv_from(&mut buffer) => received,
             };
-            let Ok((size, by)) = got else { continue }; // word of an earlier datagram that found nobody
-            match message::decode::<Wire>(&bytes[..size]) {
+            let Ok((size, by)) = received else { continue }; // an ICMP error for an earlier datagram that had no receiver
+            match message::decode::<Wire>(&buffer[..size]) {
                 Ok(Wire::PolicyAnswer { from, answer }) if self.replicas.accepts(from, by) => {
                     self.member.totals = gate.totals.get();
                     let requests = self.member.handle(self.clock.now(), from, answer);
@@ -207,27 +210,27 @@
         }
     }
 
-    /// Checks a version in full. One that can be carried out is put on the disk before a word of that leaves.
+    /// Checks a version in full. A version that can be applied is written to the disk before the member votes for it.
     fn check_proposed(&mut self, version: Version) {
         let number = version.number;
-        // It came again, as its check takes long.
+        // The document arrived again because the write takes long.
         if self.pending_writes.contains_key(&number) {
             return;
         }
         abort_at("before_check");
-        let refused = match check_version(&version, self.settings.max_document_bytes, self.names.as_deref()) {
-            // The last one is spared: changes that are dropped may be many.
+        let reason = match check_version(&version, self.settings.max_document_bytes, self.names.as_deref()) {
+            // The active version is never removed: any number of later changes may be aborted.
             Ok(policy) if self.disk.write_version(version, self.last_active) => {
                 self.pending_writes.insert(number, policy);
                 return;
             }
-            Ok(_) => "it can't be kept: the disk is behind".to_string(),
+            Ok(_) => "the version cannot be stored: the disk's write queue is full".to_string(),
             Err(what) => what,
         };
-        self.report_verdict(number, Verdict::Refused(truncate(&refused, MAX_REASON_BYTES)));
+        self.report_verdict(number, Verdict::Refused(truncate(&reason, MAX_REASON_BYTES)));
     }
 
-    /// A version is on the disk, or can't be.
+    /// Handles the result of a version write.
     fn handle_written(&mut self, Written { number, result }: Written) {
         let Some(policy) = self.pending_writes.remove(&number) else { return };
         let verdict = match result {
@@ -236,7 +239,10 @@
                 self.remove_old_policies();
                 Verdict::Prepared
             }
-            Err(error) => Verdict::Refused(truncate(&format!("it can't be kept: {error}"), MAX_REASON_BYTES)),
+            Err(error) => Verdict::Refused(truncate(
+                &format!("the version cannot be stored: {error}"),
+                MAX_REASON_BYTES,
+            )),
         };
         self.report_verdict(number, verdict);
     }
@@ -244,8 +250,8 @@
     fn remove_old_policies(&mut self) {
         let spared = [Some(0), self.last_active, Some(self.member.last_reported().0)];
         while self.policies.len() > MAX_STORED_VERSIONS + 2 {
-            let mut old = self.policies.keys().copied();
-            let Some(old) = old.find(|known| !spared.contains(&Some(*known))) else {
+            let mut known = self.policies.keys().copied();
+            let Some(old) = known.find(|number| !spared.contains(&Some(*number))) else {
                 break;
             };
             self.policies.remove(&old);
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -1,6 +1,6 @@
-//! A policy that is alike in the fleet: this instance's end. What is decided stands in crate `rollout`; here are the text, the disk, the
-//! socket, and the gate by which the core goes. No invocation ever waits for a keeper, but for the moment in which a change that stops
-//! all goes through.
+//! The instance's side of a policy that is the same on all instances. The crate `rollout` contains the protocol. This module contains the
+//! documents, the disk, the socket, and the gate that the core checks at each admission. A request never waits for a control replica,
+//! except while a change with a barrier is in progress.
 
 pub mod admission_gate;
 pub mod disk;
@@ -17,24 +17,25 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What leaving may take: the keepers' lease ends by itself.
+/// Maximum time to leave the rollout at the end of the process. After it the lease at the control replicas expires.
 pub const LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// The member, as the operator's file has it.
+/// Settings of a rollout member, from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Where it keeps versions.
+    /// Folder in which the member stores versions.
     pub folder: PathBuf,
-    /// Without a keeper's word for so long it begins under the version that it had in force last.
+    /// Time without a response of a control replica after which the member starts under the version that was active last. `None` where it
+    /// waits for a response.
     pub start_alone_after: Option<Time>,
-    /// Longest text that it has room for, in bytes.
+    /// Maximum length of a document that the member accepts, in bytes.
     pub max_document_bytes: usize,
-    /// Whom it asks in place of the keepers; none: the keepers.
+    /// Relays that receive the member's requests in place of the control replicas; empty where it uses the control replicas.
     pub relays: Vec<(String, SocketAddr)>,
 }
 
 impl RolloutSettings {
-    /// Whom a member asks: its zone's relays where it has any, else the keepers. Nobody where there is neither.
+    /// Receivers of the member's requests: the relays of its zone, if any, else the control replicas. `None` where there are neither.
     pub fn request_targets<'a>(&'a self, keepers: Option<&'a Keepers>) -> Option<&'a [(String, SocketAddr)]> {
         match keepers {
             _ if !self.relays.is_empty() => Some(&self.relays),
@@ -43,36 +44,40 @@
     }
 }
 
-/// A policy, read from its text.
+/// A policy, parsed from its document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     pub rules: Rules,
     pub pools: Option<PoolsConfig>,
     pub patience: Option<Time>,
     pub retries: Option<f64>,
-    /// Of its canonical text.
+    /// Hash of the document's canonical form.
     pub hash: u64,
 }
 
-/// Without `names` operations are taken as they stand. An empty text is each instance's own file.
-pub fn parse_policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
-    operator::policy(name, text, names)
+/// Parses a policy document. Without `names` the names of request classes are not checked. An empty document stands for the instance's
+/// own file.
+pub fn parse_policy(name: &str, document: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
+    operator::policy(name, document, names)
 }
 
-/// Whether this instance can carry it out, in full: its room, the text against its own settings, and that the rules which the keepers
-/// go by are those of the text.
+/// Checks in full whether this instance can apply a version: the length of its document, the document against the instance's own settings,
+/// and whether the rules that the control replicas apply are those of the document.
 pub fn check_version(
     version: &Version,
     max_document_bytes: usize,
     names: Option<&Names>,
 ) -> Result<Policy, String> {
     if version.document.len() > max_document_bytes {
-        return Err(format!("a text of {} bytes, room for {max_document_bytes}", version.document.len()));
+        return Err(format!(
+            "the document has {} bytes; the maximum is {max_document_bytes}",
+            version.document.len()
+        ));
     }
     let policy = parse_policy("policy", &version.document, names)
         .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.shown))?;
     if policy.rules != version.rules || policy.hash != version.hash {
-        return Err("its rules or its hash are not those of its text".into());
+        return Err("the rules or the hash of the version differ from its document".into());
     }
     Ok(policy)
 }
