--- a/crates/experiments/src/scale/gossip.rs
+++ b/crates/experiments/src/scale/gossip.rs
@@ -22,7 +22,7 @@
 const LONGEST: i64 = 120;
 
 pub fn net(loss: f64) -> NetworkConditions {
-    NetworkConditions { loss, delay: (2, 20), cut: None }
+    NetworkConditions { loss, delay: (2, 20), partition: None }
 }
 
 /// Milliseconds from now until half, and until all of those that are here hold all of `whom` for `state`; NaN past the longest
--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -40,7 +40,7 @@
 }
 
 fn grants(workers: u64) -> Message {
-    let grant = |at| Grant { worker: worker(at), places: 40 };
+    let grant = |at| Grant { worker: worker(at), slots: 40 };
     let grants = (0..workers).map(grant).collect();
     Message::Grants { epoch: 1 << 20, number: 100_000, report: 100_000, duration: 20_000, grants }
 }
--- a/crates/experiments/src/tier.rs
+++ b/crates/experiments/src/tier.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 fn row(out: &mut String, way: &str, loss: f64, cost: &MembershipCost) {
-    let MembershipCost { many, messages, bytes, half, all, false_deaths } = cost;
+    let MembershipCost { members, messages, bytes, half_informed_ms, all_informed_ms, false_deaths } = cost;
     *out += &format!(
-        "| {way} | {many} | {:.0}% | {messages:.1} | {bytes:.0} | {half:.0} | {all:.0} | {false_deaths:.4} |\n",
+        "| {way} | {members} | {:.0}% | {messages:.1} | {bytes:.0} | {half_informed_ms:.0} | {all_informed_ms:.0} | {false_deaths:.4} |\n",
         loss * 100.0
     );
 }
--- a/crates/forwarding/src/capacity_plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -18,18 +18,18 @@
 const INCREASE_FRACTION: f64 = 0.05;
 const MAX_REJECTED_FRACTION: f64 = 0.05;
 /// Bounds of a worker's slots, as factors of its configured ones: those may be wrong.
-const MIN_PLACES_FACTOR: f64 = 0.25;
+const MIN_SLOTS_FACTOR: f64 = 0.25;
 /// The upper one.
-pub const MAX_PLACES_FACTOR: f64 = 2.0;
+pub const MAX_SLOTS_FACTOR: f64 = 2.0;
 /// Bounds of configured slots.
-const MIN_CONFIGURED_PLACES: f64 = 1.0;
-const MAX_CONFIGURED_PLACES: f64 = 1e6;
+const MIN_CONFIGURED_SLOTS: f64 = 1.0;
+const MAX_CONFIGURED_SLOTS: f64 = 1e6;
 
 #[derive(Clone, Debug)]
 struct Worker {
-    configured_places: f64,
+    configured_slots: f64,
     /// Concurrency slots that are given out.
-    places: f64,
+    slots: f64,
 }
 
 /// What forwarders saw of one worker, added up.
@@ -66,11 +66,11 @@
 
 impl CapacityPlan {
     /// A worker that accepts work, with its configured slots; one that is known keeps what was learnt of it.
-    pub fn set_worker(&mut self, id: NodeId, configured_places: f64) {
-        let places = configured_places.clamp(MIN_CONFIGURED_PLACES, MAX_CONFIGURED_PLACES);
-        let new = Worker { configured_places: places, places };
+    pub fn set_worker(&mut self, id: NodeId, configured_slots: f64) {
+        let slots = configured_slots.clamp(MIN_CONFIGURED_SLOTS, MAX_CONFIGURED_SLOTS);
+        let new = Worker { configured_slots: slots, slots };
         let worker = self.workers.entry(id).or_insert_with(|| new.clone());
-        if worker.configured_places != places {
+        if worker.configured_slots != slots {
             *worker = new;
         }
     }
@@ -96,8 +96,8 @@
     }
 
     /// Concurrency slots of a worker that are given out.
-    pub fn places(&self, worker: NodeId) -> f64 {
-        self.workers.get(&worker).map_or(0.0, |worker| worker.places)
+    pub fn slots(&self, worker: NodeId) -> f64 {
+        self.workers.get(&worker).map_or(0.0, |worker| worker.slots)
     }
 
     /// Drops old load reports and, once a second, adapts the slots of each worker to what all forwarders saw of it.
@@ -130,10 +130,10 @@
         let mut grants: BTreeMap<NodeId, Vec<Grant>> =
             claims.iter().map(|claim| (claim.forwarder, Vec::new())).collect();
         for (&worker, known) in &self.workers {
-            let available = known.places.floor().max(1.0) as u32;
+            let available = known.slots.floor().max(1.0) as u32;
             let divided = divide(&mut claims, available);
-            for (claim, places) in claims.iter().zip(divided).filter(|(_, places)| *places > 0) {
-                grants.entry(claim.forwarder).or_default().push(Grant { worker, places });
+            for (claim, slots) in claims.iter().zip(divided).filter(|(_, slots)| *slots > 0) {
+                grants.entry(claim.forwarder).or_default().push(Grant { worker, slots });
             }
         }
         grants
@@ -157,12 +157,12 @@
     /// Fewer slots where the worker rejected much, a little more where it did not.
     fn adapt(&mut self, rates: ObservedRates) {
         if rates.rejected > rates.ended * MAX_REJECTED_FRACTION {
-            self.places *= DECREASE_FACTOR;
+            self.slots *= DECREASE_FACTOR;
         } else if rates.ended > 0.0 {
-            self.places += self.configured_places * INCREASE_FRACTION;
+            self.slots += self.configured_slots * INCREASE_FRACTION;
         }
-        let min = (self.configured_places * MIN_PLACES_FACTOR).max(1.0);
-        self.places = self.places.clamp(min, self.configured_places * MAX_PLACES_FACTOR);
+        let min = (self.configured_slots * MIN_SLOTS_FACTOR).max(1.0);
+        self.slots = self.slots.clamp(min, self.configured_slots * MAX_SLOTS_FACTOR);
     }
 }
 
@@ -178,23 +178,23 @@
     for claim in claims.iter_mut() {
         claim.credit += claim.share * f64::from(available);
     }
-    let mut places: Vec<u32> = claims.iter().map(|claim| claim.credit.max(0.0).floor() as u32).collect();
-    let remainder = |index: usize| claims[index].credit - f64::from(places[index]);
-    let mut order: Vec<usize> = (0..places.len()).collect();
+    let mut slots: Vec<u32> = claims.iter().map(|claim| claim.credit.max(0.0).floor() as u32).collect();
+    let remainder = |index: usize| claims[index].credit - f64::from(slots[index]);
+    let mut order: Vec<usize> = (0..slots.len()).collect();
     order.sort_by(|a, b| remainder(*b).total_cmp(&remainder(*a)));
-    let mut left = i64::from(available) - places.iter().map(|given| i64::from(*given)).sum::<i64>();
+    let mut left = i64::from(available) - slots.iter().map(|given| i64::from(*given)).sum::<i64>();
     let rounds = left.unsigned_abs() as usize + 1;
     for &index in order.iter().cycle().take(order.len() * rounds) {
         if left > 0 {
-            places[index] += 1;
+            slots[index] += 1;
             left -= 1;
-        } else if left < 0 && places[index] > 0 {
-            places[index] -= 1;
+        } else if left < 0 && slots[index] > 0 {
+            slots[index] -= 1;
             left += 1;
         }
     }
-    for (claim, given) in claims.iter_mut().zip(&places) {
+    for (claim, given) in claims.iter_mut().zip(&slots) {
         claim.credit -= f64::from(*given);
     }
-    places
+    slots
 }
--- a/crates/forwarding/src/dispatch_mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -47,16 +47,16 @@
         }
         self.state = next;
         let elapsed_ms = (now - std::mem::replace(&mut self.since, now)) / 10;
-        let (epoch, places) = (grants.epoch(), grants.total_places(now));
+        let (epoch, slots) = (grants.epoch(), grants.total_slots(now));
         match next {
             DispatchState::Local => {
                 Some(format!("by itself: grants of epoch {epoch} ended, after {elapsed_ms} ms"))
             }
             DispatchState::Recovering(0) => Some(format!(
-                "planners are back: epoch {epoch}, {places} places, in {RECOVERY_STEPS} steps; {elapsed_ms} ms by itself"
+                "planners are back: epoch {epoch}, {slots} places, in {RECOVERY_STEPS} steps; {elapsed_ms} ms by itself"
             )),
             DispatchState::Recovering(_) => None,
-            DispatchState::Planned => Some(format!("by its grants: epoch {epoch}, {places} places")),
+            DispatchState::Planned => Some(format!("by its grants: epoch {epoch}, {slots} places")),
         }
     }
 
@@ -75,8 +75,8 @@
     }
 
     /// Concurrency slots that the forwarder may use on a worker. `local_share` is its share where it decides by itself.
-    pub fn places(&self, now: Time, grants: &GrantTable, worker: NodeId, local_share: f64) -> f64 {
-        let granted = grants.places(now, worker).map(f64::from);
+    pub fn slots(&self, now: Time, grants: &GrantTable, worker: NodeId, local_share: f64) -> f64 {
+        let granted = grants.slots(now, worker).map(f64::from);
         match (self.state, granted) {
             (DispatchState::Planned, Some(granted)) => granted,
             (DispatchState::Recovering(done), Some(granted)) => {
@@ -89,7 +89,7 @@
 
     /// A forwarder's share of a worker with so many slots, among so many forwarders, itself included. One slot at the least: a
     /// worker protects itself.
-    pub fn local_share(places: f64, forwarders: usize) -> f64 {
-        (places / forwarders.max(1) as f64).max(1.0)
+    pub fn local_share(slots: f64, forwarders: usize) -> f64 {
+        (slots / forwarders.max(1) as f64).max(1.0)
     }
 }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -22,7 +22,7 @@
 pub const MAX_CLOCK_SKEW: Time = 50 * MS;
 
 /// No grant counts for more concurrency slots than this, whatever a planner says.
-pub const MAX_GRANTED_PLACES: u32 = 100_000;
+pub const MAX_GRANTED_SLOTS: u32 = 100_000;
 /// Load reports whose answers are still accepted.
 const MAX_OPEN_REPORTS: usize = 8;
 
@@ -239,13 +239,13 @@
             return Err(GrantRejection::Expired);
         }
         self.valid_until = valid_until;
-        let bounded = |grant: &Grant| (grant.worker, grant.places.min(MAX_GRANTED_PLACES));
+        let bounded = |grant: &Grant| (grant.worker, grant.slots.min(MAX_GRANTED_SLOTS));
         self.grants = grants.iter().map(bounded).collect();
         Ok(())
     }
 
     /// Concurrency slots granted on a worker now; `None` where no grants are valid.
-    pub fn places(&self, now: Time, worker: NodeId) -> Option<u32> {
+    pub fn slots(&self, now: Time, worker: NodeId) -> Option<u32> {
         self.is_valid(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
 
@@ -265,10 +265,10 @@
     }
 
     /// Concurrency slots granted on all workers now.
-    pub fn total_places(&self, now: Time) -> u64 {
+    pub fn total_slots(&self, now: Time) -> u64 {
         if !self.is_valid(now) {
             return 0;
         }
-        self.grants.values().map(|places| u64::from(*places)).sum()
+        self.grants.values().map(|slots| u64::from(*slots)).sum()
     }
 }
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -44,7 +44,7 @@
 struct Worker {
     id: NodeId,
     /// Concurrency slots: attempts that may be in flight at the worker.
-    places: f64,
+    slots: f64,
     in_flight: u32,
     /// Mean time to the worker's answer; 0 where none is known.
     latency: f64,
@@ -65,7 +65,7 @@
     fn new(id: NodeId) -> Worker {
         Worker {
             id,
-            places: 0.0,
+            slots: 0.0,
             in_flight: 0,
             latency: 0.0,
             failure_rate: 0.0,
@@ -82,7 +82,7 @@
     }
 
     fn has_capacity(&self) -> bool {
-        self.eligible_index.is_some() && f64::from(self.in_flight) + 1.0 <= self.places.max(1.0)
+        self.eligible_index.is_some() && f64::from(self.in_flight) + 1.0 <= self.slots.max(1.0)
     }
 
     /// Prequal's rule: a cold worker before a hot one; of the cold the fastest, of the hot the least loaded.
@@ -126,7 +126,7 @@
     next_sample: usize,
     in_flight: u64,
     /// Concurrency slots at all eligible workers.
-    places: f64,
+    slots: f64,
     rng: SeededRng,
     full_scans: u64,
 }
@@ -142,7 +142,7 @@
             sampled_loads: vec![0; REMEMBERED_LOADS],
             next_sample: 0,
             in_flight: 0,
-            places: 0.0,
+            slots: 0.0,
             rng: SeededRng::new(seed),
             full_scans: 0,
         }
@@ -164,8 +164,8 @@
     }
 
     /// Concurrency slots at all eligible workers.
-    pub fn places(&self) -> f64 {
-        self.places
+    pub fn slots(&self) -> f64 {
+        self.slots
     }
 
     /// Attempts in flight at one worker.
@@ -184,10 +184,10 @@
     }
 
     /// Adds or updates a worker, with the concurrency slots that may be used there.
-    pub fn set_worker(&mut self, now: Time, id: NodeId, places: f64, accepts_work: bool) {
+    pub fn set_worker(&mut self, now: Time, id: NodeId, slots: f64, accepts_work: bool) {
         let index = self.by_id.get(&id).copied().unwrap_or_else(|| self.add_worker(id));
         let worker = &mut self.workers[index];
-        (worker.places, worker.accepts_work) = (places, accepts_work);
+        (worker.slots, worker.accepts_work) = (slots, accepts_work);
         self.update_eligibility(now, index);
     }
 
@@ -218,7 +218,7 @@
 
     fn remove_from_eligible(&mut self, index: usize) {
         if let Some(position) = self.workers[index].eligible_index.take() {
-            self.places -= self.workers[index].places;
+            self.slots -= self.workers[index].slots;
             self.eligible.swap_remove(position);
             if let Some(moved) = self.eligible.get(position).copied() {
                 self.workers[moved].eligible_index = Some(position);
@@ -230,9 +230,9 @@
     fn update_eligibility(&mut self, now: Time, index: usize) {
         self.remove_from_eligible(index);
         let worker = &mut self.workers[index];
-        if worker.accepts_work && worker.places >= 1.0 && worker.eligible_from <= now {
+        if worker.accepts_work && worker.slots >= 1.0 && worker.eligible_from <= now {
             worker.eligible_index = Some(self.eligible.len());
-            self.places += worker.places;
+            self.slots += worker.slots;
             self.eligible.push(index);
         }
     }
--- a/crates/forwarding/src/messages.rs
+++ b/crates/forwarding/src/messages.rs
@@ -121,7 +121,7 @@
     /// The worker.
     pub worker: NodeId,
     /// Requests that it may have there at once.
-    pub places: u32,
+    pub slots: u32,
 }
 
 /// All messages. New kinds come at the end.
--- a/crates/forwarding/src/simulation.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -17,7 +17,7 @@
     pub delay: (Time, Time),
     /// Between those under and those from this number on nothing passes, from when to when; `one_way`: only from the first to
     /// the second nothing.
-    pub cut: Option<(usize, Time, Time, bool)>,
+    pub partition: Option<(usize, Time, Time, bool)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,7 +74,12 @@
 
 impl Simulation {
     /// So many members, of which the first three are seeds. They start over the first second.
-    pub fn new(many: usize, config: MembershipConfig, network: NetworkConditions, seed: u64) -> Simulation {
+    pub fn new(
+        member_count: usize,
+        config: MembershipConfig,
+        network: NetworkConditions,
+        seed: u64,
+    ) -> Simulation {
         let mut simulation = Simulation {
             members: Vec::new(),
             now: 0,
@@ -82,17 +87,17 @@
             events: BinaryHeap::new(),
             in_flight: Vec::new(),
             free: Vec::new(),
-            next_tick: vec![Time::MAX; many],
+            next_tick: vec![Time::MAX; member_count],
             number: 0,
             rng: SeededRng::new(seed),
             messages: 0,
             bytes: 0,
-            sent: vec![0; many],
-            received: vec![0; many],
+            sent: vec![0; member_count],
+            received: vec![0; member_count],
             seed,
             config,
         };
-        for at in 0..many {
+        for at in 0..member_count {
             simulation.members.push(None);
             let start = (simulation.rng.next_f64() * SECOND as f64) as Time;
             simulation.start(at, start, 1);
@@ -101,7 +106,7 @@
     }
 
     /// Other conditions from now on.
-    pub fn inject_faults(&mut self, network: NetworkConditions) {
+    pub fn set_conditions(&mut self, network: NetworkConditions) {
         self.network = network;
     }
 
@@ -143,11 +148,11 @@
             self.messages += 1;
             self.bytes += bytes.len() as u64;
             self.sent[from] += bytes.len() as u64;
-            let cut = self.network.cut.is_some_and(|(line, start, end, one_way)| {
+            let partition = self.network.partition.is_some_and(|(line, start, end, one_way)| {
                 let (a, b) = (from < line, to < line);
                 (start..end).contains(&self.now) && if one_way { a && !b } else { a != b }
             });
-            if to >= self.members.len() || cut || self.rng.next_f64() < self.network.loss {
+            if to >= self.members.len() || partition || self.rng.next_f64() < self.network.loss {
                 continue;
             }
             self.received[to] += bytes.len() as u64;
@@ -220,28 +225,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct MembershipCost {
     /// Members.
-    pub many: usize,
+    pub members: usize,
     /// Messages for each member and second.
     pub messages: f64,
     /// Their bytes.
     pub bytes: f64,
     /// Milliseconds until half of the others know of a death.
-    pub half: f64,
+    pub half_informed_ms: f64,
     /// Milliseconds until all others do.
-    pub all: f64,
+    pub all_informed_ms: f64,
     /// Members that were wrongly held to be dead, for each hundred member minutes.
     pub false_deaths: f64,
 }
 
 /// Gossip, simulated: so many members for a minute, then one dies.
-pub fn measure_gossip(many: usize, loss: f64, seed: u64, config: MembershipConfig) -> MembershipCost {
-    let network = NetworkConditions { loss, delay: (2, 20), cut: None };
-    let mut simulation = Simulation::new(many, config, network, seed);
+pub fn measure_gossip(members: usize, loss: f64, seed: u64, config: MembershipConfig) -> MembershipCost {
+    let network = NetworkConditions { loss, delay: (2, 20), partition: None };
+    let mut simulation = Simulation::new(members, config, network, seed);
     simulation.run(20 * SECOND);
     let (messages, bytes) = (simulation.messages, simulation.bytes);
     simulation.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
     simulation.run(80 * SECOND);
-    let seconds = 60.0 * many as f64;
+    let seconds = 60.0 * members as f64;
     let (messages, bytes) =
         ((simulation.messages - messages) as f64 / seconds, (simulation.bytes - bytes) as f64 / seconds);
     let deaths: usize = simulation
@@ -251,47 +256,47 @@
         .map(|member| member.take_changes().iter().filter(|change| change.to == MemberState::Dead).count())
         .sum();
     // Each death is seen by all: counted once for each observer.
-    let false_deaths = deaths as f64 / many as f64 / (many as f64 / 100.0);
-    let victim = many / 2;
+    let false_deaths = deaths as f64 / members as f64 / (members as f64 / 100.0);
+    let victim = members / 2;
     simulation.kill(victim);
-    let (died, mut half, mut all) = (simulation.now, None, None);
-    while all.is_none() && simulation.now < died + 120 * SECOND {
+    let (died, mut half_informed_ms, mut all_informed_ms) = (simulation.now, None, None);
+    while all_informed_ms.is_none() && simulation.now < died + 120 * SECOND {
         let next = simulation.now + 100 * MS;
         simulation.run(next);
         let know = simulation.count_agreeing(victim, MemberState::Dead);
         let after = (simulation.now - died) as f64 / MS as f64;
-        half = half.or((know * 2 >= simulation.alive_count()).then_some(after));
-        all = all.or((know == simulation.alive_count()).then_some(after));
+        half_informed_ms = half_informed_ms.or((know * 2 >= simulation.alive_count()).then_some(after));
+        all_informed_ms = all_informed_ms.or((know == simulation.alive_count()).then_some(after));
     }
     MembershipCost {
-        many,
+        members,
         messages,
         bytes,
-        half: half.unwrap_or(f64::NAN),
-        all: all.unwrap_or(f64::NAN),
+        half_informed_ms: half_informed_ms.unwrap_or(f64::NAN),
+        all_informed_ms: all_informed_ms.unwrap_or(f64::NAN),
         false_deaths,
     }
 }
 
 /// A heartbeat of 60 bytes each half second, dead past `missed` in a row: from each to each other (`all_to_all`), or to a
 /// planner that tells all. Computed, not simulated: loss falls on each alike.
-pub fn compute_heartbeats(many: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
+pub fn compute_heartbeats(members: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
     let (period, size) = (0.5, 60.0);
-    let others = (many - 1) as f64;
+    let others = (members - 1) as f64;
     let messages = if all_to_all { others / period } else { 1.0 / period };
     let watchers = if all_to_all { others } else { 1.0 };
     // A false death at a watcher: so many lost in a row, in any of the windows of a minute.
-    let wrong = loss.powi(missed) * (60.0 / period) * watchers * many as f64;
+    let wrong = loss.powi(missed) * (60.0 / period) * watchers * members as f64;
     let dissemination_ms = if all_to_all { 0.0 } else { 20.0 };
-    let half = (f64::from(missed) - 0.5) * period * 1e3 + dissemination_ms;
-    let per = many as f64 / 100.0;
+    let half_informed_ms = (f64::from(missed) - 0.5) * period * 1e3 + dissemination_ms;
+    let per = members as f64 / 100.0;
     let seen = if all_to_all { wrong / others.max(1.0) } else { wrong };
     MembershipCost {
-        many,
+        members,
         messages,
         bytes: messages * size,
-        half,
-        all: half + period * 1e3,
+        half_informed_ms,
+        all_informed_ms: half_informed_ms + period * 1e3,
         false_deaths: seen / per,
     }
 }
--- a/crates/forwarding/src/slow_start.rs
+++ b/crates/forwarding/src/slow_start.rs
@@ -55,14 +55,14 @@
         let share = budget.max(0.0) / senders.max(expected_senders).max(1) as f64;
         let credit = (previous.unwrap_or_default().credit + share).min(share + 1.0);
         let available = (budget.clamp(0.0, MAX_BUDGET) as u64).saturating_sub(self.charged_to_others(sender));
-        let places = (credit as u64).min(available) as u32;
+        let slots = (credit as u64).min(available) as u32;
         let reservation = Reservation {
-            charged: places.max(in_flight),
+            charged: slots.max(in_flight),
             ends_at: now + RESERVATION_DURATION,
-            credit: credit - f64::from(places),
+            credit: credit - f64::from(slots),
         };
         self.reservations.insert(sender, reservation);
-        places
+        slots
     }
 
     fn charged_to_others(&self, sender: NodeId) -> u64 {
@@ -71,7 +71,7 @@
     }
 
     /// Concurrency slots that are charged now.
-    pub fn charged_places(&self, now: Time) -> u64 {
+    pub fn charged_slots(&self, now: Time) -> u64 {
         let valid = self.reservations.values().filter(|reservation| reservation.ends_at > now);
         valid.map(|reservation| u64::from(reservation.charged)).sum()
     }
@@ -80,25 +80,25 @@
 /// A sender's side, for one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReservedCapacity {
-    places: u32,
+    slots: u32,
     ends_at: Time,
 }
 
 impl ReservedCapacity {
     /// The sender asks the worker anew: no earlier reservation holds.
     pub fn invalidate(&mut self) {
-        self.places = 0;
+        self.slots = 0;
     }
 
     /// Takes the worker's answer to what the sender asked at `asked_at`.
-    pub fn accept(&mut self, asked_at: Time, places: u32) {
-        (self.places, self.ends_at) = (places, asked_at + RESERVATION_DURATION);
+    pub fn accept(&mut self, asked_at: Time, slots: u32) {
+        (self.slots, self.ends_at) = (slots, asked_at + RESERVATION_DURATION);
     }
 
     /// Concurrency slots that are reserved now.
-    pub fn places(&self, now: Time) -> u32 {
+    pub fn slots(&self, now: Time) -> u32 {
         if now < self.ends_at {
-            self.places
+            self.slots
         } else {
             0
         }
--- a/crates/forwarding/tests/capacity_plan.rs
+++ b/crates/forwarding/tests/capacity_plan.rs
@@ -24,8 +24,8 @@
         workers in proptest::collection::vec(1.0..40.0f64, 1..30),
     ) {
         let mut plan = CapacityPlan::default();
-        for (at, places) in workers.iter().enumerate() {
-            plan.set_worker(at as NodeId, *places);
+        for (at, slots) in workers.iter().enumerate() {
+            plan.set_worker(at as NodeId, *slots);
         }
         for (at, rate) in rates.iter().enumerate() {
             plan.record_report(0, at as NodeId, report(*rate, vec![]));
@@ -34,12 +34,12 @@
         let mut each: BTreeMap<NodeId, u32> = BTreeMap::new();
         for (forwarder, grants) in plan.grants() {
             for grant in grants {
-                *sums.entry(grant.worker).or_default() += grant.places;
-                *each.entry(forwarder).or_default() += grant.places;
+                *sums.entry(grant.worker).or_default() += grant.slots;
+                *each.entry(forwarder).or_default() += grant.slots;
             }
         }
-        for (at, places) in workers.iter().enumerate() {
-            prop_assert_eq!(sums.get(&(at as NodeId)).copied().unwrap_or(0), places.floor() as u32, "worker {}", at);
+        for (at, slots) in workers.iter().enumerate() {
+            prop_assert_eq!(sums.get(&(at as NodeId)).copied().unwrap_or(0), slots.floor() as u32, "worker {}", at);
         }
         // Small shares come to their own over the workers, to within a slot and the credit.
         let all: u32 = each.values().sum();
@@ -60,7 +60,7 @@
         let mut plan = CapacityPlan::default();
         plan.set_worker(1, configured);
         for second in 1..60 {
-            let over = plan.places(1) > real;
+            let over = plan.slots(1) > real;
             let observation = WorkerObservation {
                 worker: 1,
                 in_flight: 0,
@@ -71,7 +71,7 @@
             plan.record_report(second * SECOND, 5, report(10.0, vec![observation]));
             plan.adapt(second * SECOND);
         }
-        assert!((plan.places(1) - real).abs() < real * 0.25, "{configured}: {}", plan.places(1));
+        assert!((plan.slots(1) - real).abs() < real * 0.25, "{configured}: {}", plan.slots(1));
     }
     let mut plan = CapacityPlan::default();
     plan.set_worker(1, 4.0);
--- a/crates/forwarding/tests/golden.rs
+++ b/crates/forwarding/tests/golden.rs
@@ -48,7 +48,7 @@
 fn hashes_and_policy_versions_have_their_recorded_bytes() {
     let parts = (0..MEMBER_PARTITIONS as u64).map(|part| part * 0x0101_0101_0101).collect();
     assert_eq!(hex(Message::Sync { hashes: parts }), HASHES);
-    let grants = vec![Grant { worker: 5, places: 3 }];
+    let grants = vec![Grant { worker: 5, slots: 3 }];
     let message = Message::Grants { epoch: 4, number: 2, report: 9, duration: 20_000, grants };
     assert_eq!(hex(Message::WithPolicyVersion { version: 300, message: Box::new(message) }), POLICY);
 }
@@ -56,7 +56,7 @@
 /// Joins, probes, suspicion, a drain, a leave, a death and a cut, under loss.
 #[test]
 fn gossip_sends_the_recorded_messages() {
-    let net = |cut| NetworkConditions { loss: 0.05, delay: (2, 20), cut };
+    let net = |partition| NetworkConditions { loss: 0.05, delay: (2, 20), partition };
     let mut simulation = Simulation::new(40, MembershipConfig::default(), net(None), 11);
     simulation.run(10 * SECOND);
     simulation.members[7].as_mut().expect("it is here").announce_draining();
@@ -65,7 +65,7 @@
     simulation.send(7, out);
     simulation.kill(7);
     simulation.kill(8);
-    simulation.inject_faults(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
+    simulation.set_conditions(net(Some((5, 20 * SECOND, 26 * SECOND, false))));
     simulation.run(60 * SECOND);
     simulation.start(8, 60 * SECOND, 1);
     simulation.run(90 * SECOND);
@@ -88,8 +88,8 @@
             routes.remove_worker(gone);
             out.retain(|(worker, _)| *worker != gone);
             for id in 0..30 {
-                let places = 2.0 + (id % 5) as f64;
-                routes.set_worker(now, id, places, (id + step / 500) % 11 != 0);
+                let slots = 2.0 + (id % 5) as f64;
+                routes.set_worker(now, id, slots, (id + step / 500) % 11 != 0);
             }
             routes.tick(now);
         }
@@ -121,7 +121,7 @@
             routes.record_end(now, worker, end, (now - began + 10) * slow, later);
         }
         digest.add(routes.in_flight());
-        digest.add(routes.places().to_bits());
+        digest.add(routes.slots().to_bits());
     }
     assert_eq!((digest.0, routes.full_scans()), (2583824693382414236, 9992));
 }
@@ -164,9 +164,9 @@
         }
         for (forwarder, grants) in plan.grants() {
             digest.add(forwarder);
-            grants.iter().for_each(|grant| digest.add(grant.worker << 32 | u64::from(grant.places)));
+            grants.iter().for_each(|grant| digest.add(grant.worker << 32 | u64::from(grant.slots)));
         }
-        (0..12).for_each(|worker| digest.add(plan.places(worker).to_bits()));
+        (0..12).for_each(|worker| digest.add(plan.slots(worker).to_bits()));
     }
     assert_eq!(digest.0, 11313856170035825202);
 }
@@ -186,7 +186,7 @@
         let who = rng.index_below(25) as NodeId;
         let budget = 10.0 + rng.next_f64() * 30.0;
         digest.add(u64::from(ramp.reserve(now, who, rng.index_below(4) as u32, budget, 8)));
-        digest.add(ramp.charged_places(now));
+        digest.add(ramp.charged_slots(now));
     }
     let counts = RetryCounts { first_attempts: 20000, retries: 2182, denied: 5273 };
     assert_eq!((digest.0, budget.counts()), (8349135355523100453, counts));
@@ -196,9 +196,9 @@
 fn the_log_lines_of_the_mode_are_the_recorded_ones() {
     let (mut mode, mut held, mut lines) = (DispatchMode::new(0), GrantTable::default(), Vec::new());
     let report = held.start_report(0);
-    let grant = [Grant { worker: 9, places: 4 }];
+    let grant = [Grant { worker: 9, slots: 4 }];
     held.accept(10, header(5, 1, 4 * SECOND), report, &grant).expect("to be taken");
-    let mut places = Digest::new();
+    let mut slots = Digest::new();
     for step in 0..12 {
         let now = 10 + step * RECOVERY_STEP_DURATION;
         if step == 3 {
@@ -206,7 +206,7 @@
             held.accept(now, header(5, 2, 4 * SECOND), report, &grant).expect("to be taken");
         }
         lines.extend(mode.tick(now, &held));
-        places.add(mode.places(now, &held, 9, 1.5).to_bits());
+        slots.add(mode.slots(now, &held, 9, 1.5).to_bits());
     }
     assert_eq!(
         lines,
@@ -216,5 +216,5 @@
             "by itself: grants of epoch 5 ended, after 1500 ms"
         ]
     );
-    assert_eq!(places.0, 8708610277544208489);
+    assert_eq!(slots.0, 8708610277544208489);
 }
--- a/crates/forwarding/tests/grants.rs
+++ b/crates/forwarding/tests/grants.rs
@@ -2,7 +2,7 @@
 
 use cypresscleat_forwarding::grants::{
     GrantHeader, GrantRejection, GrantTable, LeadershipChange, PlannerElection, GRANT_DURATION,
-    MAX_CLOCK_SKEW, MAX_GRANTED_PLACES,
+    MAX_CLOCK_SKEW, MAX_GRANTED_SLOTS,
 };
 use cypresscleat_forwarding::messages::Grant;
 use cypresscleat_forwarding::Time;
@@ -126,7 +126,7 @@
             }
             Act::Arrives(at) => {
                 let (to, epoch, number, answers) = next.mail.remove(at);
-                let grant = [Grant { worker: 9, places: PLACES }];
+                let grant = [Grant { worker: 9, slots: PLACES }];
                 let _ = next.held[to].accept(now, header(epoch, number, GRANT_DURATION), answers, &grant);
             }
             Act::Lost(at) => drop(next.mail.remove(at)),
@@ -141,7 +141,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn out(state: &GrantsState) -> u32 {
-            state.held.iter().map(|held| held.places(state.now, 9).unwrap_or(0)).sum()
+            state.held.iter().map(|held| held.slots(state.now, 9).unwrap_or(0)).sum()
         }
         vec![
             Property::always("twice the places at the most", |_, state: &GrantsState| {
@@ -152,7 +152,7 @@
                 |model: &Grants, state: &GrantsState| !model.true_deaths || out(state) <= PLACES,
             ),
             Property::sometimes("the second gives out", |_, state: &GrantsState| {
-                state.held[1].places(state.now, 9) == Some(PLACES)
+                state.held[1].slots(state.now, 9) == Some(PLACES)
             }),
         ]
     }
@@ -181,14 +181,14 @@
 
 #[test]
 fn rejects_stale_expired_duplicate_and_unknown_grants() {
-    let grant = [Grant { worker: 9, places: 4 }];
+    let grant = [Grant { worker: 9, slots: 4 }];
     let mut held = GrantTable::default();
     let first = held.start_report(0);
     assert_eq!(held.accept(10, header(5, 1, GRANT_DURATION), first, &grant), Ok(()));
-    assert_eq!((held.places(20, 9), held.places(20, 8), held.total_places(20)), (Some(4), Some(0), 4));
+    assert_eq!((held.slots(20, 9), held.slots(20, 8), held.total_slots(20)), (Some(4), Some(0), 4));
     assert_eq!(held.accept(20, header(5, 1, GRANT_DURATION), first, &grant), Err(GrantRejection::Duplicate));
     assert_eq!(held.accept(20, header(4, 9, GRANT_DURATION), first, &grant), Err(GrantRejection::StaleEpoch));
-    assert_eq!(held.places(GRANT_DURATION, 9), None, "they end by themselves, counted from the report");
+    assert_eq!(held.slots(GRANT_DURATION, 9), None, "they end by themselves, counted from the report");
     let second = held.start_report(GRANT_DURATION);
     assert_eq!(
         held.accept(3 * GRANT_DURATION, header(5, 2, GRANT_DURATION), second, &grant),
@@ -199,12 +199,12 @@
         Err(GrantRejection::UnknownReport)
     );
     let third = held.start_report(3 * GRANT_DURATION);
-    let mad = [Grant { worker: 1, places: u32::MAX }, Grant { worker: 2, places: u32::MAX }];
+    let mad = [Grant { worker: 1, slots: u32::MAX }, Grant { worker: 2, slots: u32::MAX }];
     let mut fooled = held.clone();
     assert_eq!(fooled.accept(3 * GRANT_DURATION, header(5, 4, GRANT_DURATION), third, &mad), Ok(()));
     assert_eq!(
-        fooled.total_places(3 * GRANT_DURATION),
-        2 * u64::from(MAX_GRANTED_PLACES),
+        fooled.total_slots(3 * GRANT_DURATION),
+        2 * u64::from(MAX_GRANTED_SLOTS),
         "figures out of proportion"
     );
     assert_eq!(held.accept(3 * GRANT_DURATION, header(5, 4, GRANT_DURATION * 9), third, &grant), Ok(()));
--- a/crates/forwarding/tests/load_balancer.rs
+++ b/crates/forwarding/tests/load_balancer.rs
@@ -5,10 +5,10 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn table(many: u64, places: f64) -> LoadBalancer {
+fn table(many: u64, slots: f64) -> LoadBalancer {
     let mut routes = LoadBalancer::new(7);
     for id in 0..many {
-        routes.set_worker(0, id, places, true);
+        routes.set_worker(0, id, slots, true);
     }
     routes
 }
@@ -112,25 +112,25 @@
     fn no_worker_gets_more_than_its_places(steps in proptest::collection::vec((0..6u8, 0..8u64, any::<u64>()), 0..300)) {
         let mut routes = LoadBalancer::new(3);
         let mut out: BTreeMap<NodeId, u32> = BTreeMap::new();
-        let mut places: BTreeMap<NodeId, f64> = BTreeMap::new();
+        let mut slots: BTreeMap<NodeId, f64> = BTreeMap::new();
         for (at, (what, id, more)) in steps.into_iter().enumerate() {
             let now = at as Time * 50;
             match what {
                 0 => {
                     let new = (more % 5) as f64;
                     routes.set_worker(now, id, new, more % 7 != 0);
-                    places.insert(id, new);
+                    slots.insert(id, new);
                     out.entry(id).or_default();
                 }
                 1 => {
                     routes.remove_worker(id);
-                    places.remove(&id);
+                    slots.remove(&id);
                     out.remove(&id);
                 }
                 2 | 3 => {
                     let subject = (what == 3).then_some(more);
                     if let Some(id) = routes.choose(subject, &[]) {
-                        prop_assert!(f64::from(out[&id]) + 1.0 <= places[&id].max(1.0));
+                        prop_assert!(f64::from(out[&id]) + 1.0 <= slots[&id].max(1.0));
                         routes.record_start(id);
                         *out.get_mut(&id).unwrap() += 1;
                     }
--- a/crates/forwarding/tests/membership.rs
+++ b/crates/forwarding/tests/membership.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 fn net(loss: f64) -> NetworkConditions {
-    NetworkConditions { loss, delay: (2, 20), cut: None }
+    NetworkConditions { loss, delay: (2, 20), partition: None }
 }
 
 /// How many hold it for one that is here, suspected or not: under loss there is always some suspicion on its way.
@@ -56,16 +56,20 @@
         simulation.members.iter_mut().flatten().for_each(|member| drop(member.take_changes()));
         // Five are cut off for 4 s: longer than one probe, shorter than a suspicion lasts.
         let now = simulation.now;
-        simulation
-            .inject_faults(NetworkConditions { cut: Some((5, now, now + 4 * SECOND, one_way)), ..net(0.01) });
+        simulation.set_conditions(NetworkConditions {
+            partition: Some((5, now, now + 4 * SECOND, one_way)),
+            ..net(0.01)
+        });
         simulation.run(now + 20 * SECOND);
         for at in 0..30 {
             assert_eq!(here(&simulation, at), 29, "one way {one_way}: of {at}");
         }
         // For long: each side holds the other for dead, and both come back together.
         let now = simulation.now;
-        simulation
-            .inject_faults(NetworkConditions { cut: Some((5, now, now + 30 * SECOND, false)), ..net(0.01) });
+        simulation.set_conditions(NetworkConditions {
+            partition: Some((5, now, now + 30 * SECOND, false)),
+            ..net(0.01)
+        });
         simulation.run(now + 30 * SECOND);
         assert!(
             simulation.count_agreeing(0, MemberState::Dead) >= 20,
--- a/crates/forwarding/tests/messages.rs
+++ b/crates/forwarding/tests/messages.rs
@@ -33,7 +33,7 @@
             number: 6,
             report: 1,
             duration: GRANT_DURATION,
-            grants: vec![Grant { worker: 9, places: 3 }],
+            grants: vec![Grant { worker: 9, slots: 3 }],
         },
     ];
     let with = |message| Envelope { from: 1, incarnation: 2, updates: vec![update(5)], message };
--- a/crates/forwarding/tests/slow_start.rs
+++ b/crates/forwarding/tests/slow_start.rs
@@ -48,14 +48,14 @@
             Event::Answered(who, comes) => {
                 let one = parties.get_mut(who).expect("a sender");
                 let Some((asked, out)) = one.asked.take() else { continue };
-                let places = ramp.reserve(now, *who as NodeId + 1, out, budget, expected);
+                let slots = ramp.reserve(now, *who as NodeId + 1, out, budget, expected);
                 if *comes {
-                    one.promised.accept(asked, places);
+                    one.promised.accept(asked, slots);
                 }
             }
             Event::Sends(who) => {
                 let one = parties.get_mut(who).expect("a sender");
-                if one.asked.is_none() && one.out < one.promised.places(now) {
+                if one.asked.is_none() && one.out < one.promised.slots(now) {
                     one.out += 1;
                 }
             }
@@ -64,9 +64,9 @@
                 one.out = one.out.saturating_sub(1);
             }
         }
-        let promised: u64 = parties.values().map(|one| u64::from(one.promised.places(now))).sum();
+        let promised: u64 = parties.values().map(|one| u64::from(one.promised.slots(now))).sum();
         prop_assert!(promised <= budget as u64, "promised {promised} of {budget}");
-        prop_assert!(ramp.charged_places(now) >= promised);
+        prop_assert!(ramp.charged_slots(now) >= promised);
     }
     Ok(())
 }
@@ -92,10 +92,10 @@
             out[who].retain(|until| *until > now);
             if (step + who as Time * 17) % 500 == 0 {
                 one.invalidate();
-                let places = ramp.reserve(now, who as NodeId + 1, out[who].len() as u32, budget, expected);
-                one.accept(now, places);
+                let slots = ramp.reserve(now, who as NodeId + 1, out[who].len() as u32, budget, expected);
+                one.accept(now, slots);
             }
-            while out[who].len() < one.places(now) as usize {
+            while out[who].len() < one.slots(now) as usize {
                 out[who].push(now + takes);
                 ran += 1;
             }
--- a/crates/forwarding/tests/versions.rs
+++ b/crates/forwarding/tests/versions.rs
@@ -38,7 +38,7 @@
     let demands = vec![Demand { class: 1, rate: 2.5, queued: 3, weight: 4.0 }];
     let sights =
         vec![WorkerObservation { worker: 5, in_flight: 1, ended: 2.0, rejected: 0.5, latency: 30.0 }];
-    let grants = vec![Grant { worker: 5, places: 3 }];
+    let grants = vec![Grant { worker: 5, slots: 3 }];
     vec![
         Message::Ping { number: 7 },
         Message::Ack { number: 7 },
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/cluster_socket.rs
@@ -1,7 +1,7 @@
 //! Datagrams between members: membership, load reports, grants. This is the forwarder's side; the planner's is `crate::planner`.
 
-use super::fleet::Fleet;
-use super::Tier;
+use super::worker_fleet::WorkerFleet;
+use super::TierConfig;
 use crate::clock::Clock;
 use crate::log;
 use crate::rollout::admission_gate::AdmissionGate;
@@ -17,7 +17,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// One socket, and the membership behind it.
-pub struct Talk {
+pub struct ClusterSocket {
     pub socket: UdpSocket,
     pub members: Membership,
     clock: Clock,
@@ -28,8 +28,14 @@
     unlike: Option<(u64, u64)>,
 }
 
-impl Talk {
-    pub async fn new(name: &str, role: Role, tier: &Tier, clock: Clock, seed: u64) -> io::Result<Talk> {
+impl ClusterSocket {
+    pub async fn new(
+        name: &str,
+        role: Role,
+        tier: &TierConfig,
+        clock: Clock,
+        seed: u64,
+    ) -> io::Result<ClusterSocket> {
         let named = tried(format_args!("tier.listen {}", tier.listen).to_string());
         let socket = UdpSocket::bind(tier.listen).await.map_err(named)?;
         let own = socket.local_addr()?;
@@ -37,7 +43,7 @@
         let seeds = tier.planners.iter().map(|planner| planner.address).collect();
         let members = Membership::new(node_id(name), role, own, seeds, MembershipConfig::default(), seed);
         let bytes = vec![0; messages::MAX_MESSAGE_BYTES + 8];
-        Ok(Talk { socket, members, clock, bytes, gate: None, unlike: None })
+        Ok(ClusterSocket { socket, members, clock, bytes, gate: None, unlike: None })
     }
 
     /// Sends what fits; what is lost is lost, as any datagram.
@@ -125,7 +131,7 @@
 }
 
 /// Reports to all planners of the operator's file and takes their grants, for as long as the program lives.
-pub async fn forwarder(mut talk: Talk, fleet: Rc<Fleet>, tier: Tier) {
+pub async fn run_forwarder(mut talk: ClusterSocket, fleet: Rc<WorkerFleet>, tier: TierConfig) {
     let mut next = talk.clock.now();
     let mut last = next;
     loop {
--- a/crates/server/src/forwarder/connection.rs
+++ b/crates/server/src/forwarder/connection.rs
@@ -1,6 +1,6 @@
 //! Connections to workers, in the routers' own frames: opened as they are needed, read and written until they end.
 
-use super::fleet::Fleet;
+use super::worker_fleet::WorkerFleet;
 use crate::clock::MS;
 use crate::core::incoming::RequestId;
 use crate::frames::{self, NextFrame};
@@ -39,9 +39,9 @@
     is_closing: Cell<bool>,
 }
 
-impl Fleet {
+impl WorkerFleet {
     /// A connection to a worker with a free stream; a new one where there is none and may be.
-    pub(super) fn connection(self: &Rc<Fleet>, worker: NodeId) -> Option<Rc<Connection>> {
+    pub(super) fn connection(self: &Rc<WorkerFleet>, worker: NodeId) -> Option<Rc<Connection>> {
         let mut workers = self.workers.borrow_mut();
         let state = workers.get_mut(&worker)?;
         let free = |connection: &&Rc<Connection>| {
@@ -73,7 +73,12 @@
     }
 
     /// A connection is over: what was on it ends by what is known of it.
-    fn end_connection(self: &Rc<Fleet>, connection: &Rc<Connection>, connected: bool, ended: io::Result<()>) {
+    fn end_connection(
+        self: &Rc<WorkerFleet>,
+        connection: &Rc<Connection>,
+        connected: bool,
+        ended: io::Result<()>,
+    ) {
         let mut unasked = false;
         if let Some(state) = self.workers.borrow_mut().get_mut(&connection.worker) {
             state.connections.retain(|other| !Rc::ptr_eq(other, connection));
@@ -106,7 +111,7 @@
     }
 
     /// Reads and writes one connection until it ends; whether it was ever there.
-    async fn run_connection(self: &Rc<Fleet>, connection: &Rc<Connection>) -> (bool, io::Result<()>) {
+    async fn run_connection(self: &Rc<WorkerFleet>, connection: &Rc<Connection>) -> (bool, io::Result<()>) {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(connection.address)).await;
         let stream = match connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
             Ok(stream) => stream,
@@ -117,7 +122,7 @@
     }
 
     async fn exchange_frames(
-        self: &Rc<Fleet>,
+        self: &Rc<WorkerFleet>,
         connection: &Rc<Connection>,
         stream: &TcpStream,
     ) -> io::Result<()> {
@@ -157,7 +162,7 @@
     }
 
     fn handle_frame(
-        self: &Rc<Fleet>,
+        self: &Rc<WorkerFleet>,
         connection: &Rc<Connection>,
         kind: u8,
         stream: u32,
--- a/crates/server/src/forwarder/health.rs
+++ b/crates/server/src/forwarder/health.rs
@@ -1,7 +1,7 @@
 //! Health of workers: each is asked on a connection of its own, and tells whether it accepts work and, while it is warming up, how
 //! much it reserves for this forwarder.
 
-use super::fleet::Fleet;
+use super::worker_fleet::WorkerFleet;
 use crate::frames::{self, NextFrame};
 use crate::log;
 use crate::sockets::write_all;
@@ -22,9 +22,9 @@
 /// Grants, mode and health are taken over at least this often.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-impl Fleet {
+impl WorkerFleet {
     /// Asks each worker for its health, on a connection of its own, and looks at grants and mode.
-    pub async fn watch_health(self: Rc<Fleet>) {
+    pub async fn watch_health(self: Rc<WorkerFleet>) {
         let workers: Vec<(NodeId, SocketAddr, Rc<Notify>)> = self
             .workers
             .borrow()
@@ -93,9 +93,9 @@
         };
         *kept = Some(stream);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
-            state.reserved = ramp.map(|places| {
+            state.reserved = ramp.map(|slots| {
                 let mut reserved = ReservedCapacity::default();
-                reserved.accept(asked, places);
+                reserved.accept(asked, slots);
                 reserved
             });
         }
--- a/crates/server/src/forwarder/fleet.rs
+++ b/crates/server/src/forwarder/worker_fleet.rs
@@ -3,7 +3,7 @@
 //! last one's end, once.
 
 use super::connection::Connection;
-use super::Tier;
+use super::TierConfig;
 use crate::clock::{Clock, MS};
 use crate::core::incoming::{Dispatcher, ForwardedRequest, RequestId};
 use crate::core::{CoreEvent, Shared};
@@ -49,7 +49,7 @@
 pub(super) struct WorkerState {
     pub(super) address: SocketAddr,
     /// Its configured places.
-    places: f64,
+    slots: f64,
     pub(super) is_healthy: bool,
     /// What it reserves for us, while it is warming up.
     pub(super) reserved: Option<ReservedCapacity>,
@@ -65,7 +65,7 @@
 }
 
 /// The workers of a forwarder, and the attempts at them.
-pub struct Fleet {
+pub struct WorkerFleet {
     pub(super) own: NodeId,
     pub(super) shared: Shared,
     queue: Sender<CoreEvent>,
@@ -84,8 +84,8 @@
     next_attempt: Cell<u64>,
 }
 
-impl Dispatcher for Fleet {
-    fn run(self: Rc<Fleet>, wanted: ForwardedRequest) {
+impl Dispatcher for WorkerFleet {
+    fn run(self: Rc<WorkerFleet>, wanted: ForwardedRequest) {
         let now = self.clock.now();
         if let Some(count) = self.arrivals.borrow_mut().get_mut(wanted.class) {
             *count += 1;
@@ -107,7 +107,7 @@
     }
 
     /// The worker is told, and the attempt is over here.
-    fn stop(self: Rc<Fleet>, txn: RequestId) {
+    fn stop(self: Rc<WorkerFleet>, txn: RequestId) {
         let Some(one) = self.attempts.borrow_mut().remove(&txn) else { return };
         if let Some((connection, stream)) = &one.stream {
             if connection.open.borrow_mut().remove(stream).is_some() {
@@ -122,14 +122,14 @@
     }
 
     fn granted_slots(&self) -> f64 {
-        self.balancer.borrow().places()
+        self.balancer.borrow().slots()
     }
 
     fn gauges(&self) -> Gauges {
         let balancer = self.balancer.borrow();
-        let (out, places) = (balancer.in_flight() as f64, balancer.places().max(1.0));
+        let (out, slots) = (balancer.in_flight() as f64, balancer.slots().max(1.0));
         Gauges {
-            core_utilization: Some((out / places).min(1.0)),
+            core_utilization: Some((out / slots).min(1.0)),
             runnable_tasks: Some(out),
             memory_share: None,
             connections: None,
@@ -137,26 +137,26 @@
     }
 }
 
-impl Fleet {
+impl WorkerFleet {
     /// Sets the retries for each first attempt from now on.
-    pub fn retries(&self, share: f64) {
+    pub fn set_retry_ratio(&self, share: f64) {
         self.budget.borrow_mut().set_retry_ratio(share);
     }
 
     pub fn new(
-        (name, tier): (&str, &Tier),
+        (name, tier): (&str, &TierConfig),
         shared: &Shared,
         queue: Sender<CoreEvent>,
         clock: Clock,
         class_weights: Vec<f64>,
         seed: u64,
-    ) -> Rc<Fleet> {
+    ) -> Rc<WorkerFleet> {
         let now = clock.now();
         let workers = tier.workers.iter().map(|set| {
-            let (address, places) = (set.address, set.places);
+            let (address, slots) = (set.address, set.slots);
             let state = WorkerState {
                 address,
-                places,
+                slots,
                 is_healthy: false,
                 reserved: None,
                 recheck: Rc::default(),
@@ -167,7 +167,7 @@
             };
             (node_id(&set.name), state)
         });
-        Rc::new(Fleet {
+        Rc::new(WorkerFleet {
             own: node_id(name),
             shared: shared.clone(),
             queue,
@@ -223,21 +223,21 @@
         }
         let mut balancer = self.balancer.borrow_mut();
         for (worker, state) in self.workers.borrow().iter() {
-            let alone = DispatchMode::local_share(state.places, self.forwarders.get());
+            let alone = DispatchMode::local_share(state.slots, self.forwarders.get());
             // No planner's figure counts past what a planner may learn of a worker: twice its configured places.
-            let places = mode
-                .places(now, &grants, *worker, alone)
-                .min(state.places * cypresscleat_forwarding::capacity_plan::MAX_PLACES_FACTOR);
+            let slots = mode
+                .slots(now, &grants, *worker, alone)
+                .min(state.slots * cypresscleat_forwarding::capacity_plan::MAX_SLOTS_FACTOR);
             // What a worker that is warming up says itself counts, whoever granted more.
-            let places = state.reserved.map_or(places, |reserved| places.min(reserved.places(now).into()));
-            balancer.set_worker(now, *worker, places, state.is_healthy);
+            let slots = state.reserved.map_or(slots, |reserved| slots.min(reserved.slots(now).into()));
+            balancer.set_worker(now, *worker, slots, state.is_healthy);
         }
         balancer.tick(now);
     }
 
     /// Starts an attempt at a worker, not at one of `excluded`; gives it back where none has capacity.
     fn start_attempt(
-        self: &Rc<Fleet>,
+        self: &Rc<WorkerFleet>,
         now: Time,
         mut one: Attempt,
         excluded: &[NodeId],
@@ -269,7 +269,7 @@
     /// Guards an attempt that crossed the close of its connection: the worker had said that it takes no more there, and reads nothing more.
     /// Sent once more on a new connection to the same worker, under its id, it runs once whichever copy was read. False where it did
     /// not cross, or did so before.
-    pub(super) fn resend_crossed(self: &Rc<Fleet>, txn: RequestId, number: u64) -> bool {
+    pub(super) fn resend_crossed(self: &Rc<WorkerFleet>, txn: RequestId, number: u64) -> bool {
         let now = self.clock.now();
         let crosses = |one: &Attempt| {
             one.number == number && !one.was_resent && now - one.started_at <= MAX_CROSSING_TIME
@@ -303,7 +303,7 @@
 
     /// An attempt has ended. Where it provably never ran a retry may follow.
     pub(super) fn end_attempt(
-        self: &Rc<Fleet>,
+        self: &Rc<WorkerFleet>,
         txn: RequestId,
         number: u64,
         end: AttemptOutcome,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -12,9 +12,9 @@
 use cypresscleat_server::counters::add;
 use cypresscleat_server::downstream::scgi::CurrentBackend;
 use cypresscleat_server::downstream::{ledger, scgi as backend};
-use cypresscleat_server::forwarder::fleet::Fleet;
-use cypresscleat_server::forwarder::talk::{self, Talk};
-use cypresscleat_server::forwarder::Tier;
+use cypresscleat_server::forwarder::cluster_socket::{self, ClusterSocket};
+use cypresscleat_server::forwarder::worker_fleet::WorkerFleet;
+use cypresscleat_server::forwarder::TierConfig;
 use cypresscleat_server::lines::Notice;
 use cypresscleat_server::listeners::scgi::ScgiContext;
 use cypresscleat_server::listeners::{Frontend, Protocol};
@@ -167,12 +167,12 @@
 }
 
 /// The module of a forwarder: its cores are the places of all workers, and what runs there is no memory of its own.
-fn forwards(settings: Settings, tier: &Tier) -> Settings {
-    let places: f64 = tier.workers.iter().map(|worker| worker.places).sum();
+fn forwards(settings: Settings, tier: &TierConfig) -> Settings {
+    let slots: f64 = tier.workers.iter().map(|worker| worker.slots).sum();
     let plain = |op: &RequestClass| RequestClass { calls_downstream: false, ..op.clone() };
     Settings {
         classes: settings.classes.iter().map(plain).collect(),
-        cores: places,
+        cores: slots,
         slow_start: false,
         running_memory_factor: 1.0,
         stop_mode: StopMode::Discard,
@@ -235,7 +235,7 @@
 /// What a policy changes beside the core: how long a request over SCGI may take to come, and further tries.
 fn applies(
     door: Option<Rc<ScgiContext>>,
-    fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
+    fleet: Rc<RefCell<Option<Rc<WorkerFleet>>>>,
     patience: Option<Time>,
 ) -> member::ActivationHook {
     Box::new(move |policy: &Policy| {
@@ -243,7 +243,7 @@
             door.set_request_timeout(patience);
         }
         if let Some(fleet) = fleet.borrow().as_ref() {
-            fleet.retries(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
+            fleet.set_retry_ratio(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
         }
     })
 }
@@ -307,7 +307,7 @@
     let mut settings = Settings { pools: operator.pools.clone(), ..config.settings };
     settings.validate().map_err(io::Error::other)?;
     // Set once the fleet is there: a policy says how many further tries may be.
-    let retries: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
+    let retries: Rc<RefCell<Option<Rc<WorkerFleet>>>> = Rc::default();
     let above = operator.rollout.as_ref().and_then(|set| set.request_targets(operator.keepers.as_ref()));
     let gate = match (&operator.rollout, above) {
         (Some(set), Some(above)) => {
@@ -327,11 +327,13 @@
         Some(tier) => {
             settings = forwards(settings, tier);
             let value = settings.classes.iter().map(|op| op.priority_weight).collect();
-            let fleet = Fleet::new((&config.name, tier), &shared, queue.clone(), clock, value, settings.seed);
-            let mut talk = Talk::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
+            let fleet =
+                WorkerFleet::new((&config.name, tier), &shared, queue.clone(), clock, value, settings.seed);
+            let mut talk =
+                ClusterSocket::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
             talk.gate = gate.clone();
             *retries.borrow_mut() = Some(fleet.clone());
-            spawn_local(talk::forwarder(talk, fleet.clone(), tier.clone()));
+            spawn_local(cluster_socket::run_forwarder(talk, fleet.clone(), tier.clone()));
             spawn_local(fleet.clone().watch_health());
             // Nothing else has to come up: workers are found as they do.
             let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::MS;
 use crate::downstream::scgi::Backend;
-use crate::forwarder::{PlannerSet, Tier, WorkerSet};
+use crate::forwarder::{PlannerConfig, TierConfig, WorkerConfig};
 use crate::leases::counter_demo::CounterDemoConfig;
 use crate::leases::reconcile::ReconcileConfig;
 use crate::leases::usage_report::UsageReportConfig;
@@ -35,7 +35,7 @@
     /// None: every operation takes what it gets.
     pub pools: PoolsConfig,
     pub store: Option<Kept>,
-    pub tier: Option<Tier>,
+    pub tier: Option<TierConfig>,
     pub keepers: Option<ControlReplicas>,
     pub tally: Option<CounterDemoConfig>,
     pub settle: Option<ReconcileConfig>,
@@ -264,28 +264,28 @@
         setup
     }
 
-    fn tier(&mut self, node: &Node) -> Option<Tier> {
-        let mut planners: Vec<PlannerSet> = Vec::new();
-        let mut workers: Vec<WorkerSet> = Vec::new();
+    fn tier(&mut self, node: &Node) -> Option<TierConfig> {
+        let mut planners: Vec<PlannerConfig> = Vec::new();
+        let mut workers: Vec<WorkerConfig> = Vec::new();
         let taken = "the name or the address is taken";
         for planner in node.get("planners").list() {
             let (name, address) = (planner.get("name").text().to_string(), planner.get("address").address()?);
             if planners.iter().any(|known| known.name == name || known.address == address) {
                 self.fault(planner, "tier.planners", taken.into());
             }
-            planners.push(PlannerSet { name, address });
+            planners.push(PlannerConfig { name, address });
         }
         for worker in node.get("workers").list() {
             let (name, address) = (worker.get("name").text().to_string(), worker.get("address").address()?);
             if workers.iter().any(|known| known.name == name || known.address == address) {
                 self.fault(worker, "tier.workers", taken.into());
             }
-            workers.push(WorkerSet { name, address, places: worker.get("places").int() as f64 });
+            workers.push(WorkerConfig { name, address, slots: worker.get("places").int() as f64 });
         }
         if workers.is_empty() {
             self.fault(node, "tier.workers", "no worker".into());
         }
-        Some(Tier { listen: node.get("listen").address()?, planners, workers })
+        Some(TierConfig { listen: node.get("listen").address()?, planners, workers })
     }
 
     /// A list of peers; no name and no address stands in it twice.
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -2,8 +2,8 @@
 //! worker; one that is gone costs nobody an answer.
 
 use crate::clock::Clock;
-use crate::forwarder::talk::Talk;
-use crate::forwarder::Tier;
+use crate::forwarder::cluster_socket::ClusterSocket;
+use crate::forwarder::TierConfig;
 use crate::leases::lease_holder::LeaseHolder;
 use crate::leases::{self, ControlReplicas, PLANNERS_TASK};
 use crate::rollout::member::MemberTask;
@@ -51,7 +51,7 @@
 }
 
 /// What a planner hears next.
-async fn next(talk: &mut Talk, by: &mut By, until: Time) -> Option<(SocketAddr, Envelope)> {
+async fn next(talk: &mut ClusterSocket, by: &mut By, until: Time) -> Option<(SocketAddr, Envelope)> {
     let By::Keepers(hold, _) = by else { return talk.hear(until).await };
     loop {
         let far = hold.clock.now() + LOOK;
@@ -70,14 +70,14 @@
 
 pub async fn run(
     name: &str,
-    tier: &Tier,
+    tier: &TierConfig,
     keepers: Option<&ControlReplicas>,
     rollout: Option<&RolloutSettings>,
     seed: u64,
 ) -> io::Result<()> {
     let clock = Clock::start();
     let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut talk = Talk::new(name, Role::Planner, tier, clock, seed).await?;
+    let mut talk = ClusterSocket::new(name, Role::Planner, tier, clock, seed).await?;
     if let Some((set, above)) = rollout.and_then(|set| Some((set, set.request_targets(keepers)?))) {
         let task = MemberTask::new(name, above, set, None, None, Box::new(|_| {})).await?;
         talk.gate = Some(task.gate());
@@ -96,7 +96,7 @@
     };
     let mut plan = CapacityPlan::default();
     for worker in &tier.workers {
-        plan.set_worker(node_id(&worker.name), worker.places);
+        plan.set_worker(node_id(&worker.name), worker.slots);
     }
     let mut said = 0;
     loop {
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -97,8 +97,9 @@
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
     let named = tried(format!("relay {name} on {}", config.listen));
     let member_socket = UdpSocket::bind(config.listen).await.map_err(named)?;
-    let replica_socket =
-        UdpSocket::bind(keepers.local_address()).await.map_err(tried("the socket to the control replicas"))?;
+    let replica_socket = UdpSocket::bind(keepers.local_address())
+        .await
+        .map_err(tried("the socket to the control replicas"))?;
     // Guards against the loss of the first messages: a socket sends nothing before it is known to be writable.
     for socket in [&member_socket, &replica_socket] {
         socket.writable().await?;
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -20,7 +20,7 @@
     fn(count: u32, answers: u32, say: &dyn Fn(u64, u64, u32, Vec<Grant>) -> Vec<u8>) -> Vec<Vec<u8>>;
 
 fn grants() -> Vec<Grant> {
-    ["w0", "w1"].map(|name| Grant { worker: node_id(name), places: 4 }).to_vec()
+    ["w0", "w1"].map(|name| Grant { worker: node_id(name), slots: 4 }).to_vec()
 }
 
 fn say(epoch: u64, number: u64, answers: u32, grants: Vec<Grant>) -> Vec<u8> {
@@ -158,10 +158,10 @@
 fn figures_out_of_all_proportion() {
     survives("figures", |count, answers, say| {
         let mad = vec![
-            Grant { worker: node_id("w0"), places: u32::MAX },
-            Grant { worker: 12345 as NodeId, places: 7 },
-            Grant { worker: node_id("w0"), places: 0 },
-            Grant { worker: node_id("w1"), places: u32::MAX },
+            Grant { worker: node_id("w0"), slots: u32::MAX },
+            Grant { worker: 12345 as NodeId, slots: 7 },
+            Grant { worker: node_id("w0"), slots: 0 },
+            Grant { worker: node_id("w1"), slots: u32::MAX },
         ];
         vec![say(1 << 16, u64::from(count), answers, mad)]
     });
