--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -1,4 +1,4 @@
-//! Detects a change that did harm. Members report the requests they received, the successes in time and the billed value. The coordinator
+//! Detects a change that did harm. Members report the requests they admitted, the successes in time and the billed value. The coordinator
 //! compares the averages per request before and after the change, so a decrease in load does not count as harm.
 
 use crate::state::{Version, WatchRules};
