--- a/crates/server/src/listeners/mod.rs
+++ b/crates/server/src/listeners/mod.rs
@@ -29,8 +29,7 @@
 const WRITE_STALL_TIMEOUT: Time = 15_000 * MS;
 /// A connection is ended when no complete frame has arrived after this long, or an incomplete one stands for this long.
 const MESSAGE_TIMEOUT: Time = 2_000 * MS;
-/// Idle connections are closed while more than 1/`IDLE_CLOSE_DIVISOR` of the maximum are open, so that there is
-/// capacity for other routers.
+/// Idle connections are closed while more than 1/`IDLE_CLOSE_DIVISOR` of the maximum are open: routers need no more.
 const IDLE_CLOSE_DIVISOR: usize = 2;
 /// Connections used within this time are the last to be closed for capacity.
 const RECENT_USE: Time = 300 * MS;
