--- a/crates/consensus/tests/events_and_config.rs
+++ b/crates/consensus/tests/events_and_config.rs
@@ -1,4 +1,4 @@
-//! Texts of events in the log, which operators search for, and the checks of a configuration.
+//! Log texts of events, which operators search for, and the validation of a configuration.
 
 use cypresscleat_consensus::message::LogPosition;
 use cypresscleat_consensus::replica::{ConfigError, RaftConfig};
@@ -21,8 +21,8 @@
         (Event::Bootstrapped { members: 3 }, "3 keepers with empty disks begin"),
         (
             stale,
-            "disk 000000000000002b has forgotten: it stands at Mark { term: 1, index: 2 }, and \
-             Mark { term: 3, index: 4 } was acknowledged from it",
+            "disk 000000000000002b is stale: its log ends at term 1, index 2, \
+             and it had acknowledged term 3, index 4",
         ),
     ];
     for (event, text) in rendered {
--- a/crates/server/src/leases/control_replica.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -1,4 +1,5 @@
-//! A keeper: its datagrams, its disk, its time. What it promises is on its disk before a word of it leaves; a disk that fails ends it.
+//! The control replica: its datagrams, its disk and its clock. Writes are on the disk before any message that relies on them is sent; a
+//! disk that fails ends the replica.
 
 use super::known_replicas::KnownReplicas;
 use super::replicated_state::ReplicatedState;
@@ -13,7 +14,7 @@
 use cypresscleat_leases::messages::Response;
 use cypresscleat_leases::{node_id, NodeId};
 use cypresscleat_rollout::state::RolloutEvent;
-use cypresscleat_rollout::{coordinator as policy, messages as policies};
+use cypresscleat_rollout::{coordinator as rollout, messages as policies};
 use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{DiskOperation, Error, Store};
 use std::io;
@@ -25,97 +26,100 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::sleep_until;
 
-/// Datagrams that are read before what they ask for is written, in one.
-const BATCH: usize = 64;
+/// Maximum number of datagrams that are read before their writes are synced together.
+const MAX_BATCH: usize = 64;
 
-fn other(error: impl ToString) -> io::Error {
+fn to_io_error(error: impl ToString) -> io::Error {
     io::Error::other(error.to_string())
 }
 
-/// What marks this very folder: a copy of it, made or put back, has other numbers.
-fn marks(folder: &Path) -> io::Result<String> {
+/// Inode and creation time of the files of this folder. A copy of the folder, or a restored one, has others.
+fn read_marks(folder: &Path) -> io::Result<String> {
     let mut marks = String::new();
     for name in ["identity", "log"] {
-        let data = std::fs::metadata(folder.join(name))?;
-        let born = data.created().ok().and_then(|born| born.duration_since(UNIX_EPOCH).ok());
-        marks += &format!("{name} {} {}\n", data.ino(), born.map_or(0, |born| born.as_nanos()));
+        let metadata = std::fs::metadata(folder.join(name))?;
+        let created = metadata.created().ok().and_then(|created| created.duration_since(UNIX_EPOCH).ok());
+        marks += &format!("{name} {} {}\n", metadata.ino(), created.map_or(0, |created| created.as_nanos()));
     }
     Ok(marks)
 }
 
-/// The disk's own number, and the store in the folder. A folder that was copied, or has no number, counts as empty; what stood
-/// in it is set aside, as `aside`.
-fn open(name: &str, folder: &Path) -> io::Result<(u64, Store<DiskDirectory>)> {
-    let (identity, log, marked) = (folder.join("identity"), folder.join("log"), folder.join("marks"));
+/// Opens the folder; returns the disk's id and its store. A folder that was copied, or has no id, counts as empty, and its log is
+/// moved to `aside`.
+fn open_disk(name: &str, folder: &Path) -> io::Result<(u64, Store<DiskDirectory>)> {
+    let (identity, log, marks) = (folder.join("identity"), folder.join("log"), folder.join("marks"));
     std::fs::create_dir_all(folder)?;
-    let known =
+    let known_id =
         std::fs::read_to_string(&identity).ok().and_then(|text| u64::from_str_radix(text.trim(), 16).ok());
-    let same = known.is_some() && log.is_dir() && std::fs::read_to_string(&marked).ok() == marks(folder).ok();
-    if !same {
+    let is_same_disk =
+        known_id.is_some() && log.is_dir() && std::fs::read_to_string(&marks).ok() == read_marks(folder).ok();
+    if !is_same_disk {
         if log.is_dir() {
             log!(
                 "keeper {name}: the disk in {} is a copy or was put back; it counts as empty",
                 folder.display()
             );
-            aside(folder)?;
+            move_log_aside(folder)?;
         }
         let _ = std::fs::remove_file(&identity);
         std::fs::create_dir_all(&log)?;
         std::fs::write(&identity, format!("{:016x}\n", random_id(name)))?;
-        std::fs::write(&marked, marks(folder)?)?;
-        for file in [&identity, &marked] {
+        std::fs::write(&marks, read_marks(folder)?)?;
+        for file in [&identity, &marks] {
             std::fs::File::open(file)?.sync_all()?;
         }
         std::fs::File::open(folder)?.sync_all()?;
     }
     let text = std::fs::read_to_string(&identity)?;
-    let disk = u64::from_str_radix(text.trim(), 16).map_err(|_| other("no number in identity"))?;
-    let mut files = DiskDirectory::open(&log).map_err(other)?;
-    if let Some(many) = std::env::var("CLEAT_TEST_SYNCS").ok().and_then(|many| many.parse().ok()) {
-        files.fail_syncs_after(many);
+    let disk =
+        u64::from_str_radix(text.trim(), 16).map_err(|_| to_io_error("the file identity has no number"))?;
+    let mut files = DiskDirectory::open(&log).map_err(to_io_error)?;
+    if let Some(count) = std::env::var("CLEAT_TEST_SYNCS").ok().and_then(|count| count.parse().ok()) {
+        files.fail_syncs_after(count);
     }
-    let store = Store::open(files, Default::default()).map_err(other)?;
+    let store = Store::open(files, Default::default()).map_err(to_io_error)?;
     Ok((disk, store))
 }
 
-fn aside(folder: &Path) -> io::Result<()> {
+fn move_log_aside(folder: &Path) -> io::Result<()> {
     let aside = folder.join("aside");
     let _ = std::fs::remove_dir_all(&aside);
     std::fs::rename(folder.join("log"), aside)
 }
 
-struct Kept0 {
+/// The replica's store, and the folder that it is in.
+struct ReplicaDisk {
     store: Store<DiskDirectory>,
     folder: PathBuf,
 }
 
-impl Kept0 {
-    /// A sync that failed is final for this disk: what can be read of it afterwards may never have reached it, and the next sync
-    /// would not say so. Without its marks it counts as empty from the next start on.
+impl ReplicaDisk {
+    /// Writes and syncs. A failed sync is final for this disk: data that is read back afterwards may never have reached it, and the next
+    /// sync would not report that. The marks are removed, so that the disk counts as empty from the next start on.
     fn write(&mut self, writes: Vec<storage::Write>) -> io::Result<()> {
         if writes.is_empty() {
             return Ok(());
         }
         for (key, value) in writes {
             match value {
-                Some(value) => self.store.put(&key, &value).map_err(other)?,
-                None => self.store.remove(&key).map_err(other)?,
+                Some(value) => self.store.put(&key, &value).map_err(to_io_error)?,
+                None => self.store.remove(&key).map_err(to_io_error)?,
             };
         }
         self.store.commit(true).map(drop).map_err(|error| {
             if matches!(&error, Error::Disk { operation: DiskOperation::Sync, .. }) {
                 let _ = std::fs::remove_file(self.folder.join("marks"));
             }
-            other(error)
+            to_io_error(error)
         })
     }
 }
 
-/// What the two desks say, and to whom.
-type Said = (Vec<(SocketAddr, Response)>, Vec<(SocketAddr, policies::Response)>);
+/// Responses of the lease manager and of the rollout coordinator, each with its client's address.
+type Responses = (Vec<(SocketAddr, Response)>, Vec<(SocketAddr, policies::Response)>);
 
-/// Decisions, in tests: each keeper tells of each, the first of them counts.
-fn journals(journal: &Journal, event: &RolloutEvent) {
+/// Writes a decision to the journal of a test. Each replica writes each decision; the first line counts.
+fn write_journal(journal: &Journal, event: &RolloutEvent) {
     let (name, number) = match event {
         RolloutEvent::Proposed { number, .. } => ("proposed", number),
         RolloutEvent::Committed { number } => ("taken", number),
@@ -125,230 +129,238 @@
     journal.line(monotonic(), &format!("\"event\":\"{name}\",\"version\":{number}"));
 }
 
-struct Desked {
+/// A running replica with its managers.
+struct RunningReplica {
     socket: UdpSocket,
     replicas: KnownReplicas,
-    own: NodeId,
-    keeper: Replica<ReplicatedState>,
+    own_id: NodeId,
+    replica: Replica<ReplicatedState>,
     manager: LeaseManager<SocketAddr>,
-    /// Of changes of policy.
-    policy: policy::RolloutCoordinator<SocketAddr>,
+    /// Coordinates changes of policy.
+    coordinator: rollout::RolloutCoordinator<SocketAddr>,
     journal: Option<Journal>,
-    disk: Kept0,
+    disk: ReplicaDisk,
 }
 
-impl Desked {
-    /// Writes, and then says, what a step asked for, and what its answers bring with them.
-    fn carry(&mut self, now: i64, mut out: Ready, mut said: Said) -> io::Result<()> {
+impl RunningReplica {
+    /// Processes the effects of a step: writes first, then messages and responses; repeats with the effects that the managers add.
+    fn process_ready(&mut self, now: i64, mut ready: Ready, mut responses: Responses) -> io::Result<()> {
         loop {
-            self.disk.write(std::mem::take(&mut out.writes))?;
-            out.events.drain(..).for_each(|line| log!("{line}"));
-            for (to, letter) in out.messages.drain(..) {
+            self.disk.write(std::mem::take(&mut ready.writes))?;
+            ready.events.drain(..).for_each(|line| log!("{line}"));
+            for (to, message) in ready.messages.drain(..) {
                 if let Some(to) = self.replicas.address(to) {
-                    super::send(&self.socket, to, &ControlMessage::Consensus(letter));
+                    super::send(&self.socket, to, &ControlMessage::Consensus(message));
                 }
             }
-            let from = self.own;
-            let elsewhere = said.0.iter().filter_map(|(to, answer)| match answer {
+            let from = self.own_id;
+            let lease_redirects = responses.0.iter().filter_map(|(to, response)| match response {
                 Response::NotLeader { leader } => Some((*to, *leader)),
                 _ => None,
             });
-            let also = said.1.iter().filter_map(|(to, answer)| match answer {
+            let rollout_redirects = responses.1.iter().filter_map(|(to, response)| match response {
                 policies::Response::NotLeader { leader } => Some((*to, *leader)),
                 _ => None,
             });
-            for (to, replica) in elsewhere.chain(also) {
+            for (to, replica) in lease_redirects.chain(rollout_redirects) {
                 if let Some(address) = self.replicas.address(replica) {
                     super::send(&self.socket, to, &ControlMessage::ReplicaAddress { replica, address });
                 }
             }
-            for (to, response) in said.0.drain(..) {
+            for (to, response) in responses.0.drain(..) {
                 super::send(&self.socket, to, &ControlMessage::LeaseResponse { from, response });
             }
-            for (to, response) in said.1.drain(..) {
+            for (to, response) in responses.1.drain(..) {
                 super::send(&self.socket, to, &ControlMessage::RolloutResponse { from, response });
             }
-            let answers = std::mem::take(&mut out.responses);
-            let (policies, policy_said) = self.policy.poll(now, &mut self.keeper, answers.clone());
-            let (duties, duty_said) = self.manager.poll(now, &mut self.keeper, answers);
-            (out, said) = (policies.merge(duties), (duty_said, policy_said));
-            self.policy.events().for_each(|event| log!("{event}"));
-            let leads = self.keeper.is_leader();
-            for event in self.keeper.state_machine_mut().policies.take_events() {
+            let proposals = std::mem::take(&mut ready.responses);
+            let (rollout_ready, rollout_responses) =
+                self.coordinator.poll(now, &mut self.replica, proposals.clone());
+            let (lease_ready, lease_responses) = self.manager.poll(now, &mut self.replica, proposals);
+            (ready, responses) = (rollout_ready.merge(lease_ready), (lease_responses, rollout_responses));
+            self.coordinator.events().for_each(|event| log!("{event}"));
+            let is_leader = self.replica.is_leader();
+            for event in self.replica.state_machine_mut().policies.take_events() {
                 if let Some(journal) = &self.journal {
-                    journals(journal, &event);
+                    write_journal(journal, &event);
                 }
-                if leads {
+                if is_leader {
                     log!("{event}");
                 }
             }
-            for change in self.keeper.state_machine_mut().leases.take_owner_changes() {
-                let owner = self.keeper.state_machine().leases.instance(change.session);
-                if leads {
+            for change in self.replica.state_machine_mut().leases.take_owner_changes() {
+                let owner = self.replica.state_machine().leases.instance(change.session);
+                if is_leader {
                     log!("{}", change.log_line(owner));
                 }
             }
-            if out == Ready::default() && said.0.is_empty() && said.1.is_empty() {
+            if ready == Ready::default() && responses.0.is_empty() && responses.1.is_empty() {
                 return Ok(());
             }
         }
     }
 }
 
-/// Keeps until it is told to stop, or its disk fails.
+/// Runs the replica until SIGTERM, or until its disk fails.
 ///
-/// With `path`, SIGHUP reads the operator's file again: keepers that it names from then on come and go, one at a time, each change
-/// decided by the others.
-pub async fn run(name: &str, set: &ControlReplicas, path: Option<&Path>) -> io::Result<()> {
-    let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut hup = signal(SignalKind::hangup()).map_err(tried("signals"))?;
-    let mut set = set.clone();
-    let folder = set.folder.clone().ok_or_else(|| other("keepers.folder says where this keeper keeps"))?;
-    let own = node_id(name);
-    let listen =
-        set.addresses().get(&own).copied().ok_or_else(|| other(format!("no {name:?} in keepers.all")))?;
-    let named = tried(format!("keeper {name} on {listen}"));
-    let socket = UdpSocket::bind(listen).await.map_err(named)?;
-    log!("keeper {name} hears at {}", socket.local_addr()?);
+/// With `path`, SIGHUP reads the operator's file again: the replicas that it names from then on are added and removed one at a time,
+/// each change committed by the members.
+pub async fn run(name: &str, control: &ControlReplicas, path: Option<&Path>) -> io::Result<()> {
+    let mut sigterm = signal(SignalKind::terminate()).map_err(tried("signals"))?;
+    let mut sighup = signal(SignalKind::hangup()).map_err(tried("signals"))?;
+    let mut control = control.clone();
+    let folder =
+        control.folder.clone().ok_or_else(|| to_io_error("a control replica requires keepers.folder"))?;
+    let own_id = node_id(name);
+    let listen = control
+        .addresses()
+        .get(&own_id)
+        .copied()
+        .ok_or_else(|| to_io_error(format!("no {name:?} in keepers.all")))?;
+    let with_address = tried(format!("keeper {name} on {listen}"));
+    let socket = UdpSocket::bind(listen).await.map_err(with_address)?;
+    log!("keeper {name} listens on {}", socket.local_addr()?);
     loop {
-        let forgot = tokio::select! {
-            ended = lives(name, &mut set, &folder, &socket, (&mut hup, path)) => ended?,
-            _ = term.recv() => {
+        let reason = tokio::select! {
+            ended = run_incarnation(name, &mut control, &folder, &socket, (&mut sighup, path)) => ended?,
+            _ = sigterm.recv() => {
                 log!("keeper {name} stopped");
                 return Ok(());
             }
         };
-        log!("keeper {name}: {forgot}");
-        aside(&folder)?;
+        log!("keeper {name}: {reason}");
+        move_log_aside(&folder)?;
     }
 }
 
-/// The keepers as the file has them now, where it is good and names others.
-fn follows(name: &str, set: &ControlReplicas, path: &Path) -> Option<ControlReplicas> {
-    let read = operator::read(path, None).map_err(|wrong| wrong.lines);
-    let new = match read {
+/// Reads the operator's file again. Returns the control replicas where the file is valid and names others than before.
+fn reload(name: &str, control: &ControlReplicas, path: &Path) -> Option<ControlReplicas> {
+    let result = operator::read(path, None).map_err(|wrong| wrong.lines);
+    let new = match result {
         Ok((operator, _)) => operator.keepers?,
         Err(lines) => {
             lines.iter().for_each(|line| log!("not taken over: {line}"));
             return None;
         }
     };
-    if (new.lease, &new.folder) != (set.lease, &set.folder) {
+    if (new.lease, &new.folder) != (control.lease, &control.folder) {
         log!("keepers.lease and keepers.folder change with a start only");
     }
-    if new.replicas == set.replicas {
+    if new.replicas == control.replicas {
         return None;
     }
-    let names: Vec<&str> = new.replicas.iter().map(|one| one.0.as_str()).collect();
+    let names: Vec<&str> = new.replicas.iter().map(|replica| replica.0.as_str()).collect();
     log!("keeper {name}: the keepers are {} from now on, one change at a time", names.join(", "));
-    Some(ControlReplicas { replicas: new.replicas, ..set.clone() })
+    Some(ControlReplicas { replicas: new.replicas, ..control.clone() })
 }
 
-/// One life on one disk; comes back where the disk has forgotten what it said.
-async fn lives(
+/// Runs one incarnation of the replica on one disk. Returns the reason where the disk turns out to be stale.
+async fn run_incarnation(
     name: &str,
-    set: &mut ControlReplicas,
+    control: &mut ControlReplicas,
     folder: &Path,
     socket: &UdpSocket,
-    (hup, path): (&mut Signal, Option<&Path>),
+    (sighup, path): (&mut Signal, Option<&Path>),
 ) -> io::Result<String> {
     let clock = MonotonicClock::start();
-    let to = set.addresses();
-    let (disk, mut store) = open(name, folder)?;
-    let kept: PersistentState = storage::load(&mut store).map_err(other)?;
-    let (entries, formed) = (kept.entries.len(), kept.snapshot.is_some());
+    let addresses = control.addresses();
+    let (disk, mut store) = open_disk(name, folder)?;
+    let state: PersistentState = storage::load(&mut store).map_err(to_io_error)?;
+    let (entries, is_bootstrapped) = (state.entries.len(), state.snapshot.is_some());
     log!(
         "keeper {name}: disk {disk:016x}, {}",
-        if formed { format!("{entries} entries") } else { "empty".into() }
+        if is_bootstrapped { format!("{entries} entries") } else { "empty".into() }
     );
-    let named = to.keys().copied().collect();
-    let begin = ReplicaConfig {
+    let replica_ids = addresses.keys().copied().collect();
+    let config = ReplicaConfig {
         id: node_id(name),
-        configured_replicas: named,
+        configured_replicas: replica_ids,
         disk,
         raft: RaftConfig::default(),
         seed: random_id(name),
     };
-    let (keeper, out) =
-        Replica::start(clock.now(), begin, kept, ReplicatedState::default()).map_err(other)?;
-    // A second handle of the same socket, so that the next life has it too.
-    let shared = UdpSocket::from_std({
+    let (replica, ready) =
+        Replica::start(clock.now(), config, state, ReplicatedState::default()).map_err(to_io_error)?;
+    // A second handle of the same socket, so that the next incarnation has it too.
+    let shared_socket = UdpSocket::from_std({
         use std::os::fd::AsFd;
         std::net::UdpSocket::from(socket.as_fd().try_clone_to_owned()?)
     })?;
-    let disk = Kept0 { store, folder: folder.to_path_buf() };
-    let mut all = Desked {
-        socket: shared,
-        replicas: KnownReplicas::new(&format!("keeper {name}"), to),
-        own: node_id(name),
-        keeper,
-        manager: LeaseManager::new(set.lease),
-        policy: policy::RolloutCoordinator::default(),
+    let disk = ReplicaDisk { store, folder: folder.to_path_buf() };
+    let mut running = RunningReplica {
+        socket: shared_socket,
+        replicas: KnownReplicas::new(&format!("keeper {name}"), addresses),
+        own_id: node_id(name),
+        replica,
+        manager: LeaseManager::new(control.lease),
+        coordinator: rollout::RolloutCoordinator::default(),
         journal: Journal::open(),
         disk,
     };
-    all.carry(clock.now(), out, Said::default())?;
+    running.process_ready(clock.now(), ready, Responses::default())?;
     let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
-    let (mut garbled, mut told) = (0u64, 0u64);
+    let (mut malformed, mut logged) = (0u64, 0u64);
     loop {
         tokio::select! {
-            () = sleep_until(clock.instant(all.keeper.next_deadline().min(all.policy.next_deadline()))) => {}
-            ready = all.socket.readable() => ready?,
-            _ = hup.recv() => {
-                if let Some(new) = path.and_then(|path| follows(name, set, path)) {
-                    *set = new;
-                    let addresses = set.addresses();
-                    all.keeper.set_configured_replicas(addresses.keys().copied().collect());
-                    all.replicas.configure(addresses);
+            () = sleep_until(clock.instant(running.replica.next_deadline().min(running.coordinator.next_deadline()))) => {}
+            readable = running.socket.readable() => readable?,
+            _ = sighup.recv() => {
+                if let Some(new) = path.and_then(|path| reload(name, control, path)) {
+                    *control = new;
+                    let addresses = control.addresses();
+                    running.replica.set_configured_replicas(addresses.keys().copied().collect());
+                    running.replicas.configure(addresses);
                 }
             }
         }
         let now = clock.now();
-        let (mut out, mut said) = (Ready::default(), Said::default());
-        for _ in 0..BATCH {
-            let (size, from) = match all.socket.try_recv_from(&mut bytes) {
-                Ok(got) => got,
+        let (mut ready, mut responses) = (Ready::default(), Responses::default());
+        for _ in 0..MAX_BATCH {
+            let (size, from) = match running.socket.try_recv_from(&mut bytes) {
+                Ok(received) => received,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => continue, // word of an earlier datagram that found nobody
+                Err(_) => continue, // an ICMP error for a datagram sent earlier
             };
             match message::decode::<ControlMessage>(&bytes[..size]) {
-                Ok(ControlMessage::Consensus(letter)) => {
-                    if all.replicas.accepts(letter.from.id, from) {
-                        out = out.merge(all.keeper.step(now, &letter));
+                Ok(ControlMessage::Consensus(message)) => {
+                    if running.replicas.accepts(message.from.id, from) {
+                        ready = ready.merge(running.replica.step(now, &message));
                     }
                 }
-                Ok(ControlMessage::RolloutRequest(ask)) => {
-                    let (more, answers) = all.policy.handle(now, &mut all.keeper, from, ask);
-                    out = out.merge(more);
-                    said.1.extend(answers);
+                Ok(ControlMessage::RolloutRequest(request)) => {
+                    let (added, new_responses) =
+                        running.coordinator.handle(now, &mut running.replica, from, request);
+                    ready = ready.merge(added);
+                    responses.1.extend(new_responses);
                 }
-                Ok(ControlMessage::LeaseRequest(ask)) => {
-                    let (more, answers) = all.manager.handle(now, &mut all.keeper, from, ask);
-                    out = out.merge(more);
-                    said.0.extend(answers);
+                Ok(ControlMessage::LeaseRequest(request)) => {
+                    let (added, new_responses) =
+                        running.manager.handle(now, &mut running.replica, from, request);
+                    ready = ready.merge(added);
+                    responses.0.extend(new_responses);
                 }
                 Ok(
                     ControlMessage::LeaseResponse { .. }
                     | ControlMessage::RolloutResponse { .. }
                     | ControlMessage::ReplicaAddress { .. },
                 ) => {}
-                Err(_) => garbled += 1,
+                Err(_) => malformed += 1,
             }
         }
-        if garbled.is_power_of_two() && garbled != told {
-            told = garbled;
-            log!("keeper {name}: {garbled} datagrams that are no letters");
+        if malformed.is_power_of_two() && malformed != logged {
+            logged = malformed;
+            log!("keeper {name}: {malformed} malformed datagrams");
         }
-        out = out.merge(all.keeper.tick(now));
-        all.carry(now, out, said)?;
-        if all.keeper.is_disk_stale() {
+        ready = ready.merge(running.replica.tick(now));
+        running.process_ready(now, ready, responses)?;
+        if running.replica.is_disk_stale() {
             return Ok(format!(
-                "its disk {disk:016x} has forgotten what it said; it counts as empty",
-                disk = all.keeper.member().disk
+                "its disk {disk:016x} is stale; it counts as empty",
+                disk = running.replica.member().disk
             ));
         }
-        if let Err(error) = all.disk.store.compact_step() {
-            return Err(other(error));
+        if let Err(error) = running.disk.store.compact_step() {
+            return Err(to_io_error(error));
         }
     }
 }
--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -1,5 +1,6 @@
-//! Duties with one owner at a time: keepers, and instances that own. What is decided stands in the crates `quorum` and `owners`;
-//! here are sockets, disks and time. No invocation ever waits for anything here.
+//! Leases on partitions of tasks, each with one owner at a time: the control replicas, and the instances that own partitions. The
+//! decisions are made in the crates `consensus` and `leases`; this module has their sockets, disks and time. No request ever waits
+//! for anything here.
 
 pub mod control_replica;
 pub mod counter_demo;
@@ -26,30 +27,34 @@
 use tokio::net::UdpSocket;
 use tokio::task::LocalSet;
 
-/// The keepers as the operator's file has them.
+/// The control replicas that the operator's file names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlReplicas {
+    /// Length of a lease.
     pub lease: Time,
+    /// Name and address of each replica.
     pub replicas: Vec<(String, SocketAddr)>,
-    /// Where this instance keeps, if it is one of them.
+    /// Folder of this instance's own replica; `None` where this instance is not a control replica.
     pub folder: Option<PathBuf>,
 }
 
 impl ControlReplicas {
+    /// The replicas' addresses by their ids.
     pub fn addresses(&self) -> HashMap<NodeId, SocketAddr> {
         addresses_by_id(&self.replicas)
     }
-    /// An address from which the keepers can be asked.
+    /// The address to bind a socket to that reaches the replicas.
     pub fn local_address(&self) -> SocketAddr {
         local_address(&self.replicas)
     }
 }
 
+/// The addresses of named peers by their ids.
 pub fn addresses_by_id(peers: &[(String, SocketAddr)]) -> HashMap<NodeId, SocketAddr> {
     peers.iter().map(|(name, address)| (node_id(name), *address)).collect()
 }
 
-/// An address from which these can be asked: of loopback where they are there.
+/// The address to bind a socket to that reaches the peers: of loopback where the first peer is on loopback.
 pub fn local_address(peers: &[(String, SocketAddr)]) -> SocketAddr {
     match peers.first() {
         Some((_, address)) if address.ip().is_loopback() => SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -57,7 +62,7 @@
     }
 }
 
-/// What an instance is to do.
+/// The subcommands of the program that use the control replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Subcommand {
     ControlReplica,
@@ -67,10 +72,10 @@
     Owners(owners_command::OwnersCommand),
 }
 
-/// One job, from the reading of the operator's file to its end.
+/// Runs a subcommand, from reading the operator's file to the end of the process.
 pub fn run_subcommand(path: &Path, name: &str, subcommand: &Subcommand) -> ExitCode {
-    let read = operator::read(path, None).map_err(|wrong| wrong.shown);
-    let read = read.and_then(|(operator, _)| match (&operator.keepers, &operator.tally, subcommand) {
+    let checked = operator::read(path, None).map_err(|wrong| wrong.shown);
+    let checked = checked.and_then(|(operator, _)| match (&operator.keepers, &operator.tally, subcommand) {
         (None, ..) => Err(format!("{}: no keepers\n", path.display())),
         (_, None, Subcommand::CounterDemo) => Err(format!("{}: no tally\n", path.display())),
         (_, _, Subcommand::Reconcile) if operator.settle.is_none() => {
@@ -84,33 +89,32 @@
         }
         _ => Ok(operator),
     });
-    let operator = match read {
+    let operator = match checked {
         Ok(operator) => operator,
-        Err(what) => {
-            let _ = io::stderr().write_all(what.as_bytes());
+        Err(error) => {
+            let _ = io::stderr().write_all(error.as_bytes());
             return ExitCode::from(2);
         }
     };
-    let (Some(keepers), tally) = (&operator.keepers, &operator.tally) else { return ExitCode::from(2) };
-    let done = match (subcommand, tally) {
-        (Subcommand::Owners(what), _) => {
-            owners_command::run(keepers, what, &known(&operator)).map(|(code, text)| {
+    let (Some(control), demo) = (&operator.keepers, &operator.tally) else { return ExitCode::from(2) };
+    let result = match (subcommand, demo) {
+        (Subcommand::Owners(command), _) => owners_command::run(control, command, &known_names(&operator))
+            .map(|(code, text)| {
                 let _ = io::stdout().write_all(text.as_bytes());
                 ExitCode::from(code)
-            })
-        }
-        (Subcommand::CounterDemo, Some(tally)) => block_on(counter_demo::run(name, keepers, tally)),
+            }),
+        (Subcommand::CounterDemo, Some(config)) => block_on(counter_demo::run(name, control, config)),
         (Subcommand::Reconcile, _) => match &operator.settle {
-            Some(settle) => block_on(reconcile::run(name, keepers, settle)),
+            Some(config) => block_on(reconcile::run(name, control, config)),
             None => Ok(ExitCode::from(2)),
         },
         (Subcommand::UsageReport, _) => match &operator.sums {
-            Some(sums) => block_on(usage_report::run(name, keepers, sums)),
+            Some(config) => block_on(usage_report::run(name, control, config)),
             None => Ok(ExitCode::from(2)),
         },
-        _ => block_on(control_replica::run(name, keepers, Some(path))),
+        _ => block_on(control_replica::run(name, control, Some(path))),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         log!("{error}");
         ExitCode::FAILURE
     })
@@ -123,21 +127,22 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A keeper beside something else in the same process, on a thread and with sockets of its own: its disk may take its time.
-pub fn spawn_control_replica(name: &str, keepers: &ControlReplicas) -> io::Result<()> {
-    let (name, keepers) = (name.to_string(), keepers.clone());
+/// Runs a control replica beside another role of the same process, on its own thread and sockets, so that a slow disk does not
+/// block that role.
+pub fn spawn_control_replica(name: &str, control: &ControlReplicas) -> io::Result<()> {
+    let (name, control) = (name.to_string(), control.clone());
     let thread = std::thread::Builder::new().name("keeper".into());
     thread.spawn(move || {
-        if let Err(error) = block_on(control_replica::run(&name, &keepers, None)) {
-            // What it promised can't be kept any more: the process goes on without it, and the others see that it is silent.
+        if let Err(error) = block_on(control_replica::run(&name, &control, None)) {
+            // A replica whose disk failed must not go on. The process runs on without it, and the other replicas miss its heartbeats.
             log!("keeper {name} ended: {error}");
         }
     })?;
     Ok(())
 }
 
-/// Names that an operator's list may speak of.
-fn known(operator: &Operator) -> Vec<String> {
+/// Names that the output of `owners` may contain.
+fn known_names(operator: &Operator) -> Vec<String> {
     let mut names = vec![
         PLANNERS_TASK.to_string(),
         reconcile::TASK_NAME.to_string(),
@@ -146,47 +151,55 @@
     names.extend(operator.tally.iter().map(|tally| tally.task.clone()));
     let tier = operator.tier.iter();
     names.extend(tier.flat_map(|tier| tier.planners.iter().map(|planner| planner.name.clone())));
-    names
-        .extend(operator.keepers.iter().flat_map(|keepers| keepers.replicas.iter().map(|one| one.0.clone())));
+    names.extend(
+        operator.keepers.iter().flat_map(|control| control.replicas.iter().map(|replica| replica.0.clone())),
+    );
     names
 }
 
-/// The duty of whoever leads the planners.
+/// Name of the task whose one partition is owned by the planners' leader.
 pub const PLANNERS_TASK: &str = "planners";
 
-/// Time for keepers and owners, in tenths of a millisecond: the steady clock, which no step of the Unix clock moves.
+/// Time for control replicas and owners, in tenths of a millisecond: a monotonic clock, which no step of the Unix clock moves.
 ///
-/// `CLEAT_TEST_CLOCK=RATE,AHEAD`, for tests only, makes it run so many parts in a thousand fast, and so many milliseconds ahead.
+/// `CLEAT_TEST_CLOCK=RATE,AHEAD`, for tests only, makes the clock run RATE thousandths fast, and AHEAD milliseconds ahead.
 #[derive(Clone, Copy)]
 pub struct MonotonicClock {
     start: Instant,
-    rate: i64,
-    ahead: Time,
+    drift_permille: i64,
+    offset: Time,
 }
 
 impl MonotonicClock {
     pub fn start() -> MonotonicClock {
         let text = std::env::var("CLEAT_TEST_CLOCK").unwrap_or_default();
-        let (rate, ahead) = text.split_once(',').unwrap_or(("0", "0"));
-        let rate = rate.parse::<i64>().unwrap_or(0).clamp(-900, 9000);
-        MonotonicClock { start: Instant::now(), rate, ahead: ahead.parse::<Time>().unwrap_or(0) * 10 }
+        let (drift, offset) = text.split_once(',').unwrap_or(("0", "0"));
+        let drift_permille = drift.parse::<i64>().unwrap_or(0).clamp(-900, 9000);
+        MonotonicClock {
+            start: Instant::now(),
+            drift_permille,
+            offset: offset.parse::<Time>().unwrap_or(0) * 10,
+        }
     }
+    /// Tenths of a millisecond since the start.
     pub fn now(&self) -> Time {
-        let past = (self.start.elapsed().as_micros() / 100) as Time;
-        past + past * self.rate / 1000 + self.ahead
+        let elapsed = (self.start.elapsed().as_micros() / 100) as Time;
+        elapsed + elapsed * self.drift_permille / 1000 + self.offset
     }
+    /// The instant at which this clock shows `at`.
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
-        let past = (at - self.ahead).clamp(0, 86_400_000_000) * 1000 / (1000 + self.rate);
-        (self.start + Duration::from_micros(past as u64 * 100)).into()
+        let elapsed = (at - self.offset).clamp(0, 86_400_000_000) * 1000 / (1000 + self.drift_permille);
+        (self.start + Duration::from_micros(elapsed as u64 * 100)).into()
     }
 }
 
-/// Sends what fits; what is lost is lost, as any datagram. Whether it was taken.
+/// Sends a datagram without waiting. Returns false where the message is too long or the socket's buffer is full; the protocols
+/// tolerate lost datagrams.
 pub fn send(socket: &UdpSocket, to: SocketAddr, datagram: &wire::ControlMessage) -> bool {
     message::encode(datagram).is_some_and(|bytes| socket.try_send_to(&bytes, to).is_ok())
 }
 
-/// A number that no other start of this program has had.
+/// Draws an id that differs for each start of the program; never 0.
 pub fn random_id(name: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/crates/server/src/leases/owners_command.rs
+++ b/crates/server/src/leases/owners_command.rs
@@ -1,4 +1,4 @@
-//! The command `owners`: who owns what, and an operator's word on it.
+//! The command `owners`: lists the owners of partitions, and lets an operator release or exclude them.
 
 use super::wire::{ControlMessage, LeaderClient, ResponseKind};
 use super::ControlReplicas;
@@ -8,31 +8,25 @@
 use std::collections::HashMap;
 use std::io;
 
-/// What is asked.
+/// A command of the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnersCommand {
-    List {
-        json: bool,
-    },
-    /// Take the parts of a duty from whoever owns them.
-    Release {
-        task: String,
-    },
-    /// Keep an instance from a duty, or no longer.
-    Exclude {
-        task: String,
-        instance: String,
-        excluded: bool,
-    },
+    /// Print the owner of each partition.
+    List { json: bool },
+    /// Take the partitions of a task from their owners.
+    Release { task: String },
+    /// Exclude an instance from a task, or admit it again.
+    Exclude { task: String, instance: String, excluded: bool },
 }
 
-/// The exit code, and what to print. Names are those of the file; one that is not there is told by its number.
-pub fn run(keepers: &ControlReplicas, what: &OwnersCommand, names: &[String]) -> io::Result<(u8, String)> {
-    let mut asker = LeaderClient::new(keepers)?;
-    let none = (4, "no quorum of keepers answers\n".to_string());
+/// Runs the command; returns the exit code and the text to print. `names` are the names in the operator's file; an id without a name
+/// is printed as a number.
+pub fn run(control: &ControlReplicas, command: &OwnersCommand, names: &[String]) -> io::Result<(u8, String)> {
+    let mut client = LeaderClient::new(control)?;
+    let no_quorum = (4, "no quorum of keepers answers\n".to_string());
     let number = std::process::id();
-    let request = match what {
-        OwnersCommand::List { json } => return Ok(list(&mut asker, *json, names)?.unwrap_or(none)),
+    let request = match command {
+        OwnersCommand::List { json } => return Ok(list(&mut client, *json, names)?.unwrap_or(no_quorum)),
         OwnersCommand::Release { task } => {
             Request::Exclude { number, task: node_id(task), instance: None, excluded: true }
         }
@@ -43,66 +37,68 @@
             excluded: *excluded,
         },
     };
-    let done = |answer: &Response| matches!(answer, Response::Done { number: one, .. } if *one == number);
-    Ok(asks(&mut asker, request, done)?.map_or(none, |_| (0, "decided\n".to_string())))
+    let is_done = |response: &Response| matches!(response, Response::Done { number: answered, .. } if *answered == number);
+    Ok(send_request(&mut client, request, is_done)?.map_or(no_quorum, |_| (0, "decided\n".to_string())))
 }
 
-fn asks(
-    asker: &mut LeaderClient,
+/// Sends a request to the leader; returns the first response that `is_match` accepts.
+fn send_request(
+    client: &mut LeaderClient,
     request: Request,
-    fits: impl Fn(&Response) -> bool,
+    is_match: impl Fn(&Response) -> bool,
 ) -> io::Result<Option<Response>> {
-    asker.request(&ControlMessage::LeaseRequest(request), |wire| match wire {
+    client.request(&ControlMessage::LeaseRequest(request), |wire| match wire {
         ControlMessage::LeaseResponse { response: Response::NotLeader { leader }, .. } => {
             ResponseKind::NotLeader(leader)
         }
-        ControlMessage::LeaseResponse { response, .. } if fits(&response) => ResponseKind::Matching(response),
+        ControlMessage::LeaseResponse { response, .. } if is_match(&response) => {
+            ResponseKind::Matching(response)
+        }
         _ => ResponseKind::Unrelated,
     })
 }
 
-fn list(asker: &mut LeaderClient, as_json: bool, names: &[String]) -> io::Result<Option<(u8, String)>> {
-    let named: HashMap<NodeId, &String> = names.iter().map(|name| (node_id(name), name)).collect();
-    let name = |number: NodeId| match (number, named.get(&number)) {
+fn list(client: &mut LeaderClient, as_json: bool, names: &[String]) -> io::Result<Option<(u8, String)>> {
+    let name_of: HashMap<NodeId, &String> = names.iter().map(|name| (node_id(name), name)).collect();
+    let name = |id: NodeId| match (id, name_of.get(&id)) {
         (0, _) => "nobody".to_string(),
         (_, Some(name)) => (*name).clone(),
-        (_, None) => format!("{number:016x}"),
+        (_, None) => format!("{id:016x}"),
     };
-    let (mut from, mut all): (Partition, Vec<PartitionStatus>) =
+    let (mut from, mut listed): (Partition, Vec<PartitionStatus>) =
         (Partition { task: 0, index: 0 }, Vec::new());
     loop {
-        let number = all.len() as u32;
-        let fits =
-            |answer: &Response| matches!(answer, Response::Partitions { number: one, .. } if *one == number);
-        let Some(Response::Partitions { partitions: lines, more, .. }) =
-            asks(asker, Request::List { number, from }, fits)?
+        let number = listed.len() as u32;
+        let is_match = |response: &Response| matches!(response, Response::Partitions { number: answered, .. } if *answered == number);
+        let Some(Response::Partitions { partitions: page, more, .. }) =
+            send_request(client, Request::List { number, from }, is_match)?
         else {
             return Ok(None);
         };
-        let last = lines.last().map(|line| line.partition);
-        all.extend(lines);
+        let last = page.last().map(|status| status.partition);
+        listed.extend(page);
         match last.filter(|_| more) {
             Some(last) => from = Partition { index: last.index.saturating_add(1), ..last },
             None => break,
         }
     }
     let mut text = String::new();
-    for line in all {
-        let (left, moved) = (line.lease_left as f64 / 10.0, line.cursor_age as f64 / 10.0);
-        let (duty, owner) = (name(line.partition.task), name(line.owner));
-        let item = line.cursor.clone().try_into().map(u64::from_le_bytes).ok();
+    for status in listed {
+        let (lease_left_ms, age_ms) = (status.lease_left as f64 / 10.0, status.cursor_age as f64 / 10.0);
+        let (task, owner) = (name(status.partition.task), name(status.owner));
+        let item = status.cursor.clone().try_into().map(u64::from_le_bytes).ok();
         text += &if as_json {
-            let moved = (line.cursor_age >= 0).then_some(moved);
-            let owner = (line.owner != 0).then_some(owner);
-            let line = json!({"duty": duty, "part": line.partition.index, "owner": owner, "token": line.token,
-                "lease_left_ms": left, "last_done_ms_ago": moved, "cursor": item});
+            let age_ms = (status.cursor_age >= 0).then_some(age_ms);
+            let owner = (status.owner != 0).then_some(owner);
+            let line = json!({"duty": task, "part": status.partition.index, "owner": owner, "token": status.token,
+                "lease_left_ms": lease_left_ms, "last_done_ms_ago": age_ms, "cursor": item});
             format!("{line}\n")
         } else {
-            let moved = if line.cursor_age < 0 { "-".into() } else { format!("{moved:.0} ms ago") };
+            let age = if status.cursor_age < 0 { "-".into() } else { format!("{age_ms:.0} ms ago") };
             format!(
-                "{duty} part {}: {owner}, token {}, lease {left:.0} ms, last done {moved}, at {}\n",
-                line.partition.index,
-                line.token,
+                "{task} part {}: {owner}, token {}, lease {lease_left_ms:.0} ms, last done {age}, at {}\n",
+                status.partition.index,
+                status.token,
                 item.map_or("-".into(), |item| item.to_string())
             )
         };
--- a/crates/server/src/leases/reconcile.rs
+++ b/crates/server/src/leases/reconcile.rs
@@ -1,16 +1,17 @@
-//! A duty on behalf of instances that are down: what their stores say was taken in and not answered, and tokens that were begun and
-//! whose end nobody knows, is told to a ledger, once for each row. A part is a folder, on a volume that all who may own the duty reach.
+//! A task on behalf of instances that are down. Their stores name the requests that were admitted and not answered, and the
+//! idempotency keys whose request was started with an unknown outcome. The task reports each such row to a ledger once. A partition is
+//! a store's folder, on a volume that all instances reach that may own the task.
 //!
-//! The folder is read only while no process holds it, in one go, and let go at once; one that is held belongs to an instance that is
-//! here and settles by itself. Rows have no order over the lives of an instance, so each is told under its own key, and what was told before
-//! changes nothing (one JSON object a line, both ways):
+//! A folder is read only while no process holds its lock: it is opened, read and closed in one step. A folder whose lock is held belongs
+//! to a running instance, which reports its rows itself. Rows have no order over the restarts of an instance, so each row is reported
+//! under its own key, and reporting a row again changes nothing (one JSON object a line, both ways):
 //!
 //! ```text
 //! {"duty":"settle","part":0,"item":8813…,"row":"o/0000…1a2b","what":"report, …","token":57,"by":"n1"}
-//! {"part":0,"item":8813…,"taken":true}      or taken false, where it has seen a later token
+//! {"part":0,"item":8813…,"taken":true}      or taken false, where the ledger has seen a later token
 //! ```
 
-use super::task_worker::{self, Item, Source};
+use super::task_worker::{self, Item, ItemSource};
 use super::ControlReplicas;
 use crate::core::keeping::{Loaded, Ran};
 use crate::log;
@@ -23,95 +24,101 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// The `settle` of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReconcileConfig {
     pub ledger: SocketAddr,
     pub folders: Vec<PathBuf>,
-    /// Between two looks at a folder.
+    /// Time between two reads of a folder.
     pub interval: Time,
 }
 
+/// Name of the task.
 pub const TASK_NAME: &str = "settle";
-/// Rows of a folder that are told in one look; the next look goes on with the rest, as what was told is known.
-const ROWS: usize = 10_000;
+/// Maximum number of rows that one read of a folder returns. The next read skips the reported rows and returns the rest.
+const MAX_ROWS_PER_READ: usize = 10_000;
 
-/// A row as it is told.
+/// A row as it is reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub key: String,
     pub what: String,
 }
 
-/// What the store in a folder leaves to be settled; `None` where an instance holds it, or nothing was ever kept there.
-pub fn rows(folder: &Path) -> Result<Option<Vec<Row>>, String> {
+/// Reads the unresolved rows of a folder's store; `None` where a running instance holds the store, or the folder has none.
+pub fn unresolved_rows(folder: &Path) -> Result<Option<Vec<Row>>, String> {
     if !folder.is_dir() {
         return Ok(None);
     }
     let disk = match DiskDirectory::open(folder) {
         Err(Error::Locked) => return Ok(None),
-        other => other.map_err(|error| error.to_string())?,
+        opened => opened.map_err(|error| error.to_string())?,
     };
     let mut store = Store::open(disk, StoreOptions::default()).map_err(|error| error.to_string())?;
     let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
-    let owed =
+    let unanswered =
         loaded.cut_off.into_iter().map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
-    let begun = loaded.tokens.into_iter().filter(|(_, token)| token.ran == Ran::Begun);
-    let begun =
-        begun.map(|(token, _)| Row { key: format!("t/{token}"), what: "begun, its end is not known".into() });
-    Ok(Some(owed.chain(begun).take(ROWS).collect()))
+    let started = loaded.tokens.into_iter().filter(|(_, token)| token.ran == Ran::Begun);
+    let started = started
+        .map(|(token, _)| Row { key: format!("t/{token}"), what: "begun, its end is not known".into() });
+    Ok(Some(unanswered.chain(started).take(MAX_ROWS_PER_READ).collect()))
 }
 
-/// A part that is owned.
+/// An owned partition.
 #[derive(Default)]
-struct Told {
-    left: VecDeque<Row>,
-    /// What was told under this token.
-    told: HashSet<String>,
+struct OwnedFolder {
+    unreported: VecDeque<Row>,
+    /// Keys of rows that were reported under this fencing token.
+    reported: HashSet<String>,
 }
 
-struct Rows {
+struct Folders {
     folders: Vec<PathBuf>,
-    every: Time,
-    parts: HashMap<u32, Told>,
+    interval: Time,
+    owned: HashMap<u32, OwnedFolder>,
 }
 
-impl Source for Rows {
-    fn begins(&mut self, part: u32, _cursor: &[u8]) {
-        self.parts.insert(part, Told::default());
+impl ItemSource for Folders {
+    fn start_partition(&mut self, partition: u32, _cursor: &[u8]) {
+        self.owned.insert(partition, OwnedFolder::default());
     }
-    fn ends(&mut self, part: u32) {
-        self.parts.remove(&part);
+    fn stop_partition(&mut self, partition: u32) {
+        self.owned.remove(&partition);
     }
-    fn next(&mut self, part: u32) -> Result<Item, Time> {
-        let (Some(folder), Some(one)) = (self.folders.get(part as usize), self.parts.get_mut(&part)) else {
-            return Err(self.every);
+    fn next_item(&mut self, partition: u32) -> Result<Item, Time> {
+        let (Some(folder), Some(owned)) =
+            (self.folders.get(partition as usize), self.owned.get_mut(&partition))
+        else {
+            return Err(self.interval);
         };
-        if one.left.is_empty() {
-            match rows(folder) {
-                Ok(found) => {
-                    let found = found.into_iter().flatten();
-                    one.left = found.filter(|row| !one.told.contains(&row.key)).collect();
+        if owned.unreported.is_empty() {
+            match unresolved_rows(folder) {
+                Ok(rows) => {
+                    let rows = rows.into_iter().flatten();
+                    owned.unreported = rows.filter(|row| !owned.reported.contains(&row.key)).collect();
                 }
                 Err(error) => log!("{}: {error}", folder.display()),
             }
-            if one.told.len() > 4 * ROWS {
-                one.told.clear(); // told again, once in a while, and changes nothing
+            if owned.reported.len() > 4 * MAX_ROWS_PER_READ {
+                owned.reported.clear(); // rows are then reported again, which changes nothing
             }
         }
-        let row = one.left.front().ok_or(self.every)?;
-        let more = [("row", &row.key), ("what", &row.what)];
-        let more = more.into_iter().map(|(key, value)| (key.to_string(), json!(value))).collect();
-        Ok(Item { number: node_id(&row.key), more, after: None })
+        let row = owned.unreported.front().ok_or(self.interval)?;
+        let fields = [("row", &row.key), ("what", &row.what)];
+        let fields = fields.into_iter().map(|(key, value)| (key.to_string(), json!(value))).collect();
+        Ok(Item { number: node_id(&row.key), fields, cursor_after: None })
     }
-    fn done(&mut self, part: u32, _number: u64) -> Time {
-        if let Some(one) = self.parts.get_mut(&part) {
-            one.told.extend(one.left.pop_front().map(|row| row.key));
+    fn complete_item(&mut self, partition: u32, _number: u64) -> Time {
+        if let Some(owned) = self.owned.get_mut(&partition) {
+            owned.reported.extend(owned.unreported.pop_front().map(|row| row.key));
         }
         0
     }
 }
 
-pub async fn run(name: &str, keepers: &ControlReplicas, set: &ReconcileConfig) -> io::Result<()> {
-    let rows = Rows { folders: set.folders.clone(), every: set.interval, parts: HashMap::new() };
-    task_worker::run(name, keepers, TASK_NAME, set.folders.len() as u32, set.ledger, rows).await
+/// Runs the task until SIGTERM.
+pub async fn run(name: &str, control: &ControlReplicas, config: &ReconcileConfig) -> io::Result<()> {
+    let folders =
+        Folders { folders: config.folders.clone(), interval: config.interval, owned: HashMap::new() };
+    task_worker::run(name, control, TASK_NAME, config.folders.len() as u32, config.ledger, folders).await
 }
--- a/crates/server/src/leases/replicated_state.rs
+++ b/crates/server/src/leases/replicated_state.rs
@@ -1,18 +1,19 @@
-//! All that the keepers agree on: who owns which duty, and which policy is in force. Two machines on one log; a command's first byte
-//! says whose it is.
+//! The replicated state of the control replicas: who owns which partition, and which policy is active. Two state machines share one
+//! log; the first byte of a command tells which of them it is for.
 
 use cypresscleat_consensus::StateMachine;
 use cypresscleat_leases::state::LeaseState;
 use cypresscleat_rollout::state::{PolicyState, COMMAND_TAG};
 
+/// The leases and the policies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicatedState {
     pub leases: LeaseState,
     pub policies: PolicyState,
 }
 
-/// In front of an image of both; one without it is of duties alone, as earlier versions of this program wrote it.
-const BOTH: &[u8; 8] = b"CCLEATA2";
+/// Magic bytes of a snapshot of both state machines. A snapshot without them is of the leases alone, as earlier versions wrote it.
+const MAGIC: &[u8; 8] = b"CCLEATA2";
 
 impl StateMachine for ReplicatedState {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
@@ -24,10 +25,10 @@
     fn snapshot(&self) -> Vec<u8> {
         let leases = self.leases.snapshot();
         let length = (leases.len() as u64).to_le_bytes();
-        [&BOTH[..], &length, &leases, &self.policies.snapshot()].concat()
+        [&MAGIC[..], &length, &leases, &self.policies.snapshot()].concat()
     }
     fn from_snapshot(bytes: &[u8]) -> Option<ReplicatedState> {
-        let Some(rest) = bytes.strip_prefix(BOTH) else {
+        let Some(rest) = bytes.strip_prefix(MAGIC) else {
             return Some(ReplicatedState {
                 leases: LeaseState::from_snapshot(bytes)?,
                 policies: PolicyState::default(),
--- a/crates/server/src/leases/task_worker.rs
+++ b/crates/server/src/leases/task_worker.rs
@@ -1,12 +1,13 @@
-//! The one loop of every duty that acts on an outside ledger. Of each part one item after the other; the ledger compares tokens and
-//! knows each item by its number (one JSON object a line, both ways):
+//! The main loop of every task that acts on an external ledger. Each owned partition processes one item after the other. The ledger
+//! compares fencing tokens and knows each item by its number (one JSON object a line, both ways):
 //!
 //! ```text
-//!     {"duty":"tally","part":0,"item":12,"token":57,"by":"n1"}      and what else the duty says of the item
-//!     {"part":0,"item":12,"taken":true}        or taken false, where it has seen a later token
+//!     {"duty":"tally","part":0,"item":12,"token":57,"by":"n1"}      and the task's fields of the item
+//!     {"part":0,"item":12,"taken":true}        or taken false, where the ledger has seen a later token
 //! ```
 //!
-//! An item that it has done before is taken and changes nothing: that closes the gap between its doing and our cursor.
+//! The ledger accepts an item that it has applied before, and it changes nothing. A crash between the ledger's response and the saved
+//! cursor is therefore harmless.
 
 use super::lease_holder::LeaseHolder;
 use super::ControlReplicas;
@@ -25,69 +26,73 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Answers longer than this end the connection.
-const LINE: usize = 4096;
-const CONNECT: Duration = Duration::from_millis(500);
-/// An act that is not answered is sent again after this long.
-const AGAIN: Time = 5_000;
-/// A part under which a later token acted: nothing more until it is owned anew.
+/// Maximum length of a response line; a longer one closes the connection.
+const MAX_LINE_BYTES: usize = 4096;
+/// Time limit of a connection attempt, and of writing a line.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time until an operation without a response is sent again.
+const RETRY_DELAY: Time = 5_000;
+/// Next attempt of a partition whose token the ledger has rejected as stale: none until it is acquired again.
 const NEVER: Time = Time::MAX / 8;
 
-/// What is to be done next of a part.
+/// The next item of a partition.
 pub struct Item {
     pub number: u64,
-    /// What else the ledger is told of it.
-    pub more: Map<String, Value>,
-    /// Where the work stands once the ledger has it; `None` where the duty keeps no cursor.
-    pub after: Option<Vec<u8>>,
+    /// The task's own fields of the item, sent to the ledger.
+    pub fields: Map<String, Value>,
+    /// The cursor once the ledger has accepted the item; `None` where the task saves no cursor.
+    pub cursor_after: Option<Vec<u8>>,
 }
 
-/// What a duty does. It is asked from one task only; it may read files, for as long as the parts' other work may wait.
-pub trait Source {
-    /// A part is owned from now on; its work stands at `cursor`.
-    fn begins(&mut self, part: u32, cursor: &[u8]);
-    fn ends(&mut self, part: u32);
-    /// `Err` is how long to wait before it is asked again.
-    fn next(&mut self, part: u32) -> Result<Item, Time>;
-    /// The ledger has the item, and the cursor stands behind it: how long until the next.
-    fn done(&mut self, part: u32, number: u64) -> Time;
+/// The items of a task. It is called from one async task only. It may block to read files, which delays all owned partitions.
+pub trait ItemSource {
+    /// The partition is owned from now on; its work resumes at `cursor`.
+    fn start_partition(&mut self, partition: u32, cursor: &[u8]);
+    /// The partition is no longer owned.
+    fn stop_partition(&mut self, partition: u32);
+    /// Returns the next item; `Err` is the time to wait before the next call.
+    fn next_item(&mut self, partition: u32) -> Result<Item, Time>;
+    /// The ledger has accepted the item, and its cursor is saved. Returns the time until the next item.
+    fn complete_item(&mut self, partition: u32, number: u64) -> Time;
 }
 
-struct Work {
+/// Work on an owned partition.
+struct PartitionWork {
     token: u64,
-    /// What was sent and is not done.
+    /// The item that was sent and is not completed.
     item: Option<Item>,
-    next: Time,
-    /// Its cursor waits to be decided.
+    /// Time of the next attempt.
+    next_at: Time,
+    /// Ticket of the cursor whose save is pending.
     ticket: Option<u64>,
 }
 
-/// Holds a connection to the ledger, and brings its answers back.
-async fn connection(ledger: SocketAddr, mut acts: Receiver<String>, answers: Sender<Value>) {
+/// Keeps a connection to the ledger open, sends operations and returns the responses.
+async fn run_connection(ledger: SocketAddr, mut operations: Receiver<String>, responses: Sender<Value>) {
     loop {
-        let Ok(Ok(mut stream)) = timeout(CONNECT, TcpStream::connect(ledger)).await else {
+        let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(ledger)).await else {
             sleep(Duration::from_millis(100)).await;
-            while acts.try_recv().is_ok() {} // too old to be sent by the time that there is somebody
+            while operations.try_recv().is_ok() {} // too old to be sent once the ledger is back
             continue;
         };
         let _ = stream.set_nodelay(true);
         let (reader, mut writer) = stream.split();
-        let mut lines = BufReader::with_capacity(LINE, reader);
+        let mut lines = BufReader::with_capacity(MAX_LINE_BYTES, reader);
         let mut line = Vec::new();
         loop {
             tokio::select! {
-                act = acts.recv() => {
-                    let Some(act) = act else { return };
-                    if !matches!(timeout(CONNECT, writer.write_all(act.as_bytes())).await, Ok(Ok(()))) {
+                operation = operations.recv() => {
+                    let Some(operation) = operation else { return };
+                    if !matches!(timeout(CONNECT_TIMEOUT, writer.write_all(operation.as_bytes())).await, Ok(Ok(()))) {
                         break;
                     }
                 }
-                got = lines.read_until(b'\n', &mut line) => {
-                    if !matches!(got, Ok(1..)) || line.len() > LINE {
+                read = lines.read_until(b'\n', &mut line) => {
+                    if !matches!(read, Ok(1..)) || line.len() > MAX_LINE_BYTES {
                         break;
                     }
-                    if let Ok(answer) = serde_json::from_slice(&line) {
-                        if answers.send(answer).await.is_err() {
+                    if let Ok(response) = serde_json::from_slice(&line) {
+                        if responses.send(response).await.is_err() {
                             return;
                         }
                     }
@@ -98,55 +103,56 @@
     }
 }
 
-/// Owns what it is given of a duty's parts, and works on them until it is told to stop.
+/// Claims the partitions of a task, and processes the items of those that it owns until SIGTERM.
 pub async fn run(
     name: &str,
-    keepers: &ControlReplicas,
-    duty: &str,
-    parts: u32,
+    control: &ControlReplicas,
+    task: &str,
+    partition_count: u32,
     ledger: SocketAddr,
-    mut source: impl Source,
+    mut source: impl ItemSource,
 ) -> io::Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let number = node_id(duty);
-    let mut hold =
-        LeaseHolder::new(name, keepers, vec![Claim { task: number, partitions: parts, rank: 0 }]).await?;
-    log!("{name} is ready for {duty:?} in {parts} parts");
-    let (to, acts) = channel(256);
-    let (from, mut answers) = channel(256);
-    spawn_local(connection(ledger, acts, from));
-    let mut work: HashMap<Partition, Work> = HashMap::new();
-    let mut done = 0u64;
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let task_id = node_id(task);
+    let mut holder =
+        LeaseHolder::new(name, control, vec![Claim { task: task_id, partitions: partition_count, rank: 0 }])
+            .await?;
+    log!("{name} is ready for {task:?} in {partition_count} parts");
+    let (to_ledger, operations) = channel(256);
+    let (from_ledger, mut responses) = channel(256);
+    spawn_local(run_connection(ledger, operations, from_ledger));
+    let mut work: HashMap<Partition, PartitionWork> = HashMap::new();
+    let mut completed = 0u64;
     loop {
-        let next = work.values().filter(|one| one.ticket.is_none()).map(|one| one.next).min();
-        let until = next.unwrap_or(NEVER).min(hold.clock.now() + 10_000);
+        let next_at = work.values().filter(|owned| owned.ticket.is_none()).map(|owned| owned.next_at).min();
+        let until = next_at.unwrap_or(NEVER).min(holder.clock.now() + 10_000);
         tokio::select! {
-            event = hold.next_event(until) => match event {
+            event = holder.next_event(until) => match event {
                 Some(LeaseEvent::Acquired { partition, token, cursor }) => {
-                    log!("owns {duty} part {} under token {token}", partition.index);
-                    source.begins(partition.index, &cursor);
-                    work.insert(partition, Work { token, item: None, next: hold.clock.now(), ticket: None });
+                    log!("owns {task} part {} under token {token}", partition.index);
+                    source.start_partition(partition.index, &cursor);
+                    work.insert(partition, PartitionWork { token, item: None, next_at: holder.clock.now(), ticket: None });
                 }
                 Some(LeaseEvent::Lost { partition, token }) => {
-                    log!("owns {duty} part {} no longer, token {token}", partition.index);
+                    log!("owns {task} part {} no longer, token {token}", partition.index);
                     if work.remove(&partition).is_some() {
-                        source.ends(partition.index);
+                        source.stop_partition(partition.index);
                     }
                 }
                 Some(LeaseEvent::ReleaseRequested { partition }) => {
                     if work.remove(&partition).is_some() {
-                        source.ends(partition.index);
+                        source.stop_partition(partition.index);
                     }
-                    hold.release(partition);
+                    holder.release(partition);
                 }
                 Some(LeaseEvent::CursorSaved { ticket, accepted }) => {
-                    if let Some((partition, one)) = work.iter_mut().find(|(_, one)| one.ticket == Some(ticket)) {
-                        one.ticket = None;
-                        let item = one.item.take();
-                        one.next = match item.filter(|_| accepted) {
+                    if let Some((partition, owned)) = work.iter_mut().find(|(_, owned)| owned.ticket == Some(ticket)) {
+                        owned.ticket = None;
+                        let item = owned.item.take();
+                        owned.next_at = match item.filter(|_| accepted) {
                             Some(item) => {
-                                done += 1;
-                                hold.clock.now() + source.done(partition.index, item.number)
+                                completed += 1;
+                                holder.clock.now() + source.complete_item(partition.index, item.number)
                             }
                             None => NEVER,
                         };
@@ -154,58 +160,60 @@
                 }
                 None => {}
             },
-            answer = answers.recv() => {
-                let Some(answer) = answer else { break };
-                let partition = Partition { task: number, index: answer["part"].as_u64().unwrap_or(u64::MAX) as u32 };
-                let Some(one) = work.get_mut(&partition) else { continue };
-                let Some(item) = one.item.as_ref().filter(|item| answer["item"] == json!(item.number)) else { continue };
-                if one.ticket.is_some() {
+            response = responses.recv() => {
+                let Some(response) = response else { break };
+                let partition = Partition { task: task_id, index: response["part"].as_u64().unwrap_or(u64::MAX) as u32 };
+                let Some(owned) = work.get_mut(&partition) else { continue };
+                let Some(item) = owned.item.as_ref().filter(|item| response["item"] == json!(item.number)) else { continue };
+                if owned.ticket.is_some() {
                     continue;
                 }
-                if answer["taken"] == json!(true) {
-                    match item.after.clone() {
-                        Some(after) => one.ticket = hold.save_cursor(partition, after),
+                if response["taken"] == json!(true) {
+                    match item.cursor_after.clone() {
+                        Some(cursor) => owned.ticket = holder.save_cursor(partition, cursor),
                         None => {
                             let number = item.number;
-                            (one.item, done) = (None, done + 1);
-                            one.next = hold.clock.now() + source.done(partition.index, number);
+                            (owned.item, completed) = (None, completed + 1);
+                            owned.next_at = holder.clock.now() + source.complete_item(partition.index, number);
                         }
                     }
-                } else if answer["token"].as_u64().is_some_and(|token| token > one.token) {
-                    one.next = NEVER;
+                } else if response["token"].as_u64().is_some_and(|token| token > owned.token) {
+                    owned.next_at = NEVER;
                 }
             }
-            _ = term.recv() => break,
+            _ = sigterm.recv() => break,
         }
-        let now = hold.clock.now();
-        for (partition, one) in work.iter_mut().filter(|(_, one)| one.ticket.is_none() && one.next <= now) {
-            if one.item.is_none() {
-                match source.next(partition.index) {
-                    Ok(item) => one.item = Some(item),
-                    Err(wait) => one.next = now + wait.max(10),
+        let now = holder.clock.now();
+        for (partition, owned) in
+            work.iter_mut().filter(|(_, owned)| owned.ticket.is_none() && owned.next_at <= now)
+        {
+            if owned.item.is_none() {
+                match source.next_item(partition.index) {
+                    Ok(item) => owned.item = Some(item),
+                    Err(wait) => owned.next_at = now + wait.max(10),
                 }
             }
-            let Some(item) = &one.item else { continue };
-            // The lease is looked at right before the act, and the act carries the token.
-            let Some(token) = hold.valid_token(*partition).filter(|token| *token == one.token) else {
-                one.next = now + 100;
+            let Some(item) = &owned.item else { continue };
+            // The lease is checked right before the operation, and the operation carries the fencing token.
+            let Some(token) = holder.valid_token(*partition).filter(|token| *token == owned.token) else {
+                owned.next_at = now + 100;
                 continue;
             };
-            let mut act = item.more.clone();
-            act.insert("duty".into(), json!(duty));
-            act.insert("part".into(), json!(partition.index));
-            act.insert("item".into(), json!(item.number));
-            act.insert("token".into(), json!(token));
-            act.insert("by".into(), json!(name));
-            let line = format!("{}\n", Value::Object(act));
-            one.next = now + if to.try_send(line).is_ok() { AGAIN } else { 100 };
+            let mut operation = item.fields.clone();
+            operation.insert("duty".into(), json!(task));
+            operation.insert("part".into(), json!(partition.index));
+            operation.insert("item".into(), json!(item.number));
+            operation.insert("token".into(), json!(token));
+            operation.insert("by".into(), json!(name));
+            let line = format!("{}\n", Value::Object(operation));
+            owned.next_at = now + if to_ledger.try_send(line).is_ok() { RETRY_DELAY } else { 100 };
         }
     }
-    // Told to leave: nothing of ours is begun any more, and the next may go on at once.
-    for (partition, one) in work.drain() {
-        log!("released {duty} part {}, token {}", partition.index, one.token);
+    // After SIGTERM no operation is started any more, so the next owner may continue at once.
+    for (partition, owned) in work.drain() {
+        log!("released {task} part {}, token {}", partition.index, owned.token);
     }
-    hold.leave().await;
-    log!("stopped: {done} items done");
+    holder.leave().await;
+    log!("stopped: {completed} items done");
     Ok(())
 }
--- a/crates/server/src/leases/usage_report.rs
+++ b/crates/server/src/leases/usage_report.rs
@@ -1,11 +1,11 @@
-//! The fleet's tally: of each instance's billing rows the sums by the hour, told to a ledger once for each hour that had any. A part is
-//! an instance's folder; its cursor is the next hour. Where sums come from stands in `hours`.
+//! Usage report of the fleet: the sums of each instance's billing rows by the hour, reported to a ledger once for each hour that had
+//! rows. A partition is the folder of one instance; its cursor is the next hour. [`hours`] describes where the sums come from.
 //!
 //! ```text
 //! {"duty":"sums","part":0,"item":489123,"rows":311,"billed_milli":933000,"token":57,"by":"n1"}
 //! ```
 
-use super::task_worker::{self, Item, Source};
+use super::task_worker::{self, Item, ItemSource};
 use super::ControlReplicas;
 use crate::hours::{self, Sum};
 use crate::{clock, log};
@@ -16,69 +16,76 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The `sums` of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageReportConfig {
     pub ledger: SocketAddr,
     pub folders: Vec<PathBuf>,
-    /// Of an hour; as the instances' `store.hours` has it.
+    /// Length of an hour; the instances have it as `store.hours`.
     pub hour_length: Time,
-    /// Between two looks at a folder.
+    /// Time between two reads of a folder.
     pub interval: Time,
 }
 
+/// Name of the task.
 pub const TASK_NAME: &str = "sums";
 
+/// An owned partition.
 #[derive(Default)]
-struct Told {
-    from: u64,
-    left: VecDeque<(u64, Sum)>,
-    /// What was said last of a folder that can't be read.
-    wrong: String,
+struct OwnedFolder {
+    /// The next hour to report.
+    next_hour: u64,
+    unreported: VecDeque<(u64, Sum)>,
+    /// The last read error that was logged, so that the same error is logged once.
+    logged_error: String,
 }
 
 struct Folders {
-    set: UsageReportConfig,
-    parts: HashMap<u32, Told>,
+    config: UsageReportConfig,
+    owned: HashMap<u32, OwnedFolder>,
 }
 
-impl Source for Folders {
-    fn begins(&mut self, part: u32, cursor: &[u8]) {
-        let from = cursor.try_into().map(u64::from_le_bytes).unwrap_or(0);
-        self.parts.insert(part, Told { from, ..Told::default() });
+impl ItemSource for Folders {
+    fn start_partition(&mut self, partition: u32, cursor: &[u8]) {
+        let next_hour = cursor.try_into().map(u64::from_le_bytes).unwrap_or(0);
+        self.owned.insert(partition, OwnedFolder { next_hour, ..OwnedFolder::default() });
     }
-    fn ends(&mut self, part: u32) {
-        self.parts.remove(&part);
+    fn stop_partition(&mut self, partition: u32) {
+        self.owned.remove(&partition);
     }
-    fn next(&mut self, part: u32) -> Result<Item, Time> {
-        let every = self.set.interval;
-        let folder = self.set.folders.get(part as usize).filter(|folder| folder.is_dir()).ok_or(every)?;
-        let one = self.parts.get_mut(&part).ok_or(every)?;
-        if one.left.is_empty() {
-            let (span, now) = ((self.set.hour_length / 10).max(1) as u64, (clock::unix() / 10) as u64);
-            match hours::read(folder, span, one.from, now) {
-                Ok(found) => one.left = found.into(),
-                Err(wrong) if wrong != one.wrong => {
-                    log!("{wrong}");
-                    one.wrong = wrong;
+    fn next_item(&mut self, partition: u32) -> Result<Item, Time> {
+        let interval = self.config.interval;
+        let folder =
+            self.config.folders.get(partition as usize).filter(|folder| folder.is_dir()).ok_or(interval)?;
+        let owned = self.owned.get_mut(&partition).ok_or(interval)?;
+        if owned.unreported.is_empty() {
+            let (hour_length, now) =
+                ((self.config.hour_length / 10).max(1) as u64, (clock::unix() / 10) as u64);
+            match hours::read(folder, hour_length, owned.next_hour, now) {
+                Ok(sums) => owned.unreported = sums.into(),
+                Err(error) if error != owned.logged_error => {
+                    log!("{error}");
+                    owned.logged_error = error;
                 }
                 Err(_) => {}
             }
         }
-        let (hour, sum) = one.left.front().copied().ok_or(every)?;
-        let more = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.milli))];
-        let more = more.into_iter().map(|(key, value)| (key.to_string(), value)).collect();
-        Ok(Item { number: hour, more, after: Some((hour + 1).to_le_bytes().to_vec()) })
+        let (hour, sum) = owned.unreported.front().copied().ok_or(interval)?;
+        let fields = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.milli))];
+        let fields = fields.into_iter().map(|(key, value)| (key.to_string(), value)).collect();
+        Ok(Item { number: hour, fields, cursor_after: Some((hour + 1).to_le_bytes().to_vec()) })
     }
-    fn done(&mut self, part: u32, number: u64) -> Time {
-        if let Some(one) = self.parts.get_mut(&part) {
-            one.from = number + 1;
-            one.left.pop_front();
+    fn complete_item(&mut self, partition: u32, number: u64) -> Time {
+        if let Some(owned) = self.owned.get_mut(&partition) {
+            owned.next_hour = number + 1;
+            owned.unreported.pop_front();
         }
         0
     }
 }
 
-pub async fn run(name: &str, keepers: &ControlReplicas, set: &UsageReportConfig) -> io::Result<()> {
-    let folders = Folders { set: set.clone(), parts: HashMap::new() };
-    task_worker::run(name, keepers, TASK_NAME, set.folders.len() as u32, set.ledger, folders).await
+/// Runs the task until SIGTERM.
+pub async fn run(name: &str, control: &ControlReplicas, config: &UsageReportConfig) -> io::Result<()> {
+    let folders = Folders { config: config.clone(), owned: HashMap::new() };
+    task_worker::run(name, control, TASK_NAME, config.folders.len() as u32, config.ledger, folders).await
 }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -1,4 +1,4 @@
-//! What a datagram to or from a keeper holds, and a question asked of whichever keeper leads.
+//! Datagrams to and from control replicas, and a client that sends requests to the leader.
 
 use super::known_replicas::KnownReplicas;
 use super::ControlReplicas;
@@ -12,118 +12,123 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// The first three are as `leases::messages::Datagram` has them; what is later comes behind.
+/// The content of a datagram. The first three variants have the encoding of `leases::messages::Datagram`; later variants are added
+/// at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// Between keepers.
+    /// Between control replicas.
     Consensus(Message),
-    /// To a keeper.
+    /// To a control replica.
     LeaseRequest(messages::Request),
-    /// From a keeper, whose number goes with it.
-    LeaseResponse {
-        from: NodeId,
-        response: messages::Response,
-    },
+    /// From the control replica `from`.
+    LeaseResponse { from: NodeId, response: messages::Response },
+    /// To a control replica or a relay.
     RolloutRequest(policies::Request),
-    RolloutResponse {
-        from: NodeId,
-        response: policies::Response,
-    },
-    /// Where a keeper hears, said ahead of the word that it leads: it may have come since whoever asks was started.
-    ReplicaAddress {
-        replica: NodeId,
-        address: SocketAddr,
-    },
+    /// From the control replica or relay `from`.
+    RolloutResponse { from: NodeId, response: policies::Response },
+    /// The address of a control replica, sent before the response that names it as the leader: the replica may have been added after
+    /// the client was started.
+    ReplicaAddress { replica: NodeId, address: SocketAddr },
 }
 
-/// ControlReplicas that an instance knows, at the most: those of its own file, and those that came later.
-const KNOWN: usize = 32;
+/// Maximum number of control replicas that a process knows: those in its operator's file and those that were added later.
+const MAX_KNOWN_REPLICAS: usize = 32;
 
-/// Takes over where a keeper hears, said by one that is known. True where it was not known.
+/// Adds the address `at` of a replica, where the sender's address `sender` is that of a known replica. Returns whether it was added;
+/// the address of a known replica stays.
 pub fn learn_address(
     known: &mut HashMap<NodeId, SocketAddr>,
-    said_by: SocketAddr,
+    sender: SocketAddr,
     replica: NodeId,
     at: SocketAddr,
 ) -> bool {
-    let trusted = known.values().any(|address| *address == said_by);
-    if !trusted || known.contains_key(&replica) || known.len() >= KNOWN {
+    let trusted = known.values().any(|address| *address == sender);
+    if !trusted || known.contains_key(&replica) || known.len() >= MAX_KNOWN_REPLICAS {
         return false;
     }
     known.insert(replica, at);
     true
 }
 
-/// For all questions of one asker; a quorum that does not answer by then counts as none.
-const PATIENCE: Duration = Duration::from_secs(3);
-const TRY: Duration = Duration::from_millis(300);
+/// Time limit of all requests of a client; without a response of a quorum by then there is no quorum.
+const TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Whose log lines those of a command are.
-const ASKER: &str = "command";
+/// Name of the process in its log lines.
+const LOG_NAME: &str = "command";
 
-/// What an answer is to whoever asked.
+/// What a response means to the request that is waiting.
 pub enum ResponseKind<T> {
+    /// The response to the request.
     Matching(T),
-    /// Another keeper leads, as far as that one knows.
+    /// The sender does not lead; the leader as far as the sender knows.
     NotLeader(NodeId),
+    /// Not a response to the request.
     Unrelated,
 }
 
-/// Asks the keeper that leads, for a command of an operator.
+/// Sends an operator's requests to the leader of the control replicas.
 pub struct LeaderClient {
     socket: UdpSocket,
-    /// Those of the file, and those that came later.
+    /// The replicas of the operator's file, and those learned later.
     replicas: KnownReplicas,
+    /// Replicas in the order of attempts.
     order: Vec<NodeId>,
-    at: usize,
-    until: Instant,
+    /// Position in `order`.
+    position: usize,
+    deadline: Instant,
 }
 
 impl LeaderClient {
-    pub fn new(keepers: &ControlReplicas) -> io::Result<LeaderClient> {
-        let socket = UdpSocket::bind(keepers.local_address()).map_err(tried("the command's socket"))?;
-        let order = keepers.replicas.iter().map(|(name, _)| node_id(name)).collect();
-        let until = Instant::now() + PATIENCE;
+    /// A client of the replicas that the operator's file names.
+    pub fn new(control: &ControlReplicas) -> io::Result<LeaderClient> {
+        let socket = UdpSocket::bind(control.local_address()).map_err(tried("the command's socket"))?;
+        let order = control.replicas.iter().map(|(name, _)| node_id(name)).collect();
+        let deadline = Instant::now() + TIMEOUT;
         Ok(LeaderClient {
             socket,
-            replicas: KnownReplicas::new(ASKER, keepers.addresses()),
+            replicas: KnownReplicas::new(LOG_NAME, control.addresses()),
             order,
-            at: 0,
-            until,
+            position: 0,
+            deadline,
         })
     }
 
-    /// Asks whoever receives at this address, under whatever name.
+    /// A client of the control replica or relay at this address, whatever its id.
     pub fn at_address(address: SocketAddr) -> io::Result<LeaderClient> {
-        let named = ControlReplicas { replicas: vec![(String::new(), address)], lease: 0, folder: None };
-        Ok(LeaderClient { replicas: KnownReplicas::at_address(ASKER, address), ..LeaderClient::new(&named)? })
+        let single = ControlReplicas { replicas: vec![(String::new(), address)], lease: 0, folder: None };
+        Ok(LeaderClient {
+            replicas: KnownReplicas::at_address(LOG_NAME, address),
+            ..LeaderClient::new(&single)?
+        })
     }
 
-    /// Its patience begins anew: for a command that looks again and again.
+    /// Restarts the time limit, for a command that polls.
     pub fn restart_timeout(&mut self) {
-        self.until = Instant::now() + PATIENCE;
+        self.deadline = Instant::now() + TIMEOUT;
     }
 
-    /// The answer that fits, from the keeper that leads.
+    /// Sends a request to the leader until a matching response arrives; `None` at the time limit.
     pub fn request<T>(
         &mut self,
         request: &ControlMessage,
-        read: impl Fn(ControlMessage) -> ResponseKind<T>,
+        classify: impl Fn(ControlMessage) -> ResponseKind<T>,
     ) -> io::Result<Option<T>> {
         let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES + 1];
         let Some(datagram) = message::encode(request) else { return Ok(None) };
-        while Instant::now() < self.until {
-            let id = self.order.get(self.at % self.order.len().max(1)).copied();
+        while Instant::now() < self.deadline {
+            let id = self.order.get(self.position % self.order.len().max(1)).copied();
             let to = id.and_then(|id| self.replicas.next_address(id));
             if let Some(to) = to {
                 let _ = self.socket.send_to(&datagram, to);
             }
-            self.socket.set_read_timeout(Some(TRY))?;
+            self.socket.set_read_timeout(Some(ATTEMPT_TIMEOUT))?;
             let Ok((size, by)) = self.socket.recv_from(&mut bytes) else {
-                self.at += 1;
+                self.position += 1;
                 continue;
             };
-            let wire = match message::decode::<ControlMessage>(&bytes[..size]) {
+            let message = match message::decode::<ControlMessage>(&bytes[..size]) {
                 Ok(ControlMessage::ReplicaAddress { replica, address }) => {
                     if self.replicas.learn(by, replica, address) {
                         self.order.push(replica);
@@ -133,17 +138,17 @@
                 Ok(
                     ControlMessage::LeaseResponse { from, .. } | ControlMessage::RolloutResponse { from, .. },
                 ) if !self.replicas.accepts(from, by) => continue,
-                Ok(wire) => wire,
+                Ok(message) => message,
                 Err(_) => continue,
             };
-            match read(wire) {
+            match classify(message) {
                 ResponseKind::Matching(response) => return Ok(Some(response)),
                 ResponseKind::NotLeader(leader) => {
-                    let led = self.order.iter().position(|one| *one == leader);
-                    if led.is_none() {
-                        std::thread::sleep(TRY / 6);
+                    let leader_position = self.order.iter().position(|id| *id == leader);
+                    if leader_position.is_none() {
+                        std::thread::sleep(ATTEMPT_TIMEOUT / 6);
                     }
-                    self.at = led.unwrap_or(self.at + 1);
+                    self.position = leader_position.unwrap_or(self.position + 1);
                 }
                 ResponseKind::Unrelated => {}
             }
--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -316,7 +316,11 @@
         let mut replica =
             Process::new("k0", Path::new(PROGRAM), &[role, "--operator", &path, "--name", "k0"]);
         replica.start();
-        assert!(replica.logged("keeper k0 hears at ", 0, PATIENCE).is_some(), "{role}: {:?}", replica.log());
+        assert!(
+            replica.logged("keeper k0 listens on ", 0, PATIENCE).is_some(),
+            "{role}: {:?}",
+            replica.log()
+        );
         replica.end();
         assert!(replica.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
         assert!(replica.logged("keeper k0 stopped", 0, PATIENCE).is_some(), "{role}");
--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -58,7 +58,7 @@
 
 /// What tells of a change among the replicas.
 fn changes(stage: &Stage) -> Vec<String> {
-    let words = ["leads the keepers", " comes", " goes", "forgotten", "begin", "ended"];
+    let words = ["leads the keepers", " comes", " goes", "stale", "begin", "ended"];
     REPLICAS.iter().flat_map(|name| lines(stage, name, &words)).collect()
 }
 
