--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,13 +6,13 @@
 //! | --- | --- |
 //! | [`replica`] | the state machine: election, replication, membership change, read index, snapshots |
 //! | [`message`] | messages between replicas and their encoding |
-//! | [`storage`] | what a replica keeps on its disk, and how it is loaded |
+//! | [`storage`] | the persistent state of a replica: its keys, and how it is loaded |
 //! | `sim` | a simulated network with simulated disks, with the feature `simulation` |
 //!
 //! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote, check-quorum and single-server
 //! membership changes; `docs/design/owners.md` compares the alternatives. One addition: a disk has an identity. A message is
-//! addressed to a disk, not to a name, so a replica whose disk was lost or restored from a copy is a new one and has no vote until
-//! the others have admitted it as a member.
+//! addressed to a disk, not to a name, so a replica whose disk was lost or restored from a copy counts as a new replica. It has no
+//! vote until the members have added it.
 //!
 //! # Order of effects
 //!
@@ -34,7 +34,7 @@
 
 pub use cypresscleat_primitives::{node_id, NodeId, SeededRng, Time, MS, SECOND};
 
-/// Identity of a disk: drawn when the disk is first used, and never used again for another.
+/// Identity of a disk: drawn at random when the disk is first used, and never reused for another disk.
 pub type DiskId = u64;
 
 /// A member of the configuration: a replica together with its disk.
@@ -48,10 +48,10 @@
 
 /// The replicated state machine: the same commands in the same order give the same state on each replica.
 pub trait StateMachine: Clone {
-    /// Applies the command that was committed at `index`; the result goes to whoever proposed it.
+    /// Applies the command that was committed at `index`; the result is returned to the proposer.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8>;
     /// Returns the whole state as bytes.
     fn snapshot(&self) -> Vec<u8>;
-    /// Restores the state from a snapshot; `None` where the bytes are not one.
+    /// Restores the state from a snapshot; `None` where the bytes are not a valid snapshot.
     fn from_snapshot(bytes: &[u8]) -> Option<Self>;
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -13,11 +13,11 @@
 pub const VERSION: u8 = 1;
 /// Longest datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
-/// Bound on the entries or snapshot bytes in one message.
+/// Maximum number of bytes of entries, or of a snapshot, in one message.
 pub const MAX_PAYLOAD_BYTES: usize = 32 * 1024;
 /// Longest command, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 24 * 1024;
-/// Bound on the number of members; five are expected, and one more while a member is replaced.
+/// Maximum number of members. Five are expected, and one more while a member is replaced.
 pub const MAX_MEMBERS: usize = 8;
 
 /// Magic byte, version and checksum.
@@ -26,7 +26,7 @@
 /// What a log entry carries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Appended by a new leader: once it is committed, so is every entry before it.
+    /// Appended by a new leader: its commit also commits every entry before it.
     NoOp,
     /// A command for the state machine.
     Command(Vec<u8>),
@@ -39,11 +39,11 @@
 pub struct Entry {
     /// Term of the leader that appended it.
     pub term: u64,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// Position in a log. Of two logs, the one whose last position is greater is more up to date.
+/// Position in a log. Of two logs, the log with the greater last position is more up to date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
     /// Term of the entry.
@@ -57,7 +57,7 @@
 pub enum MessageBody {
     /// The sender is not a member and asks to become one.
     JoinRequest {
-        /// Whether its disk holds nothing.
+        /// Whether the sender's disk is empty.
         empty_disk: bool,
     },
     /// Tells a replica without state who the members are.
@@ -65,16 +65,16 @@
         /// The members, the receiver among them.
         members: Vec<Member>,
     },
-    /// Sent after a restart: asks what the receiver knows of the sender's disk. Answered by `DiskCheckResponse`.
+    /// Sent after a restart: asks what the receiver knows of the sender's disk. The response is `DiskCheckResponse`.
     DiskCheck {
         /// Last position of the sender's log.
         last: LogPosition,
     },
-    /// The most that the receiver's disk is known to have promised.
+    /// The latest state that the receiver's disk is known to have acknowledged.
     DiskCheckResponse {
-        /// Last position that it acknowledged.
+        /// Last log position that the disk acknowledged.
         last: LogPosition,
-        /// Last term in which it voted.
+        /// Last term in which the disk's replica voted.
         voted_term: u64,
     },
     /// Asks for a vote, or a pre-vote, in the message's term.
@@ -84,14 +84,14 @@
         /// Last position of the candidate's log.
         last: LogPosition,
     },
-    /// Answers `RequestVote`.
+    /// Response to `RequestVote`.
     RequestVoteResponse {
         /// Whether this is a pre-vote.
         pre_vote: bool,
         /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries that follow `previous`; without entries a heartbeat.
+    /// Entries that follow `previous`. A message without entries is a heartbeat.
     AppendEntries {
         /// Heartbeat round of the leader, returned in the response.
         round: u64,
@@ -102,9 +102,9 @@
         /// Commit index of the leader.
         commit: u64,
     },
-    /// Answers `AppendEntries`.
+    /// Response to `AppendEntries`.
     AppendEntriesResponse {
-        /// Round of the message that it answers.
+        /// Round of the request.
         round: u64,
         /// Whether the log matched at `previous`.
         success: bool,
@@ -126,13 +126,13 @@
         /// The part.
         bytes: Vec<u8>,
     },
-    /// Answers a part of a snapshot.
+    /// Response to a part of a snapshot.
     InstallSnapshotResponse {
-        /// Round of the message that it answers.
+        /// Round of the request.
         round: u64,
         /// Index of the snapshot.
         index: u64,
-        /// Bytes that have been received without a gap.
+        /// Number of bytes that have been received without a gap.
         received_bytes: u64,
     },
 }
@@ -142,21 +142,21 @@
 pub struct Message {
     /// The sender.
     pub from: Member,
-    /// The disk that it is addressed to; 0 where the sender does not know it.
+    /// The receiver's disk; 0 where the sender does not know it.
     pub to_disk: DiskId,
     /// Term of the sender, or of the election that it would start.
     pub term: u64,
-    /// What it says.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// Why bytes are not a message.
+/// An error of [`decode`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// Another version, or a variant that this version does not know.
     #[error("datagram of an unknown version or kind")]
     UnknownFormat,
-    /// Truncated, corrupted, too long or out of bounds.
+    /// The datagram is truncated, corrupted or too long.
     #[error("malformed datagram")]
     Malformed,
 }
@@ -174,7 +174,7 @@
 ///
 /// # Errors
 ///
-/// [`DecodeError`] where the bytes are not a message of this version.
+/// Returns [`DecodeError`] where the bytes are not a message of this version.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let (header, body) = bytes.split_at_checked(HEADER_BYTES).ok_or(DecodeError::Malformed)?;
     if header[0] != MAGIC || bytes.len() > MAX_DATAGRAM_BYTES {
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,16 +1,16 @@
 //! Elections: pre-vote, vote, check-quorum, and stepping down.
 
-use super::progress::Leadership;
+use super::progress::LeaderState;
 use super::{Event, ProposalResponse, Ready, Replica, Role};
 use crate::message::{EntryPayload, LogPosition, Message, MessageBody};
 use crate::{storage, Member, NodeId, StateMachine, Time};
 use std::collections::BTreeSet;
 
 impl<M: StateMachine> Replica<M> {
-    /// Starts an election at once, whatever the election timeout says; for models in which any order of events is played.
+    /// Starts an election at once, whatever the election timeout; for model checkers that explore any order of events.
     pub fn campaign(&mut self, now: Time) -> Ready {
         let mut ready = Ready::default();
-        if !self.is_disk_stale && self.is_bootstrapped && self.leadership().is_none() {
+        if !self.is_disk_stale && self.is_bootstrapped && self.leader_state().is_none() {
             self.start_election(now, false, &mut ready);
         }
         ready
@@ -40,7 +40,7 @@
         self.count_votes(now, ready);
     }
 
-    /// Goes on to the vote, or becomes the leader, once a majority has granted what was asked.
+    /// Proceeds to the vote, or becomes the leader, once a majority has granted the pre-vote or the vote.
     fn count_votes(&mut self, now: Time, ready: &mut Ready) {
         let Role::Candidate { pre_vote, votes } = &self.role else { return };
         if !self.is_majority(votes) {
@@ -58,18 +58,18 @@
 
     fn become_leader(&mut self, now: Time, ready: &mut Ready) {
         let first_index = self.log.last_index() + 1;
-        let leadership = Leadership::new(&self.other_members(), first_index, now);
-        self.role = Role::Leader(Box::new(leadership));
+        let leader_state = LeaderState::new(&self.other_members(), first_index, now);
+        self.role = Role::Leader(Box::new(leader_state));
         self.leader = Some(self.own.id);
         ready.events.push(Event::BecameLeader { term: self.hard_state.term });
         self.append_entry(EntryPayload::NoOp, ready);
         self.send_heartbeats(now, ready);
     }
 
-    /// Becomes a follower. Where this replica was the leader, its pending proposals have an unknown outcome.
+    /// Becomes a follower. Where this replica was the leader, the outcome of its pending proposals is unknown.
     pub(super) fn step_down(&mut self, now: Time, ready: &mut Ready) {
-        if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
-            let pending = leadership.pending_proposals.into_iter();
+        if let Role::Leader(leader_state) = std::mem::replace(&mut self.role, Role::Follower) {
+            let pending = leader_state.pending_proposals.into_iter();
             ready.responses.extend(pending.map(|(_, proposal_id)| ProposalResponse::Unknown { proposal_id }));
             ready.events.push(Event::SteppedDown { term: self.hard_state.term });
             self.leader = None;
@@ -77,16 +77,16 @@
         }
     }
 
-    /// Check-quorum: whether a majority has answered within the shortest election timeout.
-    pub(super) fn has_heard_majority(&self, leadership: &Leadership, now: Time) -> bool {
+    /// Check-quorum: whether a majority has responded within the minimum election timeout.
+    pub(super) fn has_quorum_contact(&self, leader_state: &LeaderState, now: Time) -> bool {
         let timeout = self.config.min_election_timeout();
-        let is_heard = |id: NodeId| {
-            leadership.followers.get(&id).is_some_and(|progress| now - progress.last_heard < timeout)
+        let is_active = |id: NodeId| {
+            leader_state.followers.get(&id).is_some_and(|progress| now - progress.last_contact < timeout)
         };
-        self.majority_value(1, |id| u64::from(is_heard(id))) > 0
+        self.majority_value(1, |id| u64::from(is_active(id))) > 0
     }
 
-    /// Follows a later term.
+    /// Enters a later term as a follower.
     pub(super) fn enter_term(&mut self, now: Time, term: u64, ready: &mut Ready) {
         if term > self.hard_state.term {
             self.step_down(now, ready);
@@ -96,16 +96,17 @@
         }
     }
 
-    /// Whether a vote may be given at all: not on an empty disk, not soon after a restart (`vote_embargo_until`), and not while this
-    /// replica leads or has lately heard a leader, so that a replica that was cut off can't depose it.
-    fn may_vote(&self, now: Time) -> bool {
+    /// Whether this replica grants votes: not on an empty disk, not soon after a restart (`voting_allowed_at`), and not while it is the
+    /// leader or has recently received a message from one, so that a partitioned replica can't depose the leader.
+    fn can_vote(&self, now: Time) -> bool {
         let has_state = self.is_bootstrapped || self.config.disabled_safeguards.empty_disk_has_no_vote;
-        let has_leader =
-            now - self.leader_last_heard < self.config.min_election_timeout() || self.leadership().is_some();
-        has_state && now >= self.vote_embargo_until && !has_leader
+        let has_leader = now - self.last_leader_contact < self.config.min_election_timeout()
+            || self.leader_state().is_some();
+        has_state && now >= self.voting_allowed_at && !has_leader
     }
 
-    /// The candidate need not be a member as far as this replica knows: those who admitted it may all be gone but itself.
+    /// The candidate need not be a member in this replica's log: the entry that added it may not have arrived here, and the replicas
+    /// that have it may be down.
     pub(super) fn handle_request_vote(
         &mut self,
         now: Time,
@@ -115,7 +116,7 @@
         ready: &mut Ready,
     ) {
         let (from, term) = (message.from, message.term);
-        if !self.may_vote(now) {
+        if !self.can_vote(now) {
             return;
         }
         if !pre_vote && term > self.hard_state.term {
@@ -157,23 +158,23 @@
         }
         let expected_term = self.hard_state.term + u64::from(pre_vote);
         match &mut self.role {
-            Role::Candidate { pre_vote: asked, votes }
-                if *asked == pre_vote && message.term == expected_term =>
+            Role::Candidate { pre_vote: requested, votes }
+                if *requested == pre_vote && message.term == expected_term =>
             {
                 votes.insert(from.id);
             }
             _ => return,
         }
         if !pre_vote {
-            self.record_promise(from, LogPosition::default(), message.term);
+            self.record_acknowledged_state(from, LogPosition::default(), message.term);
         }
         self.count_votes(now, ready);
     }
 
-    /// Accepts the sender as the leader of its term; false where it is not.
+    /// Accepts the sender as the leader of its term. Returns false where the message is rejected.
     pub(super) fn accept_leader(&mut self, now: Time, from: Member, term: u64, ready: &mut Ready) -> bool {
         if term < self.hard_state.term {
-            // The response tells it of the later term.
+            // The response carries the later term.
             let body = MessageBody::AppendEntriesResponse { round: 0, success: false, index: 0 };
             self.send(from, body, ready);
             return false;
@@ -182,12 +183,12 @@
             return false;
         }
         self.enter_term(now, term, ready);
-        if self.leadership().is_some() {
+        if self.leader_state().is_some() {
             return false; // a term has one leader: the message is corrupt
         }
         self.role = Role::Follower;
         self.leader = Some(from.id);
-        self.leader_last_heard = now;
+        self.last_leader_contact = now;
         self.reset_election_deadline(now);
         true
     }
--- a/crates/consensus/src/replica/log.rs
+++ b/crates/consensus/src/replica/log.rs
@@ -13,7 +13,7 @@
     entries: VecDeque<Entry>,
 }
 
-/// The members that the entry sets, if it does.
+/// The members that the entry sets; `None` where the entry changes no membership.
 fn membership_of(entry: &Entry) -> Option<&Vec<Member>> {
     match &entry.payload {
         EntryPayload::Membership(members) => Some(members),
@@ -50,7 +50,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// The position at `index`, where the log or the snapshot's end still holds it.
+    /// The position at `index`; `None` where the entry is compacted or beyond the end.
     pub(super) fn position(&self, index: u64) -> Option<LogPosition> {
         if index == self.snapshot_index() {
             return Some(self.snapshot.position);
@@ -95,12 +95,12 @@
         self.entries.drain(..compacted);
     }
 
-    /// Takes over a snapshot of the leader. Entries after it stay where they follow from it.
+    /// Installs a snapshot of the leader. Entries after it are retained where they are consistent with it.
     pub(super) fn install(&mut self, snapshot: Snapshot, bytes: Vec<u8>, writes: &mut Vec<Write>) {
         let (position, old_index) = (snapshot.position, self.snapshot_index());
         let is_consistent = self.position(position.index) == Some(position);
         if !is_consistent {
-            // What conflicts with the snapshot was never committed; it goes before the snapshot is written.
+            // Entries that conflict with the snapshot were never committed; they are removed before the snapshot is written.
             writes.extend((position.index + 1..=self.last_index()).rev().map(storage::remove_entry));
         }
         let compacted_to = position.index.min(self.last_index());
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,12 +1,12 @@
-//! Members: the first configuration, single-server changes, and the identity of disks.
+//! Membership: the first configuration, single-server changes, and the identity of disks.
 
 use super::{Event, Ready, Replica, Role};
 use crate::message::{EntryPayload, LogPosition, MessageBody, MAX_MEMBERS};
 use crate::storage::{self, Snapshot};
 use crate::{Member, StateMachine, Time};
 
-/// A request to join counts for so many of the shortest election timeouts.
-const JOIN_REQUEST_TIMEOUTS: Time = 4;
+/// Maximum age of a request to join, in minimum election timeouts.
+const MAX_JOIN_REQUEST_AGE_TIMEOUTS: Time = 4;
 
 impl<M: StateMachine> Replica<M> {
     /// Sets the replicas that the operator's file names; the leader changes the members accordingly, one at a time.
@@ -14,7 +14,7 @@
         self.configured_replicas = configured;
     }
 
-    /// A replica that is not a member asks to become one.
+    /// Handles the request of a replica that asks to become a member.
     pub(super) fn handle_join_request(
         &mut self,
         now: Time,
@@ -32,23 +32,23 @@
             return;
         }
         if self.is_member(from) {
-            // It was among the first members, or was added, and has not heard of it.
+            // The sender is already a member and has not received the configuration.
             let members = self.members().to_vec();
             return self.send(from, MessageBody::Bootstrap { members }, ready);
         }
-        if let Some(leadership) = self.leadership_mut() {
-            leadership.joining.insert(from.id, (from.disk, now));
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.joining.insert(from.id, (from.disk, now));
         }
     }
 
-    /// Makes all configured replicas the first members, once each has said lately that its disk is empty. The replica with the
-    /// least id does so.
+    /// Makes all configured replicas the first members, once each has recently reported an empty disk. The replica with the lowest id
+    /// does so.
     pub(super) fn try_bootstrap(&mut self, now: Time, ready: &mut Ready) {
-        let oldest = now - JOIN_REQUEST_TIMEOUTS * self.config.min_election_timeout();
+        let oldest_allowed = now - MAX_JOIN_REQUEST_AGE_TIMEOUTS * self.config.min_election_timeout();
         let mut members = vec![self.own];
         for id in self.configured_replicas.iter().filter(|id| **id != self.own.id) {
             match self.empty_replicas.get(id) {
-                Some((disk, at)) if *at > oldest => members.push(Member { id: *id, disk: *disk }),
+                Some((disk, at)) if *at > oldest_allowed => members.push(Member { id: *id, disk: *disk }),
                 _ => return,
             }
         }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes over the members, where this replica has none and is among them.
+    /// Takes over the first members, where this replica has no configuration and is one of them.
     pub(super) fn bootstrap(&mut self, now: Time, members: &[Member], ready: &mut Ready) {
         if self.is_bootstrapped || !members.contains(&self.own) {
             return;
@@ -66,15 +66,15 @@
         let mut members = members.to_vec();
         members.sort_unstable();
         self.is_bootstrapped = true;
-        let (snapshot, none) = (Snapshot { members, ..Snapshot::default() }, Snapshot::default());
+        let (snapshot, no_snapshot) = (Snapshot { members, ..Snapshot::default() }, Snapshot::default());
         let index = snapshot.position.index;
-        storage::write_snapshot(&mut ready.writes, &snapshot, &[], &none, index + 1..=index);
+        storage::write_snapshot(&mut ready.writes, &snapshot, &[], &no_snapshot, index + 1..=index);
         self.log.snapshot = snapshot;
-        self.vote_embargo_until = now;
+        self.voting_allowed_at = now;
         self.reset_election_deadline(now);
     }
 
-    /// Proposes to remove or add one member, where the operator's file and those that ask to join require it and no change is
+    /// Proposes to remove or add one member, where the operator's file and the requests to join require it and no change is
     /// pending.
     pub(super) fn propose_membership_change(&mut self, now: Time, ready: &mut Ready) {
         if self.log.is_membership_change_pending(self.commit_index) || !self.is_leader() {
@@ -93,14 +93,14 @@
         members.sort_unstable();
         self.append_entry(EntryPayload::Membership(members), ready);
         let (others, next_index) = (self.other_members(), self.log.last_index() + 1);
-        if let Some(leadership) = self.leadership_mut() {
-            leadership.set_followers(&others, next_index, now);
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.set_followers(&others, next_index, now);
         }
     }
 
-    /// The first member that the file no longer names, or that has come back with another disk.
+    /// The first member that the operator's file no longer names, or that has asked to join with another disk.
     fn next_leaving_member(&self) -> Option<Member> {
-        let joining = &self.leadership()?.joining;
+        let joining = &self.leader_state()?.joining;
         let has_other_disk =
             |member: &Member| joining.get(&member.id).is_some_and(|(disk, _)| *disk != member.disk);
         let is_leaving =
@@ -108,41 +108,43 @@
         self.other_members().into_iter().find(is_leaving)
     }
 
-    /// The first configured replica that asked to join lately and has no disk among the members.
+    /// The first configured replica that has recently asked to join and is not a member with any disk.
     fn next_joining_member(&self, now: Time) -> Option<Member> {
-        let max_age = JOIN_REQUEST_TIMEOUTS * self.config.min_election_timeout();
+        let max_age = MAX_JOIN_REQUEST_AGE_TIMEOUTS * self.config.min_election_timeout();
         let is_named = |id| self.configured_replicas.contains(id);
-        let mut joining = self.leadership()?.joining.iter().filter(|(_, (_, at))| now - at < max_age);
+        let mut joining = self.leader_state()?.joining.iter().filter(|(_, (_, at))| now - at < max_age);
         let (id, (disk, _)) =
             joining.find(|(id, _)| is_named(id) && self.members().iter().all(|member| member.id != **id))?;
         Some(Member { id: *id, disk: *disk })
     }
 
-    /// Remembers what another disk has promised: a position that it acknowledged, a term that it voted in.
-    pub(super) fn record_promise(&mut self, from: Member, position: LogPosition, voted_term: u64) {
-        let known = self.known_disks.entry(from.id).or_default();
+    /// Records what another replica's disk has acknowledged: a log position, and a term in which it voted.
+    pub(super) fn record_acknowledged_state(&mut self, from: Member, position: LogPosition, voted_term: u64) {
+        let known = self.acknowledged_states.entry(from.id).or_default();
         if known.disk != from.disk {
-            *known = DiskPromise { disk: from.disk, ..DiskPromise::default() };
+            *known = AcknowledgedState { disk: from.disk, ..AcknowledgedState::default() };
         }
         known.last = known.last.max(position);
         known.voted_term = known.voted_term.max(voted_term);
     }
 
-    /// Answers a replica that has restarted, where this one knows its disk.
+    /// Responds to a replica that has restarted, where its disk is known.
     pub(super) fn handle_disk_check(&mut self, from: Member, ready: &mut Ready) {
-        let known = self.known_disks.get(&from.id).copied().unwrap_or_default();
+        let known = self.acknowledged_states.get(&from.id).copied().unwrap_or_default();
         if known.disk == from.disk {
-            self.send_known_promise(from, ready);
+            self.send_acknowledged_state(from, ready);
         }
     }
 
-    /// Tells a replica what its disk is known to have promised.
-    pub(super) fn send_known_promise(&self, to: Member, ready: &mut Ready) {
-        let DiskPromise { last, voted_term, .. } = self.known_disks.get(&to.id).copied().unwrap_or_default();
+    /// Reports to a replica what its disk is known to have acknowledged.
+    pub(super) fn send_acknowledged_state(&self, to: Member, ready: &mut Ready) {
+        let AcknowledgedState { last, voted_term, .. } =
+            self.acknowledged_states.get(&to.id).copied().unwrap_or_default();
         self.send(to, MessageBody::DiskCheckResponse { last, voted_term }, ready);
     }
 
-    /// Another replica knows what this disk has promised: a disk that holds less is stale. Nobody leads on one.
+    /// Compares this disk with what another replica knows it to have acknowledged: a disk that holds less is stale. A replica with a
+    /// stale disk must not lead.
     pub(super) fn handle_disk_check_response(
         &mut self,
         now: Time,
@@ -151,10 +153,10 @@
         ready: &mut Ready,
     ) {
         let last = self.log.last_position();
-        let is_short = acknowledged.index > last.index
+        let has_lost_state = acknowledged.index > last.index
             || acknowledged.term > last.term
             || voted_term > self.hard_state.term;
-        if self.is_bootstrapped && is_short {
+        if self.is_bootstrapped && has_lost_state {
             self.is_disk_stale = true;
             ready.events.push(Event::StaleDisk { disk: self.own.disk, last, acknowledged });
             self.step_down(now, ready);
@@ -163,9 +165,9 @@
     }
 }
 
-/// What another replica's disk has promised, as far as is known here.
+/// What another replica's disk is known to have acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct DiskPromise {
+pub(super) struct AcknowledgedState {
     disk: crate::DiskId,
     last: LogPosition,
     voted_term: u64,
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,16 +1,16 @@
 //! A replica: the Raft state machine, without I/O. It is driven by [`Replica::step`], [`Replica::tick`] and [`Replica::propose`],
-//! each of which returns a [`Ready`] for the caller to carry out.
+//! each of which returns a [`Ready`] for the caller to process.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `config` | configuration and its checks |
-//! | `ready` | effects, and events for the log |
+//! | `ready` | effects of a call, and events for the log |
 //! | `election` | pre-vote, vote, check-quorum, terms |
 //! | `replication` | heartbeats, entries, commit index |
 //! | `membership` | first members, changes, identity of disks |
 //! | `read_index` | linearizable reads |
 //! | `snapshot` | taking, sending and installing snapshots |
-//! | `progress` | what the leader knows of each follower |
+//! | `progress` | the leader's state, with the progress of each follower |
 //! | `log` | snapshot and entries |
 
 mod config;
@@ -30,20 +30,20 @@
 use crate::storage::{self, HardState, PersistentState};
 use crate::{DiskId, Member, NodeId, SeededRng, StateMachine, Time};
 use log::RaftLog;
-use membership::DiskPromise;
-use progress::Leadership;
+use membership::AcknowledgedState;
+use progress::LeaderState;
 use replication::Acknowledgement;
 use snapshot::{IncomingSnapshot, SnapshotPart};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica that is not a member asks to join every so many heartbeat intervals.
-const JOIN_REQUEST_INTERVALS: Time = 4;
+/// Time between two requests to join of a replica that is not a member, in heartbeat intervals.
+const JOIN_REQUEST_INTERVAL_HEARTBEATS: Time = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
     Follower,
     Candidate { pre_vote: bool, votes: BTreeSet<NodeId> },
-    Leader(Box<Leadership>),
+    Leader(Box<LeaderState>),
 }
 
 /// A replica of the state machine `M`.
@@ -55,23 +55,24 @@
     config: RaftConfig,
     rng: SeededRng,
     hard_state: HardState,
-    /// Whether it has been told who the members are.
+    /// Whether the replica knows the members.
     is_bootstrapped: bool,
     log: RaftLog,
-    /// Committed, and applied, up to here.
+    /// Index of the last committed entry; all entries up to it are applied.
     commit_index: u64,
     state_machine: M,
     role: Role,
     leader: Option<NodeId>,
-    leader_last_heard: Time,
+    last_leader_contact: Time,
     election_deadline: Time,
-    /// No vote before that, so that a replica that knows this disk to be stale has time to say so.
-    vote_embargo_until: Time,
-    /// Replicas with empty disks, and when they last asked to join.
+    /// No vote is granted before this time, so that a replica that knows this disk to be stale has time to report it.
+    voting_allowed_at: Time,
+    /// Replicas with empty disks, and the time of their last request to join.
     empty_replicas: BTreeMap<NodeId, (DiskId, Time)>,
-    known_disks: BTreeMap<NodeId, DiskPromise>,
-    incoming: IncomingSnapshot,
-    /// Set for good once the disk is known to have lost something that it promised.
+    /// What other replicas' disks have acknowledged.
+    acknowledged_states: BTreeMap<NodeId, AcknowledgedState>,
+    incoming_snapshot: IncomingSnapshot,
+    /// Set once the disk is known to have lost acknowledged state; never cleared.
     is_disk_stale: bool,
 }
 
@@ -80,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] where the configuration is not valid.
+    /// Returns [`ConfigError`] where the configuration is not valid.
     pub fn start(
         now: Time,
         config: ReplicaConfig,
@@ -108,15 +109,15 @@
             state_machine: restored.unwrap_or(initial),
             role: Role::Follower,
             leader: None,
-            leader_last_heard: Time::MIN / 2,
+            last_leader_contact: Time::MIN / 2,
             election_deadline: now,
-            vote_embargo_until: now + raft.min_election_timeout(),
+            voting_allowed_at: now + raft.min_election_timeout(),
             empty_replicas: BTreeMap::new(),
-            known_disks: BTreeMap::new(),
-            incoming: IncomingSnapshot::default(),
+            acknowledged_states: BTreeMap::new(),
+            incoming_snapshot: IncomingSnapshot::default(),
             is_disk_stale,
         };
-        let mut ready = Ready { writes: state.stale, ..Ready::default() };
+        let mut ready = Ready { writes: state.cleanup, ..Ready::default() };
         if state.hard_state != hard_state {
             ready.writes.push(storage::write_hard_state(&hard_state));
         }
@@ -132,7 +133,7 @@
         &self.state_machine
     }
 
-    /// The state machine, for what is not replicated in it.
+    /// The state machine, for its parts that are not replicated.
     pub fn state_machine_mut(&mut self) -> &mut M {
         &mut self.state_machine
     }
@@ -152,20 +153,20 @@
         self.commit_index
     }
 
-    /// The leader of the current term, where it is known.
+    /// The leader of the current term; `None` where it is not known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Whether the disk has lost something that it promised. The replica does nothing more; its caller starts it again with an
-    /// empty disk of a new identity.
+    /// Whether the disk has lost acknowledged state. The replica does nothing more; its caller restarts it with an empty disk of a new
+    /// identity.
     pub fn is_disk_stale(&self) -> bool {
         self.is_disk_stale
     }
 
-    /// Whether it is the leader and has committed an entry of its term, so that it knows all that is committed.
+    /// Whether the replica is the leader and has committed an entry of its term, so that its commit index is up to date.
     pub fn is_leader(&self) -> bool {
-        self.leadership().is_some_and(|leadership| self.commit_index >= leadership.first_index)
+        self.leader_state().is_some_and(|leader_state| self.commit_index >= leader_state.first_index)
     }
 
     /// The latest members in the log, committed or not.
@@ -173,37 +174,37 @@
         self.log.members()
     }
 
-    /// When [`Replica::tick`] has to be called next.
+    /// Time of the next call of [`Replica::tick`].
     pub fn next_deadline(&self) -> Time {
-        self.leadership().map_or(self.election_deadline, |leadership| leadership.next_heartbeat)
+        self.leader_state().map_or(self.election_deadline, |leader_state| leader_state.next_heartbeat)
     }
 
-    /// Number of entries after the snapshot, and the snapshot's length in bytes.
+    /// Number of log entries after the snapshot, and the snapshot's length in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.log.len(), self.log.snapshot_bytes.len())
     }
 
-    /// Does what is due at `now`: a heartbeat round, an election, or a request to join.
+    /// Processes the deadlines that have passed at `now`: a heartbeat round, an election, or a request to join.
     pub fn tick(&mut self, now: Time) -> Ready {
         let mut ready = Ready::default();
         if self.is_disk_stale || now < self.next_deadline() {
             return ready;
         }
-        if self.leadership().is_some() {
+        if self.leader_state().is_some() {
             self.send_heartbeats(now, &mut ready);
             return ready;
         }
         self.reset_election_deadline(now);
-        let next_join_request = now + self.config.heartbeat_interval * JOIN_REQUEST_INTERVALS;
+        let next_join_request = now + self.config.heartbeat_interval * JOIN_REQUEST_INTERVAL_HEARTBEATS;
         if !self.is_bootstrapped {
             self.election_deadline = next_join_request;
             self.broadcast(MessageBody::JoinRequest { empty_disk: true }, &mut ready);
             self.try_bootstrap(now, &mut ready);
-        } else if now < self.vote_embargo_until {
+        } else if now < self.voting_allowed_at {
             self.broadcast_disk_check(&mut ready);
-            self.election_deadline = self.vote_embargo_until;
+            self.election_deadline = self.voting_allowed_at;
         } else if !self.is_member(self.own) {
-            // Not yet, or no longer: the leader may add it.
+            // Not yet or no longer a member: the leader may add it.
             self.election_deadline = next_join_request;
             self.broadcast(MessageBody::JoinRequest { empty_disk: false }, &mut ready);
         } else {
@@ -212,7 +213,7 @@
         ready
     }
 
-    /// Handles a message. One that is out of bounds, from itself, or for a disk that this replica doesn't have is dropped.
+    /// Handles a message. A message that is out of bounds, from this replica, or for another disk than this replica's is dropped.
     pub fn step(&mut self, now: Time, message: &Message) -> Ready {
         let mut ready = Ready::default();
         if self.is_disk_stale || !message.is_within_bounds() || message.from.id == self.own.id {
@@ -277,20 +278,20 @@
             MessageBody::JoinRequest { .. }
             | MessageBody::Bootstrap { .. }
             | MessageBody::DiskCheck { .. }
-            | MessageBody::DiskCheckResponse { .. } => {} // handled by `step`, also where they name no disk
+            | MessageBody::DiskCheckResponse { .. } => {} // handled by `step`, also with disk 0
         }
     }
 
-    fn leadership(&self) -> Option<&Leadership> {
+    fn leader_state(&self) -> Option<&LeaderState> {
         match &self.role {
-            Role::Leader(leadership) => Some(leadership),
+            Role::Leader(leader_state) => Some(leader_state),
             Role::Follower | Role::Candidate { .. } => None,
         }
     }
 
-    fn leadership_mut(&mut self) -> Option<&mut Leadership> {
+    fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
-            Role::Leader(leadership) => Some(leadership),
+            Role::Leader(leader_state) => Some(leader_state),
             Role::Follower | Role::Candidate { .. } => None,
         }
     }
@@ -300,7 +301,7 @@
         ready.messages.push((to.id, message));
     }
 
-    /// Sends to all configured replicas, whatever their disks.
+    /// Sends a message to all configured replicas, whatever their disks.
     fn broadcast(&self, body: MessageBody, ready: &mut Ready) {
         for id in self.configured_replicas.iter().filter(|id| **id != self.own.id) {
             self.send(Member { id: *id, disk: 0 }, body.clone(), ready);
@@ -319,7 +320,7 @@
         self.members().contains(&member)
     }
 
-    /// The greatest value that a majority of the members reaches; this replica's own is `own`, another's `value_of`.
+    /// The greatest value that a majority of the members has reached: `own` is this replica's value, `value_of` another member's.
     fn majority_value(&self, own: u64, value_of: impl Fn(NodeId) -> u64) -> u64 {
         let members = self.members();
         let value = |member: &Member| if member.id == self.own.id { own } else { value_of(member.id) };
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -1,25 +1,25 @@
-//! What a call to a replica asks its caller to do: persist first; then send, respond and log, in any order.
+//! The effects of a call to a replica. The caller persists the writes first; then it sends, responds and logs, in any order.
 
 use crate::message::{LogPosition, Message};
 use crate::storage::Write;
 use crate::{DiskId, Member, NodeId};
 use std::fmt;
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalResponse {
-    /// It was committed and applied.
+    /// The command was committed and applied.
     Applied {
-        /// The id under which it was proposed.
+        /// Id of the proposal.
         proposal_id: u64,
-        /// Its index in the log.
+        /// Index of the entry in the log.
         index: u64,
-        /// What the state machine returned.
+        /// Result of the state machine.
         result: Vec<u8>,
     },
-    /// This replica is no longer the leader: the proposal may be committed or not.
+    /// This replica is no longer the leader: the proposal may or may not be committed.
     Unknown {
-        /// The id under which it was proposed.
+        /// Id of the proposal.
         proposal_id: u64,
     },
 }
@@ -27,9 +27,9 @@
 /// The effects of a call; see the crate's documentation for their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ready {
-    /// Must be on the disk, in this order, before anything else is done.
+    /// Writes that must be on the disk, in this order, before the other effects are processed.
     pub writes: Vec<Write>,
-    /// Messages, each with the replica that it goes to.
+    /// Messages, each with the receiver's id.
     pub messages: Vec<(NodeId, Message)>,
     /// Responses to proposals.
     pub responses: Vec<ProposalResponse>,
@@ -51,34 +51,34 @@
 /// A transition of a replica, rendered by its `Display`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It became the leader.
+    /// The replica became the leader.
     BecameLeader {
-        /// In this term.
+        /// The term.
         term: u64,
     },
-    /// It is no longer the leader.
+    /// The replica is no longer the leader.
     SteppedDown {
-        /// The term that it led in.
+        /// The term in which it was the leader.
         term: u64,
     },
-    /// As the leader it proposed to add a member.
+    /// The leader proposed to add a member.
     AddingMember(Member),
-    /// As the leader it proposed to remove a member.
+    /// The leader proposed to remove a member.
     RemovingMember(Member),
-    /// Its own removal was committed.
+    /// The removal of this replica was committed.
     RemovedItself,
-    /// All configured replicas had empty disks, and it made them the first members.
+    /// All configured replicas had empty disks and became the first members.
     Bootstrapped {
         /// Number of members.
         members: usize,
     },
-    /// Another replica knows of promises that this disk no longer holds.
+    /// Another replica knows of acknowledged state that this disk no longer holds.
     StaleDisk {
         /// The disk.
         disk: DiskId,
-        /// End of its log.
+        /// Last position of the disk's log.
         last: LogPosition,
-        /// What it had acknowledged.
+        /// Last position that the disk acknowledged.
         acknowledged: LogPosition,
     },
 }
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Log replication: heartbeats, sending entries, accepting them, committing and applying.
+//! Log replication: heartbeats, sending and accepting entries, committing and applying.
 
 use super::{Event, ProposalResponse, Ready, Replica};
 use crate::message::{
@@ -6,54 +6,54 @@
 };
 use crate::{Member, NodeId, StateMachine, Time};
 
-/// What an entry takes in a message beside its command, at most.
+/// Maximum size of an entry in a message, without its command.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
-/// What an entry without a command takes in a message, at most.
+/// Maximum size of an entry without a command in a message.
 const ENTRY_WITHOUT_COMMAND_BYTES: usize = 64;
 
-fn size_in_message(entry: &Entry) -> usize {
+fn encoded_size_bound(entry: &Entry) -> usize {
     match &entry.payload {
         EntryPayload::Command(bytes) => bytes.len() + ENTRY_OVERHEAD_BYTES,
         EntryPayload::NoOp | EntryPayload::Membership(_) => ENTRY_WITHOUT_COMMAND_BYTES,
     }
 }
 
-/// What a follower has acknowledged.
+/// The acknowledgement in a follower's response.
 pub(super) enum Acknowledgement {
-    /// Its log matches up to this index.
+    /// The follower's log matches up to this index.
     Match(u64),
-    /// Its log did not match: to be retried from this index on.
+    /// The follower's log did not match: the leader retries from this index on.
     Rejection(u64),
     /// A part of a snapshot.
     SnapshotPart,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Proposes a command. `None` where this replica is not the leader or the command is too long; otherwise the response comes
-    /// with a later [`Ready`], under `proposal_id`.
+    /// Proposes a command. `None` where this replica is not the leader or the command is too long; otherwise the response is
+    /// in a later [`Ready`], under `proposal_id`.
     pub fn propose(&mut self, now: Time, proposal_id: u64, command: Vec<u8>) -> Option<Ready> {
         if !self.is_leader() || command.len() > MAX_COMMAND_BYTES {
             return None;
         }
         let mut ready = Ready::default();
         let index = self.append_entry(EntryPayload::Command(command), &mut ready);
-        if let Some(leadership) = self.leadership_mut() {
-            leadership.pending_proposals.push_back((index, proposal_id));
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.pending_proposals.push_back((index, proposal_id));
         }
         self.replicate_to_all(&mut ready);
         self.advance_commit_index(now, &mut ready);
         Some(ready)
     }
 
-    /// Begins a heartbeat round: steps down where no majority was heard lately, otherwise changes members where that is due, and
-    /// sends each follower what it lacks.
+    /// Starts a heartbeat round: steps down without a recent response of a majority, otherwise proposes a membership change where one
+    /// is required, and sends each follower the entries that it lacks.
     pub(super) fn send_heartbeats(&mut self, now: Time, ready: &mut Ready) {
         let next_heartbeat = now + self.config.heartbeat_interval;
-        let Some(leadership) = self.leadership_mut() else { return };
-        leadership.next_heartbeat = next_heartbeat;
-        leadership.round += 1;
-        leadership.followers.values_mut().for_each(|progress| progress.rewind_unacknowledged());
-        if !self.leadership().is_some_and(|leadership| self.has_heard_majority(leadership, now)) {
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        leader_state.next_heartbeat = next_heartbeat;
+        leader_state.round += 1;
+        leader_state.followers.values_mut().for_each(|progress| progress.rewind_unacknowledged());
+        if !self.leader_state().is_some_and(|leader_state| self.has_quorum_contact(leader_state, now)) {
             return self.step_down(now, ready);
         }
         self.propose_membership_change(now, ready);
@@ -67,8 +67,8 @@
     }
 
     fn replicate_to_all(&mut self, ready: &mut Ready) {
-        let Some(leadership) = self.leadership() else { return };
-        let followers: Vec<NodeId> = leadership.followers.keys().copied().collect();
+        let Some(leader_state) = self.leader_state() else { return };
+        let followers: Vec<NodeId> = leader_state.followers.keys().copied().collect();
         for follower in followers {
             self.replicate_to(follower, ready);
         }
@@ -76,9 +76,9 @@
 
     /// Sends a follower the entries that it lacks, or a part of the snapshot where they are compacted.
     pub(super) fn replicate_to(&mut self, follower: NodeId, ready: &mut Ready) {
-        let Some(leadership) = self.leadership() else { return };
-        let Some(progress) = leadership.followers.get(&follower) else { return };
-        let (round, next_index, disk) = (leadership.round, progress.next_index, progress.disk);
+        let Some(leader_state) = self.leader_state() else { return };
+        let Some(progress) = leader_state.followers.get(&follower) else { return };
+        let (round, next_index, disk) = (leader_state.round, progress.next_index, progress.disk);
         let needs_snapshot = next_index <= self.log.snapshot_index();
         let offset = progress.snapshot_offset.unwrap_or(0);
         let mut sent_entries = 0;
@@ -91,18 +91,18 @@
             MessageBody::AppendEntries { round, previous, entries, commit: self.commit_index }
         };
         self.send(Member { id: follower, disk }, body, ready);
-        let Some(leadership) = self.leadership_mut() else { return };
-        if let Some(progress) = leadership.followers.get_mut(&follower) {
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        if let Some(progress) = leader_state.followers.get_mut(&follower) {
             progress.next_index += sent_entries;
             progress.snapshot_offset = needs_snapshot.then_some(offset);
         }
     }
 
-    /// The entries from `index` on that fit one message; at least one, where there is one.
+    /// The entries from `index` on that fit in one message; at least one where there is any.
     fn entries_from(&self, index: u64) -> Vec<Entry> {
         let (mut entries, mut size) = (Vec::new(), 0);
         for entry in (index..=self.log.last_index()).map_while(|index| self.log.entry(index)) {
-            size += size_in_message(entry);
+            size += encoded_size_bound(entry);
             if size > MAX_PAYLOAD_BYTES && !entries.is_empty() {
                 break;
             }
@@ -111,11 +111,11 @@
         entries
     }
 
-    /// Commits what a majority holds. Only entries of the leader's own term count by their copies; those before are committed
-    /// with them (Raft, section 3.6.2).
+    /// Commits the entries that a majority holds. Only entries of the leader's own term are committed by counting replicas; earlier
+    /// entries are committed with them (Raft, section 3.6.2).
     pub(super) fn advance_commit_index(&mut self, now: Time, ready: &mut Ready) {
-        let Some(leadership) = self.leadership() else { return };
-        let replicated = self.majority_value(self.log.last_index(), |id| leadership.match_index(id));
+        let Some(leader_state) = self.leader_state() else { return };
+        let replicated = self.majority_value(self.log.last_index(), |id| leader_state.match_index(id));
         let is_own_term =
             self.log.position(replicated).is_some_and(|position| position.term == self.hard_state.term);
         if replicated <= self.commit_index || !is_own_term {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Commits and applies all entries up to `index`, and takes a snapshot where the log has grown long.
+    /// Commits and applies all entries up to `index`, and takes a snapshot once the log reaches the snapshot threshold.
     pub(super) fn apply_up_to(&mut self, index: u64, ready: &mut Ready) {
         let index = index.min(self.log.last_index());
         while self.commit_index < index {
@@ -148,16 +148,16 @@
             _ => Vec::new(),
         };
         self.commit_index = index;
-        let Some(leadership) = self.leadership_mut() else { return };
-        let pending = &mut leadership.pending_proposals;
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        let pending = &mut leader_state.pending_proposals;
         while let Some((_, proposal_id)) = pending.pop_front_if(|(at, _)| *at == index) {
             let result = result.clone();
             ready.responses.push(ProposalResponse::Applied { proposal_id, index, result });
         }
     }
 
-    /// Appends the leader's entries after `previous`. Returns whether the log matched there, and how far it matches now or where
-    /// the leader should retry.
+    /// Appends the leader's entries after `previous`. Returns whether the log matched at `previous`, and the index up to which it now
+    /// matches or from which the leader should retry.
     pub(super) fn append_from_leader(
         &mut self,
         previous: LogPosition,
@@ -174,7 +174,7 @@
         for entry in entries {
             index += 1;
             if index <= self.commit_index {
-                continue; // committed: the same everywhere
+                continue; // committed entries are the same on all replicas
             }
             match self.log.position(index) {
                 Some(position) if position.term == entry.term => continue,
@@ -198,7 +198,7 @@
         index
     }
 
-    /// Records a follower's response; false where it does not count.
+    /// Records a follower's response. Returns false where the response is ignored.
     pub(super) fn handle_acknowledgement(
         &mut self,
         now: Time,
@@ -216,13 +216,13 @@
         }
         let (from, last) = (message.from, self.log.last_index());
         let any_disk = self.config.disabled_safeguards.empty_disk_has_no_vote;
-        let Some(leadership) = self.leadership_mut() else { return false };
-        let current_round = leadership.round;
-        let progress = leadership.followers.get_mut(&from.id);
+        let Some(leader_state) = self.leader_state_mut() else { return false };
+        let current_round = leader_state.round;
+        let progress = leader_state.followers.get_mut(&from.id);
         let Some(progress) = progress.filter(|progress| progress.disk == from.disk || any_disk) else {
             return false;
         };
-        progress.last_heard = now;
+        progress.last_contact = now;
         progress.acked_round = progress.acked_round.max(round.min(current_round));
         let (mut send_now, mut is_behind_match) = (false, false);
         match acknowledgement {
@@ -238,13 +238,13 @@
         }
         self.advance_commit_index(now, ready);
         if let Acknowledgement::Match(index) = acknowledgement {
-            // Only what is committed can never be overwritten there.
+            // Only committed entries can never be overwritten on the follower.
             let position = self.log.position(index.min(self.commit_index)).unwrap_or_default();
-            self.record_promise(from, position, 0);
+            self.record_acknowledged_state(from, position, 0);
         }
         if is_behind_match {
-            // An old message, or a disk that lost what it acknowledged; the follower can tell which.
-            self.send_known_promise(from, ready);
+            // Either an old message, or a disk that lost acknowledged state; the follower can tell which.
+            self.send_acknowledged_state(from, ready);
         }
         if send_now {
             self.replicate_to(from.id, ready);
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::storage::Snapshot;
 use crate::{Member, StateMachine, Time};
 
-/// A snapshot of which parts have arrived.
+/// A partly received snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct IncomingSnapshot {
     position: LogPosition,
@@ -28,8 +28,8 @@
         let Some(position) = self.log.position(self.commit_index) else { return };
         let bytes = self.state_machine.snapshot();
         self.log.compact(position, bytes, &mut ready.writes);
-        if let Some(leadership) = self.leadership_mut() {
-            leadership.followers.values_mut().for_each(|progress| progress.snapshot_offset = None);
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.followers.values_mut().for_each(|progress| progress.snapshot_offset = None);
         }
     }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Answers a part of the leader's snapshot.
+    /// Handles a part of the leader's snapshot and responds.
     pub(super) fn handle_snapshot_part(
         &mut self,
         from: Member,
@@ -67,22 +67,22 @@
         self.send(from, body, ready);
     }
 
-    /// Returns how many bytes have arrived; `None` once the snapshot is installed, or where it was not needed.
+    /// Returns the number of received bytes; `None` once the snapshot is installed, or where it is not needed.
     fn receive_snapshot_part(&mut self, part: SnapshotPart, ready: &mut Ready) -> Option<u64> {
         if part.position.index <= self.commit_index {
             return None;
         }
-        if self.incoming.position != part.position {
-            self.incoming = IncomingSnapshot { position: part.position, bytes: Vec::new() };
+        if self.incoming_snapshot.position != part.position {
+            self.incoming_snapshot = IncomingSnapshot { position: part.position, bytes: Vec::new() };
         }
-        if part.offset == self.incoming.bytes.len() as u64 {
-            self.incoming.bytes.extend(part.bytes);
+        if part.offset == self.incoming_snapshot.bytes.len() as u64 {
+            self.incoming_snapshot.bytes.extend(part.bytes);
         }
-        let received_bytes = self.incoming.bytes.len() as u64;
+        let received_bytes = self.incoming_snapshot.bytes.len() as u64;
         if received_bytes < part.total_bytes {
             return Some(received_bytes);
         }
-        let bytes = std::mem::take(&mut self.incoming).bytes;
+        let bytes = std::mem::take(&mut self.incoming_snapshot).bytes;
         let restored = M::from_snapshot(&bytes).filter(|_| received_bytes == part.total_bytes);
         let Some(state_machine) = restored else { return Some(0) };
         let (position, members) = (part.position, part.members.to_vec());
@@ -92,7 +92,7 @@
         None
     }
 
-    /// A follower has received so many bytes of the snapshot at `index`.
+    /// Handles a follower's response that it has received `received_bytes` of the snapshot at `index`.
     pub(super) fn handle_snapshot_response(
         &mut self,
         now: Time,
@@ -100,13 +100,13 @@
         (round, index, received_bytes): (u64, u64, u64),
         ready: &mut Ready,
     ) {
-        let counts = self.handle_acknowledgement(now, message, round, Acknowledgement::SnapshotPart, ready);
-        if !counts || index != self.log.snapshot_index() {
+        let is_valid = self.handle_acknowledgement(now, message, round, Acknowledgement::SnapshotPart, ready);
+        if !is_valid || index != self.log.snapshot_index() {
             return;
         }
-        let Some(leadership) = self.leadership_mut() else { return };
-        let Some(progress) = leadership.followers.get_mut(&message.from.id) else { return };
-        // The next part follows a part that is new there, not its duplicate; heartbeats repeat what was lost.
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        let Some(progress) = leader_state.followers.get_mut(&message.from.id) else { return };
+        // The next part is sent after new bytes were received, not after a duplicate. Heartbeats resend lost parts.
         if progress.snapshot_offset.is_some_and(|sent| sent < received_bytes) {
             progress.snapshot_offset = Some(received_bytes);
             self.replicate_to(message.from.id, ready);
--- a/crates/consensus/src/sim/disk.rs
+++ b/crates/consensus/src/sim/disk.rs
@@ -6,10 +6,10 @@
 use cypresscleat_store::Store;
 use std::collections::BTreeMap;
 
-/// A disk that keeps the order of writes: after a crash any prefix of what was not synced may be there.
+/// A disk that keeps the order of writes: after a crash any prefix of the unsynced writes may have survived.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
-    /// Its identity; 0 until it is first used.
+    /// Identity of the disk; 0 until its first use.
     pub id: DiskId,
     durable: BTreeMap<Vec<u8>, Vec<u8>>,
     unsynced: Vec<Write>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Loses a part of what was not synced.
+    /// Loses a random suffix of the unsynced writes.
     pub(super) fn crash(&mut self, rng: &mut SeededRng) {
         let surviving = rng.below(self.unsynced.len() as u64 + 1) as usize;
         self.unsynced.truncate(surviving);
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -3,24 +3,24 @@
 use super::{NetworkConditions, Simulation};
 use crate::{NodeId, Replica, SeededRng, StateMachine};
 
-/// How often faults happen: one in so many calls of [`Simulation::inject_faults`]; 0 is never.
+/// Fault rates: each value n is a probability of one in n for each call of [`Simulation::inject_faults`]; 0 is never.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultRates {
     /// A node crashes.
     pub crashes: u64,
-    /// Links are blocked, between two groups of nodes or one way.
+    /// Links are blocked, between two groups of nodes or in one direction.
     pub partitions: u64,
-    /// A disk is lost, while all nodes are in touch and up to date.
+    /// A disk is lost, while all nodes are connected and up to date.
     pub lost_disks: u64,
-    /// A disk is put back in an earlier state, while all nodes are in touch and up to date.
+    /// A disk is restored to an earlier state, while all nodes are connected and up to date.
     pub restored_disks: u64,
 }
 
-/// A stopped node starts again in one of so many calls.
+/// A stopped node is restarted with a probability of one in this many calls.
 const RESTART_ONE_IN: u64 = 4;
-/// Blocked links are freed in one of so many calls.
+/// Blocked links are unblocked with a probability of one in this many calls.
 const REPAIR_ONE_IN: u64 = 8;
-/// All replicas are up to date where their commit indexes differ by less than this.
+/// Replicas count as up to date where their commit indexes differ by less than this.
 const MAX_COMMIT_LAG: u64 = 3;
 
 fn is_due(rng: &mut SeededRng, one_in: u64) -> bool {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Frees all links, makes the network good and starts all stopped nodes.
+    /// Unblocks all links, restores healthy network conditions and starts all stopped nodes.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
         self.network = NetworkConditions::default();
@@ -65,17 +65,17 @@
     fn block_random_links(&mut self, rng: &mut SeededRng) {
         self.blocked_links.clear();
         let groups = rng.next_u64();
-        let is_across = |from: NodeId, to: NodeId| (groups >> from) & 1 != (groups >> to) & 1;
+        let is_between_groups = |from: NodeId, to: NodeId| (groups >> from) & 1 != (groups >> to) & 1;
         let ids = 1..=self.nodes.len() as NodeId;
         for (from, to) in ids.clone().flat_map(|from| ids.clone().map(move |to| (from, to))) {
-            let one_way = rng.one_in(3);
-            if is_across(from, to) || one_way && rng.one_in(4) {
+            let is_one_way = rng.one_in(3);
+            if is_between_groups(from, to) || is_one_way && rng.one_in(4) {
                 self.blocked_links.insert((from, to));
             }
         }
     }
 
-    /// Whether all nodes run, are members with their disks, are in touch and nearly up to date: one disk may be lost then.
+    /// Whether all nodes run, are members with their current disks, are connected and nearly up to date: one disk may be lost then.
     fn is_healthy(&self) -> bool {
         let commits = self.nodes.iter().filter_map(|node| node.replica.as_ref().map(Replica::commit_index));
         let (min, max, running) = (commits.clone().min(), commits.clone().max(), commits.count());
@@ -91,7 +91,7 @@
         members.len() == self.nodes.len() && self.nodes.iter().all(|node| is_member(node.disk.id))
     }
 
-    /// Puts the saved disk back where its node still has the same one; otherwise saves the disk of `node`.
+    /// Restores the saved disk where its node still has the disk of that identity; otherwise saves the disk of `node`.
     fn save_or_restore_disk(&mut self, node: usize) {
         match self.saved_disk.take() {
             Some((saved, disk)) if disk.id == self.nodes[saved].disk.id => self.restore_disk(saved, disk),
--- a/crates/consensus/src/sim/hash_chain.rs
+++ b/crates/consensus/src/sim/hash_chain.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Hashes the commands into a chain, so that equal hashes mean equal histories, and collects the numbers that they carry.
+/// Hashes the commands into a chain, so that equal hashes mean equal histories, and collects the commands' numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HashChain {
     /// Hash over all commands so far.
     pub hash: u64,
-    /// The commands' numbers.
+    /// Numbers of the commands so far.
     pub numbers: BTreeSet<u64>,
 }
 
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated network and disks for replicas: messages are lost, duplicated, late and out of order, links are blocked, nodes
-//! crash between writing and sending, and come back with what their disk had, with an earlier state of it or with nothing.
-//! Deterministic by seed. Invariants are checked as it runs.
+//! A simulated network and disks for replicas. Messages are lost, duplicated, delayed and reordered, and links are blocked. Nodes
+//! crash between writing and sending, and restart with the state on their disk, with an earlier state of it or with an empty disk.
+//! Deterministic by seed. Invariants are checked during the run.
 
 mod disk;
 mod faults;
@@ -17,14 +17,14 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Disks are numbered from here on.
+/// Id of the first disk; later disks have the following ids.
 const FIRST_DISK: DiskId = 101;
-/// One in so many messages takes the extra delay.
+/// One in this many messages takes the extra delay.
 const EXTRA_DELAY_ONE_IN: u64 = 20;
-/// Without `persist_before_send`, one in so many steps is synced.
+/// Without the safeguard `persist_before_send`, one in this many steps is synced.
 const LATE_SYNC_ONE_IN: u64 = 3;
 
-/// A replica that runs or not, and its disk.
+/// A running or stopped replica, and its disk.
 pub struct SimulatedNode<M> {
     /// The replica's id.
     pub id: NodeId,
@@ -34,16 +34,16 @@
     pub disk: SimulatedDisk,
 }
 
-/// What the network does to messages. Rates are one in so many; 0 is never.
+/// Network conditions. A rate n is a probability of one in n; 0 is never.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Shortest delay; the longest is almost its double.
+    /// Minimum delay; the maximum is almost its double.
     pub delay: Time,
     /// Rate of lost messages.
     pub loss_one_in: u64,
     /// Rate of duplicated messages.
     pub duplicate_one_in: u64,
-    /// A message now and then takes up to this much longer.
+    /// Maximum extra delay of some messages.
     pub max_extra_delay: Time,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The text of a broken invariant.
+/// A violated invariant, described by its text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvariantViolation(pub String);
@@ -64,11 +64,11 @@
     pub now: Time,
     /// The replicas; their ids count from 1.
     pub nodes: Vec<SimulatedNode<M>>,
-    /// What the network does to messages.
+    /// Current network conditions.
     pub network: NetworkConditions,
-    /// Pairs (from, to) between which no message gets through.
+    /// Links (from, to) that drop all messages.
     pub blocked_links: BTreeSet<(NodeId, NodeId)>,
-    /// Source of all that is drawn.
+    /// Source of all random decisions.
     pub rng: SeededRng,
     config: RaftConfig,
     initial: M,
@@ -76,14 +76,14 @@
     sequence: u64,
     next_disk: DiskId,
     saved_disk: Option<(usize, SimulatedDisk)>,
-    /// Responses to proposals, each with the node that gave it.
+    /// Responses to proposals, each with the position of the node that returned it.
     pub responses: Vec<(usize, ProposalResponse)>,
-    /// Messages sent so far, lost ones among them.
+    /// Number of messages sent so far, including lost ones.
     pub messages_sent: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub bytes_sent: u64,
     leaders: BTreeMap<u64, NodeId>,
-    /// The first invariant that was broken.
+    /// The first violated invariant.
     pub violation: Option<String>,
 }
 
@@ -92,7 +92,7 @@
     ///
     /// # Panics
     ///
-    /// Where `config` is not valid.
+    /// Panics where `config` is not valid.
     pub fn new(nodes: usize, initial: M, config: RaftConfig, seed: u64) -> Simulation<M> {
         let mut simulation = Simulation {
             now: 0,
@@ -120,7 +120,7 @@
         simulation
     }
 
-    /// Starts the replica of a node with what its disk holds.
+    /// Starts the replica of a node with the state on its disk.
     pub fn start(&mut self, at: usize) {
         let configured_replicas = self.nodes.iter().map(|node| node.id).collect();
         let node = &mut self.nodes[at];
@@ -141,7 +141,7 @@
         self.process_ready(at, ready);
     }
 
-    /// Stops a replica; a part of what its disk had not synced is lost.
+    /// Stops a replica; a suffix of its unsynced writes is lost.
     pub fn crash(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.replica = None;
@@ -158,7 +158,7 @@
         self.nodes[at].disk.clone()
     }
 
-    /// Stops a replica and puts an earlier state of its disk back, under the same identity.
+    /// Stops a replica and restores an earlier state of its disk, under the same identity.
     pub fn restore_disk(&mut self, at: usize, disk: SimulatedDisk) {
         self.nodes[at].replica = None;
         self.nodes[at].disk = disk;
@@ -173,7 +173,7 @@
         leaders.max().map(|(_, at)| at)
     }
 
-    /// Proposes a command at a node; false where that is not the leader.
+    /// Proposes a command at a node. Returns false where the node is not the leader.
     pub fn propose(&mut self, at: usize, proposal_id: u64, command: Vec<u8>) -> bool {
         let replica = self.nodes[at].replica.as_mut();
         let ready = replica.and_then(|replica| replica.propose(self.now, proposal_id, command));
@@ -182,13 +182,13 @@
         is_accepted
     }
 
-    /// Does what a replica asks for: writes, then messages and responses.
+    /// Processes the effects of a replica: writes first, then messages and responses.
     pub fn process_ready(&mut self, at: usize, ready: Ready) {
-        let persists_late = self.config.disabled_safeguards.persist_before_send;
+        let is_sync_delayed = self.config.disabled_safeguards.persist_before_send;
         let node = &mut self.nodes[at];
         let from = node.id;
         node.disk.write(ready.writes);
-        if !persists_late {
+        if !is_sync_delayed {
             node.disk.sync();
         }
         self.record_leader(at);
@@ -196,19 +196,19 @@
         for (to, message) in ready.messages {
             self.send(from, to, message);
         }
-        if persists_late && self.rng.one_in(LATE_SYNC_ONE_IN) {
+        if is_sync_delayed && self.rng.one_in(LATE_SYNC_ONE_IN) {
             self.nodes[at].disk.sync();
         }
     }
 
-    /// Checks that each term has one leader.
+    /// Checks that each term has at most one leader.
     fn record_leader(&mut self, at: usize) {
         let node = &self.nodes[at];
         let Some(replica) = node.replica.as_ref().filter(|replica| replica.is_leader()) else { return };
         let term = replica.term();
         let known = *self.leaders.entry(term).or_insert(node.id);
         if known != node.id {
-            self.violation.get_or_insert(format!("two lead in term {term}"));
+            self.violation.get_or_insert(format!("two leaders in term {term}"));
         }
     }
 
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Handles the next message or deadline before `until`; false where there is none.
+    /// Handles the next message or deadline before `until`. Returns false where there is none.
     pub fn step(&mut self, until: Time) -> bool {
         let next_arrival = self.in_flight.first_key_value().map(|(key, _)| key.0);
         let next_deadline = self.next_deadline();
@@ -266,7 +266,7 @@
         self.process_ready(at, ready.unwrap_or_default());
     }
 
-    /// A replica that finds its disk stale starts again with an empty one.
+    /// Restarts a replica that has found its disk stale, with an empty disk.
     fn replace_stale_disk(&mut self) {
         let is_stale = |node: &SimulatedNode<M>| node.replica.as_ref().is_some_and(Replica::is_disk_stale);
         if let Some(at) = self.nodes.iter().position(is_stale) {
@@ -280,11 +280,11 @@
         while self.step(until) {}
     }
 
-    /// Checks the invariants that were broken so far.
+    /// Checks the invariants.
     ///
     /// # Errors
     ///
-    /// The first broken invariant.
+    /// Returns the first invariant that was violated so far.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         self.violation.clone().map_or(Ok(()), |text| Err(InvariantViolation(text)))
     }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,5 +1,5 @@
-//! What a replica keeps on its disk: its hard state (key `h`), the snapshot's metadata (`b`) and its bytes in parts (`s`), and the
-//! log (`l`). Writes are ordered so that every prefix of them, which is what a crash leaves, reads as a valid state.
+//! The persistent state of a replica: its hard state (key `h`), the snapshot's metadata (`b`) and its bytes in parts (`s`), and the
+//! log (`l`). A crash leaves a prefix of the writes; they are ordered so that every prefix loads as a valid state.
 
 use crate::message::{Entry, LogPosition};
 use crate::{DiskId, Member, NodeId};
@@ -11,23 +11,23 @@
 /// A key and its new value; `None` removes the key.
 pub type Write = (Vec<u8>, Option<Vec<u8>>);
 
-/// A snapshot is stored in parts of this size.
+/// Size of the parts in which a snapshot is stored.
 const SNAPSHOT_PART_BYTES: usize = 256 * 1024;
 const HARD_STATE_KEY: &[u8] = b"h";
 const SNAPSHOT_KEY: &[u8] = b"b";
 const SNAPSHOT_PART_PREFIX: u8 = b's';
 const ENTRY_PREFIX: u8 = b'l';
-/// Index and part number after the prefix.
+/// Length of the index and the part number that follow the prefix.
 const SNAPSHOT_PART_SUFFIX_BYTES: usize = 12;
 
-/// Raft's hard state: what a replica must never take back.
+/// Raft's hard state, which a replica must persist before it sends messages that rely on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// Identity of the disk; 0 on one that was never used.
+    /// Identity of the disk; 0 on a disk that was never used.
     pub disk: DiskId,
-    /// Latest term that the replica has seen.
+    /// The current term: the latest that the replica has seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The candidate that received the replica's vote in that term.
     pub voted_for: Option<NodeId>,
 }
 
@@ -47,39 +47,39 @@
 pub struct PersistentState {
     /// Disk, term and vote.
     pub hard_state: HardState,
-    /// `None` on a replica that has not been told who the members are.
+    /// `None` on a replica that does not know the members yet.
     pub snapshot: Option<Snapshot>,
     /// Bytes of the snapshot.
     pub snapshot_bytes: Vec<u8>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Removals of what a crash left of an earlier snapshot or log.
-    pub stale: Vec<Write>,
+    /// Removals of the keys that a crash left of an earlier snapshot or log.
+    pub cleanup: Vec<Write>,
 }
 
-/// Why a disk's state can't be used.
+/// An error of [`load`]: the disk's state can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The store could not be read.
     #[error("{0}")]
     Store(#[from] cypresscleat_store::Error),
-    /// A value could not be decoded.
+    /// A stored value could not be decoded.
     #[error("{value}: {source}")]
     Decode {
-        /// Which value.
+        /// Name of the value.
         value: String,
-        /// What postcard found.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// A part of the snapshot is not there.
-    #[error("a part of its image is missing")]
+    /// A part of the snapshot is missing.
+    #[error("a part of the snapshot is missing")]
     MissingSnapshotPart,
-    /// The snapshot's parts don't add up.
-    #[error("an image of {found} bytes in place of {expected}")]
+    /// The length of the snapshot's parts is not the length in its metadata.
+    #[error("snapshot has {found} bytes, expected {expected}")]
     SnapshotLength {
-        /// Bytes in the parts.
+        /// Length of the stored parts, in bytes.
         found: u64,
-        /// Bytes that the metadata names.
+        /// Length according to the metadata, in bytes.
         expected: u64,
     },
 }
@@ -137,22 +137,22 @@
         let parts = 0..snapshot_parts(old);
         writes.extend(parts.map(|part| (snapshot_part_key(old.position.index, part), None)));
     }
-    // From the end, so that what a crash leaves of the log begins right after the snapshot.
+    // From the end, so that after a crash the remaining entries still follow the snapshot without a gap.
     writes.extend(compacted.rev().map(remove_entry));
 }
 
-/// Reads the whole state.
+/// Loads the whole state.
 ///
 /// # Errors
 ///
-/// [`LoadError`] names what is damaged. Such a disk must not be used as if it still held its promises.
+/// Returns [`LoadError`] where the state is damaged. Such a disk may have lost acknowledged state and must not be used.
 pub fn load<D: Disk>(store: &mut Store<D>) -> Result<PersistentState, LoadError> {
     let mut state = PersistentState::default();
     if let Some(bytes) = store.get(HARD_STATE_KEY)? {
-        state.hard_state = decode("its promises", &bytes)?;
+        state.hard_state = decode("hard state", &bytes)?;
     }
     if let Some(bytes) = store.get(SNAPSHOT_KEY)? {
-        state.snapshot = Some(decode("its base", &bytes)?);
+        state.snapshot = Some(decode("snapshot metadata", &bytes)?);
     }
     let snapshot = state.snapshot.clone().unwrap_or_default();
     state.snapshot_bytes = load_snapshot_bytes(store, &snapshot)?;
@@ -173,7 +173,8 @@
     Ok(bytes)
 }
 
-/// Reads the entries that follow the snapshot without a gap, and lists all other keys of entries and snapshot parts as stale.
+/// Reads the entries that follow the snapshot without a gap, and adds the removals of all other entries and snapshot parts to
+/// `state.cleanup`.
 fn load_log<D: Disk>(
     store: &mut Store<D>,
     snapshot_index: u64,
@@ -188,12 +189,12 @@
                 state.entries.push(decode(format!("entry {next}"), &bytes)?);
                 next += 1;
             }
-            Some((&ENTRY_PREFIX, _)) => state.stale.push((key, None)),
+            Some((&ENTRY_PREFIX, _)) => state.cleanup.push((key, None)),
             Some((&SNAPSHOT_PART_PREFIX, suffix))
                 if suffix.len() == SNAPSHOT_PART_SUFFIX_BYTES
                     && suffix[..8] != snapshot_index.to_be_bytes() =>
             {
-                state.stale.push((key, None));
+                state.cleanup.push((key, None));
             }
             _ => {}
         }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Bytes on the wire and on disk are as commit 67fc394 wrote them: postcard stores variants and fields by position, so a change
-//! of order, type or key shows here.
+//! The bytes on the wire and on disk are as commit 67fc394 wrote them. postcard encodes variants and fields by position, so a
+//! change of order, type or key fails these tests.
 
 #[path = "golden/samples.rs"]
 mod samples;
@@ -14,7 +14,7 @@
 
 const MESSAGES: &str = include_str!("golden/messages.txt");
 const WRITES: &str = include_str!("golden/writes.txt");
-/// What the program of 67fc394 said of the folder that it wrote: term, commit index, hash, numbers.
+/// Description of the folder by the program of 67fc394, which wrote it: term, commit index, hash, numbers.
 const FOLDER: &str = include_str!("golden/folder.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -41,14 +41,14 @@
 
 #[test]
 fn disk_writes_are_the_recorded_bytes() {
-    let shown = |(name, (key, value)): (String, storage::Write)| {
+    let describe = |(name, (key, value)): (String, storage::Write)| {
         format!("{name} {} {}", hex(&key), value.map_or("removed".into(), |value| hex(&value)))
     };
-    let found: Vec<String> = samples::writes().into_iter().map(shown).collect();
+    let found: Vec<String> = samples::writes().into_iter().map(describe).collect();
     assert_eq!(found, WRITES.lines().collect::<Vec<_>>());
 }
 
-fn copied_folder() -> PathBuf {
+fn copy_folder() -> PathBuf {
     let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-67fc394");
     let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join("replica-67fc394");
     let _ = std::fs::remove_dir_all(&to);
@@ -61,50 +61,50 @@
 }
 
 #[test]
-fn a_folder_of_67fc394_opens_and_its_replica_goes_on() {
-    let mut store = Store::open(DiskDirectory::open(&copied_folder()).expect("a folder"), Default::default())
+fn a_folder_of_67fc394_opens_and_its_replica_starts() {
+    let mut store = Store::open(DiskDirectory::open(&copy_folder()).expect("a folder"), Default::default())
         .expect("a store");
     let state = storage::load(&mut store).expect("a state");
-    assert_eq!(state.stale, Vec::new());
-    let base = state.snapshot.clone().expect("it was formed");
+    assert_eq!(state.cleanup, Vec::new());
+    let snapshot = state.snapshot.clone().expect("a bootstrapped replica");
 
-    // Written again, each value is what stands in the folder.
+    // Writing the state again gives each value in the folder.
     let mut writes = vec![storage::write_hard_state(&state.hard_state)];
     storage::write_snapshot(
         &mut writes,
-        &base,
+        &snapshot,
         &state.snapshot_bytes,
-        &base,
-        base.position.index + 1..=base.position.index,
+        &snapshot,
+        snapshot.position.index + 1..=snapshot.position.index,
     );
     for (at, entry) in state.entries.iter().enumerate() {
-        writes.push(storage::write_entry(base.position.index + 1 + at as u64, entry));
+        writes.push(storage::write_entry(snapshot.position.index + 1 + at as u64, entry));
     }
-    let snapshot = store.snapshot();
-    assert_eq!(snapshot.len(), writes.len());
+    let stored = store.snapshot();
+    assert_eq!(stored.len(), writes.len());
     for (key, value) in writes {
         assert_eq!(store.get(&key).expect("readable"), value, "key {}", hex(&key));
     }
 
-    // Alone in its configuration it would not be a majority; what it shows is what it has of its snapshot.
-    let (hard, entries) = (state.hard_state, state.entries.len());
+    // A single replica of three is no majority: its state is that of its snapshot.
+    let (hard_state, entries) = (state.hard_state, state.entries.len());
     let config = ReplicaConfig {
         id: 1,
         configured_replicas: [1, 2, 3].into(),
-        disk: hard.disk,
+        disk: hard_state.disk,
         raft: RaftConfig::default(),
         seed: 1,
     };
     let (replica, _) = Replica::start(0, config, state, HashChain::default()).expect("a valid configuration");
-    let shown = format!(
+    let description = format!(
         "disk {} term {} voted {:?} snapshot {} members {} entries {entries} hash {:016x} numbers {:?}\n",
-        hard.disk,
+        hard_state.disk,
         replica.term(),
-        hard.voted_for,
+        hard_state.voted_for,
         replica.commit_index(),
         replica.members().len(),
         replica.state_machine().hash,
         replica.state_machine().numbers,
     );
-    assert_eq!(shown, FOLDER);
+    assert_eq!(description, FOLDER);
 }
--- a/crates/consensus/tests/golden/samples.rs
+++ b/crates/consensus/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! One value of each variant that is sent between replicas or kept on their disks.
+//! A sample of each variant that is sent between replicas or stored on their disks.
 
 use cypresscleat_consensus::message::{Entry, EntryPayload, LogPosition, Message, MessageBody};
 use cypresscleat_consensus::storage::{self, HardState, Snapshot, Write};
@@ -18,25 +18,28 @@
 
 /// Each kind of message with its name in the file of golden bytes.
 pub fn messages() -> Vec<(&'static str, Message)> {
-    let mark = LogPosition { term: 5, index: 1_000 };
+    let last_position = LogPosition { term: 5, index: 1_000 };
     let bodies = vec![
         ("fresh-empty", MessageBody::JoinRequest { empty_disk: true }),
         ("fresh-used", MessageBody::JoinRequest { empty_disk: false }),
         ("form", MessageBody::Bootstrap { members: members() }),
-        ("hello", MessageBody::DiskCheck { last: mark }),
-        ("seen", MessageBody::DiskCheckResponse { last: mark, voted_term: 6 }),
-        ("ask-pre", MessageBody::RequestVote { pre_vote: true, last: mark }),
-        ("ask", MessageBody::RequestVote { pre_vote: false, last: mark }),
+        ("hello", MessageBody::DiskCheck { last: last_position }),
+        ("seen", MessageBody::DiskCheckResponse { last: last_position, voted_term: 6 }),
+        ("ask-pre", MessageBody::RequestVote { pre_vote: true, last: last_position }),
+        ("ask", MessageBody::RequestVote { pre_vote: false, last: last_position }),
         ("vote-pre", MessageBody::RequestVoteResponse { pre_vote: true, granted: false }),
         ("vote", MessageBody::RequestVoteResponse { pre_vote: false, granted: true }),
-        ("append", MessageBody::AppendEntries { round: 9, previous: mark, entries: entries(), commit: 999 }),
+        (
+            "append",
+            MessageBody::AppendEntries { round: 9, previous: last_position, entries: entries(), commit: 999 },
+        ),
         ("appended-good", MessageBody::AppendEntriesResponse { round: 9, success: true, index: 1_003 }),
         ("appended-not", MessageBody::AppendEntriesResponse { round: 10, success: false, index: 7 }),
         (
             "image",
             MessageBody::InstallSnapshot {
                 round: 11,
-                position: mark,
+                position: last_position,
                 members: members(),
                 offset: 32_768,
                 total_bytes: 40_000,
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,5 +1,5 @@
-//! The replicas' own code, walked by a model checker: from a leader and two that follow it, all orders of proposals, deliveries and
-//! losses, elections, a death that forgets what was not on the disk, and a disk that is lost, within small bounds.
+//! Model checking of the replicas' own code: from a leader and two followers, all orders of proposals, deliveries and losses of
+//! messages, elections, a crash that loses unsynced writes, and a lost disk, within small bounds.
 
 use cypresscleat_consensus::message::{self, Message};
 use cypresscleat_consensus::replica::DisabledSafeguards;
@@ -14,14 +14,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     replicas: Vec<Replica<HashChain>>,
-    /// What is surely on each disk, and what may be lost with a death.
+    /// The synced state of each disk; the unsynced writes may be lost in a crash.
     disks: Vec<BTreeMap<Vec<u8>, Vec<u8>>>,
     unsynced: Vec<Vec<Write>>,
     messages: BTreeSet<(NodeId, Vec<u8>)>,
-    answered: BTreeSet<u64>,
+    acknowledged: BTreeSet<u64>,
     proposals: u64,
     elections: u8,
-    deaths: u8,
+    crash_count: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,56 +29,56 @@
     Propose(usize),
     Deliver(NodeId, Vec<u8>),
     Campaign(usize),
-    /// It crashes, and starts again with what was on its disk.
+    /// The replica crashes and restarts with the synced state of its disk.
     Crash(usize),
     LoseDisk(usize),
 }
 
-struct Small {
-    broken: DisabledSafeguards,
+struct SmallCluster {
+    disabled: DisabledSafeguards,
     lost_disks: bool,
 }
 
-fn options(broken: DisabledSafeguards) -> RaftConfig {
-    RaftConfig { disabled_safeguards: broken, ..RaftConfig::default() }
+fn raft_config(disabled: DisabledSafeguards) -> RaftConfig {
+    RaftConfig { disabled_safeguards: disabled, ..RaftConfig::default() }
 }
 
 fn member(at: usize, disk: u64) -> Member {
     Member { id: at as NodeId + 1, disk }
 }
 
-impl Small {
-    fn replica(&self, at: usize, disk: u64, kept: PersistentState) -> (Replica<HashChain>, Ready) {
-        let named = (1..=3).collect();
+impl SmallCluster {
+    fn replica(&self, at: usize, disk: u64, stored: PersistentState) -> (Replica<HashChain>, Ready) {
+        let replica_ids = (1..=3).collect();
         let config = ReplicaConfig {
             id: at as NodeId + 1,
-            configured_replicas: named,
+            configured_replicas: replica_ids,
             disk,
-            raft: options(self.broken),
+            raft: raft_config(self.disabled),
             seed: at as u64,
         };
-        Replica::start(0, config, kept, HashChain::default()).expect("a valid configuration")
+        Replica::start(0, config, stored, HashChain::default()).expect("a valid configuration")
     }
 
-    fn carry(&self, state: &mut State, at: usize, out: Ready) {
-        if self.broken.persist_before_send {
-            state.unsynced[at].extend(out.writes);
+    fn process_ready(&self, state: &mut State, at: usize, ready: Ready) {
+        if self.disabled.persist_before_send {
+            state.unsynced[at].extend(ready.writes);
         } else {
-            sync(&mut state.disks[at], out.writes);
+            sync(&mut state.disks[at], ready.writes);
         }
-        for answer in out.responses {
-            if let ProposalResponse::Applied { proposal_id: number, .. } = answer {
-                state.answered.insert(number);
+        for response in ready.responses {
+            if let ProposalResponse::Applied { proposal_id: number, .. } = response {
+                state.acknowledged.insert(number);
             }
         }
-        for (to, message) in out.messages {
+        for (to, message) in ready.messages {
             if let Some(bytes) = message::encode(&message) {
                 state.messages.insert((to, bytes));
             }
         }
     }
 
-    /// All is long past any silence: whoever asks may be voted for.
+    /// Time advances past every election timeout with each election, so that any candidate can get votes.
     fn now(state: &State) -> i64 {
         100 * SECOND * (1 + i64::from(state.elections))
     }
@@ -93,61 +93,61 @@
     }
 }
 
-fn read(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> PersistentState {
+fn load(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> PersistentState {
     let mut store = cypresscleat_store::Store::open(
         cypresscleat_store::simulation::SimulatedDisk::default(),
         Default::default(),
     )
     .expect("an empty disk");
     disk.iter().for_each(|(key, value)| drop(store.put(key, value)));
-    store.commit(true).expect("a good disk");
-    cypresscleat_consensus::storage::load(&mut store).expect("it can be read")
+    store.commit(true).expect("a working disk");
+    cypresscleat_consensus::storage::load(&mut store).expect("a valid state")
 }
 
-impl Model for Small {
+impl Model for SmallCluster {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let members: Vec<Member> = (0..3).map(|at| member(at, 11 + at as u64)).collect();
-        let base = Snapshot { members, ..Snapshot::default() };
+        let snapshot = Snapshot { members, ..Snapshot::default() };
         let mut state = State {
             replicas: Vec::new(),
             disks: vec![BTreeMap::new(); 3],
             unsynced: vec![Vec::new(); 3],
             messages: BTreeSet::new(),
-            answered: BTreeSet::new(),
+            acknowledged: BTreeSet::new(),
             proposals: 0,
             elections: 0,
-            deaths: 0,
+            crash_count: 0,
         };
         for at in 0..3 {
             let mut writes = Vec::new();
             cypresscleat_consensus::storage::write_snapshot(
                 &mut writes,
-                &base,
+                &snapshot,
                 &[],
                 &Snapshot::default(),
-                1..=base.position.index,
+                1..=snapshot.position.index,
             );
             sync(&mut state.disks[at], writes);
-            let (replica, out) = self.replica(
+            let (replica, ready) = self.replica(
                 at,
                 11 + at as u64,
-                PersistentState { snapshot: Some(base.clone()), ..PersistentState::default() },
+                PersistentState { snapshot: Some(snapshot.clone()), ..PersistentState::default() },
             );
             state.replicas.push(replica);
-            sync(&mut state.disks[at], out.writes);
+            sync(&mut state.disks[at], ready.writes);
         }
-        // The first leads, and its first entry is decided: what follows is any order.
+        // The first replica is the leader, and its first entry is committed. From here on any order is explored.
         state.elections = 1;
-        let now = Small::now(&state);
-        let out = state.replicas[0].campaign(now);
-        self.carry(&mut state, 0, out);
+        let now = SmallCluster::now(&state);
+        let ready = state.replicas[0].campaign(now);
+        self.process_ready(&mut state, 0, ready);
         while let Some((to, bytes)) = state.messages.pop_first() {
-            let out =
-                state.replicas[to as usize - 1].step(now, &message::decode::<Message>(&bytes).expect("good"));
-            self.carry(&mut state, to as usize - 1, out);
+            let ready = state.replicas[to as usize - 1]
+                .step(now, &message::decode::<Message>(&bytes).expect("a valid message"));
+            self.process_ready(&mut state, to as usize - 1, ready);
         }
         for at in 0..3 {
             let writes = std::mem::take(&mut state.unsynced[at]);
@@ -165,7 +165,7 @@
             if state.elections < 3 && at > 0 && !state.replicas[at].is_leader() {
                 actions.push(Action::Campaign(at));
             }
-            if state.deaths < 1 && at == 1 {
+            if state.crash_count < 1 && at == 1 {
                 actions.push(if self.lost_disks { Action::LoseDisk(at) } else { Action::Crash(at) });
             }
         }
@@ -177,38 +177,38 @@
         match action {
             Action::Propose(at) => {
                 state.proposals += 1;
-                let (now, number) = (Small::now(&state), state.proposals);
-                let out = state.replicas[at].propose(now, number, number.to_le_bytes().to_vec())?;
-                self.carry(&mut state, at, out);
+                let (now, number) = (SmallCluster::now(&state), state.proposals);
+                let ready = state.replicas[at].propose(now, number, number.to_le_bytes().to_vec())?;
+                self.process_ready(&mut state, at, ready);
             }
             Action::Deliver(to, bytes) => {
                 state.messages.remove(&(to, bytes.clone()));
-                let now = Small::now(&state);
-                let out =
+                let now = SmallCluster::now(&state);
+                let ready =
                     state.replicas[to as usize - 1].step(now, &message::decode::<Message>(&bytes).ok()?);
-                self.carry(&mut state, to as usize - 1, out);
+                self.process_ready(&mut state, to as usize - 1, ready);
             }
             Action::Campaign(at) => {
                 state.elections += 1;
-                let now = Small::now(&state);
-                let out = state.replicas[at].campaign(now);
-                self.carry(&mut state, at, out);
+                let now = SmallCluster::now(&state);
+                let ready = state.replicas[at].campaign(now);
+                self.process_ready(&mut state, at, ready);
             }
             Action::Crash(at) => {
-                state.deaths += 1;
+                state.crash_count += 1;
                 state.unsynced[at].clear();
-                let (replica, out) = self.replica(at, 11 + at as u64, read(&state.disks[at]));
+                let (replica, ready) = self.replica(at, 11 + at as u64, load(&state.disks[at]));
                 state.replicas[at] = replica;
-                // What it says at its start says nothing about this: kept out, to keep the model small.
-                sync(&mut state.disks[at], out.writes);
+                // The messages of a starting replica are irrelevant here and are dropped, to keep the model small.
+                sync(&mut state.disks[at], ready.writes);
             }
             Action::LoseDisk(at) => {
-                state.deaths += 1;
+                state.crash_count += 1;
                 state.disks[at].clear();
                 state.unsynced[at].clear();
-                let (replica, out) = self.replica(at, 77, PersistentState::default());
+                let (replica, ready) = self.replica(at, 77, PersistentState::default());
                 state.replicas[at] = replica;
-                sync(&mut state.disks[at], out.writes);
+                sync(&mut state.disks[at], ready.writes);
             }
         }
         Some(state)
@@ -216,43 +216,49 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one thing is decided at an index", |_, state: &State| {
-                let mut links = BTreeMap::new();
+            Property::always("one entry is committed at each index", |_, state: &State| {
+                let mut hashes = BTreeMap::new();
                 state.replicas.iter().all(|replica| {
-                    let link = replica.state_machine().hash;
-                    *links.entry(replica.commit_index()).or_insert(link) == link
+                    let hash = replica.state_machine().hash;
+                    *hashes.entry(replica.commit_index()).or_insert(hash) == hash
                 })
             }),
-            Property::always("what was answered is known to whoever leads next", |_, state: &State| {
-                let newest = state
+            Property::always("acknowledged commands are known to the next leader", |_, state: &State| {
+                let newest_leader = state
                     .replicas
                     .iter()
                     .filter(|replica| replica.is_leader())
                     .max_by_key(|replica| replica.term());
-                newest.is_none_or(|replica| {
+                newest_leader.is_none_or(|replica| {
                     replica.term() < 2
                         || state
-                            .answered
+                            .acknowledged
                             .iter()
                             .all(|number| replica.state_machine().numbers.contains(number))
                 })
             }),
-            Property::sometimes("an answer", |_, state: &State| !state.answered.is_empty()),
-            Property::sometimes("another one leads after it", |_, state: &State| {
-                !state.answered.is_empty()
+            Property::sometimes("a command is acknowledged", |_, state: &State| {
+                !state.acknowledged.is_empty()
+            }),
+            Property::sometimes("another replica leads afterwards", |_, state: &State| {
+                !state.acknowledged.is_empty()
                     && state.replicas.iter().any(|replica| replica.is_leader() && replica.term() > 1)
             }),
         ]
     }
 }
 
-fn check(broken: DisabledSafeguards, lost_disks: bool) -> (usize, Option<&'static str>) {
-    let checker =
-        Small { broken, lost_disks }.checker().threads(2).target_state_count(400_000).spawn_bfs().join();
+fn check(disabled: DisabledSafeguards, lost_disks: bool) -> (usize, Option<&'static str>) {
+    let checker = SmallCluster { disabled, lost_disks }
+        .checker()
+        .threads(2)
+        .target_state_count(400_000)
+        .spawn_bfs()
+        .join();
     let found = checker
         .discoveries()
         .into_keys()
-        .find(|name| !["an answer", "another one leads after it"].contains(name));
+        .find(|name| !["a command is acknowledged", "another replica leads afterwards"].contains(name));
     (checker.unique_state_count(), found)
 }
 
@@ -267,12 +273,12 @@
 
 #[test]
 fn finds_the_loss_when_messages_leave_before_they_are_persisted() {
-    let broken = DisabledSafeguards { persist_before_send: true, ..DisabledSafeguards::default() };
-    assert!(check(broken, false).1.is_some());
+    let disabled = DisabledSafeguards { persist_before_send: true, ..DisabledSafeguards::default() };
+    assert!(check(disabled, false).1.is_some());
 }
 
 #[test]
 fn finds_the_loss_when_an_empty_disk_has_a_vote() {
-    let broken = DisabledSafeguards { empty_disk_has_no_vote: true, ..DisabledSafeguards::default() };
-    assert!(check(broken, true).1.is_some());
+    let disabled = DisabledSafeguards { empty_disk_has_no_vote: true, ..DisabledSafeguards::default() };
+    assert!(check(disabled, true).1.is_some());
 }
--- a/crates/consensus/tests/simulated_faults.rs
+++ b/crates/consensus/tests/simulated_faults.rs
@@ -1,5 +1,5 @@
-//! Replicas in a simulated network with simulated disks: what was acknowledged is never lost, no two replicas commit different
-//! entries, and a majority that runs makes progress. Without a safeguard the same faults break an invariant.
+//! Replicas in a simulated network with simulated disks: acknowledged commands are never lost, no two replicas commit different
+//! entries, and a running majority makes progress. With a safeguard disabled the same faults violate an invariant.
 
 use cypresscleat_consensus::replica::DisabledSafeguards;
 use cypresscleat_consensus::sim::{FaultRates, HashChain, NetworkConditions, Simulation};
@@ -7,26 +7,27 @@
 use std::collections::BTreeMap;
 
 fn config() -> RaftConfig {
-    // Snapshots are taken often, so that they are sent too.
+    // Snapshots are taken often, so that they are also sent to followers.
     RaftConfig { snapshot_threshold: 12, ..RaftConfig::default() }
 }
 
 #[derive(Default)]
 struct CommitHistory {
-    /// Hash of the history at each index, as the first replica that was there has it.
+    /// Hash of the history at each index, from the first replica that reached it.
     hashes: BTreeMap<u64, u64>,
-    responded: BTreeMap<u64, u64>,
+    /// Index of each command that was acknowledged.
+    acknowledged: BTreeMap<u64, u64>,
     proposed: u64,
 }
 
 impl CommitHistory {
-    /// Compares all replicas and the responses since the last call with what was seen before.
+    /// Compares all replicas, and the responses since the last call, with the recorded history.
     fn observe(&mut self, simulation: &mut Simulation<HashChain>) {
-        for (_, answer) in std::mem::take(&mut simulation.responses) {
-            if let ProposalResponse::Applied { proposal_id: number, index, result } = answer {
+        for (_, response) in std::mem::take(&mut simulation.responses) {
+            if let ProposalResponse::Applied { proposal_id: number, index, result } = response {
                 let hash = u64::from_le_bytes(result.try_into().expect("a hash"));
                 self.check(simulation, index, hash);
-                self.responded.insert(number, index);
+                self.acknowledged.insert(number, index);
             }
         }
         let all: Vec<(u64, u64)> = simulation
@@ -42,14 +43,14 @@
     }
     fn check(&mut self, simulation: &mut Simulation<HashChain>, index: u64, hash: u64) {
         let known = *self.hashes.entry(index).or_insert(hash);
-        // Entries without a command leave the hash as it was, so the same index means the same hash everywhere.
+        // Entries without a command leave the hash unchanged, so each index has one hash on all replicas.
         if known != hash {
-            simulation.violation.get_or_insert(format!("two things decided at {index}"));
+            simulation.violation.get_or_insert(format!("two different entries committed at {index}"));
         }
     }
 }
 
-/// Runs a seed with faults, heals, and returns what was wrong.
+/// Runs a seed with faults, heals, and returns an error where an invariant was violated or no progress was made.
 fn run_seed(
     seed: u64,
     nodes: usize,
@@ -89,63 +90,66 @@
         }
         simulation.check_invariants().map_err(|violation| violation.to_string())?;
     }
-    let Some(leader) = simulation.leader() else { return Err("nobody leads, though all are here".into()) };
-    let machine = simulation.nodes[leader].replica.as_ref().expect("it leads").state_machine().clone();
-    if let Some(lost) = history.responded.keys().find(|number| !machine.numbers.contains(number)) {
-        return Err(format!("responded and lost: {lost}"));
+    let Some(leader) = simulation.leader() else { return Err("no leader, though all replicas run".into()) };
+    let machine =
+        simulation.nodes[leader].replica.as_ref().expect("a running leader").state_machine().clone();
+    if let Some(lost) = history.acknowledged.keys().find(|number| !machine.numbers.contains(number)) {
+        return Err(format!("acknowledged and lost: {lost}"));
     }
-    // No storm: heartbeats both ways and proposals, with room for repetitions.
+    // No message storm: the bound covers heartbeats in both directions and proposals, with a margin for retries.
     let bound = (simulation.now / SECOND) as u64 * 400 * (nodes * nodes) as u64;
     if simulation.messages_sent > bound {
         return Err(format!("{} messages, more than {bound}", simulation.messages_sent));
     }
     let last = history.proposed;
-    if !history.responded.contains_key(&last) && !history.responded.keys().any(|number| *number + 12 > last) {
-        return Err("nothing was decided at the end".into());
+    if !history.acknowledged.contains_key(&last)
+        && !history.acknowledged.keys().any(|number| *number + 12 > last)
+    {
+        return Err("nothing was committed at the end".into());
     }
     Ok(())
 }
 
-const ALL: FaultRates = FaultRates { crashes: 6, partitions: 6, lost_disks: 20, restored_disks: 0 };
+const ALL_FAULTS: FaultRates = FaultRates { crashes: 6, partitions: 6, lost_disks: 20, restored_disks: 0 };
 
 fn seeds() -> u64 {
     std::env::var("QUORUM_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(300)
 }
 
-fn sweep(first: u64, nodes: usize, rates: FaultRates) {
+fn run_seeds(first: u64, nodes: usize, rates: FaultRates) {
     for seed in first..first + seeds() {
-        if let Err(wrong) = run_seed(seed, nodes, config(), rates, 14) {
-            panic!("seed {seed}, {nodes} replicas: {wrong}");
+        if let Err(error) = run_seed(seed, nodes, config(), rates, 14) {
+            panic!("seed {seed}, {nodes} replicas: {error}");
         }
     }
 }
 
 #[test]
 fn three_replicas_survive_crashes_partitions_and_lost_disks() {
-    sweep(0, 3, ALL);
+    run_seeds(0, 3, ALL_FAULTS);
 }
 
 #[test]
 fn five_replicas_survive_crashes_partitions_and_lost_disks() {
-    sweep(1_000_000, 5, ALL);
+    run_seeds(1_000_000, 5, ALL_FAULTS);
 }
 
 #[test]
 fn detects_a_disk_restored_from_an_earlier_state() {
-    // The others are in touch while the copy is put back, so one of them knows what the disk had acknowledged.
-    sweep(2_000_000, 3, FaultRates { crashes: 0, partitions: 0, lost_disks: 0, restored_disks: 6 });
+    // The other replicas are connected while the copy is restored, so one of them knows what the disk had acknowledged.
+    run_seeds(2_000_000, 3, FaultRates { crashes: 0, partitions: 0, lost_disks: 0, restored_disks: 6 });
 }
 
-fn found(broken: DisabledSafeguards, rates: FaultRates, nodes: usize, seeds: u64) -> bool {
-    let config = RaftConfig { disabled_safeguards: broken, ..config() };
+fn finds_violation(disabled: DisabledSafeguards, rates: FaultRates, nodes: usize, seeds: u64) -> bool {
+    let config = RaftConfig { disabled_safeguards: disabled, ..config() };
     (0..seeds).any(|seed| run_seed(seed, nodes, config, rates, 14).is_err())
 }
 
 #[test]
 fn sending_before_persisting_breaks_an_invariant() {
-    let broken = DisabledSafeguards { persist_before_send: true, ..DisabledSafeguards::default() };
-    assert!(found(
-        broken,
+    let disabled = DisabledSafeguards { persist_before_send: true, ..DisabledSafeguards::default() };
+    assert!(finds_violation(
+        disabled,
         FaultRates { crashes: 3, partitions: 8, lost_disks: 0, restored_disks: 0 },
         3,
         200
@@ -157,7 +161,7 @@
     let mut simulation = Simulation::new(3, HashChain::default(), config(), 7);
     simulation.crash(2);
     simulation.run(5 * SECOND);
-    assert_eq!(simulation.leader(), None, "two empty disks of three are no configuration");
+    assert_eq!(simulation.leader(), None, "two of three replicas with empty disks do not bootstrap");
     simulation.start(2);
     simulation.run(7 * SECOND);
     assert!(simulation.leader().is_some());
@@ -167,7 +171,7 @@
 fn commits_nothing_after_a_majority_lost_its_disks() {
     let mut simulation = Simulation::new(3, HashChain::default(), config(), 8);
     simulation.run(2 * SECOND);
-    let leader = simulation.leader().expect("one leads");
+    let leader = simulation.leader().expect("a leader");
     assert!(simulation.propose(leader, 1, 1u64.to_le_bytes().to_vec()));
     simulation.run(3 * SECOND);
     for at in 0..3 {
@@ -177,7 +181,7 @@
         }
     }
     simulation.run(20 * SECOND);
-    assert_eq!(simulation.leader(), None, "one that remembers and two that don't are no majority");
+    assert_eq!(simulation.leader(), None, "one replica with its state and two without are no majority");
 }
 
 #[test]
@@ -185,33 +189,37 @@
     let mut simulation = Simulation::new(3, HashChain::default(), config(), 9);
     simulation.run(2 * SECOND);
     for number in 0..40u64 {
-        let leader = simulation.leader().expect("one leads");
+        let leader = simulation.leader().expect("a leader");
         simulation.propose(leader, number, number.to_le_bytes().to_vec());
         simulation.run(simulation.now + 10 * MS);
     }
-    let leader = simulation.leader().expect("one leads");
+    let leader = simulation.leader().expect("a leader");
     let lost = (leader + 1) % 3;
     let old = simulation.nodes[lost].disk.id;
     simulation.lose_disk(lost);
     simulation.start(lost);
     simulation.run(simulation.now + 3 * SECOND);
-    let leader = simulation.leader().expect("one leads");
-    let members = simulation.nodes[leader].replica.as_ref().expect("it leads").members().to_vec();
+    let leader = simulation.leader().expect("a leader");
+    let members = simulation.nodes[leader].replica.as_ref().expect("a running leader").members().to_vec();
     assert_eq!(members.len(), 3);
     assert!(members.iter().all(|member| member.disk != old));
-    let new = simulation.nodes[lost].replica.as_ref().expect("it runs");
-    assert_eq!(new.state_machine().numbers.len(), 40, "it has all that was decided");
-    // And it counts: one of the others may go.
+    let new = simulation.nodes[lost].replica.as_ref().expect("a running replica");
+    assert_eq!(new.state_machine().numbers.len(), 40, "it has all committed commands");
+    // It counts toward a majority: one of the others may crash.
     simulation.crash((lost + 1) % 3);
     simulation.run(simulation.now + 3 * SECOND);
     assert!(simulation.leader().is_some());
 }
 
-/// The leader and a second replica commit an entry while the third is cut off. Then the second loses its disk, and the leader
-/// crashes.
-fn a_vote_from_an_empty_disk(broken: DisabledSafeguards) -> Option<bool> {
-    let mut simulation =
-        Simulation::new(3, HashChain::default(), RaftConfig { disabled_safeguards: broken, ..config() }, 11);
+/// The leader and a second replica commit an entry while the third is partitioned. Then the second loses its disk, and the leader
+/// crashes. Returns whether a new leader has the entry; `None` without a leader.
+fn new_leader_has_entry(disabled: DisabledSafeguards) -> Option<bool> {
+    let mut simulation = Simulation::new(
+        3,
+        HashChain::default(),
+        RaftConfig { disabled_safeguards: disabled, ..config() },
+        11,
+    );
     simulation.run(2 * SECOND);
     let leader = simulation.leader()?;
     let (second, third) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -225,25 +233,25 @@
     assert!(simulation
         .responses
         .iter()
-        .any(|(_, answer)| matches!(answer, ProposalResponse::Applied { proposal_id: 77, .. })));
+        .any(|(_, response)| matches!(response, ProposalResponse::Applied { proposal_id: 77, .. })));
     simulation.crash(leader);
     simulation.lose_disk(second);
     simulation.start(second);
     simulation.blocked_links.clear();
     simulation.run(30 * SECOND);
-    let leads = simulation.leader()?;
-    Some(simulation.nodes[leads].replica.as_ref()?.state_machine().numbers.contains(&77))
+    let new_leader = simulation.leader()?;
+    Some(simulation.nodes[new_leader].replica.as_ref()?.state_machine().numbers.contains(&77))
 }
 
 #[test]
 fn an_empty_disk_has_no_vote_and_without_that_safeguard_a_response_is_lost() {
     assert_eq!(
-        a_vote_from_an_empty_disk(DisabledSafeguards::default()),
+        new_leader_has_entry(DisabledSafeguards::default()),
         None,
-        "one of three remembers: nothing is decided"
+        "only one of three has its state: no leader"
     );
-    let broken = DisabledSafeguards { empty_disk_has_no_vote: true, ..DisabledSafeguards::default() };
-    assert_eq!(a_vote_from_an_empty_disk(broken), Some(false), "what was responded is lost");
+    let disabled = DisabledSafeguards { empty_disk_has_no_vote: true, ..DisabledSafeguards::default() };
+    assert_eq!(new_leader_has_entry(disabled), Some(false), "the acknowledged command is lost");
 }
 
 #[test]
@@ -251,15 +259,15 @@
     use cypresscleat_consensus::message::{self, DecodeError, LogPosition, Message, MessageBody};
     let from = cypresscleat_consensus::Member { id: 1, disk: 2 };
     let body = MessageBody::RequestVote { pre_vote: false, last: LogPosition { term: 3, index: 9 } };
-    let good = Message { from, to_disk: 4, term: 3, body };
-    let bytes = message::encode(&good).expect("it is short");
-    assert_eq!(message::decode::<Message>(&bytes), Ok(good));
+    let valid = Message { from, to_disk: 4, term: 3, body };
+    let bytes = message::encode(&valid).expect("a short message");
+    assert_eq!(message::decode::<Message>(&bytes), Ok(valid));
     for at in 0..bytes.len() {
         assert!(message::decode::<Message>(&bytes[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
-            let mut garbled = bytes.clone();
-            garbled[at] ^= 1 << bit;
-            assert!(message::decode::<Message>(&garbled).is_err(), "bit {bit} of byte {at}");
+            let mut corrupted = bytes.clone();
+            corrupted[at] ^= 1 << bit;
+            assert!(message::decode::<Message>(&corrupted).is_err(), "bit {bit} of byte {at}");
         }
     }
     let mut later = bytes;
--- a/crates/consensus/tests/stale_disk.rs
+++ b/crates/consensus/tests/stale_disk.rs
@@ -1,4 +1,4 @@
-//! A replica that learns that its disk holds less than it had promised.
+//! A replica that learns that its disk has lost acknowledged state.
 
 use cypresscleat_consensus::message::{LogPosition, Message, MessageBody};
 use cypresscleat_consensus::sim::HashChain;
@@ -6,7 +6,7 @@
 use cypresscleat_consensus::{Event, Member, NodeId, RaftConfig, Ready, Replica, ReplicaConfig, Time};
 use std::collections::VecDeque;
 
-/// A second.
+/// One second, in tenths of a millisecond.
 const SECOND: Time = 10_000;
 
 fn replica(id: NodeId) -> (Replica<HashChain>, Ready) {
@@ -21,8 +21,8 @@
         .expect("a valid configuration")
 }
 
-/// Plays three replicas on a net without loss until one leads.
-fn elected() -> (Vec<Replica<HashChain>>, usize, Time) {
+/// Runs three replicas on a network without loss until one is the leader.
+fn elect_leader() -> (Vec<Replica<HashChain>>, usize, Time) {
     let mut replicas = Vec::new();
     let mut messages: VecDeque<(NodeId, Message)> = VecDeque::new();
     for id in 1..=3 {
@@ -42,13 +42,13 @@
             return (replicas, leader, now);
         }
     }
-    panic!("nobody leads");
+    panic!("no leader was elected");
 }
 
-/// Guards against a leader that goes on leading, and answers, on a disk that has forgotten what it promised.
+/// Guards against a leader that continues to lead and to respond on a disk that has lost acknowledged state.
 #[test]
-fn a_leader_whose_disk_is_found_stale_leads_no_longer() {
-    let (mut replicas, leader, now) = elected();
+fn a_leader_whose_disk_is_found_stale_steps_down() {
+    let (mut replicas, leader, now) = elect_leader();
     let own = replicas[leader].member();
     let from = Member { id: own.id % 3 + 1, disk: 10 + own.id % 3 + 1 };
     let last = LogPosition { term: replicas[leader].term(), index: 1_000 };
@@ -57,8 +57,8 @@
     let ready = replicas[leader].step(now, &message);
     let replica = &mut replicas[leader];
     assert!(replica.is_disk_stale());
-    assert!(!replica.is_leader() && replica.read_index().is_none(), "it leads on");
-    assert!(replica.propose(now, 1, Vec::new()).is_none(), "it takes a command");
+    assert!(!replica.is_leader() && replica.read_index().is_none(), "still the leader");
+    assert!(replica.propose(now, 1, Vec::new()).is_none(), "accepted a command");
     assert!(
         ready.events.iter().any(|event| matches!(event, Event::SteppedDown { .. })),
         "{:?}",
