--- a/crates/experiments/src/owners.rs
+++ b/crates/experiments/src/owners.rs
@@ -111,7 +111,7 @@
     );
     for lease in [1, 2, 5] {
         let setup =
-            SimulationConfig { lease: lease * SECOND, act_interval: 0, ..SimulationConfig::default() };
+            SimulationConfig { lease: lease * SECOND, operation_interval: 0, ..SimulationConfig::default() };
         let rows: [(&str, Done); 3] = [
             ("told handover", Simulation::drain),
             ("the owner dies", Simulation::kill),
@@ -145,7 +145,7 @@
                 replicas: keepers,
                 instances,
                 partitions: parts,
-                act_interval: 0,
+                operation_interval: 0,
                 ..SimulationConfig::default()
             },
             3,
--- a/crates/experiments/src/scale/keepers.rs
+++ b/crates/experiments/src/scale/keepers.rs
@@ -158,7 +158,7 @@
 /// Sessions at rest, each of an instance that waits for the one part: messages, bytes and writes at the keepers.
 pub fn sessions(instances: usize, seed: u64) -> [f64; 6] {
     let setup =
-        owning::SimulationConfig { instances, act_interval: 0, ..owning::SimulationConfig::default() };
+        owning::SimulationConfig { instances, operation_interval: 0, ..owning::SimulationConfig::default() };
     let mut play = owning::Simulation::new(setup, seed);
     play.run(8 * SECOND);
     let counted = |play: &owning::Simulation| {
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -1,4 +1,4 @@
-//! Runs on an instance: opens its session, renews it, and knows what it owns and until when.
+//! The client side of the leases: opens an instance's session, renews it, and knows which partitions it owns and until when.
 
 mod responses;
 
@@ -10,42 +10,42 @@
 use cypresscleat_sessions::replicas::ReplicaRotation;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Operations that wait to be decided; one more is rejected.
+/// Maximum number of operations that wait to be committed; further operations are rejected.
 pub const MAX_QUEUED_OPERATIONS: usize = 1024;
-/// Length of the lease until the leader has told it.
+/// Length of the lease until the leader has reported it.
 const ASSUMED_LEASE: Time = 2 * SECOND;
-/// Unanswered renewals after which the client asks less often, as all replicas may be away.
+/// Number of unanswered renewals after which the client renews less often, as all replicas may be down.
 const QUICK_RETRIES: u32 = 3;
 
-/// What changed for the instance.
+/// A change in what the instance owns, or the outcome of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
-    /// It owns the partition from now on.
+    /// The instance owns the partition from now on.
     Acquired {
         /// The partition.
         partition: Partition,
-        /// The token that its acts carry.
+        /// The fencing token that operations on the resource carry.
         token: u64,
-        /// Where the work stands.
+        /// The saved progress of the work.
         cursor: Vec<u8>,
     },
-    /// It may not act on the partition any more.
+    /// The instance no longer owns the partition and must not operate on it.
     Lost {
         /// The partition.
         partition: Partition,
-        /// The token under which it was owned.
+        /// The fencing token of the grant.
         token: u64,
     },
-    /// An operator wants the partition back: to be released once the work on it has stopped.
+    /// An operator asked for the release of the partition: release it once the work on it has stopped.
     ReleaseRequested {
         /// The partition.
         partition: Partition,
     },
-    /// An operation has ended: decided by the leader, or given up as the lease or the session is over.
+    /// An operation has completed: committed by the leader, or abandoned because the lease or the session has ended.
     CursorSaved {
-        /// What [`LeaseClient::save_cursor`] returned; a release has a ticket of its own, which the caller never got.
+        /// Ticket that [`LeaseClient::save_cursor`] returned. A release also has a ticket, which is not returned.
         ticket: u64,
-        /// Whether it took effect. False where the partition had another owner by then, or the outcome is not known.
+        /// Whether the operation took effect. False where the partition had another owner by then, or the outcome is unknown.
         accepted: bool,
     },
 }
@@ -56,7 +56,7 @@
     release_requested: bool,
 }
 
-/// An `Apply` request on its way.
+/// An `Apply` request that waits for its response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentOperations {
     number: u32,
@@ -64,7 +64,7 @@
     count: usize,
 }
 
-/// A request, and the replica that it goes to.
+/// Requests, each with the replica that receives it.
 pub type Outgoing = Vec<(NodeId, Request)>;
 
 /// An instance's session with the leader.
@@ -77,19 +77,19 @@
     rng: SeededRng,
     /// Length of the lease.
     lease: Time,
-    /// 0 where there is none.
+    /// 0 where no session is open.
     session: u64,
     lease_ends_at: Time,
     last_seen_grant: GrantPosition,
     owned: BTreeMap<Partition, OwnedPartition>,
-    /// Tokens of partitions that were released: a late message does not grant them again.
+    /// Tokens of released partitions, so that a delayed message does not grant them again.
     released: BTreeMap<Partition, u64>,
     pending_renewals: PendingRenewals,
     last_request_number: u32,
-    /// Renewals without a response, one after the other.
+    /// Number of consecutive renewals without a response.
     unanswered_renewals: u32,
     next_renewal: Time,
-    /// Operations to be decided, by ticket.
+    /// Operations that are not committed yet, with their tickets.
     operations: VecDeque<(u64, Operation)>,
     last_ticket: u64,
     sent_operations: Option<SentOperations>,
@@ -97,12 +97,12 @@
     /// Number of the first `Leave` request.
     first_leave_number: Option<u32>,
     events: VecDeque<LeaseEvent>,
-    /// A safeguard that tests disable: the client goes on after the end of its lease.
+    /// Disables a safeguard, in tests: the client goes on after the end of its lease.
     pub ignore_lease_end: bool,
 }
 
 impl LeaseClient {
-    /// `incarnation` is drawn anew at each start of the instance.
+    /// Creates a client. `incarnation` is drawn at random at each start of the instance.
     pub fn new(
         now: Time,
         instance: NodeId,
@@ -143,23 +143,23 @@
         self.instance
     }
 
-    /// The session; 0 where there is none.
+    /// The session; 0 where no session is open.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// First moment, by this instance's clock, at which it may not act unless the lease is renewed.
+    /// End of the lease by this instance's clock: from then on it must not operate on its partitions unless the lease is renewed.
     pub fn lease_ends_at(&self) -> Time {
         self.lease_ends_at
     }
 
-    /// When [`LeaseClient::tick`] has something to do next.
+    /// Time of the next call of [`LeaseClient::tick`].
     pub fn next_deadline(&self) -> Time {
         if self.has_left() {
             return Time::MAX;
         }
-        let holds_nothing = self.owned.is_empty() || self.ignore_lease_end;
-        let lease_end = if holds_nothing { Time::MAX } else { self.lease_ends_at };
+        let has_no_expiry = self.owned.is_empty() || self.ignore_lease_end;
+        let lease_end = if has_no_expiry { Time::MAX } else { self.lease_ends_at };
         let resend =
             self.sent_operations.as_ref().map_or(Time::MAX, |sent| sent.sent_at + self.retry_delay());
         self.next_renewal.min(lease_end).min(resend)
@@ -170,12 +170,13 @@
         self.events.drain(..)
     }
 
-    /// Partitions that are owned, with their tokens.
+    /// The owned partitions, with their tokens.
     pub fn owned(&self) -> impl Iterator<Item = (Partition, u64)> + '_ {
         self.owned.iter().map(|(partition, owned)| (*partition, owned.token))
     }
 
-    /// The token under which an act on the partition may be done now. To be asked before every act.
+    /// The fencing token under which an operation on the partition is allowed now; `None` where it is not allowed. To be called before
+    /// each operation.
     pub fn valid_token(&self, now: Time, partition: Partition) -> Option<u64> {
         if now >= self.lease_ends_at && !self.ignore_lease_end {
             return None;
@@ -183,20 +184,20 @@
         self.owned.get(&partition).filter(|owned| !owned.release_requested).map(|owned| owned.token)
     }
 
-    /// Saves where the work on a partition stands. Returns a ticket, which [`LeaseEvent::CursorSaved`] names; `None` where the partition
-    /// is not owned or too many operations wait.
+    /// Saves the progress of the work on a partition. Returns a ticket, which [`LeaseEvent::CursorSaved`] carries; `None` where the
+    /// partition is not owned or too many operations wait.
     pub fn save_cursor(&mut self, partition: Partition, cursor: Vec<u8>) -> Option<u64> {
         let token = self.owned.get(&partition)?.token;
         if self.operations.len() >= MAX_QUEUED_OPERATIONS {
             return None;
         }
-        // Tickets rise for as long as this instance lives, also where it loses a partition and owns it again under the same token: an
-        // earlier cursor that is still on its way never overtakes a later one.
+        // Tickets rise throughout an incarnation, also where the instance loses a partition and gets it back under the same token: an
+        // earlier cursor that is still in flight never overwrites a later one.
         let step = self.last_ticket + 1;
         Some(self.queue(Operation::SaveCursor { partition, token, step, cursor }))
     }
 
-    /// Gives a partition back. No act on it may be under way any more.
+    /// Releases a partition. No operation on it may be in progress any more.
     pub fn release(&mut self, partition: Partition) {
         if let Some(owned) = self.owned.remove(&partition) {
             let token = owned.token;
@@ -206,33 +207,34 @@
         }
     }
 
-    /// Ends the session, so that all is free at once. No act may be under way any more.
+    /// Ends the session, so that all its partitions are free at once. No operation on them may be in progress any more.
     pub fn leave(&mut self, now: Time) -> Outgoing {
         self.is_leaving = true;
         self.lose_all();
-        // The replica that was asked last is asked again: a renewal that is on its way is not unanswered.
+        // The request goes to the replica that got the last renewal; a renewal in flight does not count as unanswered.
         self.next_renewal = now;
         self.unanswered_renewals = 0;
         self.tick(now)
     }
 
-    /// Whether it is leaving and no session is open: the leader has confirmed the end, the session had expired, or there was none.
+    /// Whether the client is leaving and no session is open: the leader has confirmed the end, the session has expired, or there was
+    /// none.
     pub fn has_left(&self) -> bool {
         self.is_leaving && self.session == 0
     }
 
-    /// Learns of a replica that joined after this instance was started.
+    /// Adds a replica that joined after this instance was started.
     pub fn add_replica(&mut self, replica: NodeId) {
         self.replicas.add(replica);
     }
 
-    /// Does what is due: the end of the lease, renewals, operations that were not answered.
+    /// Processes the deadlines that have passed: the end of the lease, renewals, and operations without a response.
     pub fn tick(&mut self, now: Time) -> Outgoing {
         if now >= self.lease_ends_at && !self.owned.is_empty() && !self.ignore_lease_end {
             self.lose_all();
         }
         if self.is_leaving {
-            return self.repeat_leave(now);
+            return self.retry_leave(now);
         }
         let mut requests = Vec::new();
         if now >= self.next_renewal {
@@ -246,7 +248,7 @@
         requests
     }
 
-    /// Sends the operations that wait, one request at a time, again until it is answered.
+    /// Sends the waiting operations in one request at a time, which is retried until there is a response.
     pub fn send_operations(&mut self, now: Time) -> Outgoing {
         if self.sent_operations.is_some() || self.operations.is_empty() || self.session == 0 {
             return Vec::new();
@@ -258,12 +260,12 @@
         self.to_current_replica(Request::Apply { session: self.session, number, operations })
     }
 
-    /// Time for a response before a request is repeated.
+    /// Time without a response after which a request is retried.
     fn retry_delay(&self) -> Time {
         self.lease / 8
     }
 
-    fn repeat_leave(&mut self, now: Time) -> Outgoing {
+    fn retry_leave(&mut self, now: Time) -> Outgoing {
         self.sent_operations = None;
         if self.session == 0 || now < self.next_renewal {
             return Vec::new();
@@ -278,7 +280,7 @@
         self.to_current_replica(Request::Leave { session, number })
     }
 
-    /// Renews; where the last renewal was not answered, at another replica.
+    /// Renews the session; at another replica where the last renewal had no response.
     fn renew_when_due(&mut self, now: Time) -> Outgoing {
         if self.unanswered_renewals > 0 {
             self.replicas.advance();
@@ -312,7 +314,7 @@
         self.last_ticket
     }
 
-    /// Nothing is owned any more. Releases still go out; cursors that wait are not saved.
+    /// Drops all owned partitions. Waiting releases are still sent; waiting cursors are not saved.
     fn lose_all(&mut self) {
         let is_release = |(_, operation): &(u64, Operation)| matches!(operation, Operation::Release { .. });
         let (releases, cursors): (VecDeque<_>, VecDeque<_>) = self.operations.drain(..).partition(is_release);
--- a/crates/leases/src/client/responses.rs
+++ b/crates/leases/src/client/responses.rs
@@ -1,14 +1,14 @@
-//! What each response of a replica changes at a client.
+//! Handling of the replicas' responses at a client.
 
 use super::{LeaseClient, LeaseEvent, Outgoing, OwnedPartition};
 use crate::expiry::holder_lease_end;
 use crate::messages::{Grant, Response};
 use crate::{GrantPosition, NodeId, Time};
 
-/// Shortest lease that a client goes by, so that a part of it is not 0.
+/// Minimum lease that a client uses, so that its fractions are not 0.
 const MIN_LEASE: Time = 8;
 
-/// Grants of one message: the position that they follow, and the grants in their order.
+/// The grants of one message in their order, and the position that they follow.
 struct Grants {
     after: GrantPosition,
     grants: Vec<Grant>,
@@ -78,10 +78,10 @@
         self.tick(now)
     }
 
-    /// Bit `i` of `applied` says whether operation `i` of the request holds.
+    /// Bit `i` of `applied` tells whether operation `i` of the request is in effect.
     fn handle_done(&mut self, now: Time, number: u32, applied: u64) -> Outgoing {
         if self.is_leaving {
-            // Responses to requests from before the first `Leave` do not count.
+            // Responses to requests sent before the first `Leave` are ignored.
             let is_for_leave = |first: u32| number.wrapping_sub(first) < u32::MAX / 2;
             if self.first_leave_number.is_some_and(is_for_leave) {
                 self.session = 0;
@@ -99,7 +99,7 @@
         self.send_operations(now)
     }
 
-    /// Repeats the request at the leader; a redirection does not count as unanswered.
+    /// Sends the request again to the leader. A redirect does not count as unanswered.
     fn handle_not_leader(&mut self, now: Time, from: NodeId, leader: NodeId) -> Outgoing {
         if !self.replicas.follow_redirect(from, leader) {
             return Vec::new();
@@ -120,7 +120,7 @@
         self.replicas.select(from);
     }
 
-    /// Takes over grants that follow what is known. Where grants in between are missing, the next renewal brings all of them.
+    /// Applies grants that follow the last known position. Where grants in between are missing, the next renewal returns all of them.
     fn apply_grants(&mut self, grants: Grants) {
         if grants.after > self.last_seen_grant {
             return;
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,27 +1,27 @@
-//! Fencing at the resource that is acted upon: the highest token of each partition is remembered, and an act under a lower one is
-//! rejected. Where the resource outlives a restart, its highest tokens have to be stored with it ([`Fence::highest_token`]).
+//! Fencing at the protected resource: it records the highest token of each partition and rejects an operation with a lower token.
+//! Where the resource persists over restarts, the highest tokens have to be stored with it ([`Fence::highest_token`]).
 
 use crate::Partition;
 use std::collections::BTreeMap;
 
-/// Partitions that one fence remembers. Those with the lowest tokens, which are the oldest, are forgotten first.
+/// Maximum number of partitions of a fence. Partitions with the lowest tokens, which are the oldest, are evicted first.
 pub const MAX_REMEMBERED_PARTITIONS: usize = crate::MAX_PARTITIONS;
 
 /// The highest token seen of each partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: BTreeMap<Partition, u64>,
-    /// No lower token is valid for a partition that is not remembered.
+    /// Minimum valid token of a partition that is not in `highest`.
     floor: u64,
 }
 
 impl Fence {
-    /// A fence with the highest tokens that were stored.
+    /// Restores a fence from the stored highest tokens.
     pub fn restore(stored: impl IntoIterator<Item = (Partition, u64)>) -> Fence {
         Fence { highest: stored.into_iter().collect(), floor: 0 }
     }
 
-    /// Whether an act under this token may be done now. From here on lower tokens are rejected.
+    /// Whether an operation with this token is allowed. From then on lower tokens are rejected.
     pub fn check(&mut self, partition: Partition, token: u64) -> bool {
         let highest = self.highest_token(partition);
         if token < highest || token == 0 {
@@ -30,7 +30,7 @@
         if token > highest || !self.highest.contains_key(&partition) {
             self.highest.insert(partition, token);
             if self.highest.len() > MAX_REMEMBERED_PARTITIONS {
-                self.forget_oldest();
+                self.evict_oldest();
             }
         }
         true
@@ -41,7 +41,7 @@
         self.highest.get(&partition).copied().unwrap_or(self.floor)
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self.highest.iter().min_by_key(|(_, token)| **token);
         if let Some((partition, token)) = oldest.map(|(partition, token)| (*partition, *token)) {
             self.floor = self.floor.max(token);
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -1,8 +1,9 @@
-//! Runs on the leader: renews sessions and expires those whose lease has ended. What is agreed stands in [`LeaseState`]; here is only
-//! what a leader may forget, above all when each session was last heard.
+//! Runs on the leader: renews sessions and expires sessions whose lease has ended. [`LeaseState`] is the replicated state; the manager
+//! has only state that a leader may lose, above all the time of each session's last renewal.
 //!
-//! A renewal writes nothing, however many partitions a session owns. It is answered only once a majority has confirmed this leader in a
-//! round that began after the renewal arrived: nobody else led then, so whoever leads next counts that session's lease from later.
+//! A renewal writes nothing, however many partitions a session owns. It gets a response only once a majority has confirmed this leader
+//! in a round that began after the renewal arrived. No other replica was leader then, so the next leader counts the session's lease from
+//! a later time.
 
 mod requests;
 
@@ -15,10 +16,10 @@
 use cypresscleat_sessions::leader::{confirmation_round, PendingProposals, UnconfirmedRequests};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Renewals and proposals that wait at once; further requests are dropped.
+/// Maximum number of waiting renewals and proposals; further requests are dropped.
 const MAX_PENDING: usize = 8192;
 
-/// Why a command was proposed, and who waits for its outcome.
+/// The reason for a proposal, and the client that waits for its outcome.
 #[derive(Clone, Debug)]
 enum PendingProposal<A> {
     OpenSession { from: A, number: u32, opening: Incarnation },
@@ -37,32 +38,32 @@
     number: u32,
 }
 
-/// Where a session's instance is reached, and the last grant that it knows.
+/// The address of a session's instance, and the last grant that the instance knows.
 #[derive(Clone, Copy, Debug)]
 struct Subscriber<A> {
     address: A,
     last_seen_grant: GrantPosition,
 }
 
-/// The leader's part of the sessions. `A` is the address of an instance.
+/// The leader's state of the sessions. `A` is the address of an instance.
 #[derive(Clone, Debug)]
 pub struct LeaseManager<A> {
     lease: Time,
-    /// The term in which the rest was collected; `None` while another replica leads.
+    /// The term of the state below; `None` while another replica is the leader.
     term: Option<u64>,
-    /// When each session was last heard.
-    heard_at: BTreeMap<u64, Time>,
+    /// Time of the last renewal of each session.
+    last_renewals: BTreeMap<u64, Time>,
     subscribers: BTreeMap<u64, Subscriber<A>>,
     pending_renewals: UnconfirmedRequests<PendingRenewal<A>>,
     proposals: PendingProposals<PendingProposal<A>>,
     opening: BTreeSet<Incarnation>,
     ending: BTreeSet<u64>,
     polled_at: Time,
-    /// When the cursor of each partition last moved while this replica led.
+    /// Time at which the cursor of each partition last moved while this replica was the leader.
     cursor_moved_at: BTreeMap<Partition, Time>,
 }
 
-/// Responses, and where they go.
+/// Responses, each with the address that receives it.
 pub type Responses<A> = Vec<(A, Response)>;
 
 /// A replicated state machine that holds leases.
@@ -70,12 +71,12 @@
 impl<M: StateMachine + AsRef<LeaseState> + AsMut<LeaseState>> LeaseStateMachine for M {}
 
 impl<A: Copy> LeaseManager<A> {
-    /// Sessions last for `lease` without a renewal.
+    /// Creates a manager whose sessions expire after `lease` without a renewal.
     pub fn new(lease: Time) -> LeaseManager<A> {
         LeaseManager {
             lease,
             term: None,
-            heard_at: BTreeMap::new(),
+            last_renewals: BTreeMap::new(),
             subscribers: BTreeMap::new(),
             pending_renewals: UnconfirmedRequests::default(),
             proposals: PendingProposals::new(0),
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Advances what waits. To be called after every step of the replica, with the answers that the step returned.
+    /// Advances waiting renewals and proposals. To be called after each step of the replica, with the responses that the step returned.
     pub fn poll<M: LeaseStateMachine>(
         &mut self,
         now: Time,
         replica: &mut Replica<M>,
-        answers: Vec<consensus::ProposalResponse>,
+        outcomes: Vec<consensus::ProposalResponse>,
     ) -> (Ready, Responses<A>) {
         let mut responses = Vec::new();
         if !replica.is_leader() {
@@ -100,18 +101,18 @@
             return (Ready::default(), responses);
         }
         self.refresh_term(now, replica);
-        for answer in answers {
-            let consensus::ProposalResponse::Applied { proposal_id: number, result: bytes, .. } = answer
+        for outcome in outcomes {
+            let consensus::ProposalResponse::Applied { proposal_id: number, result: bytes, .. } = outcome
             else {
                 continue;
             };
             let outcome = postcard::from_bytes(&bytes).unwrap_or(Outcome::Done);
             self.complete_proposal(now, replica, number, outcome, &mut responses);
         }
-        let out = self.expire_sessions(now, replica);
+        let ready = self.expire_sessions(now, replica);
         self.push_new_grants(replica, &mut responses);
-        self.answer_confirmed_renewals(replica, &mut responses);
-        (out, responses)
+        self.respond_to_confirmed_renewals(replica, &mut responses);
+        (ready, responses)
     }
 
     fn propose<M: LeaseStateMachine>(
@@ -125,9 +126,9 @@
         self.proposals.propose(now, replica, bytes, pending).unwrap_or_default()
     }
 
-    /// A leader that is new, or stood still itself, gives every session its whole lease again: none could renew with it.
+    /// A new leader, or a leader whose process was paused, gives each session a full lease: no session could renew with it.
     fn refresh_term<M: LeaseStateMachine>(&mut self, now: Time, replica: &Replica<M>) {
-        let stood_still = now - self.polled_at > self.lease / 2;
+        let was_paused = now - self.polled_at > self.lease / 2;
         self.polled_at = now;
         let is_new_term = self.term != Some(replica.term());
         if is_new_term {
@@ -138,29 +139,29 @@
             self.subscribers.clear();
             self.term = Some(replica.term());
         }
-        if is_new_term || stood_still {
-            self.heard_at =
+        if is_new_term || was_paused {
+            self.last_renewals =
                 replica.state_machine().as_ref().sessions().map(|session| (session, now)).collect();
         }
     }
 
-    /// Proposes the end of each session whose lease is over. Its instance stopped before, see [`crate::expiry`].
+    /// Proposes the end of each session whose lease has ended. Its instance stopped earlier, see [`crate::expiry`].
     fn expire_sessions<M: LeaseStateMachine>(&mut self, now: Time, replica: &mut Replica<M>) -> Ready {
-        let is_expired = |(session, heard_at): &(&u64, &Time)| {
-            has_expired_at_leader(now, **heard_at, self.lease) && !self.ending.contains(session)
+        let is_expired = |(session, renewed_at): &(&u64, &Time)| {
+            has_expired_at_leader(now, **renewed_at, self.lease) && !self.ending.contains(session)
         };
         let expired: Vec<u64> =
-            self.heard_at.iter().filter(is_expired).map(|(session, _)| *session).collect();
-        let mut out = Ready::default();
+            self.last_renewals.iter().filter(is_expired).map(|(session, _)| *session).collect();
+        let mut ready = Ready::default();
         for session in expired {
             self.ending.insert(session);
             let command = Command::EndSession { session };
-            out = out.merge(self.propose(now, replica, &command, PendingProposal::Expire));
+            ready = ready.merge(self.propose(now, replica, &command, PendingProposal::Expire));
         }
-        out
+        ready
     }
 
-    /// Tells sessions of grants that were just decided.
+    /// Sends newly committed grants to their sessions.
     fn push_new_grants<M: LeaseStateMachine>(&self, replica: &mut Replica<M>, responses: &mut Responses<A>) {
         for session in replica.state_machine_mut().as_mut().take_sessions_with_new_grants() {
             let Some(subscriber) = self.subscribers.get(&session) else { continue };
@@ -170,7 +171,7 @@
         }
     }
 
-    fn answer_confirmed_renewals<M: LeaseStateMachine>(
+    fn respond_to_confirmed_renewals<M: LeaseStateMachine>(
         &mut self,
         replica: &Replica<M>,
         responses: &mut Responses<A>,
@@ -183,14 +184,15 @@
                 responses.push((from, Response::SessionExpired { session }));
                 continue;
             }
-            let after = self.subscribers.get(&session).map_or(NO_GRANT, |one| one.last_seen_grant);
+            let after =
+                self.subscribers.get(&session).map_or(NO_GRANT, |subscriber| subscriber.last_seen_grant);
             let (grants, more) = state.grants(session, after);
             let lease = self.lease;
             responses.push((from, Response::Renewed { session, number, lease, after, grants, more }));
         }
     }
 
-    /// A proposal was decided: answers whoever waits for it.
+    /// Handles the outcome of a proposal: responds to the client that waits for it.
     fn complete_proposal<M: LeaseStateMachine>(
         &mut self,
         now: Time,
@@ -203,9 +205,9 @@
         match (pending, outcome) {
             (PendingProposal::OpenSession { from, number, opening }, Outcome::SessionOpened(session)) => {
                 self.opening.remove(&opening);
-                // A session that is there already, asked for again as a response was lost, is renewed by that.
-                let heard_at = self.heard_at.entry(session).or_insert(now);
-                *heard_at = (*heard_at).max(now);
+                // Where the session already exists, as a response was lost and the request retried, this renews the session.
+                let renewed_at = self.last_renewals.entry(session).or_insert(now);
+                *renewed_at = (*renewed_at).max(now);
                 self.subscribers.insert(session, Subscriber { address: from, last_seen_grant: NO_GRANT });
                 if let Ok(round) = confirmation_round(replica) {
                     self.pending_renewals.push(round, PendingRenewal { from, session, number });
@@ -222,7 +224,7 @@
             (PendingProposal::Expire, _) => {}
         }
         let state = replica.state_machine().as_ref();
-        self.heard_at.retain(|session, _| state.instance(*session).is_some());
+        self.last_renewals.retain(|session, _| state.instance(*session).is_some());
         self.subscribers.retain(|session, _| state.instance(*session).is_some());
         self.ending.retain(|session| state.instance(*session).is_some());
     }
--- a/crates/leases/src/manager/requests.rs
+++ b/crates/leases/src/manager/requests.rs
@@ -1,4 +1,4 @@
-//! What the leader does with each request of an instance or an operator.
+//! Handling of the requests of instances and operators at the leader.
 
 use super::{
     LeaseManager, LeaseStateMachine, PendingProposal, PendingRenewal, Responses, Subscriber, MAX_PENDING,
@@ -40,7 +40,7 @@
             return (Ready::default(), Vec::new());
         }
         let mut responses = Vec::new();
-        let out = match request {
+        let ready = match request {
             Request::Renew { instance, incarnation, session, number, last_seen_grant, claims } => {
                 let renewal = Renewal { instance, incarnation, session, number, last_seen_grant, claims };
                 self.handle_renew(now, replica, (round, from), renewal, &mut responses)
@@ -63,12 +63,12 @@
                 Ready::default()
             }
         };
-        let (more, polled) = self.poll(now, replica, Vec::new());
+        let (added, polled) = self.poll(now, replica, Vec::new());
         responses.extend(polled);
-        (out.merge(more), responses)
+        (ready.merge(added), responses)
     }
 
-    /// `round` is the round of confirmation that a renewal which arrives now waits for.
+    /// `round` is the heartbeat round that has to be confirmed before the response to a renewal that arrives now.
     fn handle_renew<M: LeaseStateMachine>(
         &mut self,
         now: Time,
@@ -94,7 +94,7 @@
         if replica.state_machine().as_ref().instance(session) != Some(instance) {
             responses.push((from, Response::SessionExpired { session }));
         } else if !self.ending.contains(&session) {
-            self.heard_at.insert(session, now);
+            self.last_renewals.insert(session, now);
             self.subscribers.insert(session, Subscriber { address: from, last_seen_grant });
             self.pending_renewals.push(round, PendingRenewal { from, session, number });
         }
@@ -118,7 +118,7 @@
     ) -> Response {
         let (owned, more) = replica.state_machine().as_ref().list_partitions(first);
         let partitions = owned.into_iter().map(|(session, mut status)| {
-            let lease_end = self.heard_at.get(&session).map(|heard_at| heard_at + self.lease);
+            let lease_end = self.last_renewals.get(&session).map(|renewed_at| renewed_at + self.lease);
             status.lease_left = lease_end.map_or(0, |end| (end - now).max(0));
             status.cursor_age = self.cursor_moved_at.get(&status.partition).map_or(-1, |at| now - at);
             status
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between instances, operators and the leader, one in each datagram. Bytes are as in `consensus::message`: postcard writes fields
-//! and variants by position, so their order and types are the format.
+//! Messages between instances, operators and the leader, one in each datagram. The encoding is that of `consensus::message`: postcard encodes
+//! fields and variants by position, so their order and types are the wire format.
 
 use crate::{
     Claim, GrantPosition, NodeId, Partition, Time, MAX_CLAIMS, MAX_CURSOR_BYTES, MAX_GRANTS_PER_MESSAGE,
@@ -8,40 +8,40 @@
 use cypresscleat_consensus::message::Message;
 use serde::{Deserialize, Serialize};
 
-/// Longest lease that a client accepts: an hour.
+/// Maximum lease that a client accepts: an hour.
 const MAX_LEASE: Time = 36_000_000;
 
-/// A change of the replicated state on behalf of a session. Doing it twice has the effect of doing it once.
+/// An idempotent change of the replicated state on behalf of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Operation {
-    /// The owner is done with the partition: the next may have it.
+    /// The owner releases the partition: another session may own it.
     Release {
         /// The partition.
         partition: Partition,
-        /// The token under which it was owned.
+        /// The fencing token of the grant.
         token: u64,
     },
-    /// The work on the partition stands at `cursor`.
+    /// Saves the progress of the work on the partition.
     SaveCursor {
         /// The partition.
         partition: Partition,
-        /// The token under which it is owned.
+        /// The fencing token of the grant.
         token: u64,
-        /// Rises with each cursor under one token; a cursor whose step is not higher is ignored.
+        /// Rises with each cursor under one token; a cursor whose step is not higher than the last is ignored.
         step: u64,
         /// Opaque; at most [`MAX_CURSOR_BYTES`].
         cursor: Vec<u8>,
     },
 }
 
-/// A request to the leader. `number` comes back with the response.
+/// A request to the leader. The response returns its `number`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Request {
     /// Renews a session, or opens one.
     Renew {
         /// The instance.
         instance: NodeId,
-        /// Drawn anew at each start of the instance.
+        /// Drawn at random at each start of the instance.
         incarnation: u64,
         /// 0 opens a session.
         session: u64,
@@ -49,10 +49,10 @@
         number: u32,
         /// The last grant that the instance knows.
         last_seen_grant: GrantPosition,
-        /// What a new session would own.
+        /// Claims of a new session.
         claims: Vec<Claim>,
     },
-    /// Applies operations; answered once they are decided.
+    /// Applies operations; the response is sent once they are committed.
     Apply {
         /// The session.
         session: u64,
@@ -61,29 +61,29 @@
         /// At most [`MAX_OPERATIONS_PER_MESSAGE`].
         operations: Vec<Operation>,
     },
-    /// Ends the session: all that it owns is free at once.
+    /// Ends the session: its partitions are free at once.
     Leave {
         /// The session.
         session: u64,
         /// Number of the request.
         number: u32,
     },
-    /// An operator keeps an instance from owning a task, or lets it again.
+    /// An operator excludes an instance from owning a task, or admits it again.
     Exclude {
         /// Number of the request.
         number: u32,
         /// The task.
         task: u64,
-        /// `None` is all instances, for one moment: each partition of the task is given back.
+        /// `None` asks all instances once to release the partitions of the task.
         instance: Option<NodeId>,
         /// Whether the instance is excluded from now on.
         excluded: bool,
     },
-    /// An operator asks for the state of all partitions.
+    /// An operator requests the state of all partitions.
     List {
         /// Number of the request.
         number: u32,
-        /// The first partition of the list.
+        /// The partition from which the list starts.
         from: Partition,
     },
 }
@@ -93,11 +93,11 @@
 pub struct Grant {
     /// The partition.
     pub partition: Partition,
-    /// The token that acts on it carry.
+    /// The fencing token that operations on the partition carry.
     pub token: u64,
-    /// Where the work stands.
+    /// The saved progress of the work.
     pub cursor: Vec<u8>,
-    /// An operator wants it given back.
+    /// Whether an operator asked for the release of the partition.
     pub release_requested: bool,
 }
 
@@ -106,22 +106,22 @@
 pub struct PartitionStatus {
     /// The partition.
     pub partition: Partition,
-    /// 0 where nobody owns it.
+    /// The instance that owns the partition; 0 where there is none.
     pub owner: NodeId,
     /// The token of the last grant.
     pub token: u64,
-    /// What is left of the owner's lease by the leader's clock.
+    /// Remaining time of the owner's lease by the leader's clock.
     pub lease_left: Time,
-    /// Time since the cursor last moved; negative where the leader does not know.
+    /// Time since the cursor last moved; negative where the leader does not know it.
     pub cursor_age: Time,
-    /// Where the work stands.
+    /// The saved progress of the work.
     pub cursor: Vec<u8>,
 }
 
 /// A response of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Response {
-    /// The session lasts for `lease` from when the renewal was sent.
+    /// The session lasts for `lease` from the time at which the renewal was sent.
     Renewed {
         /// The session.
         session: u64,
@@ -133,15 +133,15 @@
         after: GrantPosition,
         /// Grants in their order.
         grants: Vec<Grant>,
-        /// Further grants follow: renew again.
+        /// Whether there are further grants: the client renews again.
         more: bool,
     },
-    /// There is no such session any more.
+    /// The session no longer exists.
     SessionExpired {
         /// The session.
         session: u64,
     },
-    /// Grants that were just decided; they hold under the lease that the session has.
+    /// Newly committed grants; they are valid under the session's current lease.
     Granted {
         /// The session.
         session: u64,
@@ -150,16 +150,16 @@
         /// Grants in their order.
         grants: Vec<Grant>,
     },
-    /// The request is decided.
+    /// The request is committed.
     Done {
         /// Number of the request.
         number: u32,
-        /// Bit `i` is set where operation `i` of the request holds.
+        /// Bit `i` is set where operation `i` of the request is in effect.
         applied: u64,
     },
-    /// Another replica leads.
+    /// The replica is not the leader.
     NotLeader {
-        /// The leader as far as this replica knows; 0 where it does not.
+        /// The leader as far as this replica knows; 0 where it does not know one.
         leader: NodeId,
     },
     /// The state of partitions.
@@ -168,10 +168,10 @@
         number: u32,
         /// In their order.
         partitions: Vec<PartitionStatus>,
-        /// Further partitions follow: ask again from the next one.
+        /// Whether there are further partitions: the next request starts after the last one.
         more: bool,
     },
-    /// The session was not opened, as a limit is reached.
+    /// The session was not opened because a limit is reached.
     LimitReached {
         /// Number of the request.
         number: u32,
@@ -179,7 +179,7 @@
 }
 
 impl Request {
-    /// Whether the request keeps to the limits of its parts.
+    /// Whether the request is within the limits on claims, operations and cursors.
     pub fn is_within_bounds(&self) -> bool {
         match self {
             Request::Renew { claims, .. } => claims.len() <= MAX_CLAIMS,
@@ -196,7 +196,7 @@
 }
 
 impl Response {
-    /// Whether the response keeps to the limits of its parts.
+    /// Whether the response is within the limits on grants, partitions and the lease.
     pub fn is_within_bounds(&self) -> bool {
         match self {
             Response::Renewed { grants, lease, .. } => {
@@ -209,7 +209,7 @@
     }
 }
 
-/// What a datagram between replicas and instances holds.
+/// The content of a datagram between replicas and instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Between replicas.
--- a/crates/leases/src/simulation.rs
+++ b/crates/leases/src/simulation.rs
@@ -1,6 +1,6 @@
-//! Replicas, instances that own partitions, and a resource that they act upon, in one simulated network with simulated disks. Instances
-//! stand still, die and drain, links are cut on any side, clocks run apart; the resource keeps the journal by which the invariants are
-//! checked. Deterministic by seed.
+//! Replicas, instances that own partitions, and a resource that the instances operate on, in one simulated network with simulated disks.
+//! Instances are paused, crash and drain, links fail on any side, clocks drift; the resource writes the journal that the invariants are
+//! checked against. Deterministic by seed.
 
 mod faults;
 mod instance;
@@ -23,25 +23,25 @@
 /// Safeguards that tests disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledSafeguards {
-    /// The resource compares no tokens.
+    /// The resource compares no fencing tokens.
     pub ignore_tokens: bool,
-    /// Instances go on after the end of their lease.
+    /// Instances continue after the end of their lease.
     pub ignore_lease_end: bool,
 }
 
 /// Size and timing of a simulated cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Partitions of the one task.
+    /// Number of partitions of the one task.
     pub partitions: u32,
     /// Length of a lease.
     pub lease: Time,
-    /// Time from an instance to the resource and back, and between acts of an owner on a partition; 0 for no acts.
-    pub act_interval: Time,
+    /// Round trip time from an instance to the resource, and time between two operations of an owner on a partition; 0 for no operations.
+    pub operation_interval: Time,
     /// Safeguards that are disabled.
     pub safeguards: DisabledSafeguards,
 }
@@ -54,42 +54,43 @@
             instances: 4,
             partitions: 1,
             lease: 20_000,
-            act_interval: 20 * MS,
+            operation_interval: 20 * MS,
             safeguards,
         }
     }
 }
 
-/// An act that reached the resource.
+/// An operation that reached the resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Act {
-    /// When it arrived.
+pub struct ResourceOperation {
+    /// Time of arrival.
     pub at: Time,
     /// The partition.
     pub partition: Partition,
-    /// The token that it carried.
+    /// The fencing token of the operation.
     pub token: u64,
-    /// The item of work that was done.
+    /// The item of work.
     pub item: u64,
     /// The instance.
     pub by: NodeId,
     /// Whether the token was valid.
     pub accepted: bool,
-    /// The item had been done before: the act has no effect and does not count.
-    pub done_before: bool,
+    /// The item was done before: the operation has no effect.
+    pub is_duplicate: bool,
 }
 
+/// A message between instances, replicas and the resource.
 #[derive(Clone, Debug)]
-enum Mail {
+enum InFlightMessage {
     Request { to: usize, from: usize, request: Request },
     Response { to: usize, from: NodeId, response: Response },
-    Act { from: usize, partition: Partition, token: u64, item: u64 },
-    Acted { to: usize, partition: Partition, token: u64, item: u64, accepted: bool },
+    ResourceOperation { from: usize, partition: Partition, token: u64, item: u64 },
+    ResourceResponse { to: usize, partition: Partition, token: u64, item: u64, accepted: bool },
 }
 
 /// The simulated cluster.
 pub struct Simulation {
-    /// What it was made with.
+    /// The configuration of the cluster.
     pub config: SimulationConfig,
     /// The replicas and their network.
     pub cluster: Cluster<LeaseState>,
@@ -97,35 +98,35 @@
     pub managers: Vec<LeaseManager<usize>>,
     /// The instances.
     pub instances: Vec<Instance>,
-    mail: BTreeMap<(Time, u64), Mail>,
-    posted: u64,
+    in_flight: BTreeMap<(Time, u64), InFlightMessage>,
+    message_sequence: u64,
     rng: SeededRng,
     fence: Fence,
-    done: BTreeMap<Partition, BTreeSet<u64>>,
-    /// All acts that reached the resource.
-    pub journal: Vec<Act>,
-    /// Instances that reach no replica.
+    done_items: BTreeMap<Partition, BTreeSet<u64>>,
+    /// All operations that reached the resource.
+    pub journal: Vec<ResourceOperation>,
+    /// Instances without a connection to the replicas.
     pub cut_from_replicas: BTreeSet<usize>,
-    /// Instances that do not reach the resource.
+    /// Instances without a connection to the resource.
     pub cut_from_resource: BTreeSet<usize>,
-    /// Messages between instances and replicas.
+    /// Number of messages between instances and replicas.
     pub messages_sent: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub message_bytes: u64,
-    /// Changes of owner, with the time at which the first replica had them.
+    /// Changes of owner, with the time at which the first replica applied them.
     pub changes: Vec<(Time, OwnerChange)>,
     recorded_changes: BTreeSet<(Partition, u64, bool)>,
-    /// A moment, and the steps that were done in it.
+    /// The current time, and the number of steps at that time.
     steps_at: (Time, u64),
-    /// When each instance has something to do next.
+    /// Time of each instance's next deadline.
     wake_at: Vec<Time>,
-    /// The same in the order of time.
+    /// The same deadlines, in the order of time.
     wake_queue: BTreeSet<(Time, usize)>,
-    /// When an instance first acted on a partition on which another might act too.
-    pub double_owner: Option<(Time, Partition)>,
+    /// When an instance first operated on a partition while another instance had a valid lease on it.
+    pub concurrent_owners: Option<(Time, Partition)>,
 }
 
-/// Steps in one moment after which time counts as standing still.
+/// Number of steps at one time after which the simulation fails as stuck.
 const MAX_STEPS_AT_ONE_TIME: u64 = 1_000_000;
 
 impl Simulation {
@@ -137,11 +138,11 @@
             cluster,
             managers: (0..config.replicas).map(|_| LeaseManager::new(config.lease)).collect(),
             instances: Vec::new(),
-            mail: BTreeMap::new(),
-            posted: 0,
+            in_flight: BTreeMap::new(),
+            message_sequence: 0,
             rng: SeededRng::new(seed ^ 0x0b5),
             fence: Fence::default(),
-            done: BTreeMap::new(),
+            done_items: BTreeMap::new(),
             journal: Vec::new(),
             cut_from_replicas: BTreeSet::new(),
             cut_from_resource: BTreeSet::new(),
@@ -152,7 +153,7 @@
             steps_at: (0, 0),
             wake_at: Vec::new(),
             wake_queue: BTreeSet::new(),
-            double_owner: None,
+            concurrent_owners: None,
         };
         for at in 0..config.instances {
             simulation.instances.push(Instance::new(at));
@@ -161,77 +162,90 @@
         simulation
     }
 
-    /// The instance that owns a partition, as the leader has it.
+    /// The instance that owns a partition, according to the leader's state.
     pub fn owner(&self, partition: Partition) -> Option<usize> {
         let leader = self.cluster.leader()?;
         let (owner, _) = self.cluster.nodes[leader].replica.as_ref()?.state_machine().owner(partition)?;
-        self.instances.iter().position(|one| one.id == owner)
+        self.instances.iter().position(|instance| instance.id == owner)
     }
 
-    fn post(&mut self, delay: Time, mail: Mail) {
-        let spread = self.rng.below(delay.max(1) as u64) as Time;
-        let lost = self.cluster.network.loss_one_in > 0 && self.rng.one_in(self.cluster.network.loss_one_in);
-        // Acts go over a connection: late, but not lost by themselves.
-        if lost && matches!(mail, Mail::Request { .. } | Mail::Response { .. }) {
+    fn send(&mut self, delay: Time, message: InFlightMessage) {
+        let jitter = self.rng.below(delay.max(1) as u64) as Time;
+        let is_lost =
+            self.cluster.network.loss_one_in > 0 && self.rng.one_in(self.cluster.network.loss_one_in);
+        // Operations go over a connection: they are delayed, but not lost.
+        if is_lost && matches!(message, InFlightMessage::Request { .. } | InFlightMessage::Response { .. }) {
             return;
         }
-        let twice = self.cluster.network.duplicate_one_in > 0
+        let is_duplicated = self.cluster.network.duplicate_one_in > 0
             && self.rng.one_in(self.cluster.network.duplicate_one_in);
-        let mut late = 0;
+        let mut extra_delay = 0;
         if self.cluster.network.max_extra_delay > 0 && self.rng.one_in(20) {
-            late = self.rng.below(self.cluster.network.max_extra_delay as u64) as Time;
+            extra_delay = self.rng.below(self.cluster.network.max_extra_delay as u64) as Time;
         }
-        for _ in 0..1 + u64::from(twice) {
-            self.posted += 1;
-            self.mail.insert((self.cluster.now + delay + spread + late, self.posted), mail.clone());
+        for _ in 0..1 + u64::from(is_duplicated) {
+            self.message_sequence += 1;
+            self.in_flight.insert(
+                (self.cluster.now + delay + jitter + extra_delay, self.message_sequence),
+                message.clone(),
+            );
         }
     }
 
-    fn post_requests(&mut self, from: usize, requests: Outgoing) {
+    fn send_requests(&mut self, from: usize, requests: Outgoing) {
         for (to, request) in requests {
             self.messages_sent += 1;
             self.message_bytes += message::encode(&request).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_from_replicas.contains(&from) {
-                self.post(self.cluster.network.delay, Mail::Request { to: to as usize - 1, from, request });
+                self.send(
+                    self.cluster.network.delay,
+                    InFlightMessage::Request { to: to as usize - 1, from, request },
+                );
             }
         }
     }
 
-    /// Carries out what a replica's step asks for, and what its manager adds.
-    fn after(&mut self, at: usize) {
+    /// Passes the responses of a replica's step to its manager, and processes the effects.
+    fn poll_manager(&mut self, at: usize) {
         let now = self.cluster.now;
-        let answers = std::mem::take(&mut self.cluster.responses).into_iter();
-        let (own, others): (Vec<_>, Vec<_>) = answers.partition(|(replica, _)| *replica == at);
+        let responses = std::mem::take(&mut self.cluster.responses).into_iter();
+        let (own, others): (Vec<_>, Vec<_>) = responses.partition(|(replica, _)| *replica == at);
         self.cluster.responses = others;
-        let answers = own.into_iter().map(|one| one.1).collect();
+        let outcomes = own.into_iter().map(|response| response.1).collect();
         let Some(replica) = self.cluster.nodes[at].replica.as_mut() else { return };
-        let (out, responses) = self.managers[at].poll(now, replica, answers);
+        let (ready, responses) = self.managers[at].poll(now, replica, outcomes);
         for change in replica.state_machine_mut().take_owner_changes() {
-            // Each change once, from whichever replica has it first.
+            // Each change is recorded once, from the first replica that applies it.
             if self.recorded_changes.insert((change.partition, change.token, change.session == 0)) {
                 self.changes.push((now, change));
             }
         }
-        self.carry(at, out, responses);
+        self.process_ready(at, ready, responses);
     }
 
-    fn carry(&mut self, at: usize, out: cypresscleat_consensus::Ready, responses: Vec<(usize, Response)>) {
-        let more = !out.responses.is_empty() || !out.messages.is_empty() || !out.writes.is_empty();
-        self.cluster.process_ready(at, out);
+    fn process_ready(
+        &mut self,
+        at: usize,
+        ready: cypresscleat_consensus::Ready,
+        responses: Vec<(usize, Response)>,
+    ) {
+        let has_effects =
+            !ready.responses.is_empty() || !ready.messages.is_empty() || !ready.writes.is_empty();
+        self.cluster.process_ready(at, ready);
         for (to, response) in responses {
             self.messages_sent += 1;
             self.message_bytes += message::encode(&response).map_or(0, |bytes| bytes.len() as u64);
             if !self.cut_from_replicas.contains(&to) {
                 let from = at as NodeId + 1;
-                self.post(self.cluster.network.delay, Mail::Response { to, from, response });
+                self.send(self.cluster.network.delay, InFlightMessage::Response { to, from, response });
             }
         }
-        if more && self.cluster.responses.iter().any(|one| one.0 == at) {
-            self.after(at);
+        if has_effects && self.cluster.responses.iter().any(|response| response.0 == at) {
+            self.poll_manager(at);
         }
     }
 
-    /// Runs until the given moment.
+    /// Runs until the given time.
     pub fn run(&mut self, until: Time) {
         self.wake_at.resize(self.instances.len(), Time::MAX);
         (0..self.instances.len()).for_each(|at| self.schedule(at));
@@ -243,68 +257,81 @@
     fn step(&mut self, until: Time) {
         let steps = if self.steps_at.0 == self.cluster.now { self.steps_at.1 + 1 } else { 0 };
         self.steps_at = (self.cluster.now, steps);
-        assert!(steps < MAX_STEPS_AT_ONE_TIME, "time stands still at {}", self.cluster.now);
-        let mail = self.mail.first_key_value().map(|(key, _)| key.0);
-        let due = self.wake_queue.first().map_or(until, |first| first.0);
-        let next = until.min(mail.unwrap_or(until)).min(due);
+        assert!(steps < MAX_STEPS_AT_ONE_TIME, "simulation makes no progress at {}", self.cluster.now);
+        let next_arrival = self.in_flight.first_key_value().map(|(key, _)| key.0);
+        let next_wake = self.wake_queue.first().map_or(until, |first| first.0);
+        let next = until.min(next_arrival.unwrap_or(until)).min(next_wake);
         let next = next.max(self.cluster.now);
-        // The replicas' own messages first, one message or deadline at a time.
+        // The replicas' own messages come first, one message or deadline at a time.
         if self.cluster.step(next.max(self.cluster.now + 1)) {
-            (0..self.config.replicas).for_each(|at| self.after(at));
+            (0..self.config.replicas).for_each(|at| self.poll_manager(at));
             return;
         }
         self.cluster.now = next;
-        if let Some(entry) = self.mail.first_entry().filter(|entry| entry.key().0 <= next) {
-            let mail = entry.remove();
-            return self.deliver(mail);
+        if let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= next) {
+            let message = entry.remove();
+            return self.deliver(message);
         }
         while let Some((_, at)) = self.wake_queue.first().copied().filter(|first| first.0 <= next) {
             self.wake(at);
             if self.wake_at[at] <= next {
-                break; // it has more to do at once: after whatever else is due
+                break; // its next deadline is now: other due events come first
             }
         }
     }
 
-    fn deliver(&mut self, mail: Mail) {
+    fn deliver(&mut self, message: InFlightMessage) {
         let now = self.cluster.now;
-        match mail {
-            Mail::Request { to, from, request } => {
+        match message {
+            InFlightMessage::Request { to, from, request } => {
                 let Some(replica) = self.cluster.nodes[to].replica.as_mut() else { return };
-                let (out, responses) = self.managers[to].handle(now, replica, from, request);
-                self.carry(to, out, responses);
+                let (ready, responses) = self.managers[to].handle(now, replica, from, request);
+                self.process_ready(to, ready, responses);
             }
-            Mail::Response { to, from, response } => {
+            InFlightMessage::Response { to, from, response } => {
                 if self.instances[to].client.is_some() {
                     self.instances[to].inbox.push(InboxMessage::Response(from, response));
                     self.wake(to);
                 }
             }
-            Mail::Act { from, partition, token, item } => {
+            InFlightMessage::ResourceOperation { from, partition, token, item } => {
                 if self.cut_from_resource.contains(&from) {
                     return;
                 }
                 let accepted = self.fence.check(partition, token) || self.config.safeguards.ignore_tokens;
-                let fresh = accepted && self.done.entry(partition).or_default().insert(item);
+                let is_new = accepted && self.done_items.entry(partition).or_default().insert(item);
                 let by = self.instances[from].id;
-                let done_before = accepted && !fresh;
-                self.journal.push(Act { at: now, partition, token, item, by, accepted, done_before });
-                self.post(
-                    self.config.act_interval / 2,
-                    Mail::Acted { to: from, partition, token, item, accepted },
+                let is_duplicate = accepted && !is_new;
+                self.journal.push(ResourceOperation {
+                    at: now,
+                    partition,
+                    token,
+                    item,
+                    by,
+                    accepted,
+                    is_duplicate,
+                });
+                self.send(
+                    self.config.operation_interval / 2,
+                    InFlightMessage::ResourceResponse { to: from, partition, token, item, accepted },
                 );
             }
-            Mail::Acted { to, partition, token, item, accepted } => {
+            InFlightMessage::ResourceResponse { to, partition, token, item, accepted } => {
                 if self.instances[to].client.is_some() {
-                    self.instances[to].inbox.push(InboxMessage::Acted { partition, token, item, accepted });
+                    self.instances[to].inbox.push(InboxMessage::ResourceResponse {
+                        partition,
+                        token,
+                        item,
+                        accepted,
+                    });
                     self.wake(to);
                 }
             }
         }
     }
 
-    /// Items done so far.
+    /// Number of items done so far.
     pub fn items_done(&self) -> usize {
-        self.done.values().map(BTreeSet::len).sum()
+        self.done_items.values().map(BTreeSet::len).sum()
     }
 }
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state: sessions of instances, who owns which partition under which token, and where its work stands. The same commands
-//! give the same state at every replica.
+//! The replicated state: the sessions of instances, the owner and fencing token of each partition, and its cursor. The same commands give
+//! the same state on each replica.
 
 use crate::messages::{Grant, Operation, PartitionStatus};
 use crate::{
@@ -11,26 +11,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Grants past the position that a session knows, in one message.
+/// Maximum number of grants after the position that a session knows, in one message.
 const MAX_NEW_GRANTS: usize = MAX_GRANTS_PER_MESSAGE / 2;
-/// Partitions of one list.
+/// Maximum number of partitions in one list.
 const MAX_LISTED_PARTITIONS: usize = 128;
-/// Changes of owner that are kept until they are taken.
+/// Maximum number of changes of owner that are recorded until they are taken.
 const MAX_RECORDED_CHANGES: usize = 4 * MAX_PARTITIONS;
 
-/// A command. It has its effect once, however often it is decided.
+/// An idempotent command: committing it again has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Opens a session for this incarnation of an instance, or returns the one there is.
+    /// Opens a session for this incarnation of an instance, or returns the existing one.
     OpenSession {
         /// The instance.
         instance: NodeId,
-        /// Drawn anew at each start of the instance.
+        /// Drawn at random at each start of the instance.
         incarnation: u64,
-        /// What the session would own.
+        /// Claims of the session.
         claims: Vec<Claim>,
     },
-    /// The instance left, or its lease is over.
+    /// The instance left, or its lease has ended.
     EndSession {
         /// The session.
         session: u64,
@@ -42,27 +42,27 @@
         /// The operations, in their order.
         operations: Vec<Operation>,
     },
-    /// Keeps an instance from owning a task, or lets it again.
+    /// Excludes an instance from owning a task, or admits it again.
     Exclude {
         /// The task.
         task: u64,
-        /// `None` is all instances, for one moment.
+        /// `None` asks all instances once to release the partitions of the task.
         instance: Option<NodeId>,
         /// Whether the instance is excluded from now on.
         excluded: bool,
     },
 }
 
-/// What a command came to.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The session that was opened, or was there.
+    /// The session that was opened or existed already.
     SessionOpened(u64),
-    /// Done.
+    /// The command was applied.
     Done,
-    /// Bit `i` is set where operation `i` holds, now or from an earlier time.
+    /// Bit `i` is set where operation `i` is in effect, by this command or an earlier one.
     Applied(u64),
-    /// Nothing was done, as a limit is reached.
+    /// The command had no effect because a limit is reached.
     LimitReached,
 }
 
@@ -71,14 +71,14 @@
 pub struct OwnerChange {
     /// The partition.
     pub partition: Partition,
-    /// The session that owns it now; 0 for none.
+    /// The session that now owns the partition; 0 for none.
     pub session: u64,
     /// The token of the last grant.
     pub token: u64,
 }
 
 impl OwnerChange {
-    /// The line of a log; `owner` is the instance of the session.
+    /// The log line of the change; `owner` is the instance of the session.
     pub fn log_line(&self, owner: Option<NodeId>) -> String {
         let (Partition { task, index }, token) = (self.partition, self.token);
         match owner {
@@ -88,14 +88,14 @@
     }
 }
 
-/// A partition that somebody owns or owned.
+/// A partition of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct PartitionState {
-    /// The owner's session; 0 where nobody owns it.
+    /// The owner's session; 0 where the partition is free.
     session: u64,
-    /// Of the last grant.
+    /// Token of the last grant.
     token: u64,
-    /// Of the last cursor that was saved under that token.
+    /// Step of the last cursor that was saved under that token.
     step: u64,
     cursor: Vec<u8>,
     release_requested: bool,
@@ -107,11 +107,11 @@
     incarnation: u64,
     claims: Vec<Claim>,
     owned: BTreeSet<GrantPosition>,
-    /// Partitions owned of each task.
+    /// Number of owned partitions of each task.
     counts: BTreeMap<u64, u32>,
 }
 
-/// A claim in the order in which claims are served: its rank, the partitions that its session owns of the task, the session.
+/// A claim in the order in which claims are granted: its rank, the number of partitions of the task that its session owns, the session.
 type RankedClaim = (u8, u32, u64);
 
 /// The replicated state.
@@ -119,17 +119,17 @@
 pub struct LeaseState {
     partitions: BTreeMap<Partition, PartitionState>,
     sessions: BTreeMap<u64, Session>,
-    /// Claims to each task.
+    /// Claims to each task, in the order in which they are granted.
     waiting: BTreeMap<u64, BTreeSet<RankedClaim>>,
-    /// Partitions of each task that nobody owns.
+    /// Free partitions of each task.
     free: BTreeMap<u64, BTreeSet<u32>>,
-    /// Partitions of each task: the most that a claim had.
+    /// Number of partitions of each task: the maximum of its claims.
     sizes: BTreeMap<u64, u32>,
     excluded: BTreeSet<(u64, NodeId)>,
-    /// Sessions whose grants changed since they were last taken; not part of the replicated state.
+    /// Sessions whose grants changed since the last call of `take_sessions_with_new_grants`; not part of the replicated state.
     #[serde(skip)]
     sessions_with_new_grants: BTreeSet<u64>,
-    /// Changes of owner since they were last taken; not part of the replicated state.
+    /// Changes of owner since the last call of `take_owner_changes`; not part of the replicated state.
     #[serde(skip)]
     changes: Vec<OwnerChange>,
 }
@@ -142,8 +142,10 @@
 
     /// The session of one incarnation of an instance.
     pub fn session_of(&self, instance: NodeId, incarnation: u64) -> Option<u64> {
-        let found =
-            self.sessions.iter().find(|(_, one)| (one.instance, one.incarnation) == (instance, incarnation));
+        let found = self
+            .sessions
+            .iter()
+            .find(|(_, state)| (state.instance, state.incarnation) == (instance, incarnation));
         found.map(|(session, _)| *session)
     }
 
@@ -163,27 +165,27 @@
         self.partitions.get(&partition).is_some_and(|state| state.session == session)
     }
 
-    /// Where the work on a partition stands.
+    /// The cursor of a partition; empty where none was saved.
     pub fn cursor(&self, partition: Partition) -> &[u8] {
         self.partitions.get(&partition).map_or(&[], |state| &state.cursor)
     }
 
-    /// Partitions of all tasks.
+    /// Number of partitions of all tasks.
     pub fn partition_count(&self) -> usize {
         self.partitions.len()
     }
 
-    /// Grants of a session past `last_seen_grant`, in their order, and whether there are more. Behind them come those that are to be given
-    /// back, each time.
+    /// Grants of a session after `last_seen_grant`, in their order, and whether there are more. Each call appends the known grants whose
+    /// release is requested.
     pub fn grants(&self, session: u64, last_seen_grant: GrantPosition) -> (Vec<Grant>, bool) {
-        let Some(own) = self.sessions.get(&session) else { return (Vec::new(), false) };
-        let later = own.owned.range((Bound::Excluded(last_seen_grant), Bound::Unbounded));
+        let Some(holder) = self.sessions.get(&session) else { return (Vec::new(), false) };
+        let later = holder.owned.range((Bound::Excluded(last_seen_grant), Bound::Unbounded));
         let mut grants: Vec<Grant> =
             later.take(MAX_NEW_GRANTS + 1).filter_map(|position| self.grant(position)).collect();
         let has_more = grants.len() > MAX_NEW_GRANTS;
         grants.truncate(MAX_NEW_GRANTS);
-        if !self.excluded.is_empty() || own.owned.len() < MAX_GRANTS_PER_MESSAGE {
-            let known = own.owned.range(..=last_seen_grant).filter_map(|position| self.grant(position));
+        if !self.excluded.is_empty() || holder.owned.len() < MAX_GRANTS_PER_MESSAGE {
+            let known = holder.owned.range(..=last_seen_grant).filter_map(|position| self.grant(position));
             grants.extend(known.filter(|grant| grant.release_requested).take(MAX_NEW_GRANTS));
         }
         (grants, has_more)
@@ -195,7 +197,8 @@
         Some(Grant { partition: *partition, token: *token, cursor, release_requested })
     }
 
-    /// Partitions from `from` on, each with the session that owns it, and whether there are more. What only a leader knows is left open.
+    /// Partitions from `from` on, each with the session that owns it, and whether there are more. The remaining lease and the age of the
+    /// cursor are not set, as only a leader knows them.
     pub fn list_partitions(&self, from: Partition) -> (Vec<(u64, PartitionStatus)>, bool) {
         let status = |(partition, state): (&Partition, &PartitionState)| {
             let status = PartitionStatus {
@@ -208,8 +211,8 @@
             };
             (state.session, status)
         };
-        let from_there = self.partitions.range(from..).map(status);
-        let mut listed: Vec<_> = from_there.take(MAX_LISTED_PARTITIONS + 1).collect();
+        let following = self.partitions.range(from..).map(status);
+        let mut listed: Vec<_> = following.take(MAX_LISTED_PARTITIONS + 1).collect();
         let has_more = listed.len() > MAX_LISTED_PARTITIONS;
         listed.truncate(MAX_LISTED_PARTITIONS);
         (listed, has_more)
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Takes a partition from its owner, whoever that is; it is free then.
+    /// Takes a partition from its owner, so that it is free.
     fn free_partition(&mut self, partition: Partition) {
         let Some(state) = self.partitions.get_mut(&partition).filter(|state| state.session != 0) else {
             return;
@@ -243,21 +246,21 @@
         self.record_change(partition, 0, token);
     }
 
-    /// The session owns one partition less, and its claim to the task moves up.
+    /// Removes a partition from a session, whose claim to the task moves up.
     fn remove_from_session(&mut self, session: u64, token: u64, partition: Partition) {
-        let Some(own) = self.sessions.get_mut(&session) else { return };
-        own.owned.remove(&(token, partition));
-        let count = own.counts.entry(partition.task).or_default();
+        let Some(holder) = self.sessions.get_mut(&session) else { return };
+        holder.owned.remove(&(token, partition));
+        let count = holder.counts.entry(partition.task).or_default();
         let (before, after) = (*count, count.saturating_sub(1));
         *count = after;
-        let Some(claim) = own.claims.iter().find(|claim| claim.task == partition.task) else { return };
+        let Some(claim) = holder.claims.iter().find(|claim| claim.task == partition.task) else { return };
         let Some(waiting) = self.waiting.get_mut(&partition.task) else { return };
         if waiting.remove(&(claim.rank, before, session)) {
             waiting.insert((claim.rank, after, session));
         }
     }
 
-    /// Gives the free partitions of a task to the claims that come first. The token is the log index.
+    /// Grants the free partitions of a task to its first claims. The fencing token is the log index.
     fn assign_free(&mut self, log_index: u64, task: u64) {
         while let Some(index) = self.free.get(&task).and_then(|free| free.first().copied()) {
             let Some(chosen) = self.first_claim(task) else { return };
@@ -273,16 +276,16 @@
             let state = self.partitions.entry(partition).or_default();
             (state.session, state.token, state.step, state.release_requested) =
                 (session, log_index, 0, false);
-            if let Some(own) = self.sessions.get_mut(&session) {
-                own.owned.insert((log_index, partition));
-                *own.counts.entry(task).or_default() += 1;
+            if let Some(holder) = self.sessions.get_mut(&session) {
+                holder.owned.insert((log_index, partition));
+                *holder.counts.entry(task).or_default() += 1;
             }
             self.sessions_with_new_grants.insert(session);
             self.record_change(partition, session, log_index);
         }
     }
 
-    /// The claim that is served next; those of excluded instances are passed over.
+    /// The claim that is granted next; claims of excluded instances are skipped.
     fn first_claim(&self, task: u64) -> Option<RankedClaim> {
         let is_allowed = |claim: &&RankedClaim| {
             let session = self.sessions.get(&claim.2);
@@ -302,7 +305,7 @@
         if let Some(session) = self.session_of(instance, incarnation) {
             return Outcome::SessionOpened(session);
         }
-        if !self.has_room_for(&claims) {
+        if !self.is_within_limits(&claims) {
             return Outcome::LimitReached;
         }
         for claim in &claims {
@@ -320,7 +323,7 @@
         Outcome::SessionOpened(log_index)
     }
 
-    fn has_room_for(&self, claims: &[Claim]) -> bool {
+    fn is_within_limits(&self, claims: &[Claim]) -> bool {
         let existing = |claim: &Claim| self.sizes.get(&claim.task).copied().unwrap_or(0);
         let new: usize =
             claims.iter().map(|claim| claim.partitions.saturating_sub(existing(claim)) as usize).sum();
@@ -330,26 +333,26 @@
     }
 
     fn end_session(&mut self, log_index: u64, session: u64) {
-        let Some(own) = self.sessions.get(&session) else { return };
-        let owned: Vec<Partition> = own.owned.iter().map(|(_, partition)| *partition).collect();
-        let tasks: Vec<u64> = own.claims.iter().map(|claim| claim.task).collect();
+        let Some(holder) = self.sessions.get(&session) else { return };
+        let owned: Vec<Partition> = holder.owned.iter().map(|(_, partition)| *partition).collect();
+        let tasks: Vec<u64> = holder.claims.iter().map(|claim| claim.task).collect();
         owned.into_iter().for_each(|partition| self.free_partition(partition));
         self.sessions.remove(&session);
         for task in tasks {
             if let Some(waiting) = self.waiting.get_mut(&task) {
-                waiting.retain(|(_, _, one)| *one != session);
+                waiting.retain(|(_, _, claimant)| *claimant != session);
             }
             self.assign_free(log_index, task);
         }
     }
 
-    /// Bit `i` of the outcome is set where operation `i` holds.
+    /// Bit `i` of the outcome is set where operation `i` is in effect.
     fn apply_operations(&mut self, log_index: u64, session: u64, operations: Vec<Operation>) -> Outcome {
         let (mut freed, mut applied) = (BTreeSet::new(), 0);
         for (position, operation) in operations.into_iter().enumerate().take(MAX_OPERATIONS_PER_MESSAGE) {
-            let holds = match operation {
+            let is_in_effect = match operation {
                 Operation::Release { partition, token } => {
-                    // One of a former owner, or a repeated one, leaves the partition to whoever owns it now.
+                    // A release of a former owner, or a retried release, does not affect the current owner.
                     if self.is_granted(partition, session, token) {
                         self.free_partition(partition);
                         freed.insert(partition.task);
@@ -360,7 +363,7 @@
                     self.is_granted(partition, session, token) && self.save_cursor(partition, step, cursor)
                 }
             };
-            applied |= u64::from(holds) << position;
+            applied |= u64::from(is_in_effect) << position;
         }
         freed.into_iter().for_each(|task| self.assign_free(log_index, task));
         Outcome::Applied(applied)
@@ -371,7 +374,7 @@
         session != 0 && state.is_some_and(|state| (state.session, state.token) == (session, token))
     }
 
-    /// Whether the cursor stands, now or from an earlier time.
+    /// Saves a cursor; returns whether it is in effect, by this operation or an earlier one.
     fn save_cursor(&mut self, partition: Partition, step: u64, cursor: Vec<u8>) -> bool {
         let Some(state) = self.partitions.get_mut(&partition) else { return false };
         if step <= state.step {
@@ -388,12 +391,12 @@
             _ => {}
         }
         if excluded {
-            // Its owner is told, and gives it back once it has stopped.
+            // The owner receives the request, and releases the partition once its work has stopped.
             let all =
                 self.partitions.range_mut(Partition { task, index: 0 }..=Partition { task, index: u32::MAX });
             for (_, state) in all {
-                let own = self.sessions.get(&state.session);
-                if own.is_some_and(|own| instance.is_none_or(|instance| instance == own.instance)) {
+                let holder = self.sessions.get(&state.session);
+                if holder.is_some_and(|holder| instance.is_none_or(|instance| instance == holder.instance)) {
                     state.release_requested = true;
                     self.sessions_with_new_grants.insert(state.session);
                 }
@@ -420,7 +423,7 @@
                 self.exclude(log_index, task, instance, excluded);
                 Outcome::Done
             }
-            // A command of a later version: no effect, at every replica alike.
+            // A command of a later version has no effect, on all replicas alike.
             Err(_) => Outcome::Done,
         };
         postcard::to_stdvec(&outcome).unwrap_or_default()
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,5 +1,5 @@
-//! The rules of leases and tokens, walked by a model checker: two instances, the agreed state (the real one), one thing that is
-//! acted upon (the real fence), renewals and acts that arrive late or never, instances that stand still, clocks that may lie.
+//! Model checking of leases and fencing tokens: two instances, the real replicated state, a resource with the real fence, renewals and
+//! operations that arrive late or never, paused instances, and a clock that may be slow.
 
 use cypresscleat_consensus::StateMachine;
 use cypresscleat_leases::fence::Fence;
@@ -9,16 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const LEASE: u8 = 2;
-const END: u8 = 7;
-const PART: Partition = Partition { task: 1, index: 0 };
+const END_TIME: u8 = 7;
+const PARTITION: Partition = Partition { task: 1, index: 0 };
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Instance {
     session: u64,
-    /// By its own clock.
-    until: u8,
+    /// End of the lease by its own clock.
+    lease_end: u8,
     token: u64,
-    /// Its clock, which a slow one leaves behind.
+    /// Its clock; a slow clock falls behind the time.
     clock: u8,
 }
 
@@ -26,50 +26,52 @@
 struct State {
     now: u8,
     index: u64,
-    agreed: LeaseState,
+    leases: LeaseState,
+    /// Time of each session's last renewal.
     renewed: BTreeMap<u64, u8>,
     instances: [Instance; 2],
-    /// Answers on their way: to whom, when it was asked by its clock, session, token.
-    answers: BTreeSet<(usize, u8, u64, u64)>,
-    /// Acts on their way, by token.
-    acts: BTreeSet<u64>,
+    /// Responses in flight: receiver, time of the request by the receiver's clock, session, token.
+    responses: BTreeSet<(usize, u8, u64, u64)>,
+    /// Operations in flight, by token.
+    operations: BTreeSet<u64>,
     fence: Fence,
-    taken: Vec<u64>,
-    /// Two that might act at the same time.
-    two: bool,
+    /// Tokens of the last accepted operations.
+    accepted: Vec<u64>,
+    /// Whether two instances could operate at the same time.
+    had_two_owners: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Time { slow: bool },
-    Renews(usize),
-    Hears(usize, u8, u64, u64),
-    Expires(u64),
-    Acts(usize),
-    Arrives(u64),
+    AdvanceTime { slow: bool },
+    Renew(usize),
+    ReceiveResponse(usize, u8, u64, u64),
+    Expire(u64),
+    Operate(usize),
+    DeliverOperation(u64),
 }
 
 #[derive(Clone, Copy, Default)]
 struct Rules {
-    /// Counts its lease from the answer, not from its asking.
-    from_the_answer: bool,
+    /// Counts the lease from the response, not from the request.
+    lease_from_response: bool,
     ignore_tokens: bool,
-    /// The second instance's clock may stand still while time goes on.
+    /// The second instance's clock may stand still while time advances.
     slow_clock: bool,
 }
 
 impl Rules {
-    fn can_act(&self, one: &Instance) -> bool {
-        one.token > 0 && one.clock < one.until
+    fn can_operate(&self, instance: &Instance) -> bool {
+        instance.token > 0 && instance.clock < instance.lease_end
     }
 }
 
-fn decide(state: &mut State, command: &Command) {
+fn commit(state: &mut State, command: &Command) {
     state.index += 1;
     let bytes = postcard::to_stdvec(command).expect("a command");
-    state.agreed.apply(state.index, &bytes);
-    state.agreed.take_sessions_with_new_grants();
-    state.agreed.take_owner_changes();
+    state.leases.apply(state.index, &bytes);
+    state.leases.take_sessions_with_new_grants();
+    state.leases.take_owner_changes();
 }
 
 impl Model for Rules {
@@ -80,94 +82,100 @@
         vec![State {
             now: 0,
             index: 0,
-            agreed: LeaseState::default(),
+            leases: LeaseState::default(),
             renewed: BTreeMap::new(),
             instances: Default::default(),
-            answers: BTreeSet::new(),
-            acts: BTreeSet::new(),
+            responses: BTreeSet::new(),
+            operations: BTreeSet::new(),
             fence: Fence::default(),
-            taken: Vec::new(),
-            two: false,
+            accepted: Vec::new(),
+            had_two_owners: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < END {
-            actions.push(Action::Time { slow: false });
+        if state.now < END_TIME {
+            actions.push(Action::AdvanceTime { slow: false });
             if self.slow_clock {
-                actions.push(Action::Time { slow: true });
+                actions.push(Action::AdvanceTime { slow: true });
             }
         }
-        for (at, one) in state.instances.iter().enumerate() {
-            if state.answers.len() < 2 {
-                actions.push(Action::Renews(at));
+        for (at, instance) in state.instances.iter().enumerate() {
+            if state.responses.len() < 2 {
+                actions.push(Action::Renew(at));
             }
-            if self.can_act(one) && state.acts.len() < 2 {
-                actions.push(Action::Acts(at));
+            if self.can_operate(instance) && state.operations.len() < 2 {
+                actions.push(Action::Operate(at));
             }
         }
-        actions
-            .extend(state.answers.iter().map(|answer| Action::Hears(answer.0, answer.1, answer.2, answer.3)));
-        actions.extend(state.acts.iter().map(|token| Action::Arrives(*token)));
-        let over = state.renewed.iter().filter(|(_, at)| state.now > **at + LEASE);
-        actions.extend(over.map(|(session, _)| Action::Expires(*session)));
+        actions.extend(
+            state
+                .responses
+                .iter()
+                .map(|response| Action::ReceiveResponse(response.0, response.1, response.2, response.3)),
+        );
+        actions.extend(state.operations.iter().map(|token| Action::DeliverOperation(*token)));
+        let expired = state.renewed.iter().filter(|(_, at)| state.now > **at + LEASE);
+        actions.extend(expired.map(|(session, _)| Action::Expire(*session)));
     }
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut state = state.clone();
         match action {
-            Action::Time { slow } => {
+            Action::AdvanceTime { slow } => {
                 state.now += 1;
                 state.instances[0].clock += 1;
                 state.instances[1].clock += u8::from(!slow);
             }
-            Action::Renews(at) => {
-                let one = state.instances[at].clone();
-                let is_open = state.agreed.instance(one.session).is_some();
-                let mut session = one.session;
+            Action::Renew(at) => {
+                let instance = state.instances[at].clone();
+                let is_open = state.leases.instance(instance.session).is_some();
+                let mut session = instance.session;
                 if !is_open {
-                    let claims = vec![Claim { task: PART.task, partitions: 1, rank: 0 }];
-                    // A incarnation for each session: what one session had is not another's.
+                    let claims = vec![Claim { task: PARTITION.task, partitions: 1, rank: 0 }];
+                    // Each session has its own incarnation, so that a session never gets the partitions of another.
                     let incarnation = state.index;
-                    decide(
+                    commit(
                         &mut state,
                         &Command::OpenSession { instance: at as u64 + 1, incarnation, claims },
                     );
                     session = state.index;
                 }
                 state.renewed.insert(session, state.now);
-                let owner = state.agreed.owner(PART);
-                let own = owner
-                    .filter(|(owner, _)| *owner == at as u64 + 1 && state.agreed.is_owned_by(PART, session));
-                state.answers.insert((at, one.clock, session, own.map_or(0, |own| own.1)));
+                let owner = state.leases.owner(PARTITION);
+                let own_grant = owner.filter(|(owner, _)| {
+                    *owner == at as u64 + 1 && state.leases.is_owned_by(PARTITION, session)
+                });
+                state.responses.insert((at, instance.clock, session, own_grant.map_or(0, |grant| grant.1)));
             }
-            Action::Hears(at, asked, session, token) => {
-                state.answers.remove(&(at, asked, session, token));
-                let one = &mut state.instances[at];
-                let from = if self.from_the_answer { one.clock } else { asked };
-                if session > one.session {
-                    (one.session, one.until, one.token) = (session, from + LEASE, token);
-                } else if session == one.session {
-                    one.until = one.until.max(from + LEASE);
-                    one.token = one.token.max(token);
+            Action::ReceiveResponse(at, sent_at, session, token) => {
+                state.responses.remove(&(at, sent_at, session, token));
+                let instance = &mut state.instances[at];
+                let from = if self.lease_from_response { instance.clock } else { sent_at };
+                if session > instance.session {
+                    (instance.session, instance.lease_end, instance.token) = (session, from + LEASE, token);
+                } else if session == instance.session {
+                    instance.lease_end = instance.lease_end.max(from + LEASE);
+                    instance.token = instance.token.max(token);
                 }
             }
-            Action::Expires(session) => {
+            Action::Expire(session) => {
                 state.renewed.remove(&session);
-                decide(&mut state, &Command::EndSession { session });
+                commit(&mut state, &Command::EndSession { session });
             }
-            Action::Acts(at) => {
-                let one = &state.instances[at];
-                state.two |= state.instances.iter().filter(|one| self.can_act(one)).count() > 1;
-                state.acts.insert(one.token);
+            Action::Operate(at) => {
+                let instance = &state.instances[at];
+                state.had_two_owners |=
+                    state.instances.iter().filter(|instance| self.can_operate(instance)).count() > 1;
+                state.operations.insert(instance.token);
             }
-            Action::Arrives(token) => {
-                state.acts.remove(&token);
-                if self.ignore_tokens || state.fence.check(PART, token) {
-                    state.taken.push(token);
-                    // Only the order counts, and its last two.
-                    let past = state.taken.len().saturating_sub(2);
-                    state.taken.drain(..past);
+            Action::DeliverOperation(token) => {
+                state.operations.remove(&token);
+                if self.ignore_tokens || state.fence.check(PARTITION, token) {
+                    state.accepted.push(token);
+                    // Only the order of the last two tokens matters.
+                    let excess = state.accepted.len().saturating_sub(2);
+                    state.accepted.drain(..excess);
                 }
             }
         }
@@ -176,19 +184,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("tokens that are taken only rise", |_, state: &State| {
-                state.taken.windows(2).all(|two| two[0] <= two[1])
+            Property::always("accepted tokens never decrease", |_, state: &State| {
+                state.accepted.windows(2).all(|pair| pair[0] <= pair[1])
             }),
-            Property::always("no two may act at once", |_, state: &State| !state.two),
-            Property::sometimes("an act is taken from each of two owners", |_, state: &State| {
-                state.taken.len() == 2 && state.taken[0] < state.taken[1]
+            Property::always("no two instances can operate at once", |_, state: &State| {
+                !state.had_two_owners
+            }),
+            Property::sometimes("an operation of each of two owners is accepted", |_, state: &State| {
+                state.accepted.len() == 2 && state.accepted[0] < state.accepted[1]
             }),
         ]
     }
 }
 
-const FALL: &str = "tokens that are taken only rise";
-const TWO: &str = "no two may act at once";
+const TOKENS_NEVER_DECREASE: &str = "accepted tokens never decrease";
+const ONE_OWNER: &str = "no two instances can operate at once";
 
 fn check(rules: Rules) -> (usize, BTreeSet<&'static str>) {
     let checker = rules.checker().threads(2).target_state_count(1_500_000).spawn_bfs().join();
@@ -196,25 +206,25 @@
 }
 
 #[test]
-fn one_owner_at_a_time_and_the_next_one_acts() {
+fn one_owner_at_a_time_and_the_next_owner_operates() {
     let (states, found) = check(Rules::default());
-    assert!(!found.contains(FALL) && !found.contains(TWO), "{found:?}");
-    assert!(found.contains("an act is taken from each of two owners"));
+    assert!(!found.contains(TOKENS_NEVER_DECREASE) && !found.contains(ONE_OWNER), "{found:?}");
+    assert!(found.contains("an operation of each of two owners is accepted"));
     assert!(states > 50_000, "{states} states");
 }
 
 #[test]
-fn a_lease_counted_from_the_answer_is_found() {
-    assert!(check(Rules { from_the_answer: true, ..Rules::default() }).1.contains(TWO));
+fn finds_a_lease_that_is_counted_from_the_response() {
+    assert!(check(Rules { lease_from_response: true, ..Rules::default() }).1.contains(ONE_OWNER));
 }
 
 #[test]
-fn a_resource_that_ignores_tokens_is_found() {
-    assert!(check(Rules { ignore_tokens: true, ..Rules::default() }).1.contains(FALL));
+fn finds_a_resource_that_ignores_tokens() {
+    assert!(check(Rules { ignore_tokens: true, ..Rules::default() }).1.contains(TOKENS_NEVER_DECREASE));
 }
 
 #[test]
-fn an_owner_that_trusts_its_clock_only_is_found_and_the_token_makes_it_harmless() {
+fn finds_an_owner_with_a_slow_clock_which_the_token_makes_harmless() {
     let found = check(Rules { slow_clock: true, ..Rules::default() }).1;
-    assert!(found.contains(TWO) && !found.contains(FALL), "{found:?}");
+    assert!(found.contains(ONE_OWNER) && !found.contains(TOKENS_NEVER_DECREASE), "{found:?}");
 }
