--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -25,6 +25,6 @@
 }
 
 /// The Unix clock, in tenths of a millisecond.
-pub fn unix() -> Time {
+pub fn unix_time() -> Time {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| (since.as_micros() / 100) as Time)
 }
--- a/crates/server/src/counters.rs
+++ b/crates/server/src/counters.rs
@@ -10,7 +10,7 @@
         }
 
         impl $all {
-            pub fn line(&self) -> String {
+            pub fn summary(&self) -> String {
                 let pairs = [$((stringify!($name), self.$name.get())),*];
                 let pairs: Vec<String> = pairs.iter().map(|(name, value)| format!("{name} {value}")).collect();
                 pairs.join(", ")
--- a/crates/server/src/downstream/ledger.rs
+++ b/crates/server/src/downstream/ledger.rs
@@ -9,7 +9,7 @@
 use crate::lines::{self, NextReply, Reply};
 use crate::log;
 use crate::pool::{Buf, BUFFER_BYTES};
-use crate::sockets::look;
+use crate::sockets::read_available;
 use cypresscleat_scheduler::Outcome;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -180,7 +180,7 @@
         // idempotent.
         if unsent > 0 && sent == 0 && was_idle {
             was_idle = false;
-            match look(stream, buf.spare()) {
+            match read_available(stream, buf.spare()) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
                 Ok(_) => return Err(ErrorKind::UnexpectedEof.into()),
--- a/crates/server/src/forwarder/talk.rs
+++ b/crates/server/src/forwarder/talk.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::log;
 use crate::rollout::admission_gate::AdmissionGate;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_forwarding::grants::{GrantHeader, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{self, Decoded, Envelope, LoadReport, Message, Role};
@@ -30,7 +30,7 @@
 
 impl Talk {
     pub async fn new(name: &str, role: Role, tier: &Tier, clock: Clock, seed: u64) -> io::Result<Talk> {
-        let named = tried(format_args!("tier.listen {}", tier.listen).to_string());
+        let named = add_context(format_args!("tier.listen {}", tier.listen).to_string());
         let socket = UdpSocket::bind(tier.listen).await.map_err(named)?;
         let own = socket.local_addr()?;
         log!("{} hears members at {own}", name);
--- a/crates/server/src/journal.rs
+++ b/crates/server/src/journal.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 
 /// The monotonic clock, in nanoseconds; the same for all processes of a machine.
-pub fn monotonic() -> u64 {
+pub fn monotonic_ns() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64
 }
@@ -19,7 +19,7 @@
     }
 
     /// `fields` stand behind the time, as they are.
-    pub fn line(&self, at: u64, fields: &str) {
+    pub fn record(&self, at: u64, fields: &str) {
         let _ = (&self.0).write_all(format!("{{\"at_ns\":{at},{fields}}}\n").as_bytes());
     }
 }
--- a/crates/server/src/leases/control_replica.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -4,8 +4,8 @@
 use super::replicated_state::ReplicatedState;
 use super::wire::ControlMessage;
 use super::{random_id, ControlReplicas, MonotonicClock};
-use crate::journal::{monotonic, Journal};
-use crate::sockets::tried;
+use crate::journal::{monotonic_ns, Journal};
+use crate::sockets::add_context;
 use crate::{log, operator};
 use cypresscleat_consensus::storage::PersistentState;
 use cypresscleat_consensus::{message, storage, RaftConfig, Ready, Replica, ReplicaConfig};
@@ -122,7 +122,7 @@
         RolloutEvent::Aborted { number, .. } => ("dropped", number),
         _ => return,
     };
-    journal.line(monotonic(), &format!("\"event\":\"{name}\",\"version\":{number}"));
+    journal.record(monotonic_ns(), &format!("\"event\":\"{name}\",\"version\":{number}"));
 }
 
 struct Desked {
@@ -200,14 +200,14 @@
 /// With `path`, SIGHUP reads the operator's file again: keepers that it names from then on come and go, one at a time, each change
 /// decided by the others.
 pub async fn run(name: &str, set: &ControlReplicas, path: Option<&Path>) -> io::Result<()> {
-    let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut hup = signal(SignalKind::hangup()).map_err(tried("signals"))?;
+    let mut term = signal(SignalKind::terminate()).map_err(add_context("signals"))?;
+    let mut hup = signal(SignalKind::hangup()).map_err(add_context("signals"))?;
     let mut set = set.clone();
     let folder = set.folder.clone().ok_or_else(|| other("keepers.folder says where this keeper keeps"))?;
     let own = node_id(name);
     let listen =
         set.addresses().get(&own).copied().ok_or_else(|| other(format!("no {name:?} in keepers.all")))?;
-    let named = tried(format!("keeper {name} on {listen}"));
+    let named = add_context(format!("keeper {name} on {listen}"));
     let socket = UdpSocket::bind(listen).await.map_err(named)?;
     log!("keeper {name} hears at {}", socket.local_addr()?);
     loop {
--- a/crates/server/src/leases/lease_holder.rs
+++ b/crates/server/src/leases/lease_holder.rs
@@ -3,7 +3,7 @@
 use super::known_replicas::KnownReplicas;
 use super::wire::ControlMessage;
 use super::{random_id, ControlReplicas, MonotonicClock};
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::client::{LeaseClient, LeaseEvent};
 use cypresscleat_leases::messages::Request;
@@ -24,7 +24,7 @@
 
 impl LeaseHolder {
     pub async fn new(name: &str, set: &ControlReplicas, claims: Vec<Claim>) -> io::Result<LeaseHolder> {
-        let socket = UdpSocket::bind(set.local_address()).await.map_err(tried("the leases' socket"))?;
+        let socket = UdpSocket::bind(set.local_address()).await.map_err(add_context("the leases' socket"))?;
         let clock = MonotonicClock::start();
         let keepers = set.replicas.iter().map(|(name, _)| node_id(name)).collect();
         let client = LeaseClient::new(clock.now(), node_id(name), random_id(name), claims, keepers);
--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::log;
 use crate::operator::{self, Operator};
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::{node_id, NodeId, Time};
 use std::collections::HashMap;
@@ -117,8 +117,10 @@
 }
 
 pub(crate) fn block_on(work: impl std::future::Future<Output = io::Result<()>>) -> io::Result<ExitCode> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(tried("event loop"))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(add_context("event loop"))?;
     LocalSet::new().block_on(&runtime, work)?;
     Ok(ExitCode::SUCCESS)
 }
@@ -191,6 +193,6 @@
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     let address = &hasher as *const DefaultHasher as usize;
-    (name, crate::clock::unix(), std::process::id(), address, Instant::now()).hash(&mut hasher);
+    (name, crate::clock::unix_time(), std::process::id(), address, Instant::now()).hash(&mut hasher);
     hasher.finish().max(1)
 }
--- a/crates/server/src/leases/usage_report.rs
+++ b/crates/server/src/leases/usage_report.rs
@@ -1,5 +1,5 @@
 //! The fleet's tally: of each instance's billing rows the sums by the hour, told to a ledger once for each hour that had any. A part is
-//! an instance's folder; its cursor is the next hour. Where sums come from stands in `hours`.
+//! an instance's folder; its cursor is the next hour. Where sums come from stands in `hourly_usage`.
 //!
 //! ```text
 //! {"duty":"sums","part":0,"item":489123,"rows":311,"billed_milli":933000,"token":57,"by":"n1"}
@@ -7,7 +7,7 @@
 
 use super::task_worker::{self, Item, Source};
 use super::ControlReplicas;
-use crate::hours::{self, Sum};
+use crate::hourly_usage::{self, HourTotals};
 use crate::{clock, log};
 use cypresscleat_leases::Time;
 use serde_json::json;
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct Told {
     from: u64,
-    left: VecDeque<(u64, Sum)>,
+    left: VecDeque<(u64, HourTotals)>,
     /// What was said last of a folder that can't be read.
     wrong: String,
 }
@@ -54,8 +54,8 @@
         let folder = self.set.folders.get(part as usize).filter(|folder| folder.is_dir()).ok_or(every)?;
         let one = self.parts.get_mut(&part).ok_or(every)?;
         if one.left.is_empty() {
-            let (span, now) = ((self.set.hour_length / 10).max(1) as u64, (clock::unix() / 10) as u64);
-            match hours::read(folder, span, one.from, now) {
+            let (span, now) = ((self.set.hour_length / 10).max(1) as u64, (clock::unix_time() / 10) as u64);
+            match hourly_usage::read_closed_hours(folder, span, one.from, now) {
                 Ok(found) => one.left = found.into(),
                 Err(wrong) if wrong != one.wrong => {
                     log!("{wrong}");
@@ -65,7 +65,7 @@
             }
         }
         let (hour, sum) = one.left.front().copied().ok_or(every)?;
-        let more = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.milli))];
+        let more = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.billed_milli))];
         let more = more.into_iter().map(|(key, value)| (key.to_string(), value)).collect();
         Ok(Item { number: hour, more, after: Some((hour + 1).to_le_bytes().to_vec()) })
     }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -2,7 +2,7 @@
 
 use super::known_replicas::KnownReplicas;
 use super::ControlReplicas;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message::{self, Message};
 use cypresscleat_leases::{messages, node_id, NodeId};
 use cypresscleat_rollout::messages as policies;
@@ -81,7 +81,7 @@
 
 impl LeaderClient {
     pub fn new(keepers: &ControlReplicas) -> io::Result<LeaderClient> {
-        let socket = UdpSocket::bind(keepers.local_address()).map_err(tried("the command's socket"))?;
+        let socket = UdpSocket::bind(keepers.local_address()).map_err(add_context("the command's socket"))?;
         let order = keepers.replicas.iter().map(|(name, _)| node_id(name)).collect();
         let until = Instant::now() + PATIENCE;
         Ok(LeaderClient {
--- a/crates/server/src/listeners/frames.rs
+++ b/crates/server/src/listeners/frames.rs
@@ -7,7 +7,7 @@
 use crate::counters::add;
 use crate::frames::{self, NextFrame};
 use crate::pool::{Buf, Outbox, BUFFER_BYTES};
-use crate::sockets::{linger, look};
+use crate::sockets::{linger, read_available};
 use cypresscleat_settings::Names;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{self, ErrorKind};
@@ -222,7 +222,7 @@
 ) -> io::Result<()> {
     let peer = &connection.peer;
     let mut buf = reader.partial.take().unwrap_or_else(|| frontend.shared.pool.take());
-    let read = look(stream, buf.spare());
+    let read = read_available(stream, buf.spare());
     let brought = handle_read(frontend, names, connection, reader, buf, read).await?;
     // Protects messages sent while a request is open: a connection that is about to close and is not read any more
     // would lose them.
@@ -250,7 +250,7 @@
 ) -> io::Result<()> {
     let before = connection.partial_since.get();
     let mut buf = reader.partial.take().unwrap_or_else(|| frontend.shared.pool.take());
-    let read = look(stream, buf.spare());
+    let read = read_available(stream, buf.spare());
     handle_read(frontend, names, connection, reader, buf, read).await?;
     let (partial, peer) = (connection.partial_since.get(), &connection.peer);
     let what = match (partial, before) {
--- a/crates/server/src/listeners/scgi.rs
+++ b/crates/server/src/listeners/scgi.rs
@@ -2,7 +2,7 @@
 
 use super::routes::{Route, RouteError, Routes};
 use super::{Connection, Frontend, CAPACITY_RETRY_DELAY};
-use crate::clock::{unix, MS};
+use crate::clock::{unix_time, MS};
 use crate::core::incoming::{FailureCause, RequestError, RequestId, ResponseStatus, ResponseWriter};
 use crate::core::{CoreEvent, Shared};
 use crate::counters::add;
@@ -328,7 +328,7 @@
                     add(&counters.malformed);
                 }
                 let routes = context.routes.borrow().clone();
-                match routes.parse_request(context.next_request_id(), unix(), &bytes, &request) {
+                match routes.parse_request(context.next_request_id(), unix_time(), &bytes, &request) {
                     Ok((route, parsed)) => {
                         passed = true;
                         *responder.route.borrow_mut() = Some(route);
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -13,7 +13,7 @@
 }
 
 /// Whether a line may be written now; where lines were left out before, says how many.
-pub fn may_write(now: Instant) -> (bool, u32) {
+pub fn check_rate_limit(now: Instant) -> (bool, u32) {
     WINDOW.with(|window| {
         let (since, count) = window.get();
         if since.is_none_or(|since| now.duration_since(since).as_secs() >= 1) {
@@ -26,7 +26,7 @@
 }
 
 pub fn write(line: std::fmt::Arguments) {
-    let (may, left_out) = may_write(Instant::now());
+    let (may, left_out) = check_rate_limit(Instant::now());
     let mut to = std::io::stderr().lock();
     if left_out > 0 {
         let _ = writeln!(to, "cypresscleat: {left_out} lines left out");
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -5,7 +5,7 @@
 use cypresscleat_forwarding::retry_budget;
 use cypresscleat_scheduler::{DownstreamKind, RequestClass, Settings, StopMode, Time};
 use cypresscleat_server::args::{self, Task};
-use cypresscleat_server::clock::{unix, Clock};
+use cypresscleat_server::clock::{unix_time, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
 use cypresscleat_server::core::persistence::Persistence;
 use cypresscleat_server::core::{Core, CoreEvent, Shared};
@@ -21,8 +21,8 @@
 use cypresscleat_server::operator::{self, Operator};
 use cypresscleat_server::ready::Readiness;
 use cypresscleat_server::rollout::{self, member, Policy};
-use cypresscleat_server::sockets::tried;
-use cypresscleat_server::{kernel, leases, log, planner, pool, recovery, relay, roster};
+use cypresscleat_server::sockets::add_context;
+use cypresscleat_server::{kernel, leases, log, planner, pool, relay, roster, store_thread};
 use cypresscleat_settings::Names;
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -75,7 +75,7 @@
     };
     let started = std::time::Instant::now();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(tried("event loop"));
+    let runtime = runtime.map_err(add_context("event loop"));
     let ended =
         runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, start(started, operator, role)));
     match ended {
@@ -112,8 +112,8 @@
 async fn start(started: std::time::Instant, path: Option<PathBuf>, role: Role) -> io::Result<ExitCode> {
     let begun = Begun {
         started,
-        hup: signal(SignalKind::hangup()).map_err(tried("signals"))?,
-        term: signal(SignalKind::terminate()).map_err(tried("signals"))?,
+        hup: signal(SignalKind::hangup()).map_err(add_context("signals"))?,
+        term: signal(SignalKind::terminate()).map_err(add_context("signals"))?,
     };
     let config = match config::read() {
         Ok(config) => config,
@@ -163,7 +163,7 @@
         socket.bind(address)?;
         socket.listen(BACKLOG)
     });
-    bound.map_err(tried(format!("listen {address}")))
+    bound.map_err(add_context(format!("listen {address}")))
 }
 
 /// The module of a forwarder: its cores are the places of all workers, and what runs there is no memory of its own.
@@ -255,13 +255,13 @@
     path: Option<PathBuf>,
     role: Role,
 ) -> io::Result<()> {
-    let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
+    let mut usr1 = signal(SignalKind::user_defined1()).map_err(add_context("signals"))?;
     let (queue, notes) = channel(QUEUE);
     // Before anybody can be served.
     let (mut store, mut keeping) = (None, None);
     if let Some(kept) = &operator.store {
         let (to, loaded, thread) =
-            recovery::start(&kept.folder, kept.durability, kept.segment, kept.hours, queue.clone())
+            store_thread::start(&kept.folder, kept.durability, kept.segment, kept.hours, queue.clone())
                 .map_err(|what| io::Error::other(format!("store: {what}")))?;
         let (own, cut_off) = Persistence::new(to, kept.after, kept.refuse, loaded);
         cut_off.iter().take(TOLD).for_each(|one| log!("cut off in the last life: {one}"));
@@ -289,7 +289,7 @@
         log!("scgi listens on {}", listener.local_addr()?);
         let own = Rc::new(ScgiContext::new(
             &config.name,
-            unix(),
+            unix_time(),
             role == Role::Forwarder,
             scgi.routes.clone(),
             scgi.bounds,
@@ -370,7 +370,7 @@
     loop {
         let end = stops.unwrap_or_else(|| Instant::now() + IDLE);
         tokio::select! {
-            _ = usr1.recv() => log!("{}", shared.counters.line()),
+            _ = usr1.recv() => log!("{}", shared.counters.summary()),
             // A fault in the new text changes nothing: what is open goes on as it is.
             _ = hup.recv() => {
                 match config::read() {
@@ -409,8 +409,8 @@
         let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
     core.abort(); // with it goes whoever sends to the store
-    recovery::ends(store.take()).await;
-    log!("stopped: {}", shared.counters.line());
+    store_thread::join(store.take()).await;
+    log!("stopped: {}", shared.counters.summary());
     Ok(())
 }
 
@@ -422,7 +422,7 @@
             biased;
             () = sleep_until(due.into()) => {}
             note = notes.recv() => match note {
-                Some(note) => core.handle_event(clock.now(), unix(), note),
+                Some(note) => core.handle_event(clock.now(), unix_time(), note),
                 None => return,
             },
         }
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -8,7 +8,7 @@
 use crate::leases::{self, ControlReplicas, PLANNERS_TASK};
 use crate::rollout::member::MemberTask;
 use crate::rollout::RolloutSettings;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use crate::{log, rollout};
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
 use cypresscleat_forwarding::grants::{GrantHeader, LeadershipChange, LeasedGrants, PlannerElection};
@@ -76,7 +76,7 @@
     seed: u64,
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
+    let mut term = signal(SignalKind::terminate()).map_err(add_context("signals"))?;
     let mut talk = Talk::new(name, Role::Planner, tier, clock, seed).await?;
     if let Some((set, above)) = rollout.and_then(|set| Some((set, set.request_targets(keepers)?))) {
         let task = MemberTask::new(name, above, set, None, None, Box::new(|_| {})).await?;
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -10,7 +10,7 @@
 use crate::rollout::disk::{VersionDisk, Written};
 use crate::rollout::document_store::load_versions;
 use crate::rollout::{check_version, LEAVE_TIMEOUT};
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::messages::{Request, Response};
 use cypresscleat_rollout::{node_id, NodeId, MAX_DOCUMENT_BYTES};
@@ -93,12 +93,13 @@
 
 /// Runs until a signal tells the relay to stop and it has left, or has waited long enough for that.
 async fn run(name: &str, keepers: &ControlReplicas, config: &RelayConfig) -> io::Result<()> {
-    let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
-    let named = tried(format!("relay {name} on {}", config.listen));
+    let mut term = signal(SignalKind::terminate()).map_err(add_context("signals"))?;
+    let mut usr1 = signal(SignalKind::user_defined1()).map_err(add_context("signals"))?;
+    let named = add_context(format!("relay {name} on {}", config.listen));
     let member_socket = UdpSocket::bind(config.listen).await.map_err(named)?;
-    let replica_socket =
-        UdpSocket::bind(keepers.local_address()).await.map_err(tried("the socket to the control replicas"))?;
+    let replica_socket = UdpSocket::bind(keepers.local_address())
+        .await
+        .map_err(add_context("the socket to the control replicas"))?;
     // Guards against the loss of the first messages: a socket sends nothing before it is known to be writable.
     for socket in [&member_socket, &replica_socket] {
         socket.writable().await?;
@@ -271,6 +272,6 @@
 
     fn counter_line(&self) -> String {
         let active = self.relay.active().map_or("none".into(), |number| number.to_string());
-        format!("{}, members {}, in_force {active}", self.counters.line(), self.relay.member_count())
+        format!("{}, members {}, in_force {active}", self.counters.summary(), self.relay.member_count())
     }
 }
--- a/crates/server/src/rollout/admission_gate.rs
+++ b/crates/server/src/rollout/admission_gate.rs
@@ -1,7 +1,7 @@
 //! Whether an invocation may be admitted now, and under which version. Set by the member's task, asked by the core at each admission:
 //! the clock is read there, so one that stood still admits nothing more when it wakes.
 
-use crate::journal::{monotonic, Journal};
+use crate::journal::{monotonic_ns, Journal};
 use crate::leases::MonotonicClock;
 use cypresscleat_rollout::member::{AdmissionPermit, RolloutMember};
 use cypresscleat_rollout::watch::ServiceTotals;
@@ -81,13 +81,13 @@
     pub fn record_event(&self, event: &str, version: u64) {
         if let Some(journal) = &self.journal {
             let fields = format!("\"member\":\"{}\",\"event\":\"{event}\",\"version\":{version}", self.name);
-            journal.line(monotonic(), &fields);
+            journal.record(monotonic_ns(), &fields);
         }
     }
 
     /// The same as `may`, for one that is admitted where it may be: its moment is the one before the gate is asked.
     pub fn admit(&self, txn: &[u8]) -> AdmissionPermit {
-        let at = self.journal.as_ref().map(|_| monotonic());
+        let at = self.journal.as_ref().map(|_| monotonic_ns());
         let permit = self.permit();
         if let (AdmissionPermit::Admit(version), Some(journal), Some(at)) = (permit, &self.journal, at) {
             let fields = format!(
@@ -95,7 +95,7 @@
                 self.name,
                 String::from_utf8_lossy(txn)
             );
-            journal.line(at, &fields);
+            journal.record(at, &fields);
         }
         permit
     }
--- a/crates/server/src/rollout/member.rs
+++ b/crates/server/src/rollout/member.rs
@@ -9,7 +9,7 @@
 use crate::leases::wire::ControlMessage;
 use crate::leases::{self, addresses_by_id, local_address, random_id, MonotonicClock};
 use crate::log;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::member::{MemberEvent, RolloutMember};
 use cypresscleat_rollout::messages::{Request, Verdict};
@@ -63,7 +63,8 @@
         core_queue: Option<Sender<CoreEvent>>,
         apply: ActivationHook,
     ) -> io::Result<MemberTask> {
-        let socket = UdpSocket::bind(local_address(targets)).await.map_err(tried("the rollout's socket"))?;
+        let socket =
+            UdpSocket::bind(local_address(targets)).await.map_err(add_context("the rollout's socket"))?;
         let clock = MonotonicClock::start();
         let all = targets.iter().map(|(name, _)| node_id(name)).collect();
         let member = RolloutMember::new(clock.now(), name, (node_id(name), random_id(name)), all);
--- a/crates/server/src/rollout/policy_command.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -166,7 +166,7 @@
     let version = Version {
         hash: policy.hash,
         by: truncate(&args.by, MAX_NAME_BYTES),
-        at_ms: (crate::clock::unix() / 10) as u64,
+        at_ms: (crate::clock::unix_time() / 10) as u64,
         why: truncate(&args.why, MAX_REASON_BYTES),
         rules: policy.rules,
         document: text,
@@ -338,7 +338,7 @@
     let version = Version {
         parent: found.now,
         by: truncate(&args.by, MAX_NAME_BYTES),
-        at_ms: (crate::clock::unix() / 10) as u64,
+        at_ms: (crate::clock::unix_time() / 10) as u64,
         why: truncate(&why, MAX_REASON_BYTES),
         undoes: false,
         ..*old
--- a/crates/server/src/sockets.rs
+++ b/crates/server/src/sockets.rs
@@ -15,7 +15,7 @@
 const DROPPED: usize = 64 * 1024;
 
 /// An error that says what was tried, such as an address that was to be listened at: a process that ends by it names the cause.
-pub fn tried(what: impl Display) -> impl FnOnce(io::Error) -> io::Error {
+pub fn add_context(what: impl Display) -> impl FnOnce(io::Error) -> io::Error {
     move |error| io::Error::new(error.kind(), format!("{what}: {error}"))
 }
 
@@ -34,7 +34,7 @@
 
 /// Reads what stands in the socket now. Before a close, or before a connection that rested is used again, the word of the event
 /// loop is not enough: it tells of what had come when it last looked.
-pub fn look(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
+pub fn read_available(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
     loop {
         match (&*socket2::SockRef::from(stream)).read(into) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/crates/server/src/recovery.rs
+++ b/crates/server/src/store_thread.rs
@@ -3,7 +3,7 @@
 
 use crate::core::persistence::{RecoveredState, WriteBatch};
 use crate::core::CoreEvent;
-use crate::hours::Hours;
+use crate::hourly_usage::HourlyUsage;
 use crate::{clock, log};
 use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{Store, StoreOptions};
@@ -58,12 +58,12 @@
     let summed = match hours {
         None => None,
         Some(span) => {
-            let hours = Hours::load(&mut store, span).map_err(|error| error.to_string())?;
+            let hours = HourlyUsage::load(&mut store, span).map_err(|error| error.to_string())?;
             let mut summed = Summed { hours, folder: folder.to_path_buf(), failing: false };
-            put(&mut store, summed.hours.all_closed())?;
-            put(&mut store, summed.hours.closes_at(now()))?;
+            put(&mut store, summed.hours.closed_hour_writes())?;
+            put(&mut store, summed.hours.close_hours_before_time(now()))?;
             store.commit(true).map_err(|error| error.to_string())?;
-            summed.hands_out();
+            summed.export();
             Some(summed)
         }
     };
@@ -95,7 +95,7 @@
 }
 
 /// Waits for the end of the thread, which comes with that of whoever sends it jobs; not for ever, as a disk may hang.
-pub async fn ends(thread: Option<JoinHandle<()>>) {
+pub async fn join(thread: Option<JoinHandle<()>>) {
     let Some(thread) = thread else { return };
     let until = Instant::now() + ENDS;
     while !thread.is_finished() && Instant::now() < until {
@@ -108,15 +108,15 @@
 
 /// Billing rows summed by the hour, and where they are handed out.
 struct Summed {
-    hours: Hours,
+    hours: HourlyUsage,
     folder: PathBuf,
     failing: bool,
 }
 
 impl Summed {
     /// Only once what is told there is on the disk.
-    fn hands_out(&mut self) {
-        let done = self.hours.hands_out(&self.folder);
+    fn export(&mut self) {
+        let done = self.hours.export(&self.folder);
         if let (Err(error), false) = (&done, self.failing) {
             log!("store: hours are not handed out: {error}");
         }
@@ -126,7 +126,7 @@
 
 /// Unix time in milliseconds.
 fn now() -> u64 {
-    (clock::unix() / 10) as u64
+    (clock::unix_time() / 10) as u64
 }
 
 fn put(store: &mut Store<DiskDirectory>, writes: Vec<(Vec<u8>, Vec<u8>)>) -> Result<(), String> {
@@ -147,14 +147,14 @@
             Ok(first) => first,
             Err(RecvTimeoutError::Timeout) => {
                 if let Some(summed) = summed.as_mut() {
-                    let closed = summed.hours.closes_at(now());
+                    let closed = summed.hours.close_hours_before_time(now());
                     let done = match closed.is_empty() {
                         true => Ok(()),
                         false => put(&mut store, closed)
                             .and_then(|()| store.commit(true).map(drop).map_err(|error| error.to_string())),
                     };
                     match done {
-                        Ok(()) => summed.hands_out(),
+                        Ok(()) => summed.export(),
                         Err(error) => log!("store: {error}"),
                     }
                 }
@@ -181,7 +181,7 @@
         }
         failed = store.commit(durability != Durability::None).err().map(|error| error.to_string()).or(failed);
         if let (Some(summed), None) = (summed.as_mut(), &failed) {
-            summed.hands_out();
+            summed.export();
         }
         if words.blocking_send((upto, failed)).is_err() {
             break;
@@ -200,7 +200,7 @@
     for (key, value) in job.writes {
         if let (Some(summed), Some(value)) = (summed.as_mut(), &value) {
             // Before the row: a first part of these writes never has a row behind an hour that is not closed.
-            put(store, summed.hours.writes(&key, value))?;
+            put(store, summed.hours.record_row(&key, value))?;
         }
         let done = match value {
             Some(value) => store.put(&key, &value),
--- a/crates/server/tests/crossings.rs
+++ b/crates/server/tests/crossings.rs
@@ -644,7 +644,7 @@
 /// on.
 #[test]
 fn a_call_is_not_written_to_a_connection_that_was_closed_while_it_rested() {
-    use cypresscleat_server::clock::{unix, Clock};
+    use cypresscleat_server::clock::{unix_time, Clock};
     use cypresscleat_server::config::{parse, Addresses};
     use cypresscleat_server::core::incoming::Peer;
     use cypresscleat_server::core::{Core, CoreEvent, Shared};
@@ -674,7 +674,7 @@
                 let due = clock.instant(core.wake_at().min(clock.now() + 10_000));
                 tokio::select! {
                     note = notes.recv() => match note {
-                        Some(note) => core.handle_event(clock.now(), unix(), note),
+                        Some(note) => core.handle_event(clock.now(), unix_time(), note),
                         None => return,
                     },
                     () = tokio::time::sleep_until(due.into()) => core.tick(clock.now()),
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -423,9 +423,9 @@
         let local = tokio::task::LocalSet::new();
         rows += local.block_on(&runtime, async {
             let (notes, mut words) = tokio::sync::mpsc::channel(1024);
-            let durability = cypresscleat_server::recovery::Durability::Group(ms(2));
+            let durability = cypresscleat_server::store_thread::Durability::Group(ms(2));
             let started =
-                cypresscleat_server::recovery::start(&folders[0], durability, 1 << 16, Some(200), notes);
+                cypresscleat_server::store_thread::start(&folders[0], durability, 1 << 16, Some(200), notes);
             let (to, _, thread) = started.expect("a store");
             for number in 1..=60 {
                 let writes = vec![row(life * 100 + number)];
@@ -437,7 +437,7 @@
             }
             drop(to);
             while let Ok(Some(_)) = tokio::time::timeout(ms(300), words.recv()).await {}
-            cypresscleat_server::recovery::ends(Some(thread)).await;
+            cypresscleat_server::store_thread::join(Some(thread)).await;
             60
         });
         owners[1].end();
--- a/crates/server/tests/parsers.rs
+++ b/crates/server/tests/parsers.rs
@@ -134,10 +134,10 @@
 #[test]
 fn log_lines_beyond_the_rate_are_counted() {
     let start = Instant::now();
-    let written = (0..100).filter(|_| log::may_write(start).0).count();
+    let written = (0..100).filter(|_| log::check_rate_limit(start).0).count();
     assert_eq!(written, 40);
-    assert_eq!(log::may_write(start + Duration::from_secs(1)), (true, 60));
-    assert_eq!(log::may_write(start + Duration::from_secs(2)), (true, 0));
+    assert_eq!(log::check_rate_limit(start + Duration::from_secs(1)), (true, 60));
+    assert_eq!(log::check_rate_limit(start + Duration::from_secs(2)), (true, 0));
 }
 
 /// Every key of the settings that is read, beside those told by words of their own: whether it has to be there, and what it does
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -344,7 +344,7 @@
 }
 
 mod hours {
-    use cypresscleat_server::hours::{Hours, Sum};
+    use cypresscleat_server::hourly_usage::{HourTotals, HourlyUsage};
     use cypresscleat_store::simulation::SimulatedDisk;
     use cypresscleat_store::Store;
     use proptest::prelude::*;
@@ -357,21 +357,21 @@
         #[test]
         fn each_row_counts_once(steps in proptest::collection::vec((0u64..4, 0u64..260, 0u64..5000), 1..80)) {
             let mut store = Store::open(SimulatedDisk::default(), Default::default()).expect("a store");
-            let mut hours = Hours::load(&mut store, SPAN).expect("sums");
-            let (mut now, mut count, mut all) = (1_000u64, 0u64, Sum::default());
+            let mut hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
+            let (mut now, mut count, mut all) = (1_000u64, 0u64, HourTotals::default());
             let mut told = std::collections::BTreeMap::new();
             for (what, by, milli) in steps {
                 match what {
                     0 => now += by,
                     1 => {
                         store.commit(true).expect("a disk");
-                        let closed = hours.closes_at(now);
+                        let closed = hours.close_hours_before_time(now);
                         for (key, value) in closed {
                             store.put(&key, &value).expect("room");
                         }
                         store.commit(true).expect("a disk");
-                        hours = Hours::load(&mut store, SPAN).expect("sums");
-                        for (key, value) in hours.all_closed() {
+                        hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
+                        for (key, value) in hours.closed_hour_writes() {
                             store.put(&key, &value).expect("room");
                         }
                     }
@@ -381,11 +381,11 @@
                         count += 1;
                         let key = format!("b/{at:016}/{count:016}").into_bytes();
                         let value = format!("op,,{},0,0,succeeded", milli as f64 / 1000.0).into_bytes();
-                        for (key, value) in hours.writes(&key, &value) {
+                        for (key, value) in hours.record_row(&key, &value) {
                             store.put(&key, &value).expect("room");
                         }
                         store.put(&key, &value).expect("room");
-                        (all.rows, all.milli) = (all.rows + 1, all.milli + milli);
+                        (all.rows, all.billed_milli) = (all.rows + 1, all.billed_milli + milli);
                     }
                 }
                 for (hour, sum) in &hours.closed {
@@ -394,14 +394,14 @@
                 }
             }
             store.commit(true).expect("a disk");
-            let mut hours = Hours::load(&mut store, SPAN).expect("sums");
-            hours.closes(now / SPAN + 10);
+            let mut hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
+            hours.close_hours_before(now / SPAN + 10);
             for (hour, sum) in &hours.closed {
                 let before = told.insert(*hour, *sum);
                 prop_assert!(before.is_none_or(|before| before == *sum), "hour {hour}: {before:?}, then {sum:?}");
             }
-            let sum = told.values().fold((0, 0), |sum, one| (sum.0 + one.rows, sum.1 + one.milli));
-            prop_assert_eq!(sum, (all.rows, all.milli));
+            let sum = told.values().fold((0, 0), |sum, one| (sum.0 + one.rows, sum.1 + one.billed_milli));
+            prop_assert_eq!(sum, (all.rows, all.billed_milli));
         }
     }
 }
--- a/crates/server/tests/store_golden.rs
+++ b/crates/server/tests/store_golden.rs
@@ -4,7 +4,7 @@
 use cypresscleat_server::core::persistence::{
     BillingRow, IdempotencyRecord, KeyState, Persistence, RecoveredState, WriteBatch,
 };
-use cypresscleat_server::hours::{self, Hours, Sum};
+use cypresscleat_server::hourly_usage::{self, HourTotals, HourlyUsage};
 use cypresscleat_store::disk::{Disk, DiskDirectory};
 use cypresscleat_store::{Store, StoreOptions};
 use std::path::{Path, PathBuf};
@@ -54,10 +54,10 @@
 }
 
 /// Writes the jobs as the store's thread does, a commit for each, and a billing row that comes late.
-fn write_recorded_rows(store: &mut Store<impl Disk>) -> Hours {
-    let mut hours = Hours::load(store, SPAN).expect("no rows yet");
+fn write_recorded_rows(store: &mut Store<impl Disk>) -> HourlyUsage {
+    let mut hours = HourlyUsage::load(store, SPAN).expect("no rows yet");
     let mut put = |store: &mut Store<_>, key: &[u8], value: &[u8]| {
-        for (key, value) in hours.writes(key, value) {
+        for (key, value) in hours.record_row(key, value) {
             store.put(&key, &value).expect("a write");
         }
         store.put(key, value).expect("a write");
@@ -137,9 +137,9 @@
     assert_eq!(rows(&mut store), expected_rows());
     drop(store);
     assert_eq!(segments(&folder), segments(&recorded_folder()));
-    hours.hands_out(&folder).expect("handed out");
-    let recorded = std::fs::read(hours::handed(&recorded_folder())).expect("the recorded hours");
-    assert_eq!(std::fs::read(hours::handed(&folder)).expect("hours"), recorded);
+    hours.export(&folder).expect("handed out");
+    let recorded = std::fs::read(hourly_usage::export_path(&recorded_folder())).expect("the recorded hours");
+    assert_eq!(std::fs::read(hourly_usage::export_path(&folder)).expect("hours"), recorded);
     std::fs::remove_dir_all(&path).expect("to clean up");
 }
 
@@ -158,11 +158,11 @@
     assert_eq!(loaded.records, [("order-17".to_string(), done), ("order-18".to_string(), token(18))]);
     let cut_off = (b"o/00000000000000a4".to_vec(), "00000000000000a4 report,,1700000000001".to_string());
     assert_eq!(loaded.interrupted, [cut_off]);
-    let mut hours = Hours::load(&mut store, SPAN).expect("sums");
-    assert_eq!(hours.closed, [(472_222, Sum { rows: 1, milli: 2500 })]);
+    let mut hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
+    assert_eq!(hours.closed, [(472_222, HourTotals { rows: 1, billed_milli: 2500 })]);
     // The open hour is summed from its own row and the late one.
-    assert_eq!(hours.closes(472_224), [(b"h/3600000/000000472223".to_vec(), b"2,1125".to_vec())]);
-    for (key, value) in hours.all_closed() {
+    assert_eq!(hours.close_hours_before(472_224), [(b"h/3600000/000000472223".to_vec(), b"2,1125".to_vec())]);
+    for (key, value) in hours.closed_hour_writes() {
         store.put(&key, &value).expect("a write");
     }
     store.commit(true).expect("a commit");
