--- a/crates/server/src/forwarder/cluster_socket.rs
+++ b/crates/server/src/forwarder/cluster_socket.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::log;
 use crate::rollout::admission_gate::AdmissionGate;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_forwarding::grants::{GrantHeader, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
 use cypresscleat_forwarding::messages::{self, Decoded, Envelope, LoadReport, Message, Role};
@@ -36,7 +36,7 @@
         clock: Clock,
         seed: u64,
     ) -> io::Result<ClusterSocket> {
-        let named = tried(format_args!("tier.listen {}", tier.listen).to_string());
+        let named = add_context(format_args!("tier.listen {}", tier.listen).to_string());
         let socket = UdpSocket::bind(tier.listen).await.map_err(named)?;
         let own = socket.local_addr()?;
         log!("{} hears members at {own}", name);
--- a/crates/server/src/leases/control_replica.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -5,8 +5,8 @@
 use super::replicated_state::ReplicatedState;
 use super::wire::ControlMessage;
 use super::{random_id, ControlReplicas, MonotonicClock};
-use crate::journal::{monotonic, Journal};
-use crate::sockets::tried;
+use crate::journal::{monotonic_ns, Journal};
+use crate::sockets::add_context;
 use crate::{log, operator};
 use cypresscleat_consensus::storage::PersistentState;
 use cypresscleat_consensus::{message, storage, RaftConfig, Ready, Replica, ReplicaConfig};
@@ -126,7 +126,7 @@
         RolloutEvent::Aborted { number, .. } => ("dropped", number),
         _ => return,
     };
-    journal.line(monotonic(), &format!("\"event\":\"{name}\",\"version\":{number}"));
+    journal.record(monotonic_ns(), &format!("\"event\":\"{name}\",\"version\":{number}"));
 }
 
 /// A running replica with its managers.
@@ -206,8 +206,8 @@
 /// With `path`, SIGHUP reads the operator's file again: the replicas that it names from then on are added and removed one at a time,
 /// each change committed by the members.
 pub async fn run(name: &str, control: &ControlReplicas, path: Option<&Path>) -> io::Result<()> {
-    let mut sigterm = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut sighup = signal(SignalKind::hangup()).map_err(tried("signals"))?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(add_context("signals"))?;
+    let mut sighup = signal(SignalKind::hangup()).map_err(add_context("signals"))?;
     let mut control = control.clone();
     let folder =
         control.folder.clone().ok_or_else(|| to_io_error("a control replica requires keepers.folder"))?;
@@ -217,7 +217,7 @@
         .get(&own_id)
         .copied()
         .ok_or_else(|| to_io_error(format!("no {name:?} in keepers.all")))?;
-    let with_address = tried(format!("keeper {name} on {listen}"));
+    let with_address = add_context(format!("keeper {name} on {listen}"));
     let socket = UdpSocket::bind(listen).await.map_err(with_address)?;
     log!("keeper {name} listens on {}", socket.local_addr()?);
     loop {
--- a/crates/server/src/leases/lease_holder.rs
+++ b/crates/server/src/leases/lease_holder.rs
@@ -3,7 +3,7 @@
 use super::known_replicas::KnownReplicas;
 use super::wire::ControlMessage;
 use super::{random_id, ControlReplicas, MonotonicClock};
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::client::{LeaseClient, LeaseEvent};
 use cypresscleat_leases::messages::Request;
@@ -26,7 +26,8 @@
 impl LeaseHolder {
     /// Opens the socket; the session is opened by the first call of [`LeaseHolder::next_event`].
     pub async fn new(name: &str, control: &ControlReplicas, claims: Vec<Claim>) -> io::Result<LeaseHolder> {
-        let socket = UdpSocket::bind(control.local_address()).await.map_err(tried("the leases' socket"))?;
+        let socket =
+            UdpSocket::bind(control.local_address()).await.map_err(add_context("the leases' socket"))?;
         let clock = MonotonicClock::start();
         let replica_ids = control.replicas.iter().map(|(name, _)| node_id(name)).collect();
         let client = LeaseClient::new(clock.now(), node_id(name), random_id(name), claims, replica_ids);
--- a/crates/server/src/leases/usage_report.rs
+++ b/crates/server/src/leases/usage_report.rs
@@ -1,5 +1,5 @@
 //! Usage report of the fleet: the sums of each instance's billing rows by the hour, reported to a ledger once for each hour that had
-//! rows. A partition is the folder of one instance; its cursor is the next hour. [`hours`] describes where the sums come from.
+//! rows. A partition is the folder of one instance; its cursor is the next hour. [`hourly_usage`] describes where the sums come from.
 //!
 //! ```text
 //! {"duty":"sums","part":0,"item":489123,"rows":311,"billed_milli":933000,"token":57,"by":"n1"}
@@ -7,7 +7,7 @@
 
 use super::task_worker::{self, Item, ItemSource};
 use super::ControlReplicas;
-use crate::hours::{self, Sum};
+use crate::hourly_usage::{self, HourTotals};
 use crate::{clock, log};
 use cypresscleat_leases::Time;
 use serde_json::json;
@@ -35,7 +35,7 @@
 struct OwnedFolder {
     /// The next hour to report.
     next_hour: u64,
-    unreported: VecDeque<(u64, Sum)>,
+    unreported: VecDeque<(u64, HourTotals)>,
     /// The last read error that was logged, so that the same error is logged once.
     logged_error: String,
 }
@@ -60,8 +60,8 @@
         let owned = self.owned.get_mut(&partition).ok_or(interval)?;
         if owned.unreported.is_empty() {
             let (hour_length, now) =
-                ((self.config.hour_length / 10).max(1) as u64, (clock::unix() / 10) as u64);
-            match hours::read(folder, hour_length, owned.next_hour, now) {
+                ((self.config.hour_length / 10).max(1) as u64, (clock::unix_time() / 10) as u64);
+            match hourly_usage::read_closed_hours(folder, hour_length, owned.next_hour, now) {
                 Ok(sums) => owned.unreported = sums.into(),
                 Err(error) if error != owned.logged_error => {
                     log!("{error}");
@@ -71,7 +71,7 @@
             }
         }
         let (hour, sum) = owned.unreported.front().copied().ok_or(interval)?;
-        let fields = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.milli))];
+        let fields = [("rows", json!(sum.rows)), ("billed_milli", json!(sum.billed_milli))];
         let fields = fields.into_iter().map(|(key, value)| (key.to_string(), value)).collect();
         Ok(Item { number: hour, fields, cursor_after: Some((hour + 1).to_le_bytes().to_vec()) })
     }
--- a/crates/server/src/leases/wire.rs
+++ b/crates/server/src/leases/wire.rs
@@ -2,7 +2,7 @@
 
 use super::known_replicas::KnownReplicas;
 use super::ControlReplicas;
-use crate::sockets::tried;
+use crate::sockets::add_context;
 use cypresscleat_consensus::message::{self, Message};
 use cypresscleat_leases::{messages, node_id, NodeId};
 use cypresscleat_rollout::messages as policies;
@@ -83,7 +83,7 @@
 impl LeaderClient {
     /// A client of the replicas that the operator's file names.
     pub fn new(control: &ControlReplicas) -> io::Result<LeaderClient> {
-        let socket = UdpSocket::bind(control.local_address()).map_err(tried("the command's socket"))?;
+        let socket = UdpSocket::bind(control.local_address()).map_err(add_context("the command's socket"))?;
         let order = control.replicas.iter().map(|(name, _)| node_id(name)).collect();
         let deadline = Instant::now() + TIMEOUT;
         Ok(LeaderClient {
--- a/crates/server/src/rollout/admission_gate.rs
+++ b/crates/server/src/rollout/admission_gate.rs
@@ -1,7 +1,7 @@
 //! Decides whether a request may be admitted now, and under which version. The member's task updates the gate, and the core checks it at
 //! each admission. The check reads the clock, so a process that was stalled past its lease admits nothing when it resumes.
 
-use crate::journal::{monotonic, Journal};
+use crate::journal::{monotonic_ns, Journal};
 use crate::leases::MonotonicClock;
 use cypresscleat_rollout::member::{AdmissionPermit, RolloutMember};
 use cypresscleat_rollout::watch::ServiceTotals;
@@ -85,14 +85,14 @@
     pub fn record_event(&self, event: &str, version: u64) {
         if let Some(journal) = &self.journal {
             let fields = format!("\"member\":\"{}\",\"event\":\"{event}\",\"version\":{version}", self.name);
-            journal.line(monotonic(), &fields);
+            journal.record(monotonic_ns(), &fields);
         }
     }
 
     /// Returns [`AdmissionGate::permit`] for a request that the caller admits if permitted, and writes the admission to the test journal. The
     /// journal's time is taken before the check.
     pub fn admit(&self, txn: &[u8]) -> AdmissionPermit {
-        let at = self.journal.as_ref().map(|_| monotonic());
+        let at = self.journal.as_ref().map(|_| monotonic_ns());
         let permit = self.permit();
         if let (AdmissionPermit::Admit(version), Some(journal), Some(at)) = (permit, &self.journal, at) {
             let fields = format!(
@@ -100,7 +100,7 @@
                 self.name,
                 String::from_utf8_lossy(txn)
             );
-            journal.line(at, &fields);
+            journal.record(at, &fields);
         }
         permit
     }
--- a/crates/server/src/rollout/policy_command.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -180,7 +180,7 @@
     let version = Version {
         hash: policy.hash,
         by: truncate(&args.by, MAX_NAME_BYTES),
-        at_ms: (crate::clock::unix() / 10) as u64,
+        at_ms: (crate::clock::unix_time() / 10) as u64,
         why: truncate(&args.why, MAX_REASON_BYTES),
         rules: policy.rules,
         document: content,
@@ -369,7 +369,7 @@
     let version = Version {
         parent: status.active_version,
         by: truncate(&args.by, MAX_NAME_BYTES),
-        at_ms: (crate::clock::unix() / 10) as u64,
+        at_ms: (crate::clock::unix_time() / 10) as u64,
         why: truncate(&why, MAX_REASON_BYTES),
         undoes: false,
         ..*old
