--- a/crates/forwarding/src/capacity_plan.rs
+++ b/crates/forwarding/src/capacity_plan.rs
@@ -1,45 +1,45 @@
-//! How much of which worker each forwarder gets. The slots of a worker are given out whole, all of them, by what each forwarder's
-//! demand is worth, with a floor for each, so that one that has just started is not without; and a worker that rejects has fewer
-//! to give.
+//! Divides the concurrency slots of each worker among the forwarders. All slots of a worker are granted, as whole slots, in
+//! proportion to the weighted demand of each forwarder. A minimum share for each forwarder gives slots to one that has just
+//! started. A worker that rejects attempts has fewer slots to grant.
 
 use crate::messages::{Demand, Grant, LoadReport};
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
-/// Fraction of all slots that is shared out evenly, whatever the demand.
+/// Fraction of all slots that is divided evenly among the forwarders, independent of demand.
 const EVEN_SHARE: f64 = 0.2;
-/// A load report older than this says nothing any more.
+/// Load reports older than this are dropped.
 pub const MAX_REPORT_AGE: Time = 3 * SECOND;
-/// Concurrency slots of workers are adapted so often.
+/// Interval between adaptations of the workers' slots.
 const ADAPTATION_INTERVAL: Time = SECOND;
-/// A worker's slots fall by this factor when it rejected more than [`MAX_REJECTED_FRACTION`] of its attempts.
+/// A worker's slots are multiplied by this factor when it rejected more than [`MAX_REJECTED_FRACTION`] of its attempts.
 const DECREASE_FACTOR: f64 = 0.9;
-/// They rise by this fraction of its configured slots when it did not.
+/// Otherwise a worker's slots grow by this fraction of its configured slots.
 const INCREASE_FRACTION: f64 = 0.05;
 const MAX_REJECTED_FRACTION: f64 = 0.05;
-/// Bounds of a worker's slots, as factors of its configured ones: those may be wrong.
+/// Lower bound of a worker's slots, as a factor of its configured slots. The configured value may be wrong.
 const MIN_SLOTS_FACTOR: f64 = 0.25;
-/// The upper one.
+/// Upper bound of a worker's slots, as a factor of its configured slots.
 pub const MAX_SLOTS_FACTOR: f64 = 2.0;
-/// Bounds of configured slots.
+/// Bounds of the configured slots of a worker.
 const MIN_CONFIGURED_SLOTS: f64 = 1.0;
 const MAX_CONFIGURED_SLOTS: f64 = 1e6;
 
 #[derive(Clone, Debug)]
 struct Worker {
     configured_slots: f64,
-    /// Concurrency slots that are given out.
+    /// Concurrency slots that are granted to forwarders.
     slots: f64,
 }
 
-/// What forwarders saw of one worker, added up.
+/// Sum of all forwarders' observations of one worker, in attempts per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct ObservedRates {
     ended: f64,
     rejected: f64,
 }
 
-/// A forwarder's load report, and when it came.
+/// A forwarder's load report and the time of its receipt.
 #[derive(Clone, Debug)]
 struct ReceivedReport {
     received_at: Time,
@@ -49,14 +49,14 @@
 /// A forwarder's claim to slots, while grants are computed.
 struct Claim {
     forwarder: NodeId,
-    /// Its fraction of the slots of each worker.
+    /// Fraction of the slots of each worker.
     share: f64,
-    /// Concurrency slots that are due to it. What was rounded away at one worker is made up for at the next, so that small shares are not
-    /// always nothing.
+    /// Concurrency slots that the claim has not received yet. The rounding remainder of one worker carries over to the next, so that
+    /// small shares are not always rounded to zero.
     credit: f64,
 }
 
-/// What a planner knows.
+/// A planner's state: workers, load reports, and the slots of each worker.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityPlan {
     workers: BTreeMap<NodeId, Worker>,
@@ -65,7 +65,7 @@
 }
 
 impl CapacityPlan {
-    /// A worker that accepts work, with its configured slots; one that is known keeps what was learnt of it.
+    /// Adds a worker that accepts work. A known worker with the same configured slots keeps its adapted slots.
     pub fn set_worker(&mut self, id: NodeId, configured_slots: f64) {
         let slots = configured_slots.clamp(MIN_CONFIGURED_SLOTS, MAX_CONFIGURED_SLOTS);
         let new = Worker { configured_slots: slots, slots };
@@ -75,34 +75,34 @@
         }
     }
 
-    /// A worker is gone.
+    /// Removes a worker.
     pub fn remove_worker(&mut self, id: NodeId) {
         self.workers.remove(&id);
     }
 
-    /// A forwarder is gone.
+    /// Removes a forwarder.
     pub fn remove_forwarder(&mut self, id: NodeId) {
         self.reports.remove(&id);
     }
 
-    /// A load report came, in place of the forwarder's last one.
+    /// Stores a load report in place of the forwarder's previous one.
     pub fn record_report(&mut self, now: Time, forwarder: NodeId, report: LoadReport) {
         self.reports.insert(forwarder, ReceivedReport { received_at: now, report });
     }
 
-    /// Forwarders whose load report counts.
+    /// Forwarders with a current load report.
     pub fn forwarders(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.reports.keys().copied()
     }
 
-    /// Concurrency slots of a worker that are given out.
+    /// Concurrency slots of a worker that are granted to forwarders.
     pub fn slots(&self, worker: NodeId) -> f64 {
         self.workers.get(&worker).map_or(0.0, |worker| worker.slots)
     }
 
-    /// Drops old load reports and, once a second, adapts the slots of each worker to what all forwarders saw of it.
+    /// Drops old load reports and, once a second, adapts the slots of each worker to the observations of all forwarders.
     pub fn adapt(&mut self, now: Time) {
-        self.reports.retain(|_, one| now - one.received_at <= MAX_REPORT_AGE);
+        self.reports.retain(|_, received| now - received.received_at <= MAX_REPORT_AGE);
         if now - self.adapted_at < ADAPTATION_INTERVAL {
             return;
         }
@@ -116,21 +116,21 @@
 
     fn observed_rates(&self) -> BTreeMap<NodeId, ObservedRates> {
         let mut rates: BTreeMap<NodeId, ObservedRates> = BTreeMap::new();
-        for observation in self.reports.values().flat_map(|one| &one.report.observations) {
-            let sum = rates.entry(observation.worker).or_default();
-            sum.ended += f64::from(observation.ended);
-            sum.rejected += f64::from(observation.rejected);
+        for observation in self.reports.values().flat_map(|received| &received.report.observations) {
+            let total = rates.entry(observation.worker).or_default();
+            total.ended += f64::from(observation.ended);
+            total.rejected += f64::from(observation.rejected);
         }
         rates
     }
 
-    /// Grants for each forwarder. Of each worker all slots are given out, whole, and no more.
+    /// Grants for each forwarder. They cover exactly all whole slots of each worker.
     pub fn grants(&self) -> BTreeMap<NodeId, Vec<Grant>> {
         let mut claims = self.claims();
         let mut grants: BTreeMap<NodeId, Vec<Grant>> =
             claims.iter().map(|claim| (claim.forwarder, Vec::new())).collect();
-        for (&worker, known) in &self.workers {
-            let available = known.slots.floor().max(1.0) as u32;
+        for (&worker, state) in &self.workers {
+            let available = state.slots.floor().max(1.0) as u32;
             let divided = divide(&mut claims, available);
             for (claim, slots) in claims.iter().zip(divided).filter(|(_, slots)| *slots > 0) {
                 grants.entry(claim.forwarder).or_default().push(Grant { worker, slots });
@@ -139,22 +139,29 @@
         grants
     }
 
-    /// A claim of each forwarder: an even share of the floor, and of the rest what its demand is worth.
+    /// The claim of each forwarder: an even part of [`EVEN_SHARE`], and a part of the rest in proportion to its weighted demand.
     fn claims(&self) -> Vec<Claim> {
-        let worths: Vec<f64> = self.reports.values().map(|one| worth(&one.report)).collect();
-        let sum: f64 = worths.iter().sum();
-        let count = worths.len().max(1) as f64;
-        let share = |worth: f64| {
-            let by_worth = if sum > 0.0 { worth / sum } else { 1.0 / count };
-            EVEN_SHARE / count + (1.0 - EVEN_SHARE) * by_worth
+        let weights: Vec<f64> =
+            self.reports.values().map(|received| weighted_demand(&received.report)).collect();
+        let total: f64 = weights.iter().sum();
+        let count = weights.len().max(1) as f64;
+        let share = |weighted_demand: f64| {
+            let by_demand = if total > 0.0 { weighted_demand / total } else { 1.0 / count };
+            EVEN_SHARE / count + (1.0 - EVEN_SHARE) * by_demand
         };
-        let claims = self.reports.keys().zip(worths);
-        claims.map(|(&forwarder, worth)| Claim { forwarder, share: share(worth), credit: 0.0 }).collect()
+        let claims = self.reports.keys().zip(weights);
+        claims
+            .map(|(&forwarder, weighted_demand)| Claim {
+                forwarder,
+                share: share(weighted_demand),
+                credit: 0.0,
+            })
+            .collect()
     }
 }
 
 impl Worker {
-    /// Fewer slots where the worker rejected much, a little more where it did not.
+    /// Decreases the slots if the worker rejected too many attempts, else increases them slowly.
     fn adapt(&mut self, rates: ObservedRates) {
         if rates.rejected > rates.ended * MAX_REJECTED_FRACTION {
             self.slots *= DECREASE_FACTOR;
@@ -166,14 +173,14 @@
     }
 }
 
-/// What a forwarder's demand is worth: the weight of what arrives in a second, and of what is queued.
-fn worth(report: &LoadReport) -> f64 {
-    let worth =
+/// Weighted demand of a forwarder: arrivals per second and queued requests, times their priority weight.
+fn weighted_demand(report: &LoadReport) -> f64 {
+    let demand_weight =
         |demand: &Demand| f64::from(demand.weight) * (f64::from(demand.rate) + f64::from(demand.queued));
-    report.demands.iter().map(worth).sum::<f64>()
+    report.demands.iter().map(demand_weight).sum::<f64>()
 }
 
-/// Divides the slots of a worker among the claims, whole, by largest remainder; returns the slots of each claim.
+/// Divides the slots of a worker among the claims as whole slots by largest remainder; returns the slots of each claim.
 fn divide(claims: &mut [Claim], available: u32) -> Vec<u32> {
     for claim in claims.iter_mut() {
         claim.credit += claim.share * f64::from(available);
@@ -182,19 +189,19 @@
     let remainder = |index: usize| claims[index].credit - f64::from(slots[index]);
     let mut order: Vec<usize> = (0..slots.len()).collect();
     order.sort_by(|a, b| remainder(*b).total_cmp(&remainder(*a)));
-    let mut left = i64::from(available) - slots.iter().map(|given| i64::from(*given)).sum::<i64>();
-    let rounds = left.unsigned_abs() as usize + 1;
+    let mut remaining = i64::from(available) - slots.iter().map(|granted| i64::from(*granted)).sum::<i64>();
+    let rounds = remaining.unsigned_abs() as usize + 1;
     for &index in order.iter().cycle().take(order.len() * rounds) {
-        if left > 0 {
+        if remaining > 0 {
             slots[index] += 1;
-            left -= 1;
-        } else if left < 0 && slots[index] > 0 {
+            remaining -= 1;
+        } else if remaining < 0 && slots[index] > 0 {
             slots[index] -= 1;
-            left += 1;
+            remaining += 1;
         }
     }
-    for (claim, given) in claims.iter_mut().zip(&slots) {
-        claim.credit -= f64::from(*given);
+    for (claim, granted) in claims.iter_mut().zip(&slots) {
+        claim.credit -= f64::from(*granted);
     }
     slots
 }
--- a/crates/forwarding/src/dispatch_mode.rs
+++ b/crates/forwarding/src/dispatch_mode.rs
@@ -1,27 +1,27 @@
-//! Whether a forwarder goes by its grants or by itself. Without valid grants it decides alone, from the next request on: of each
-//! worker it uses the share that falls to it if all forwarders that it knows use alike. When planners are back it goes over to
-//! their grants in steps, so that many forwarders that come back at once do not jump together.
+//! Whether a forwarder uses its grants or its local share. Without valid grants the forwarder uses, from the next request on, its
+//! equal share of each worker among all forwarders that it knows. When planners are back it moves to their grants in steps, so that
+//! many forwarders that recover at once do not shift their load at the same moment.
 
 use crate::grants::GrantTable;
 use crate::{NodeId, Time, SECOND};
 
 /// Steps of the recovery from the local share to the grants.
 pub const RECOVERY_STEPS: u32 = 4;
-/// How long each step lasts.
+/// Duration of each step.
 pub const RECOVERY_STEP_DURATION: Time = SECOND / 2;
 
-/// What a forwarder goes by.
+/// Source of the slots that a forwarder uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchState {
-    /// By its local share of each worker.
+    /// The local share of each worker.
     Local,
-    /// On its way back to its grants, so many steps done.
+    /// Between the local share and the grants, with the number of completed steps.
     Recovering(u32),
-    /// By its grants.
+    /// The grants.
     Planned,
 }
 
-/// What a forwarder goes by, and since when.
+/// Dispatch state of a forwarder, and the time of its last change.
 #[derive(Clone, Debug)]
 pub struct DispatchMode {
     state: DispatchState,
@@ -29,17 +29,17 @@
 }
 
 impl DispatchMode {
-    /// A forwarder begins by itself.
+    /// Creates the mode of a new forwarder, which starts with its local share.
     pub fn new(now: Time) -> DispatchMode {
         DispatchMode { state: DispatchState::Local, since: now }
     }
 
-    /// What it goes by now.
+    /// The current state.
     pub fn state(&self) -> DispatchState {
         self.state
     }
 
-    /// Does what is due now; returns what changed as a line for the log.
+    /// Updates the state; returns a log line if it changed.
     pub fn tick(&mut self, now: Time, grants: &GrantTable) -> Option<String> {
         let next = self.next_state(now, grants.is_valid(now));
         if next == self.state {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Concurrency slots that the forwarder may use on a worker. `local_share` is its share where it decides by itself.
+    /// Concurrency slots that the forwarder may use on a worker. `local_share` is its share without grants.
     pub fn slots(&self, now: Time, grants: &GrantTable, worker: NodeId, local_share: f64) -> f64 {
         let granted = grants.slots(now, worker).map(f64::from);
         match (self.state, granted) {
@@ -82,13 +82,13 @@
             (DispatchState::Recovering(done), Some(granted)) => {
                 local_share + (granted - local_share) * f64::from(done) / f64::from(RECOVERY_STEPS)
             }
-            // The grants have just ended, or it has not ticked yet: by itself from the next request on.
+            // The grants may have ended since the last tick: the local share applies from the next request on.
             (DispatchState::Local, _) | (_, None) => local_share,
         }
     }
 
-    /// A forwarder's share of a worker with so many slots, among so many forwarders, itself included. One slot at the least: a
-    /// worker protects itself.
+    /// A forwarder's share of a worker's `slots` among `forwarders`, itself included. The share is at least one slot: a worker
+    /// protects itself from overload.
     pub fn local_share(slots: f64, forwarders: usize) -> f64 {
         (slots / forwarders.max(1) as f64).max(1.0)
     }
--- a/crates/forwarding/src/grants.rs
+++ b/crates/forwarding/src/grants.rs
@@ -1,80 +1,80 @@
-//! Who may grant concurrency slots on workers, and which grants are valid. A planner leads while its id is the least of the planners
-//! that are present; a planner that becomes leader takes an epoch past all that it has heard of, and grants nothing until the grants
-//! of earlier leaders must have ended. A forwarder accepts grants of the newest epoch that it knows only.
+//! Who may grant concurrency slots on workers, and which grants are valid. A planner leads while its id is the lowest of all present
+//! planners. A planner that becomes leader takes an epoch above every epoch that it has received, and grants nothing until the
+//! grants of earlier leaders must have ended. A forwarder accepts only grants of the newest epoch that it knows.
 //!
 //! # The bound
 //!
-//! A grant holds for `duration` from when its planner made it, and its forwarder uses it for no longer than `duration` from when it
-//! sent the load report that the grant answers, which was earlier. A planner that becomes leader waits for [`GRANT_DURATION`] and
-//! [`MAX_CLOCK_SKEW`]. So while clocks run equally fast to within that skew in that time, no two planners' grants hold at once: of
-//! each worker no more than its slots is granted. Two planners that both believe that they lead, each for longer than that wait (the
-//! network between them partitioned), grant the slots twice at the most, once for each side, and a forwarder counts one epoch only.
+//! A grant is valid for `duration` from its creation by the planner. Its forwarder uses the grant for at most `duration` from the
+//! sending of the load report that the grant answers, which is earlier. A planner that becomes leader waits for [`GRANT_DURATION`]
+//! plus [`MAX_CLOCK_SKEW`]. So while clocks drift apart by no more than that skew in that time, the grants of two planners are never
+//! valid at once, and no worker has more slots granted than it has. If a network partition lets two planners both lead for longer
+//! than that wait, the slots are granted at most twice, once on each side, and a forwarder uses the grants of one epoch only.
 
 use crate::messages::Grant;
 use crate::{NodeId, Time, MS, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long grants last.
+/// Validity of grants.
 pub const GRANT_DURATION: Time = 2 * SECOND;
-/// How often they are renewed.
+/// Interval between renewals of grants.
 pub const GRANT_RENEWAL_INTERVAL: Time = GRANT_DURATION / 4;
-/// Clocks may run apart by this much in that time.
+/// Maximum drift between two clocks within [`GRANT_DURATION`].
 pub const MAX_CLOCK_SKEW: Time = 50 * MS;
 
-/// No grant counts for more concurrency slots than this, whatever a planner says.
+/// Upper bound of the concurrency slots of one grant, applied to whatever a planner sends.
 pub const MAX_GRANTED_SLOTS: u32 = 100_000;
-/// Load reports whose answers are still accepted.
+/// Maximum number of remembered load reports; grants that answer older ones are not accepted.
 const MAX_OPEN_REPORTS: usize = 8;
 
-/// What all grants of one message have in common.
+/// Common data of all grants in one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GrantHeader {
-    /// Epoch of the planner that made them.
+    /// Epoch of the planner that created the grants.
     pub epoch: u64,
-    /// Their number in that epoch.
+    /// Number of the message in that epoch.
     pub number: u64,
-    /// How long they hold from when they were made.
+    /// Validity from the creation of the grants.
     pub duration: Time,
 }
 
-/// A planner's side: whether it leads, and under which epoch.
+/// The planner's side: whether it leads, and under which epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlannerElection {
     own: NodeId,
     epoch: u64,
-    /// The newest epoch that the planner has heard of.
-    seen: u64,
-    /// While the planner leads: from when on it may grant.
+    /// The newest epoch that the planner has received.
+    newest_seen_epoch: u64,
+    /// While the planner leads: the time from which it may grant.
     grants_from: Option<Time>,
-    /// Number of the planner's last grants.
+    /// Number of the planner's last grants message.
     number: u64,
-    /// How long a new leader waits before it grants.
-    wait: Time,
+    /// Delay between becoming leader and the first grant.
+    grant_delay: Time,
 }
 
-/// A change of who leads.
+/// A change of a planner's leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// The planner leads.
+    /// The planner became leader.
     BecameLeader {
         /// Its epoch.
         epoch: u64,
-        /// From when on it may grant.
+        /// The time from which it may grant.
         from: Time,
     },
-    /// The planner does not lead any more.
+    /// The planner is no longer leader.
     BecameFollower,
 }
 
 impl PlannerElection {
-    /// A planner that does not lead yet.
+    /// Creates a planner that does not lead yet.
     pub fn new(own: NodeId) -> PlannerElection {
-        PlannerElection::with_wait(own, GRANT_DURATION + MAX_CLOCK_SKEW)
+        PlannerElection::with_grant_delay(own, GRANT_DURATION + MAX_CLOCK_SKEW)
     }
 
-    /// Another wait than the rule's, to show what the rule is for.
-    pub fn with_wait(own: NodeId, wait: Time) -> PlannerElection {
-        PlannerElection { own, wait, ..PlannerElection::default() }
+    /// Creates a planner with another wait than the rule's, to show the effect of the rule.
+    pub fn with_grant_delay(own: NodeId, grant_delay: Time) -> PlannerElection {
+        PlannerElection { own, grant_delay, ..PlannerElection::default() }
     }
 
     /// Whether the planner leads; it may have to wait before it grants.
@@ -82,25 +82,25 @@
         self.grants_from.is_some()
     }
 
-    /// Another member sent an epoch. An epoch past the planner's own shows another leader: if this planner leads, it begins again
-    /// with a later epoch.
+    /// Handles an epoch from another member. An epoch above the planner's own shows another leader: if this planner leads, it
+    /// starts a new, later epoch.
     pub fn observe_epoch(&mut self, now: Time, epoch: u64) -> Option<LeadershipChange> {
-        self.seen = self.seen.max(epoch);
-        if self.is_leader() && self.seen > self.epoch {
-            return Some(self.begin(now));
+        self.newest_seen_epoch = self.newest_seen_epoch.max(epoch);
+        if self.is_leader() && self.newest_seen_epoch > self.epoch {
+            return Some(self.start_epoch(now));
         }
         None
     }
 
-    /// Takes the planners that are present, this one included or not.
+    /// Updates the leadership from the present planners; `others` may include this one.
     pub fn update_planners(
         &mut self,
         now: Time,
         others: impl Iterator<Item = NodeId>,
     ) -> Option<LeadershipChange> {
-        let least = others.fold(self.own, NodeId::min);
-        match (least == self.own, self.is_leader()) {
-            (true, false) => Some(self.begin(now)),
+        let lowest = others.fold(self.own, NodeId::min);
+        match (lowest == self.own, self.is_leader()) {
+            (true, false) => Some(self.start_epoch(now)),
             (false, true) => {
                 self.grants_from = None;
                 Some(LeadershipChange::BecameFollower)
@@ -109,48 +109,48 @@
         }
     }
 
-    fn begin(&mut self, now: Time) -> LeadershipChange {
-        // Epochs of two planners never meet: the last bits are the planner's own.
-        self.epoch = (((self.seen >> 16) + 1) << 16) | (self.own & 0xffff);
-        self.seen = self.epoch;
-        let from = now + self.wait;
+    fn start_epoch(&mut self, now: Time) -> LeadershipChange {
+        // The low 16 bits come from the planner's id, so that two planners have different epochs.
+        self.epoch = (((self.newest_seen_epoch >> 16) + 1) << 16) | (self.own & 0xffff);
+        self.newest_seen_epoch = self.epoch;
+        let from = now + self.grant_delay;
         self.grants_from = Some(from);
         LeadershipChange::BecameLeader { epoch: self.epoch, from }
     }
 
-    /// The header of the next grants, if it may grant now.
+    /// The header of the next grants, if the planner may grant now.
     pub fn next_grant(&mut self, now: Time) -> Option<GrantHeader> {
         self.grants_from.filter(|from| *from <= now)?;
         self.number += 1;
         Some(GrantHeader { epoch: self.epoch, number: self.number, duration: GRANT_DURATION })
     }
 
-    /// The planner's epoch, the last one if it does not lead.
+    /// The planner's epoch, or its last one if it does not lead.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 }
 
-/// A planner's side where the control replicas say who leads: it grants under the fencing token of its lease, and nothing that would
-/// outlive the lease. The next holder of the lease may grant at once: all that was granted before has ended by then. So of each worker
-/// no more than its slots is granted, once, also where the network between planners is partitioned, while clocks run equally fast to
-/// within the bound of the leases.
+/// The planner's side where a lease from the control replicas determines the leader. The planner grants under the fencing token of
+/// its lease, and no grant outlives the lease. The next lease holder may grant at once, as all earlier grants have ended by then. So
+/// no worker has more slots granted than it has, even if the network between planners is partitioned, while clocks drift apart by no
+/// more than the bound of the leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeasedGrants {
     token: u64,
     number: u64,
-    /// When the last grant ends.
+    /// End of the last grant.
     last_end: Time,
 }
 
-/// The planner makes no shorter grants: they would end on their way.
+/// Minimum duration of a grant: a shorter one could end in transit.
 pub const MIN_GRANT_DURATION: Time = GRANT_DURATION / 8;
-/// Puts tokens past every epoch that planners took by themselves: those count changes of leader.
+/// Puts epochs from fencing tokens above every epoch from [`PlannerElection`], which counts changes of leader.
 const TOKEN_EPOCH_SHIFT: u32 = 20;
 
 impl LeasedGrants {
-    /// The header of the next grants, while the lease with that token holds for `time_left` at the least and its clock shows
-    /// `now`.
+    /// The header of the next grants, if the lease with that token is valid for at least `time_left` more. `now` is the time of the
+    /// lease's clock.
     pub fn next_grant(&mut self, now: Time, token: u64, time_left: Time) -> Option<GrantHeader> {
         let duration = time_left.min(GRANT_DURATION);
         if duration < MIN_GRANT_DURATION {
@@ -164,13 +164,13 @@
         Some(GrantHeader { epoch: token << TOKEN_EPOCH_SHIFT, number: self.number, duration })
     }
 
-    /// When all grants of this planner have ended.
+    /// The time at which all grants of this planner have ended.
     pub fn all_ended_at(&self) -> Time {
         self.last_end
     }
 }
 
-/// A forwarder's side: the grants that it has.
+/// The forwarder's side: its current grants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GrantTable {
     epoch: u64,
@@ -178,27 +178,27 @@
     valid_until: Time,
     /// Concurrency slots by worker.
     grants: BTreeMap<NodeId, u32>,
-    /// The last load reports by number, and when they were sent.
+    /// Number and sending time of the last load reports.
     sent_reports: VecDeque<(u32, Time)>,
-    /// Number of the last one.
+    /// Number of the last load report.
     last_report: u32,
 }
 
 /// Why grants were not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantRejection {
-    /// The grants are of an epoch before one that is known.
+    /// The grants belong to an older epoch than the newest known one.
     StaleEpoch,
-    /// The grants came before already, or were overtaken by later ones.
+    /// The grants were received before, or later ones were.
     Duplicate,
-    /// The grants answer no load report that is remembered: their age cannot be known.
+    /// The grants answer no remembered load report: their age is unknown.
     UnknownReport,
-    /// The grants had ended when they came.
+    /// The grants had ended before their receipt.
     Expired,
 }
 
 impl GrantTable {
-    /// A load report is sent; returns its number. Grants that answer it are no older than it.
+    /// Records the sending of a load report and returns its number. Grants that answer this report are never older than it.
     pub fn start_report(&mut self, now: Time) -> u32 {
         self.last_report = self.last_report.wrapping_add(1);
         self.sent_reports.push_back((self.last_report, now));
@@ -208,10 +208,10 @@
         self.last_report
     }
 
-    /// Accepts the grants that answer the load report of that number, in place of those before.
+    /// Accepts grants that answer the load report with the number `report`, in place of the previous grants.
     ///
     /// # Errors
-    /// Says why they are not accepted.
+    /// Returns the reason if the grants are not accepted.
     pub fn accept(
         &mut self,
         now: Time,
@@ -226,7 +226,7 @@
         if epoch == self.epoch && number <= self.number {
             return Err(GrantRejection::Duplicate);
         }
-        // The epoch is the newest even where its grants are not accepted: earlier grants are not valid any more.
+        // The epoch is the newest even if its grants are not accepted below: earlier grants are no longer valid.
         if epoch > self.epoch {
             self.grants.clear();
             self.valid_until = Time::MIN;
@@ -244,27 +244,27 @@
         Ok(())
     }
 
-    /// Concurrency slots granted on a worker now; `None` where no grants are valid.
+    /// Concurrency slots granted on a worker at `now`; `None` if no grants are valid.
     pub fn slots(&self, now: Time, worker: NodeId) -> Option<u32> {
         self.is_valid(now).then(|| self.grants.get(&worker).copied().unwrap_or(0))
     }
 
-    /// Whether the grants are valid now.
+    /// Whether the grants are valid at `now`.
     pub fn is_valid(&self, now: Time) -> bool {
         now < self.valid_until
     }
 
-    /// When the grants end.
+    /// End of the grants.
     pub fn valid_until(&self) -> Time {
         self.valid_until
     }
 
-    /// The newest epoch that is known.
+    /// The newest known epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Concurrency slots granted on all workers now.
+    /// Concurrency slots granted on all workers at `now`.
     pub fn total_slots(&self, now: Time) -> u64 {
         if !self.is_valid(now) {
             return 0;
--- a/crates/forwarding/src/hash_ring.rs
+++ b/crates/forwarding/src/hash_ring.rs
@@ -1,22 +1,22 @@
-//! A ring of points of the workers, for consistent hashing.
+//! Hash ring of the workers, for consistent hashing.
 
 use crate::NodeId;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Points of a worker on the ring.
+/// Number of points of each worker on the ring.
 const POINTS_PER_WORKER: u32 = 32;
 
 /// A point and the index of its worker.
 type Point = (u64, usize);
 
-/// Points of all workers, in order.
+/// Points of all workers in ascending order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HashRing {
     points: Vec<Point>,
 }
 
 impl HashRing {
-    /// Adds the points of a worker, which stands at `index`.
+    /// Adds the points of the worker with this index.
     pub fn insert(&mut self, id: NodeId, index: usize) {
         for number in 0..POINTS_PER_WORKER {
             let point = (hash_point(id, number), index);
@@ -25,18 +25,18 @@
         }
     }
 
-    /// Removes the points of a worker.
+    /// Removes the points of the worker with this index.
     pub fn remove(&mut self, index: usize) {
         self.points.retain(|(_, worker)| *worker != index);
     }
 
-    /// A worker stands at another index from now on.
+    /// Changes the index of a worker.
     pub fn reindex(&mut self, from: usize, to: usize) {
         let moved = self.points.iter_mut().filter(|(_, worker)| *worker == from);
         moved.for_each(|(_, worker)| *worker = to);
     }
 
-    /// The workers from the subject's position on, once round the ring; a worker with adjacent points comes once for them.
+    /// The workers from the subject's position on, once around the ring. Adjacent points of a worker yield the worker once.
     pub fn walk(&self, subject: u64) -> impl Iterator<Item = usize> + '_ {
         let start = self.points.partition_point(|(point, _)| *point < subject);
         let mut previous = usize::MAX;
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,16 +1,16 @@
-//! What forwarders and planners decide, without I/O and without a clock: time is an argument, what is to be sent comes back as
+//! Decisions of forwarders and planners, without I/O and without a clock: time is an argument, outgoing messages are returned as
 //! plain values, random numbers come from a seeded generator. The same events give the same actions.
 //!
-//! | module | question |
+//! | module | concern |
 //! | --- | --- |
-//! | [`messages`] | which bytes say what; versioned, bounded |
-//! | [`membership`] | who is here: joins, leaves, suspicion, death (SWIM) |
+//! | [`messages`] | binary message format; versioned, bounded |
+//! | [`membership`] | group membership: joins, leaves, suspicion, death (SWIM) |
 //! | [`grants`] | who may grant concurrency slots on workers, and which grants are valid |
-//! | [`capacity_plan`] | how much of which worker each forwarder gets |
-//! | [`dispatch_mode`] | whether a forwarder goes by its grants or by itself, and how it goes back |
-//! | [`load_balancer`] | to which worker a request goes, and which workers are ejected |
+//! | [`capacity_plan`] | how many slots of each worker each forwarder is granted |
+//! | [`dispatch_mode`] | whether a forwarder uses its grants or its local share, and how it returns to its grants |
+//! | [`load_balancer`] | which worker a request goes to, and which workers are ejected |
 //! | [`slow_start`] | how much of a worker that is warming up each forwarder may use |
-//! | [`retry_budget`] | whether a request may be tried again at another worker |
+//! | [`retry_budget`] | whether a request may be retried at another worker |
 //! | `simulation` | a simulated network of members (feature `simulation`) |
 //!
 //! Times are whole tenths of a millisecond.
--- a/crates/forwarding/src/load_balancer.rs
+++ b/crates/forwarding/src/load_balancer.rs
@@ -1,60 +1,60 @@
-//! To which worker a request goes. A request with a subject goes where its subject went, while that worker is not loaded past a
-//! bound (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). A request without one goes to the
-//! best of a few workers sampled at random, hot and cold distinguished by the attempts in flight there, as Prequal does (B. Wydrowski
-//! and others, "Load is not what you should balance", 2024): of the cold workers the fastest, of the hot ones the least loaded.
-//! Workers that fail or are far slower than the others are ejected for a while, as Envoy's outlier detection does; never so many that
-//! the rest could not carry the load: where most look bad, the measure is at fault.
+//! Chooses the worker for a request. A request with a subject goes to its subject's worker, unless the load of that worker exceeds a
+//! bound (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with bounded loads", 2018). A request without a subject
+//! goes to the best of a few randomly sampled workers, which are hot or cold by their attempts in flight, as in Prequal (B. Wydrowski
+//! and others, "Load is not what you should balance", 2024): the fastest cold worker, else the least loaded hot
+//! one. Workers that fail or are far slower than the others are ejected for a while, as in Envoy's outlier detection. The ejected
+//! fraction is bounded, so that the other workers can carry the load: if most workers look bad, the measurement is at fault.
 //!
-//! The table is read for each request: a dense list of the eligible workers, and a ring of points for subjects.
+//! Each request reads a dense list of the eligible workers, or the hash ring for a subject.
 
 use crate::hash_ring::HashRing;
 use crate::{NodeId, SeededRng, Time, SECOND};
 use std::collections::HashMap;
 
-/// Load of a worker, against the mean, past which a subject goes to the next.
+/// Ratio of a worker's load to the mean load above which a subject goes to the next worker on the ring.
 const BOUNDED_LOAD_FACTOR: f64 = 1.25;
-/// Workers on the ring that a subject tries: far from home any worker is as good.
+/// Maximum number of workers on the ring that a subject tries: far from its first worker any other is as good.
 const MAX_RING_STEPS: usize = 8;
-/// Workers sampled at random for each choice.
+/// Number of workers sampled at random for each choice.
 const SAMPLED_WORKERS: usize = 3;
-/// Loads of the workers sampled last that are remembered.
+/// Number of recently sampled loads that are remembered.
 const REMEMBERED_LOADS: usize = 16;
-/// Past this quantile of the remembered loads a worker is hot.
+/// A worker is hot if its load exceeds this quantile of the remembered loads.
 const HOT_QUANTILE: f64 = 0.8;
 /// Weight of the newest sample in exponentially weighted means.
 const EWMA_WEIGHT: f64 = 0.1;
-/// A worker is ejected when this fraction of its attempts failed.
+/// Failure rate at which a worker is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Attempts that a worker is judged by at the least.
+/// Minimum number of attempts before a worker can be ejected.
 const EJECTION_MIN_ATTEMPTS: f64 = 10.0;
-/// After so many attempts without another ejection the next one is short again.
+/// After this number of attempts without an ejection the next ejection is short again.
 const ATTEMPTS_UNTIL_REHABILITATED: f64 = 10.0 * EJECTION_MIN_ATTEMPTS;
-/// A worker is ejected when its latency is so many times the median.
+/// A worker is ejected when its latency exceeds the median by this factor.
 const EJECTION_LATENCY_FACTOR: f64 = 5.0;
-/// Workers whose latency is known, for the median to mean anything.
+/// Minimum number of workers with a known latency for a meaningful median.
 const MIN_MEASURED_WORKERS: usize = 3;
-/// The first ejection; each further one lasts twice as long.
+/// Duration of the first ejection; each further ejection lasts twice as long.
 const BASE_EJECTION_TIME: Time = 5 * SECOND;
 const MAX_EJECTION_TIME: Time = 60 * SECOND;
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Never more than this fraction of all workers is ejected.
+/// Maximum fraction of all workers that is ejected at once.
 const MAX_EJECTED_FRACTION: f64 = 0.3;
 
 #[derive(Clone, Debug)]
 struct Worker {
     id: NodeId,
-    /// Concurrency slots: attempts that may be in flight at the worker.
+    /// Concurrency slots: maximum number of attempts in flight at the worker.
     slots: f64,
     in_flight: u32,
-    /// Mean time to the worker's answer; 0 where none is known.
+    /// Mean response time of the worker; 0 if unknown.
     latency: f64,
     /// Mean fraction of attempts that failed.
     failure_rate: f64,
     /// Attempts that ended since the last ejection.
     attempts: f64,
-    /// The worker is not chosen before then: it sent a Retry-After, or it is ejected.
+    /// The worker is not chosen before this time: it sent a Retry-After, or it is ejected.
     eligible_from: Time,
-    /// Ejections of the worker in a row.
+    /// Consecutive ejections of the worker.
     ejections: u32,
     accepts_work: bool,
     /// The worker's index in the list of eligible workers.
@@ -85,7 +85,7 @@
         self.eligible_index.is_some() && f64::from(self.in_flight) + 1.0 <= self.slots.max(1.0)
     }
 
-    /// Prequal's rule: a cold worker before a hot one; of the cold the fastest, of the hot the least loaded.
+    /// Prequal's rule: a cold worker before a hot one; the faster of two cold workers, the less loaded of two hot ones.
     fn is_better_than(&self, other: &Worker, hot_threshold: u32) -> bool {
         let is_hot = |worker: &Worker| worker.in_flight > hot_threshold;
         match (is_hot(self), is_hot(other)) {
@@ -97,7 +97,7 @@
     }
 }
 
-/// How an attempt ended, for the measures of its worker.
+/// Outcome of an attempt, for the statistics of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The worker ran the request.
@@ -106,22 +106,22 @@
     Rejected,
     /// The worker failed.
     Failed,
-    /// No connection to the worker could be made, or it broke.
+    /// The connection to the worker could not be established, or was lost.
     ConnectionLost,
-    /// The client left, or the attempt was cancelled: the outcome says nothing of the worker.
+    /// The client left, or the attempt was cancelled: the worker's statistics don't change.
     Cancelled,
 }
 
-/// Chooses workers, and keeps the measures by which they are chosen.
+/// Chooses workers, and maintains their statistics.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     workers: Vec<Worker>,
     /// Index of each worker.
     by_id: HashMap<NodeId, usize>,
-    /// Indices of the workers that may be chosen.
+    /// Indices of the eligible workers.
     eligible: Vec<usize>,
     ring: HashRing,
-    /// Loads of the workers sampled last, for the line between hot and cold.
+    /// Recently sampled loads, for the threshold between hot and cold.
     sampled_loads: Vec<u32>,
     next_sample: usize,
     in_flight: u64,
@@ -178,7 +178,7 @@
         self.by_id.get(&id).is_some_and(|index| self.workers[*index].eligible_index.is_some())
     }
 
-    /// Choices that had to look at all workers.
+    /// Number of choices that scanned all workers.
     pub fn full_scans(&self) -> u64 {
         self.full_scans
     }
@@ -199,7 +199,7 @@
         index
     }
 
-    /// Forgets a worker; attempts in flight there may still be ended, which has no effect then.
+    /// Removes a worker. The end of attempts that are still in flight there has no effect.
     pub fn remove_worker(&mut self, id: NodeId) {
         let Some(index) = self.by_id.remove(&id) else { return };
         self.remove_from_eligible(index);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Puts the worker into the list of eligible workers or takes it out, by its state now.
+    /// Adds the worker to the list of eligible workers or removes it, by its state at `now`.
     fn update_eligibility(&mut self, now: Time, index: usize) {
         self.remove_from_eligible(index);
         let worker = &mut self.workers[index];
@@ -237,7 +237,7 @@
         }
     }
 
-    /// The worker for a request, if any has capacity; none of `excluded`.
+    /// Chooses a worker with capacity that is not in `excluded`.
     pub fn choose(&mut self, subject: Option<u64>, excluded: &[NodeId]) -> Option<NodeId> {
         let on_ring = subject.and_then(|subject| self.choose_on_ring(subject, excluded));
         let index = on_ring.or_else(|| self.choose_sampled(excluded))?;
@@ -247,15 +247,15 @@
     fn choose_on_ring(&self, subject: u64, excluded: &[NodeId]) -> Option<usize> {
         let mean = (self.in_flight + 1) as f64 / self.eligible.len().max(1) as f64;
         let bound = (BOUNDED_LOAD_FACTOR * mean).ceil();
-        let can_take = |index: &usize| {
+        let can_accept = |index: &usize| {
             let worker = &self.workers[*index];
             let is_below_bound = f64::from(worker.in_flight) < bound;
             worker.has_capacity() && is_below_bound && !excluded.contains(&worker.id)
         };
-        self.ring.walk(subject).take(MAX_RING_STEPS).find(can_take)
+        self.ring.walk(subject).take(MAX_RING_STEPS).find(can_accept)
     }
 
-    /// The best of a few sampled workers.
+    /// Chooses the best of a few sampled workers.
     fn choose_sampled(&mut self, excluded: &[NodeId]) -> Option<usize> {
         if self.eligible.is_empty() {
             return None;
@@ -277,26 +277,26 @@
         best.or_else(|| self.choose_by_full_scan(excluded))
     }
 
-    /// The least loaded of all workers, from a random one on; needed only where no sampled worker has capacity.
+    /// Chooses the least loaded of all workers, starting at a random one. Needed only if no sampled worker has capacity.
     fn choose_by_full_scan(&mut self, excluded: &[NodeId]) -> Option<usize> {
         self.full_scans += 1;
         let start = self.rng.index_below(self.eligible.len());
         let all = self.eligible[start..].iter().chain(&self.eligible[..start]).copied();
-        let can_take = |index: &usize| {
+        let can_accept = |index: &usize| {
             let worker = &self.workers[*index];
             worker.has_capacity() && !excluded.contains(&worker.id)
         };
-        all.filter(can_take).min_by_key(|index| self.workers[*index].in_flight)
+        all.filter(can_accept).min_by_key(|index| self.workers[*index].in_flight)
     }
 
-    /// The load that most of the workers sampled lately don't exceed.
+    /// The [`HOT_QUANTILE`] of the recently sampled loads.
     fn hot_threshold(&self) -> u32 {
         let mut sorted = self.sampled_loads.clone();
         let position = ((sorted.len() - 1) as f64 * HOT_QUANTILE) as usize;
         *sorted.select_nth_unstable(position).1
     }
 
-    /// An attempt starts; returns false where its worker is not known.
+    /// Records the start of an attempt; returns false if its worker is unknown.
     pub fn record_start(&mut self, id: NodeId) -> bool {
         let Some(index) = self.by_id.get(&id) else { return false };
         self.workers[*index].in_flight += 1;
@@ -304,7 +304,7 @@
         true
     }
 
-    /// An attempt has ended, after `latency`; `retry_after` is the worker's Retry-After, or 0.
+    /// Records the end of an attempt after `latency`; `retry_after` is the worker's Retry-After, or 0.
     pub fn record_end(
         &mut self,
         now: Time,
@@ -340,11 +340,11 @@
         }
     }
 
-    /// Ejects a worker for a while, unless too many are ejected already: where most workers look bad, the measure is at fault.
+    /// Ejects a worker for a while, unless too many are ejected already: if most workers look bad, the measurement is at fault.
     fn eject(&mut self, now: Time, index: usize) {
-        let is_away = |worker: &&Worker| worker.accepts_work && worker.eligible_from > now;
-        let away = self.workers.iter().filter(is_away).count();
-        if (away + 1) as f64 > self.workers.len() as f64 * MAX_EJECTED_FRACTION {
+        let is_ineligible = |worker: &&Worker| worker.accepts_work && worker.eligible_from > now;
+        let ineligible_count = self.workers.iter().filter(is_ineligible).count();
+        if (ineligible_count + 1) as f64 > self.workers.len() as f64 * MAX_EJECTED_FRACTION {
             return;
         }
         let worker = &mut self.workers[index];
@@ -355,7 +355,7 @@
         self.update_eligibility(now, index);
     }
 
-    /// To be called from time to time: workers whose ejection is over come back; those far slower than the others are ejected.
+    /// Readmits workers whose ejection is over, and ejects workers that are far slower than the others. Call periodically.
     pub fn tick(&mut self, now: Time) {
         for index in 0..self.workers.len() {
             if self.workers[index].eligible_index.is_none() {
@@ -391,7 +391,7 @@
 }
 
 impl Worker {
-    /// Adds an attempt's end to the worker's measures.
+    /// Adds the end of an attempt to the worker's statistics.
     fn measure(&mut self, outcome: AttemptOutcome, latency: Time) {
         self.attempts += 1.0;
         self.failure_rate += (f64::from(outcome.is_failure()) - self.failure_rate) * EWMA_WEIGHT;
@@ -402,13 +402,13 @@
                 self.ejections = 0;
             }
         } else if outcome.is_failure() {
-            // A worker that fails fast must not look like the best one: each failure makes it look slower.
+            // A worker that fails fast must not look like the fastest one: each failure raises its recorded latency.
             self.latency *= 1.0 + EWMA_WEIGHT;
         }
     }
 }
 
-/// The least loaded worker by a plain scan of the same table, to measure against; of equally loaded workers the fastest.
+/// The least loaded worker by a plain scan, as a baseline for measurements; the fastest of equally loaded workers.
 pub fn least_loaded(balancer: &LoadBalancer) -> Option<NodeId> {
     let free = balancer.workers.iter().filter(|worker| worker.has_capacity());
     let best = free.min_by(|a, b| a.in_flight.cmp(&b.in_flight).then(a.latency.total_cmp(&b.latency)));
--- a/crates/forwarding/src/membership/config.rs
+++ b/crates/forwarding/src/membership/config.rs
@@ -7,20 +7,20 @@
 pub struct MembershipConfig {
     /// Protocol period: one member is pinged in each.
     pub probe_period: Time,
-    /// Members that are asked to ping one that did not answer.
+    /// Number of members that are requested to ping a member that did not answer.
     pub indirect_probes: usize,
-    /// A suspicion lasts so many periods for each doubling of the members.
+    /// Periods that a suspicion lasts, for each doubling of the member count.
     pub suspicion_factor: f64,
-    /// So many of all, by chance, ping a suspect themselves once they hear of the suspicion: it can answer each of them, and its
-    /// refutation then spreads from several places at once.
+    /// Expected number of members that ping a suspect themselves when they receive the suspicion. The suspect can answer each of
+    /// them, so that its refutation spreads from several members at once.
     pub suspicion_verifiers: f64,
-    /// An update is sent so many times for each doubling of the members.
+    /// Number of times that an update is sent, for each doubling of the member count.
     pub dissemination_factor: f64,
-    /// Dead members are remembered this long, so that late updates do not bring them back.
+    /// Time for which dead members are remembered, so that late updates do not revive them.
     pub dead_retention: Time,
-    /// Members that are known at the most.
+    /// Maximum number of known members.
     pub max_members: usize,
-    /// Whether hashes are compared before a whole member list is asked for.
+    /// Whether hashes are compared before a whole member list is requested.
     pub compare_hashes: bool,
 }
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// Every so many periods the member list is synchronized with a seed or any other member, dead or not: what gossip missed is made
-/// up for, and two sides of a partition find each other again.
+/// Number of periods between synchronizations of the member list with a seed or any other member, dead or not. Synchronization
+/// repairs what gossip missed, and reconnects the two sides of a partition.
 pub(super) const PERIODS_PER_SYNC: u64 = 10;
-/// Of so many synchronizations one asks for the whole list, the others compare hashes.
+/// One in this number of synchronizations requests the whole list, the others compare hashes.
 pub(super) const SYNCS_PER_FULL_LIST: u64 = 12;
-/// Suspects that wait to be pinged out of turn.
+/// Maximum number of suspects that wait to be pinged out of turn.
 pub(super) const MAX_SUSPECTS_TO_VERIFY: usize = 16;
-/// Pings on behalf of others that wait for an answer.
+/// Maximum number of pings on behalf of others that wait for an answer.
 pub(super) const MAX_RELAYED_PINGS: usize = 64;
-/// Longest protocol period, where answers take long.
+/// Longest protocol period on a slow network.
 pub(super) const MAX_PERIOD: Time = SECOND;
-/// Bounds of the time that an answer is waited for.
+/// Bounds of the time to wait for an answer to a ping.
 pub(super) const MIN_PROBE_TIMEOUT: Time = 20 * MS;
 pub(super) const MAX_PROBE_TIMEOUT: Time = 400 * MS;
--- a/crates/forwarding/src/membership/dissemination.rs
+++ b/crates/forwarding/src/membership/dissemination.rs
@@ -1,15 +1,15 @@
-//! Which updates ride on the messages that are sent anyway.
+//! Queue of the updates that are piggybacked on other messages.
 
 use crate::messages::{GossipUpdate, MAX_GOSSIP_UPDATES};
 
-/// An update, and how often it was sent.
+/// An update, and the number of times it was sent.
 #[derive(Clone, Debug)]
 struct QueuedUpdate {
     update: GossipUpdate,
     times_sent: u32,
 }
 
-/// Updates that are still to be sent, the newest of each member only.
+/// Updates that are still to be sent, only the newest of each member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DisseminationQueue {
     updates: Vec<QueuedUpdate>,
@@ -22,8 +22,8 @@
         self.updates.push(QueuedUpdate { update, times_sent: 0 });
     }
 
-    /// The updates for the next message, those sent least often first: what is new travels fast. Updates that were sent
-    /// `max_times_sent` times are dropped.
+    /// The updates for the next message, those sent least often first, so that new updates spread fast. Updates that
+    /// were sent `max_times_sent` times are dropped.
     pub fn next_updates(&mut self, max_times_sent: u32) -> Vec<GossipUpdate> {
         self.updates.retain(|queued| queued.times_sent < max_times_sent);
         self.updates.sort_by_key(|queued| queued.times_sent);
@@ -35,7 +35,7 @@
         updates
     }
 
-    /// Counts all as sent often enough.
+    /// Drops all updates.
     pub fn clear(&mut self) {
         self.updates.clear();
     }
--- a/crates/forwarding/src/membership/failure_detector.rs
+++ b/crates/forwarding/src/membership/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector: in each period one member is pinged, directly and, if it does not answer, through other members. A
-//! member that answers neither is suspected, and counts as dead unless it refutes the suspicion in time.
+//! SWIM's failure detector: each period pings one member, directly and, if it does not answer, through other members. A member
+//! that answers neither is suspected, and counts as dead unless it refutes the suspicion in time.
 
 use super::config::{MAX_PERIOD, MAX_PROBE_TIMEOUT, MIN_PROBE_TIMEOUT};
 use super::{Member, Membership, OutgoingMessage};
@@ -13,7 +13,7 @@
     pub target: NodeId,
     pub number: u32,
     pub sent_at: Time,
-    /// Whether other members were asked to ping the target too.
+    /// Whether other members were requested to ping the target too.
     pub is_indirect: bool,
 }
 
@@ -34,7 +34,7 @@
         (self.round_trip.upper_bound() as Time).clamp(MIN_PROBE_TIMEOUT, max)
     }
 
-    /// The protocol period. Longer than configured where answers take long: a slow network is no death.
+    /// The protocol period. It is longer than configured on a slow network, so that slow answers do not count as deaths.
     fn period(&self) -> Time {
         let configured = self.config.probe_period;
         ((2.0 * self.round_trip.upper_bound()) as Time).clamp(configured, MAX_PERIOD.max(configured))
@@ -42,19 +42,19 @@
 
     /// How long a member is suspected before it counts as dead.
     pub fn suspicion_timeout(&self) -> Time {
-        (self.config.suspicion_factor * self.doublings() * self.period() as f64) as Time
+        (self.config.suspicion_factor * self.log2_members() * self.period() as f64) as Time
     }
 
     /// When [`Membership::tick`] is due at the latest.
     pub fn next_deadline(&self) -> Time {
-        // Once other members were asked there is nothing more to do about the probe before the period ends.
+        // An indirect probe needs no further action before the period ends.
         let probe = self.probe.as_ref().filter(|probe| !probe.is_indirect);
         let probe = probe.map_or(Time::MAX, |probe| probe.sent_at + self.probe_timeout());
         let verification = if self.suspects_to_verify.is_empty() { Time::MAX } else { Time::MIN };
         self.next_period_at.min(probe).min(verification)
     }
 
-    /// Does what is due now; returns what is to be sent.
+    /// Performs the actions that are due; returns the messages to send.
     pub fn tick(&mut self, now: Time) -> Vec<OutgoingMessage> {
         self.relayed_pings.retain(|ping| ping.expires_at > now);
         let mut out = self.probe_indirectly(now);
@@ -65,7 +65,7 @@
         out
     }
 
-    /// Asks other members to ping a member that has not answered: perhaps only the network path to it is bad.
+    /// Requests other members to ping a member that has not answered: only the direct network path may be faulty.
     fn probe_indirectly(&mut self, now: Time) -> Vec<OutgoingMessage> {
         let timeout = self.probe_timeout();
         let is_late = |probe: &&mut Probe| !probe.is_indirect && now - probe.sent_at >= timeout;
@@ -93,7 +93,7 @@
         let is_first = self.next_period_at == Time::MIN;
         self.next_period_at = if is_first { now } else { self.next_period_at } + self.period();
         if self.next_period_at <= now {
-            self.next_period_at = now + self.period(); // a pause: missed periods are not made up for
+            self.next_period_at = now + self.period(); // after a pause: missed periods are skipped
         }
         if let Some(probe) = self.probe.take() {
             self.suspect(now, probe.target);
@@ -117,7 +117,7 @@
         Some(message)
     }
 
-    /// The next member to be pinged: each once a round, in an order drawn anew for each round.
+    /// The next member to ping. Each round pings each member once, in a new random order.
     fn next_target(&mut self) -> Option<(NodeId, Member)> {
         loop {
             if self.round.is_empty() {
@@ -146,7 +146,7 @@
         self.message_to(to, Message::Ping { number })
     }
 
-    /// Pings the suspects that were drawn for verification. Nothing waits for the answer: the suspect's refutation counts.
+    /// Pings the suspects that were drawn for verification. No timeout waits for the answer: only the suspect's refutation counts.
     fn verify_suspects(&mut self) -> Vec<OutgoingMessage> {
         let drawn = std::mem::take(&mut self.suspects_to_verify);
         let known = drawn.into_iter().filter_map(|id| Some((id, self.members.get(&id)?.clone())));
@@ -165,7 +165,7 @@
         message
     }
 
-    /// A member did not answer. A draining member is not suspected: it counts as dead when it does not answer.
+    /// Handles a member that did not answer. A draining member counts as dead at once, without a suspicion.
     fn suspect(&mut self, now: Time, id: NodeId) {
         let Some(member) = self.members.get(&id) else { return };
         let state = match member.state {
@@ -177,7 +177,7 @@
         self.apply_update(now, update);
     }
 
-    /// Suspicion that was not refuted in time becomes death; the dead are forgotten in time.
+    /// Declares suspects dead that did not refute the suspicion in time, and removes members that have been gone for long enough.
     fn expire_members(&mut self, now: Time) {
         let timeout = self.suspicion_timeout();
         let is_over = |member: &Member| member.state == MemberState::Suspect && now - member.since >= timeout;
--- a/crates/forwarding/src/membership/mod.rs
+++ b/crates/forwarding/src/membership/mod.rs
@@ -1,14 +1,14 @@
-//! Who is here. Gossip after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent infection-style process
-//! group membership protocol", 2002): in each period one member is pinged, directly and then through others; one that does not
-//! answer is suspected before it counts as dead, and may refute that with a higher incarnation. Updates travel on the messages
-//! that are sent anyway. Draining and leaving are announced.
+//! Group membership. Gossip after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent infection-style process
+//! group membership protocol", 2002): in each period one member is pinged, directly and then through others. A
+//! member that does not answer is suspected before it counts as dead, and may refute the suspicion with a higher incarnation.
+//! Updates are piggybacked on other messages. Draining and leaving are announced.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `failure_detector` | pings, indirect pings, suspicion, death |
-//! | `dissemination` | which updates ride on which message |
+//! | `dissemination` | which updates are piggybacked on which message |
 //! | `synchronization` | joins, comparison and exchange of member lists |
-//! | `round_trip` | how long an answer may take |
+//! | `round_trip` | expected response time |
 
 mod config;
 mod dissemination;
@@ -30,40 +30,40 @@
 /// What is known of another member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// What it does.
+    /// Role of the member.
     pub role: Role,
-    /// Where it hears datagrams.
+    /// Address of its datagram socket.
     pub address: SocketAddr,
-    /// Its incarnation, which only itself raises.
+    /// Incarnation of the member, which only the member itself raises.
     pub incarnation: u32,
-    /// Whether it is here.
+    /// State of the member.
     pub state: MemberState,
-    /// Since when it has this state here.
+    /// Time from which the member has this state in this view.
     pub since: Time,
 }
 
 impl Member {
-    /// Whether new work may go there.
+    /// Whether the member may get new work.
     pub fn accepts_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// The same as gossip says it.
+    /// The member as a gossip update.
     fn update(&self, id: NodeId) -> GossipUpdate {
         let Member { role, address, incarnation, state, .. } = *self;
         GossipUpdate { id, role, address, incarnation, state }
     }
 
-    /// Whether the update says something newer than this.
+    /// Whether the update is newer than this state.
     fn is_older_than(&self, update: &GossipUpdate) -> bool {
-        // The dead come back with a higher incarnation only.
+        // A dead or departed member returns only with a higher incarnation.
         let is_revival_without_incarnation = self.state.is_gone() && update.incarnation == self.incarnation;
         let is_newer = (update.incarnation, update.state) > (self.incarnation, self.state);
         is_newer && !is_revival_without_incarnation
     }
 }
 
-/// A message and where it goes.
+/// A message and its destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
     /// The member's address.
@@ -72,16 +72,16 @@
     pub envelope: Envelope,
 }
 
-/// A member changed its state, for the log and for whoever plans or balances load.
+/// A change of a member's state, for the log and for planners and load balancers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipChange {
     /// The member.
     pub id: NodeId,
-    /// What it does.
+    /// Role of the member.
     pub role: Role,
-    /// Its state before; `None` where it was not known.
+    /// Previous state; `None` if the member was unknown.
     pub from: Option<MemberState>,
-    /// Its state now.
+    /// New state.
     pub to: MemberState,
 }
 
@@ -102,7 +102,7 @@
     next_period_at: Time,
     round_trip: RoundTripEstimate,
     rng: SeededRng,
-    /// Suspects that are to be pinged from here, out of turn.
+    /// Suspects that this member pings out of turn.
     suspects_to_verify: Vec<NodeId>,
     changes: Vec<MembershipChange>,
     has_joined: bool,
@@ -110,7 +110,7 @@
 }
 
 impl Membership {
-    /// A member that knows nobody yet; it asks the seeds.
+    /// Creates a member that knows only the addresses of the seeds.
     pub fn new(
         id: NodeId,
         role: Role,
@@ -140,50 +140,50 @@
         }
     }
 
-    /// All members that are known, the dead that are remembered among them.
+    /// All known members, including remembered dead ones.
     pub fn members(&self) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members.iter().map(|(id, member)| (*id, member))
     }
 
-    /// What is known of one member.
+    /// The known state of one member.
     pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// Those of a role that are neither dead nor gone.
+    /// Members with this role that are neither dead nor have left.
     pub fn present_with_role(&self, role: Role) -> impl Iterator<Item = (NodeId, &Member)> {
         self.members().filter(move |(_, member)| member.role == role && !member.state.is_gone())
     }
 
-    /// All changes since they were last taken.
+    /// Returns all changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// What this member says of itself.
+    /// This member's own state.
     pub fn own(&self) -> &GossipUpdate {
         &self.own
     }
 
-    /// How often the members, and two more, can be halved: what gossip needs to reach all grows with it.
-    fn doublings(&self) -> f64 {
+    /// Binary logarithm of the member count plus two: the number of rounds that gossip needs to reach all members grows with it.
+    fn log2_members(&self) -> f64 {
         ((self.members.len() + 2) as f64).log2()
     }
 
-    /// A message with the updates that are due to ride on it.
+    /// Wraps a message with the updates that are due.
     fn message_to(&mut self, to: SocketAddr, message: Message) -> OutgoingMessage {
-        let max_times_sent = (self.config.dissemination_factor * self.doublings()).ceil() as u32;
+        let max_times_sent = (self.config.dissemination_factor * self.log2_members()).ceil() as u32;
         let updates = self.queue.next_updates(max_times_sent);
         let (from, incarnation) = (self.own.id, self.own.incarnation);
         OutgoingMessage { to, envelope: Envelope { from, incarnation, updates, message } }
     }
 
-    /// Announces that this member drains: no new work, and no suspicion.
+    /// Announces that this member drains: it gets no new work and is not suspected.
     pub fn announce_draining(&mut self) {
         self.announce(MemberState::Draining);
     }
 
-    /// Announces that this member leaves; what is returned is to be sent at once.
+    /// Announces that this member leaves. The caller sends the returned messages at once.
     pub fn announce_leaving(&mut self) -> Vec<OutgoingMessage> {
         self.announce(MemberState::Left);
         let working = self.members.values().filter(|member| member.accepts_work());
@@ -203,7 +203,7 @@
         self.queue.push(self.own.clone());
     }
 
-    /// Handles a message that came from `address`; returns what is to be sent.
+    /// Handles a message from `address`; returns the messages to send.
     pub fn handle(&mut self, now: Time, address: SocketAddr, envelope: &Envelope) -> Vec<OutgoingMessage> {
         for update in &envelope.updates {
             self.apply_update(now, update.clone());
@@ -215,7 +215,7 @@
                 self.relay_ping(now, address, *number, *target)
             }
             Message::Join => self.list_members(address, |_| true),
-            Message::Sync { hashes } => self.answer_sync(address, hashes),
+            Message::Sync { hashes } => self.handle_sync(address, hashes),
             Message::MemberList { members } => {
                 self.has_joined = true;
                 self.queue.push(self.own.clone());
@@ -228,7 +228,7 @@
         }
     }
 
-    /// An answer to a ping of our own, or to one that another member asked us for.
+    /// Handles the answer to a ping of this member, or to a ping on behalf of another member.
     fn handle_ack(
         &mut self,
         now: Time,
@@ -238,21 +238,21 @@
     ) -> Vec<OutgoingMessage> {
         let is_answered = |probe: &mut Probe| probe.number == number && probe.target == envelope.from;
         if let Some(probe) = self.probe.take_if(is_answered) {
-            // Its own answer, however late: where all come late, all are waited for longer. One that came through others says
-            // only that a datagram was lost.
+            // Only a direct answer counts for the round-trip time, also a late one: slow answers lengthen the timeout. An answer
+            // through another member shows only that a datagram was lost.
             if self.members.get(&envelope.from).is_some_and(|member| member.address == address) {
                 self.round_trip.record(now - probe.sent_at);
             }
         }
-        let Some(at) = self.relayed_pings.iter().position(|ping| ping.number == number) else {
+        let Some(position) = self.relayed_pings.iter().position(|ping| ping.number == number) else {
             return Vec::new();
         };
-        let ping = self.relayed_pings.remove(at);
-        let mut answer = self.message_to(ping.requester, Message::Ack { number: ping.requested_number });
-        // The answer stands for the member that was pinged.
-        answer.envelope.from = envelope.from;
-        answer.envelope.incarnation = envelope.incarnation;
-        vec![answer]
+        let ping = self.relayed_pings.remove(position);
+        let mut response = self.message_to(ping.requester, Message::Ack { number: ping.requested_number });
+        // The response carries the identity of the pinged member.
+        response.envelope.from = envelope.from;
+        response.envelope.incarnation = envelope.incarnation;
+        vec![response]
     }
 
     /// Pings a member on behalf of another one.
@@ -273,18 +273,18 @@
         vec![message]
     }
 
-    /// Takes over an update where it is newer than what is known here.
+    /// Applies an update if it is newer than the known state.
     pub fn apply_update(&mut self, now: Time, update: GossipUpdate) {
         if update.id == self.own.id {
             self.refute(&update);
             return;
         }
         let known = self.members.get(&update.id);
-        let is_news = match known {
+        let is_newer = match known {
             None => !update.state.is_gone() && self.members.len() < self.config.max_members,
             Some(member) => member.is_older_than(&update),
         };
-        if !is_news {
+        if !is_newer {
             return;
         }
         let from = known.map(|member| member.state);
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Whoever says otherwise of us is answered with a higher incarnation.
+    /// Refutes an update that contradicts this member's own state, with a higher incarnation.
     fn refute(&mut self, update: &GossipUpdate) {
         if update.incarnation >= self.own.incarnation && update.state != self.own.state {
             self.own.incarnation = update.incarnation.saturating_add(1);
@@ -315,19 +315,19 @@
     /// Draws whether this member pings a new suspect itself.
     fn draw_verification(&mut self, suspect: NodeId) {
         let probability = self.config.suspicion_verifiers / self.members.len().max(1) as f64;
-        let has_room = self.suspects_to_verify.len() < MAX_SUSPECTS_TO_VERIFY;
-        if probability > 0.0 && has_room && self.rng.next_f64() < probability {
+        let has_capacity = self.suspects_to_verify.len() < MAX_SUSPECTS_TO_VERIFY;
+        if probability > 0.0 && has_capacity && self.rng.next_f64() < probability {
             self.suspects_to_verify.push(suspect);
         }
     }
 
-    /// Counts all updates as sent: after all members have started at once that takes minutes, and a measurement of the steady
-    /// state need not wait for it.
+    /// Counts all updates as sent. After a simultaneous start of all members their dissemination takes minutes, and a measurement of
+    /// the steady state need not wait for it.
     pub fn clear_dissemination_queue(&mut self) {
         self.queue.clear();
     }
 
-    /// A member that starts anew under its old address does not know its incarnations: it takes one past what others say.
+    /// Raises the incarnation to `at_least`. A restarted member does not know its earlier incarnations.
     pub fn raise_incarnation(&mut self, at_least: u32) {
         self.own.incarnation = self.own.incarnation.max(at_least);
     }
--- a/crates/forwarding/src/membership/round_trip.rs
+++ b/crates/forwarding/src/membership/round_trip.rs
@@ -1,4 +1,4 @@
-//! How long answers take: mean and mean deviation, after V. Jacobson, "Congestion avoidance and control", 1988.
+//! Round-trip time of pings: mean and mean deviation, after V. Jacobson, "Congestion avoidance and control", 1988.
 
 use crate::{Time, MS};
 
@@ -7,7 +7,7 @@
 /// Weights of the newest sample.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
-/// An answer is late past so many deviations.
+/// Number of mean deviations above the mean after which an answer is late.
 const DEVIATIONS: f64 = 4.0;
 
 /// Estimate of the round-trip time.
@@ -31,7 +31,7 @@
         self.mean += (sample - self.mean) * MEAN_GAIN;
     }
 
-    /// A time within which nearly all answers come.
+    /// A time within which nearly all answers arrive.
     pub fn upper_bound(&self) -> f64 {
         self.mean + DEVIATIONS * self.deviation
     }
--- a/crates/forwarding/src/membership/synchronization.rs
+++ b/crates/forwarding/src/membership/synchronization.rs
@@ -1,5 +1,5 @@
-//! Synchronization of whole member lists, which makes up for what gossip missed: a member that joins asks for the list, others
-//! compare hashes of partitions of it and exchange those that differ.
+//! Synchronization of member lists, which repairs what gossip missed. A joining member requests the whole list. Other members
+//! compare hashes of partitions of the list and exchange the partitions that differ.
 
 use super::config::{PERIODS_PER_SYNC, SYNCS_PER_FULL_LIST};
 use super::{Member, Membership, OutgoingMessage};
@@ -10,13 +10,14 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-/// The partition of the members that one belongs to.
+/// The partition that a member belongs to.
 fn partition_of(id: NodeId) -> usize {
     (id % MEMBER_PARTITIONS as u64) as usize
 }
 
 impl Membership {
-    /// What is to be sent in this period: a join to all seeds while nobody is known, else a synchronization now and then.
+    /// The messages of this period: a join to all seeds while no member is known, else a synchronization every
+    /// [`PERIODS_PER_SYNC`] periods.
     pub(super) fn synchronize(&mut self) -> Vec<OutgoingMessage> {
         if !self.has_joined || self.members.is_empty() {
             return self.seeds.clone().into_iter().map(|seed| self.join(seed)).collect();
@@ -25,12 +26,12 @@
             return Vec::new();
         }
         let all: Vec<SocketAddr> = self.members.values().map(|member| member.address).collect();
-        let asks_seed = self.rng.next_f64() < 0.5 && !self.seeds.is_empty();
-        let candidates = if asks_seed { &self.seeds } else { &all };
+        let contacts_seed = self.rng.next_f64() < 0.5 && !self.seeds.is_empty();
+        let candidates = if contacts_seed { &self.seeds } else { &all };
         let to = candidates[self.rng.index_below(candidates.len())];
-        // One of a version that does not compare hashes answers nothing: the whole list is asked for as well, less often.
-        let asks_whole_list = self.periods.is_multiple_of(PERIODS_PER_SYNC * SYNCS_PER_FULL_LIST);
-        if self.config.compare_hashes && !asks_whole_list {
+        // An earlier version does not answer hashes: the whole list is requested as well, less often.
+        let requests_full_list = self.periods.is_multiple_of(PERIODS_PER_SYNC * SYNCS_PER_FULL_LIST);
+        if self.config.compare_hashes && !requests_full_list {
             let hashes = self.partition_hashes();
             vec![self.message_to(to, Message::Sync { hashes })]
         } else {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Asks for all that another one knows, and says at least that we are here.
+    /// Requests all members that the receiver knows. The message always carries this member's own update.
     fn join(&mut self, to: SocketAddr) -> OutgoingMessage {
         let mut message = self.message_to(to, Message::Join);
         message.envelope.updates.truncate(MAX_GOSSIP_UPDATES - 1);
@@ -46,8 +47,8 @@
         message
     }
 
-    /// The partitions of which another one's hashes differ from ours.
-    pub(super) fn answer_sync(&mut self, to: SocketAddr, hashes: &[u64]) -> Vec<OutgoingMessage> {
+    /// Lists the members in the partitions whose hashes differ from the sender's.
+    pub(super) fn handle_sync(&mut self, to: SocketAddr, hashes: &[u64]) -> Vec<OutgoingMessage> {
         let own = self.partition_hashes();
         if own == *hashes {
             return Vec::new();
@@ -56,7 +57,7 @@
         self.list_members(to, differs)
     }
 
-    /// All that is known of the chosen members, ourselves among them where we are one.
+    /// Lists the chosen members, possibly including this one.
     pub(super) fn list_members(
         &mut self,
         to: SocketAddr,
@@ -69,8 +70,8 @@
         chunks.map(|chunk| self.message_to(to, Message::MemberList { members: chunk.to_vec() })).collect()
     }
 
-    /// A hash of each partition of the members that are here. Those that are gone are left out, as each member forgets them in its
-    /// own time; so is suspicion, which passes.
+    /// A hash of each partition of the present members. Gone members are left out, as each member removes them at a different time.
+    /// Suspicion is left out because it is transient.
     fn partition_hashes(&self) -> Vec<u64> {
         let mut hashes = vec![0u64; MEMBER_PARTITIONS];
         let mut add = |id: NodeId, incarnation: u32, state: MemberState| {
--- a/crates/forwarding/src/messages.rs
+++ b/crates/forwarding/src/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between instances: a length, a version, then the message by postcard, which writes fields and variants by position:
-//! their order and types are the format. What is too long, of another version or malformed is reported as such; nothing panics,
-//! nothing is held past its bound.
+//! Messages between instances: a length, a version, then the message in postcard, which encodes fields and variants by position, so
+//! that their order and types are the format. Messages that are too long, of another version or malformed are reported as such.
+//! Decoding never panics, and every list is bounded.
 
 use crate::{NodeId, Time, SECOND};
 use serde::{Deserialize, Serialize};
@@ -8,47 +8,47 @@
 
 /// Version of the format.
 pub const VERSION: u8 = 1;
-/// Longest message, version included.
+/// Maximum length of a message, including the version.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
-/// Gossip updates on one message.
+/// Maximum number of gossip updates in one message.
 pub const MAX_GOSSIP_UPDATES: usize = 24;
-/// Members in one member list.
+/// Maximum number of members in one member list.
 pub const MAX_LISTED_MEMBERS: usize = 512;
-/// Grants in one message, and workers in a load report.
+/// Maximum number of grants in one message, and of workers in a load report.
 pub const MAX_GRANTS: usize = 2048;
-/// Request classes in a load report.
+/// Maximum number of request classes in a load report.
 pub const MAX_CLASSES: usize = 64;
-/// Partitions of the members of which hashes are compared.
+/// Number of partitions of the members for the comparison of hashes.
 pub const MEMBER_PARTITIONS: usize = 64;
-/// Longest that a message may say grants hold.
+/// Maximum duration of grants that a message may state.
 const MAX_STATED_DURATION: Time = 60 * SECOND;
 
-/// Length of the length that begins each message.
+/// Length of the length prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// What a member does.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
-    /// Gives out capacity of workers to forwarders.
+    /// Grants capacity of workers to forwarders.
     Planner,
-    /// Takes requests and sends them to workers.
+    /// Accepts requests and sends them to workers.
     Forwarder,
     /// Runs requests.
     Worker,
 }
 
-/// State of a member. Of two updates the one with the higher incarnation holds; of one incarnation, the later state here.
+/// State of a member. The update with the higher incarnation wins; within one incarnation, the later state in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers pings.
     Alive,
-    /// It did not answer, and may still refute its death.
+    /// The member did not answer a ping, and may still refute the suspicion.
     Suspect,
-    /// It drains: announced by itself, never detected.
+    /// The member drains, by its own announcement.
     Draining,
-    /// It did not answer and did not refute that in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It left, and said so.
+    /// The member left, by its own announcement.
     Left,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// What gossip says of a member.
+/// A gossip update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
     /// The member.
     pub id: NodeId,
-    /// What it does.
+    /// Role of the member.
     pub role: Role,
-    /// Where it hears datagrams.
+    /// Address of its datagram socket.
     pub address: SocketAddr,
-    /// Its incarnation, which only itself raises.
+    /// Incarnation of the member, which only the member itself raises.
     pub incarnation: u32,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
 }
 
@@ -87,31 +87,31 @@
     pub weight: f32,
 }
 
-/// What a forwarder has seen of one worker.
+/// A forwarder's observation of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerObservation {
     /// The worker.
     pub worker: NodeId,
-    /// Attempts in flight there.
+    /// Attempts in flight at the worker.
     pub in_flight: u32,
     /// Attempts that ended, per second.
     pub ended: f32,
-    /// Of those, attempts that the worker rejected, per second.
+    /// Attempts among `ended` that the worker rejected, per second.
     pub rejected: f32,
-    /// Mean time to an answer, in tenths of a millisecond.
+    /// Mean response time, in tenths of a millisecond.
     pub latency: f32,
 }
 
-/// What a forwarder reports to the planners.
+/// A forwarder's load report to the planners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Named by the grants that answer it, so that their age is known.
+    /// Number of the report. Grants name the report that they answer, so that their age is known.
     pub number: u32,
-    /// One for each request class.
+    /// Demand for each request class.
     pub demands: Vec<Demand>,
-    /// One for each worker.
+    /// Observation of each worker.
     pub observations: Vec<WorkerObservation>,
-    /// The newest epoch of planners that the forwarder knows.
+    /// The newest planner epoch that the forwarder knows.
     pub epoch: u64,
 }
 
@@ -120,74 +120,74 @@
 pub struct Grant {
     /// The worker.
     pub worker: NodeId,
-    /// Requests that it may have there at once.
+    /// Maximum number of concurrent requests of the forwarder at the worker.
     pub slots: u32,
 }
 
-/// All messages. New kinds come at the end.
+/// All messages. New kinds are added at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the fields are explained with their variant
+#[allow(missing_docs)] // the variants document their fields
 pub enum Message {
     /// Answered by an acknowledgement with the same number.
     Ping { number: u32 },
     /// The answer to a ping.
     Ack { number: u32 },
-    /// SWIM's ping-req: asks the receiver to ping `target` and to pass on its answer under this number.
+    /// SWIM's ping-req: requests the receiver to ping `target` and to relay the answer under this number.
     PingRequest { number: u32, target: NodeId, address: SocketAddr },
-    /// Sent by a new member; answered by member lists of all that are known.
+    /// Sent by a new member; answered by lists of all known members.
     Join,
     /// Members that the sender knows.
     MemberList { members: Vec<GossipUpdate> },
     /// A forwarder's load report.
     Report(LoadReport),
-    /// All grants of a forwarder, in place of those before. They hold for `duration` from when they were made, which was after
-    /// the load report of number `report`, which they answer.
+    /// All grants of a forwarder, in place of the previous ones. The grants answer the load report with the number `report` and are
+    /// valid for `duration` from their creation, which was after the sending of that report.
     Grants { epoch: u64, number: u64, report: u32, duration: Time, grants: Vec<Grant> },
-    /// A hash of each partition of the members; answered by a member list of those that differ. Programs of before do not know
-    /// it: whoever sends it also joins anew now and then.
+    /// A hash of each partition of the members; answered by a member list of the partitions that differ. Earlier versions do not
+    /// know this message: senders also send `Join` from time to time.
     Sync { hashes: Vec<u64> },
-    /// A load report or grants under this version of the fleet's policy.
+    /// A load report or grants under this version of the fleet policy.
     WithPolicyVersion { version: u64, message: Box<Message> },
 }
 
-/// A message with its sender and the updates that ride on it.
+/// A message with its sender and piggybacked updates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: NodeId,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u32,
-    /// Gossip.
+    /// Gossip updates.
     pub updates: Vec<GossipUpdate>,
-    /// The message itself.
+    /// The message.
     pub message: Message,
 }
 
-/// Why the start of the next message cannot be known.
+/// A framing or bounds error, after which the start of the next message is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// No message has this length.
-    #[error("a message of {0} bytes")]
+    /// The length is not valid for a message.
+    #[error("invalid message length: {0} bytes")]
     Length(usize),
-    /// A list is longer than allowed, or a number in it is negative or not finite.
-    #[error("a list past its bound")]
+    /// A list is too long, or a number is negative or not finite.
+    #[error("a list or number in the message is out of bounds")]
     Bounds,
 }
 
-/// What stands at the start of received bytes.
+/// Result of decoding the start of received bytes.
 #[derive(Debug, PartialEq)]
 pub enum Decoded {
-    /// Not the whole message is here.
+    /// The message is not complete.
     Incomplete,
-    /// A message, and its length.
+    /// A message and its length.
     Message(Envelope, usize),
-    /// A message of another version or kind, to be skipped; its length.
+    /// A message of another version or kind, which the caller skips by its length.
     Unknown(usize),
-    /// Nothing behind it can be read.
+    /// An invalid message; the bytes after it cannot be decoded.
     Malformed(MessageError),
 }
 
-/// Appends the bytes of a message; returns false, and appends nothing, where it is too long.
+/// Appends the encoded message to `out`; returns false and appends nothing if the message is too long.
 pub fn encode(out: &mut Vec<u8>, envelope: &Envelope) -> bool {
     let Ok(body) = postcard::to_stdvec(envelope) else { return false };
     let length = body.len() + 1;
@@ -200,7 +200,7 @@
     true
 }
 
-/// The first message in `bytes`.
+/// Decodes the first message in `bytes`.
 pub fn decode(bytes: &[u8]) -> Decoded {
     let Some(head) = bytes.get(..LENGTH_BYTES) else { return Decoded::Incomplete };
     let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
--- a/crates/forwarding/src/retry_budget.rs
+++ b/crates/forwarding/src/retry_budget.rs
@@ -1,39 +1,40 @@
-//! Whether a request may be tried again at another worker. One rule for the whole path: only what provably never ran, within its
-//! deadline, never against the word of whoever rejected it, and under one budget for all clients of a forwarder: a fraction of
-//! the first attempts with a floor. So two levels never send more than `1 + ratio` times what arrived, past the floor.
+//! Whether a request may be retried at another worker. One rule applies to the whole path: a request is retried only if it provably
+//! never ran, within its deadline, unless the rejection asked to give up, and under one budget for all clients of a forwarder: a
+//! fraction of the first attempts with a minimum rate. So two levels send at most `1 + ratio` times the arrivals, plus the minimum
+//! rate.
 
 use crate::{Time, SECOND};
 
-/// Retries for each first attempt, unless [`RetryBudget::set_retry_ratio`] says otherwise.
+/// Retries for each first attempt, unless [`RetryBudget::set_retry_ratio`] sets another ratio.
 pub const RETRY_RATIO: f64 = 0.1;
-/// Retries that are allowed per second whatever the first attempts.
+/// Retries that are allowed per second regardless of the number of first attempts.
 pub const MIN_RETRIES_PER_SECOND: f64 = 3.0;
-/// Retries that may be saved up.
+/// Maximum number of saved retries.
 const MAX_SAVED_RETRIES: f64 = 20.0;
-/// Attempts of one request.
+/// Maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of an attempt that did not succeed.
+/// Whether an unsuccessful attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// Rejected, or no byte of it was written.
+    /// The attempt was rejected, or none of its bytes was written.
     NeverRan,
-    /// It may have run.
+    /// The attempt may have run.
     MayHaveRun,
 }
 
-/// What a retry would be.
+/// A retry to be decided.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryRequest {
-    /// What is known of the attempt before.
+    /// Whether the previous attempt may have run.
     pub execution: Execution,
-    /// Whoever rejected it said to give up.
+    /// The rejection asked to give up.
     pub give_up: bool,
     /// Attempts of the request so far.
     pub attempts: u32,
     /// Time left until its deadline.
     pub time_left: Time,
-    /// Time that an attempt is expected to need.
+    /// Expected duration of an attempt.
     pub time_needed: Time,
 }
 
@@ -46,14 +47,14 @@
     }
 }
 
-/// What the budget has counted.
+/// Counters of the retry budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
     /// First attempts.
     pub first_attempts: u64,
     /// Retries.
     pub retries: u64,
-    /// Retries that were allowed by the rule, and that the budget did not cover.
+    /// Retries that the rule allowed and the budget denied.
     pub denied: u64,
 }
 
@@ -68,7 +69,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with the retries of a second.
+    /// Creates a budget with the minimum retries of one second.
     pub fn new(now: Time) -> RetryBudget {
         let (ratio, saved) = (RETRY_RATIO, MIN_RETRIES_PER_SECOND);
         RetryBudget { ratio, saved, updated_at: now, counts: RetryCounts::default() }
@@ -86,14 +87,14 @@
         self.saved = (self.saved + floor).min(MAX_SAVED_RETRIES);
     }
 
-    /// A first attempt starts.
+    /// Records the start of a first attempt.
     pub fn record_first_attempt(&mut self, now: Time) {
         self.add_floor(now);
         self.counts.first_attempts += 1;
         self.saved = (self.saved + self.ratio).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether the retry may be sent; one that may is counted against the budget.
+    /// Whether the retry may be sent; an allowed retry is charged to the budget.
     pub fn try_retry(&mut self, now: Time, request: RetryRequest) -> bool {
         self.add_floor(now);
         if !request.is_allowed() {
@@ -108,7 +109,7 @@
         true
     }
 
-    /// What was counted so far.
+    /// The current counters.
     pub fn counts(&self) -> RetryCounts {
         self.counts
     }
--- a/crates/forwarding/src/simulation.rs
+++ b/crates/forwarding/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members: delays, loss, partitions, deaths, restarts; deterministic by seed. What gossip costs is measured
-//! in it, and computed for two plain ways to know who is here.
+//! A simulated network of members: delays, loss, partitions, deaths, restarts; deterministic by seed. Measures the cost of gossip,
+//! and computes the cost of two plain heartbeat schemes for comparison.
 
 use crate::membership::{Membership, MembershipConfig, OutgoingMessage};
 use crate::messages::{self, MemberState, Role};
@@ -8,15 +8,15 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// How the network treats messages.
+/// Conditions of the simulated network.
 #[derive(Clone, Debug)]
 pub struct NetworkConditions {
     /// Fraction of all messages that is lost.
     pub loss: f64,
-    /// Bounds of the delay one way.
+    /// Minimum and maximum one-way delay.
     pub delay: (Time, Time),
-    /// Between those under and those from this number on nothing passes, from when to when; `one_way`: only from the first to
-    /// the second nothing.
+    /// A partition: the index of the first member on the second side, start, end, and whether it is one-way. A one-way partition
+    /// drops only messages from the first side to the second.
     pub partition: Option<(usize, Time, Time, bool)>,
 }
 
@@ -30,31 +30,31 @@
 pub struct Simulation {
     /// Each member; `None` where it is dead.
     pub members: Vec<Option<Membership>>,
-    /// The time now.
+    /// Current simulated time.
     pub now: Time,
     network: NetworkConditions,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     in_flight: Vec<Option<messages::Envelope>>,
     free: Vec<usize>,
-    /// When each member ticks next: one time for each, or ticks would multiply.
+    /// Time of each member's next tick. Only one tick is scheduled for each member, else ticks would multiply.
     next_tick: Vec<Time>,
     number: u64,
     rng: SeededRng,
     /// Messages sent so far.
     pub messages: u64,
-    /// Their bytes.
+    /// Bytes sent so far.
     pub bytes: u64,
-    /// Bytes that each member sent.
+    /// Bytes sent by each member.
     pub sent: Vec<u64>,
-    /// Bytes on their way to each member that were not lost.
+    /// Bytes sent to each member that were not lost.
     pub received: Vec<u64>,
     seed: u64,
     config: MembershipConfig,
 }
 
 /// Address of a member.
-pub fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([10, (at >> 16) as u8, (at >> 8) as u8, at as u8], 1))
+pub fn address(member_index: usize) -> SocketAddr {
+    SocketAddr::from(([10, (member_index >> 16) as u8, (member_index >> 8) as u8, member_index as u8], 1))
 }
 
 fn index(address: &SocketAddr) -> usize {
@@ -68,12 +68,12 @@
 }
 
 /// Id of a member.
-pub fn member_id(at: usize) -> NodeId {
-    crate::node_id(&format!("member-{at}"))
+pub fn member_id(member_index: usize) -> NodeId {
+    crate::node_id(&format!("member-{member_index}"))
 }
 
 impl Simulation {
-    /// So many members, of which the first three are seeds. They start over the first second.
+    /// Creates `member_count` members, of which the first three are seeds. They start within the first second.
     pub fn new(
         member_count: usize,
         config: MembershipConfig,
@@ -97,29 +97,30 @@
             seed,
             config,
         };
-        for at in 0..member_count {
+        for member_index in 0..member_count {
             simulation.members.push(None);
             let start = (simulation.rng.next_f64() * SECOND as f64) as Time;
-            simulation.start(at, start, 1);
+            simulation.start(member_index, start, 1);
         }
         simulation
     }
 
-    /// Other conditions from now on.
+    /// Changes the network conditions.
     pub fn set_conditions(&mut self, network: NetworkConditions) {
         self.network = network;
     }
 
-    /// Starts a member, anew where there was one.
-    pub fn start(&mut self, at: usize, when: Time, incarnation: u32) {
-        let role = [Role::Planner, Role::Forwarder, Role::Worker][at % 3];
+    /// Starts a member, or restarts it.
+    pub fn start(&mut self, member_index: usize, when: Time, incarnation: u32) {
+        let role = [Role::Planner, Role::Forwarder, Role::Worker][member_index % 3];
         let seeds = (0..3.min(self.members.len().max(1))).map(address).collect();
-        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(at as u64);
-        let mut member = Membership::new(member_id(at), role, address(at), seeds, self.config, seed);
+        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(member_index as u64);
+        let mut member =
+            Membership::new(member_id(member_index), role, address(member_index), seeds, self.config, seed);
         member.raise_incarnation(incarnation);
-        self.members[at] = Some(member);
-        self.next_tick[at] = Time::MAX;
-        self.schedule_tick(at, when.max(self.now));
+        self.members[member_index] = Some(member);
+        self.next_tick[member_index] = Time::MAX;
+        self.schedule_tick(member_index, when.max(self.now));
     }
 
     fn schedule_tick(&mut self, member: usize, when: Time) {
@@ -129,35 +130,40 @@
         }
     }
 
-    /// A member dies without a message.
-    pub fn kill(&mut self, at: usize) {
-        self.members[at] = None;
+    /// Stops a member without a message to others.
+    pub fn kill(&mut self, member_index: usize) {
+        self.members[member_index] = None;
     }
 
-    fn push(&mut self, at: Time, event: Event) {
+    fn push(&mut self, time: Time, event: Event) {
         self.number += 1;
-        self.events.push(Reverse((at, self.number, event)));
+        self.events.push(Reverse((time, self.number, event)));
     }
 
-    /// Sends what a member has to send.
-    pub fn send(&mut self, from: usize, all: Vec<OutgoingMessage>) {
-        for OutgoingMessage { to, envelope } in all {
+    /// Sends messages of a member.
+    pub fn send(&mut self, from: usize, outgoing: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, envelope } in outgoing {
             let to = index(&to);
             let mut bytes = Vec::new();
             messages::encode(&mut bytes, &envelope);
             self.messages += 1;
             self.bytes += bytes.len() as u64;
             self.sent[from] += bytes.len() as u64;
-            let partition = self.network.partition.is_some_and(|(line, start, end, one_way)| {
-                let (a, b) = (from < line, to < line);
-                (start..end).contains(&self.now) && if one_way { a && !b } else { a != b }
+            let is_cut = self.network.partition.is_some_and(|(second_side_start, start, end, one_way)| {
+                let (from_first_side, to_first_side) = (from < second_side_start, to < second_side_start);
+                (start..end).contains(&self.now)
+                    && if one_way {
+                        from_first_side && !to_first_side
+                    } else {
+                        from_first_side != to_first_side
+                    }
             });
-            if to >= self.members.len() || partition || self.rng.next_f64() < self.network.loss {
+            if to >= self.members.len() || is_cut || self.rng.next_f64() < self.network.loss {
                 continue;
             }
             self.received[to] += bytes.len() as u64;
-            let (least, most) = self.network.delay;
-            let delay = least + ((most - least) as f64 * self.rng.next_f64()) as Time;
+            let (min_delay, max_delay) = self.network.delay;
+            let delay = min_delay + ((max_delay - min_delay) as f64 * self.rng.next_f64()) as Time;
             let message_index = self.free.pop().unwrap_or_else(|| {
                 self.in_flight.push(None);
                 self.in_flight.len() - 1
@@ -167,78 +173,78 @@
         }
     }
 
-    /// Runs until that time.
+    /// Runs the simulation until the given time.
     pub fn run(&mut self, until: Time) {
-        while let Some(Reverse((at, ..))) = self.events.peek() {
-            if *at > until {
+        while let Some(Reverse((time, ..))) = self.events.peek() {
+            if *time > until {
                 break;
             }
-            let Some(Reverse((at, _, event))) = self.events.pop() else { break };
-            self.now = at;
+            let Some(Reverse((time, _, event))) = self.events.pop() else { break };
+            self.now = time;
             match event {
                 Event::Tick(member) => {
-                    if self.next_tick[member] != at {
-                        continue; // another time was set since
+                    if self.next_tick[member] != time {
+                        continue; // an earlier tick has been scheduled since
                     }
                     self.next_tick[member] = Time::MAX;
                     let Some(own) = self.members[member].as_mut() else { continue };
-                    let out = own.tick(at);
-                    let due = own.next_deadline().max(at + 1);
-                    self.send(member, out);
-                    self.schedule_tick(member, due);
+                    let outgoing = own.tick(time);
+                    let deadline = own.next_deadline().max(time + 1);
+                    self.send(member, outgoing);
+                    self.schedule_tick(member, deadline);
                 }
                 Event::Message(from, to, message_index) => {
                     let Some(envelope) = self.in_flight[message_index].take() else { continue };
                     self.free.push(message_index);
                     let Some(own) = self.members[to].as_mut() else { continue };
-                    let out = own.handle(at, address(from), &envelope);
-                    let due = own.next_deadline();
-                    self.send(to, out);
-                    self.schedule_tick(to, due.max(at + 1));
+                    let outgoing = own.handle(time, address(from), &envelope);
+                    let deadline = own.next_deadline();
+                    self.send(to, outgoing);
+                    self.schedule_tick(to, deadline.max(time + 1));
                 }
             }
         }
         self.now = until;
     }
 
-    /// How many of the members that are alive hold that one to be in that state.
-    pub fn count_agreeing(&self, whom: usize, state: MemberState) -> usize {
-        let id = member_id(whom);
-        let holds = |member: &Membership| match member.member(id) {
+    /// Number of live members that hold the given member to be in the given state.
+    pub fn count_agreeing(&self, target: usize, state: MemberState) -> usize {
+        let id = member_id(target);
+        let agrees = |member: &Membership| match member.member(id) {
             Some(known) => known.state == state,
             None => state == MemberState::Dead,
         };
         self.members
             .iter()
             .enumerate()
-            .filter(|(at, member)| *at != whom && member.as_ref().is_some_and(holds))
+            .filter(|(index, member)| *index != target && member.as_ref().is_some_and(agrees))
             .count()
     }
 
-    /// Members that are alive.
+    /// Number of live members.
     pub fn alive_count(&self) -> usize {
         self.members.iter().flatten().count()
     }
 }
 
-/// What a way to know who is here costs, for each member and second, and how well it does.
+/// Cost of a membership scheme per member and second, and its detection quality.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipCost {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Messages for each member and second.
+    /// Messages per member and second.
     pub messages: f64,
-    /// Their bytes.
+    /// Bytes per member and second.
     pub bytes: f64,
-    /// Milliseconds until half of the others know of a death.
+    /// Milliseconds until half of the other members know of a death.
     pub half_informed_ms: f64,
-    /// Milliseconds until all others do.
+    /// Milliseconds until all other members know of a death.
     pub all_informed_ms: f64,
-    /// Members that were wrongly held to be dead, for each hundred member minutes.
+    /// Live members that were declared dead, per hundred member minutes.
     pub false_deaths: f64,
 }
 
-/// Gossip, simulated: so many members for a minute, then one dies.
+/// Simulates gossip among `members` members for a minute, then stops one of them.
 pub fn measure_gossip(members: usize, loss: f64, seed: u64, config: MembershipConfig) -> MembershipCost {
     let network = NetworkConditions { loss, delay: (2, 20), partition: None };
     let mut simulation = Simulation::new(members, config, network, seed);
@@ -255,18 +261,19 @@
         .flatten()
         .map(|member| member.take_changes().iter().filter(|change| change.to == MemberState::Dead).count())
         .sum();
-    // Each death is seen by all: counted once for each observer.
+    // All members record each death: divided by the number of observers.
     let false_deaths = deaths as f64 / members as f64 / (members as f64 / 100.0);
     let victim = members / 2;
     simulation.kill(victim);
-    let (died, mut half_informed_ms, mut all_informed_ms) = (simulation.now, None, None);
-    while all_informed_ms.is_none() && simulation.now < died + 120 * SECOND {
+    let (killed_at, mut half_informed_ms, mut all_informed_ms) = (simulation.now, None, None);
+    while all_informed_ms.is_none() && simulation.now < killed_at + 120 * SECOND {
         let next = simulation.now + 100 * MS;
         simulation.run(next);
-        let know = simulation.count_agreeing(victim, MemberState::Dead);
-        let after = (simulation.now - died) as f64 / MS as f64;
-        half_informed_ms = half_informed_ms.or((know * 2 >= simulation.alive_count()).then_some(after));
-        all_informed_ms = all_informed_ms.or((know == simulation.alive_count()).then_some(after));
+        let informed = simulation.count_agreeing(victim, MemberState::Dead);
+        let elapsed_ms = (simulation.now - killed_at) as f64 / MS as f64;
+        half_informed_ms =
+            half_informed_ms.or((informed * 2 >= simulation.alive_count()).then_some(elapsed_ms));
+        all_informed_ms = all_informed_ms.or((informed == simulation.alive_count()).then_some(elapsed_ms));
     }
     MembershipCost {
         members,
@@ -278,25 +285,26 @@
     }
 }
 
-/// A heartbeat of 60 bytes each half second, dead past `missed` in a row: from each to each other (`all_to_all`), or to a
-/// planner that tells all. Computed, not simulated: loss falls on each alike.
-pub fn compute_heartbeats(members: usize, loss: f64, all_to_all: bool, missed: i32) -> MembershipCost {
-    let (period, size) = (0.5, 60.0);
+/// Computes the cost of heartbeats of 60 bytes each half second, where a member is dead after `max_missed` consecutive losses. Members
+/// send to all others (`all_to_all`) or to a planner that informs all. Computed, not simulated: all messages have the same loss.
+pub fn compute_heartbeats(members: usize, loss: f64, all_to_all: bool, max_missed: i32) -> MembershipCost {
+    let (period_s, message_bytes) = (0.5, 60.0);
     let others = (members - 1) as f64;
-    let messages = if all_to_all { others / period } else { 1.0 / period };
-    let watchers = if all_to_all { others } else { 1.0 };
-    // A false death at a watcher: so many lost in a row, in any of the windows of a minute.
-    let wrong = loss.powi(missed) * (60.0 / period) * watchers * members as f64;
+    let messages = if all_to_all { others / period_s } else { 1.0 / period_s };
+    let observers = if all_to_all { others } else { 1.0 };
+    // A false death at an observer: `max_missed` consecutive losses in any window of a minute.
+    let wrong_detections = loss.powi(max_missed) * (60.0 / period_s) * observers * members as f64;
     let dissemination_ms = if all_to_all { 0.0 } else { 20.0 };
-    let half_informed_ms = (f64::from(missed) - 0.5) * period * 1e3 + dissemination_ms;
-    let per = members as f64 / 100.0;
-    let seen = if all_to_all { wrong / others.max(1.0) } else { wrong };
+    let half_informed_ms = (f64::from(max_missed) - 0.5) * period_s * 1e3 + dissemination_ms;
+    let hundreds_of_members = members as f64 / 100.0;
+    let detections_per_member =
+        if all_to_all { wrong_detections / others.max(1.0) } else { wrong_detections };
     MembershipCost {
         members,
         messages,
-        bytes: messages * size,
+        bytes: messages * message_bytes,
         half_informed_ms,
-        all_informed_ms: half_informed_ms + period * 1e3,
-        false_deaths: seen / per,
+        all_informed_ms: half_informed_ms + period_s * 1e3,
+        false_deaths: detections_per_member / hundreds_of_members,
     }
 }
--- a/crates/forwarding/src/slow_start.rs
+++ b/crates/forwarding/src/slow_start.rs
@@ -1,23 +1,22 @@
-//! What a worker that is warming up reserves for each forwarder that asks. The worker alone knows its budget, and hears of all
-//! senders: so it divides the budget, and no sender counts the others. A reservation is of whole concurrency slots, holds for
-//! [`RESERVATION_DURATION`], and is charged in full, with what its sender has in flight already, until it ends or its sender asks
-//! again. While a sender waits for the answer it uses no earlier reservation.
+//! Reservations of concurrency slots at a worker that is warming up. Only the worker knows its budget and all senders, so the worker
+//! divides the budget, and no sender needs to count the others. A reservation covers whole slots and is valid for
+//! [`RESERVATION_DURATION`]. The worker charges the reservation in full, and at least the sender's attempts in flight, until the
+//! reservation ends or the sender requests a new one. A sender that waits for a response uses no earlier reservation.
 //!
 //! # The bound
 //!
-//! A sender holds a reservation until `RESERVATION_DURATION` after it *asked*, the worker charges it until `RESERVATION_DURATION`
-//! after it *answered*, which is later. So while clocks run equally fast, and the budget does not fall, what all senders have in
-//! flight is never more than the budget, however many they are, and however they are cut off from each other: none of them needs
-//! to know of another.
+//! A sender uses a reservation until `RESERVATION_DURATION` after its *request*; the worker charges the reservation until
+//! `RESERVATION_DURATION` after its *response*, which is later. So while clocks run equally fast and the budget does not fall, the
+//! attempts of all senders in flight never exceed the budget, for any number of senders and any partition between them.
 
 use crate::{NodeId, Time, SECOND};
 use std::collections::BTreeMap;
 
-/// How long a reservation holds: two of the sender's messages may be lost.
+/// Validity of a reservation: two of the sender's messages may be lost.
 pub const RESERVATION_DURATION: Time = SECOND * 3 / 2;
-/// Senders that may hold a reservation; a further sender gets none.
+/// Maximum number of senders with a reservation; a further sender gets no slots.
 pub const MAX_SENDERS: usize = 1024;
-/// No budget counts for more concurrency slots than this.
+/// Upper bound of the budget, in concurrency slots.
 const MAX_BUDGET: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -25,19 +24,19 @@
     /// Concurrency slots charged against the budget.
     charged: u32,
     ends_at: Time,
-    /// The sender's share of the budget that was not reserved, as slots are whole; its next reservation counts it.
+    /// Fraction of the sender's share that was not reserved because slots are whole; it carries over to the next reservation.
     credit: f64,
 }
 
-/// A worker's side.
+/// The worker's side.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStart {
     reservations: BTreeMap<NodeId, Reservation>,
 }
 
 impl SlowStart {
-    /// Reserves concurrency slots for `sender`, which has `in_flight` attempts here already, and returns how many it may use.
-    /// `budget` is what all senders together may have; `expected_senders` are expected, and more may come.
+    /// Reserves concurrency slots for `sender`, which has `in_flight` attempts at this worker, and returns their number. `budget` is
+    /// the number of slots of all senders together. The budget is divided by at least `expected_senders`; more senders may follow.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -70,14 +69,14 @@
         others.map(|(_, reservation)| u64::from(reservation.charged)).sum()
     }
 
-    /// Concurrency slots that are charged now.
+    /// Concurrency slots that are charged at `now`.
     pub fn charged_slots(&self, now: Time) -> u64 {
         let valid = self.reservations.values().filter(|reservation| reservation.ends_at > now);
         valid.map(|reservation| u64::from(reservation.charged)).sum()
     }
 }
 
-/// A sender's side, for one worker.
+/// The sender's side, for one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReservedCapacity {
     slots: u32,
@@ -85,17 +84,17 @@
 }
 
 impl ReservedCapacity {
-    /// The sender asks the worker anew: no earlier reservation holds.
+    /// Drops the reservation when the sender requests a new one.
     pub fn invalidate(&mut self) {
         self.slots = 0;
     }
 
-    /// Takes the worker's answer to what the sender asked at `asked_at`.
-    pub fn accept(&mut self, asked_at: Time, slots: u32) {
-        (self.slots, self.ends_at) = (slots, asked_at + RESERVATION_DURATION);
+    /// Stores the worker's response to the request that the sender sent at `requested_at`.
+    pub fn accept(&mut self, requested_at: Time, slots: u32) {
+        (self.slots, self.ends_at) = (slots, requested_at + RESERVATION_DURATION);
     }
 
-    /// Concurrency slots that are reserved now.
+    /// Concurrency slots that are reserved at `now`.
     pub fn slots(&self, now: Time) -> u32 {
         if now < self.ends_at {
             self.slots
