--- a/crates/server/src/forwarder/connection.rs
+++ b/crates/server/src/forwarder/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to workers, in the routers' own frames: opened as they are needed, read and written until they end.
+//! Connections to workers, with the frames that routers use. A connection is opened on demand and runs until it closes.
 
 use super::worker_fleet::WorkerFleet;
 use crate::clock::MS;
@@ -19,37 +19,37 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Streams open on a connection at once.
+/// Maximum number of concurrently open streams on a connection.
 const MAX_OPEN_STREAMS: usize = 32;
-/// Connections to a worker.
+/// Maximum number of connections to one worker.
 const MAX_CONNECTIONS: usize = 16;
-/// Past this stream another connection takes the place of one.
-const LAST_STREAM: u32 = 1 << 30;
+/// A connection opens no stream past this id; new attempts use another connection.
+const MAX_STREAM: u32 = 1 << 30;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// One connection to a worker.
 pub(super) struct Connection {
     pub(super) worker: NodeId,
     address: SocketAddr,
-    pub(super) out: Outbox,
-    pub(super) next: Cell<u32>,
-    /// By stream: the request, the number of its attempt, and where its bytes begin.
-    pub(super) open: RefCell<HashMap<u32, (RequestId, u64, u64)>>,
-    /// The worker takes no new stream on it.
+    pub(super) outbox: Outbox,
+    pub(super) next_stream: Cell<u32>,
+    /// For each stream: the request, the number of its attempt, and the offset of its first byte in the outbox.
+    pub(super) open_streams: RefCell<HashMap<u32, (RequestId, u64, u64)>>,
+    /// The worker announced the close: it accepts no new stream on this connection.
     is_closing: Cell<bool>,
 }
 
 impl WorkerFleet {
-    /// A connection to a worker with a free stream; a new one where there is none and may be.
+    /// Returns a connection to the worker with a free stream, or opens one if all are full and [`MAX_CONNECTIONS`] allows it.
     pub(super) fn connection(self: &Rc<WorkerFleet>, worker: NodeId) -> Option<Rc<Connection>> {
         let mut workers = self.workers.borrow_mut();
         let state = workers.get_mut(&worker)?;
-        let free = |connection: &&Rc<Connection>| {
+        let has_free_stream = |connection: &&Rc<Connection>| {
             !connection.is_closing.get()
-                && connection.open.borrow().len() < MAX_OPEN_STREAMS
-                && connection.next.get() < LAST_STREAM
+                && connection.open_streams.borrow().len() < MAX_OPEN_STREAMS
+                && connection.next_stream.get() < MAX_STREAM
         };
-        if let Some(connection) = state.connections.iter().find(free) {
+        if let Some(connection) = state.connections.iter().find(has_free_stream) {
             return Some(connection.clone());
         }
         if state.connections.len() >= MAX_CONNECTIONS {
@@ -58,59 +58,67 @@
         let connection = Rc::new(Connection {
             worker,
             address: state.address,
-            out: Outbox::new(&self.shared.pool),
-            next: Cell::new(1),
-            open: RefCell::default(),
+            outbox: Outbox::new(&self.shared.pool),
+            next_stream: Cell::new(1),
+            open_streams: RefCell::default(),
             is_closing: Cell::new(false),
         });
         state.connections.push(connection.clone());
-        let (fleet, own) = (self.clone(), connection.clone());
+        let (fleet, handle) = (self.clone(), connection.clone());
         tokio::task::spawn_local(async move {
-            let (connected, ended) = fleet.run_connection(&own).await;
-            fleet.end_connection(&own, connected, ended);
+            let (connected, ended) = fleet.run_connection(&handle).await;
+            fleet.end_connection(&handle, connected, ended);
         });
         Some(connection)
     }
 
-    /// A connection is over: what was on it ends by what is known of it.
+    /// Removes a closed connection and ends the attempts that were open on it, each by what is known of its execution.
     fn end_connection(
         self: &Rc<WorkerFleet>,
         connection: &Rc<Connection>,
         connected: bool,
         ended: io::Result<()>,
     ) {
-        let mut unasked = false;
+        let mut closed_unexpectedly = false;
         if let Some(state) = self.workers.borrow_mut().get_mut(&connection.worker) {
             state.connections.retain(|other| !Rc::ptr_eq(other, connection));
-            // It may have been started anew, and be warming up: nothing goes there before it was asked.
-            unasked = !connection.is_closing.get() && ended.is_err();
-            if unasked {
+            // The worker may have restarted and be warming up: nothing is sent there before its next health check.
+            closed_unexpectedly = !connection.is_closing.get() && ended.is_err();
+            if closed_unexpectedly {
                 state.is_healthy = false;
                 state.recheck.notify_one();
             }
         }
-        if unasked {
+        if closed_unexpectedly {
             self.refresh();
         }
-        let open: Vec<(RequestId, u64, u64)> =
-            connection.open.borrow_mut().drain().map(|(_, one)| one).collect();
-        if let (Err(error), false) = (&ended, open.is_empty()) {
-            log!("a connection to the worker at {} with {} tries: {error}", connection.address, open.len());
+        let open_streams: Vec<(RequestId, u64, u64)> =
+            connection.open_streams.borrow_mut().drain().map(|(_, attempt)| attempt).collect();
+        if let (Err(error), false) = (&ended, open_streams.is_empty()) {
+            log!(
+                "connection to the worker at {} failed with {} attempts in flight: {error}",
+                connection.address,
+                open_streams.len()
+            );
         }
-        let written = connection.out.written();
-        let closed = ended.as_ref().is_err_and(|error| error.kind() == ErrorKind::UnexpectedEof);
-        for (txn, number, from) in open {
-            if connected && closed && connection.is_closing.get() && self.resend_crossed(txn, number) {
+        let written = connection.outbox.written();
+        let closed_by_worker = ended.as_ref().is_err_and(|error| error.kind() == ErrorKind::UnexpectedEof);
+        for (request_id, number, start_offset) in open_streams {
+            if connected
+                && closed_by_worker
+                && connection.is_closing.get()
+                && self.resend_crossed(request_id, number)
+            {
                 continue;
             }
-            let never = !connected || written <= from;
-            let known = if never { Execution::NeverRan } else { Execution::MayHaveRun };
-            self.end_attempt(txn, number, AttemptOutcome::ConnectionLost, known, (0, false), b"");
+            let never_ran = !connected || written <= start_offset;
+            let execution = if never_ran { Execution::NeverRan } else { Execution::MayHaveRun };
+            self.end_attempt(request_id, number, AttemptOutcome::ConnectionLost, execution, (0, false), b"");
         }
-        connection.out.clear();
+        connection.outbox.clear();
     }
 
-    /// Reads and writes one connection until it ends; whether it was ever there.
+    /// Reads and writes one connection until it closes. Also returns whether the connection was established.
     async fn run_connection(self: &Rc<WorkerFleet>, connection: &Rc<Connection>) -> (bool, io::Result<()>) {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(connection.address)).await;
         let stream = match connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
@@ -128,36 +136,38 @@
     ) -> io::Result<()> {
         let mut buf = self.shared.pool.take();
         loop {
-            connection.out.flush(|bytes| stream.try_write(bytes))?;
-            if connection.is_closing.get() && connection.open.borrow().is_empty() && connection.out.is_empty()
+            connection.outbox.flush(|bytes| stream.try_write(bytes))?;
+            if connection.is_closing.get()
+                && connection.open_streams.borrow().is_empty()
+                && connection.outbox.is_empty()
             {
                 return Ok(());
             }
             tokio::select! {
-                () = connection.out.wake.notified() => continue,
-                ready = stream.writable(), if !connection.out.is_empty() => { ready?; continue }
+                () = connection.outbox.wake.notified() => continue,
+                ready = stream.writable(), if !connection.outbox.is_empty() => { ready?; continue }
                 ready = stream.readable() => ready?,
             }
             match stream.try_read(buf.spare()) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(many) => buf.advance(many),
+                Ok(count) => buf.advance(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
                 Err(error) => return Err(error),
             }
-            let mut at = 0;
+            let mut consumed = 0;
             loop {
-                match frames::next_frame(&buf[at..], BUFFER_BYTES) {
+                match frames::next_frame(&buf[consumed..], BUFFER_BYTES) {
                     NextFrame::Incomplete => break,
                     NextFrame::Frame { kind, stream, payload, size } => {
                         self.handle_frame(connection, kind, stream, payload)?;
-                        at += size;
+                        consumed += size;
                     }
                     NextFrame::TooLarge { .. } | NextFrame::Invalid { .. } => {
                         return Err(ErrorKind::InvalidData.into())
                     }
                 }
             }
-            buf.consume(at);
+            buf.consume(consumed);
         }
     }
 
@@ -173,18 +183,20 @@
             frames::RESPONSE => {
                 let (code, rest) = payload.split_first().ok_or(ErrorKind::InvalidData)?;
                 let (fields, body) = frames::parse_fields(rest).ok_or(ErrorKind::InvalidData)?;
-                let Some((txn, number, _)) = connection.open.borrow_mut().remove(&stream) else {
-                    // Of an attempt that was called off, or of none: on stream 0 it says that something was not understood.
+                let Some((request_id, number, _)) = connection.open_streams.borrow_mut().remove(&stream)
+                else {
+                    // The response to a cancelled attempt, or to no attempt: a response on stream 0 reports a frame that the
+                    // worker did not understand.
                     return Ok(());
                 };
                 let get =
-                    |name: &str| fields.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
-                let later =
+                    |name: &str| fields.iter().find(|(field, _)| *field == name).map(|(_, value)| *value);
+                let retry_after =
                     get("later").and_then(|ms| ms.parse::<Time>().ok()).unwrap_or(0).clamp(0, 60_000) * MS;
-                let said = (later, get("giveup") == Some("1"));
+                let retry_hint = (retry_after, get("giveup") == Some("1"));
                 match *code {
                     frames::SUCCEEDED => self.end_attempt(
-                        txn,
+                        request_id,
                         number,
                         AttemptOutcome::Succeeded,
                         Execution::MayHaveRun,
@@ -192,15 +204,15 @@
                         body,
                     ),
                     frames::REJECTED => self.end_attempt(
-                        txn,
+                        request_id,
                         number,
                         AttemptOutcome::Rejected,
                         Execution::NeverRan,
-                        said,
+                        retry_hint,
                         b"",
                     ),
                     _ => self.end_attempt(
-                        txn,
+                        request_id,
                         number,
                         AttemptOutcome::Failed,
                         Execution::MayHaveRun,
--- a/crates/server/src/forwarder/health.rs
+++ b/crates/server/src/forwarder/health.rs
@@ -1,5 +1,5 @@
-//! Health of workers: each is asked on a connection of its own, and tells whether it accepts work and, while it is warming up, how
-//! much it reserves for this forwarder.
+//! Health checks of workers, each on a connection of its own. A worker reports whether it accepts work and, while it is warming up,
+//! how many concurrency slots it reserves for this forwarder.
 
 use super::worker_fleet::WorkerFleet;
 use crate::frames::{self, NextFrame};
@@ -15,15 +15,15 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Workers are asked so often.
+/// Interval between health checks of a worker.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// One whose connection broke is asked again after this long.
+/// Delay before the next health check of a worker whose connection failed.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// Grants, mode and health are taken over at least this often.
+/// Maximum time until the load balancer gets the current grants, mode and health.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
 impl WorkerFleet {
-    /// Asks each worker for its health, on a connection of its own, and looks at grants and mode.
+    /// Checks the health of each worker in a task of its own, and refreshes grants and mode in an endless loop.
     pub async fn watch_health(self: Rc<WorkerFleet>) {
         let workers: Vec<(NodeId, SocketAddr, Rc<Notify>)> = self
             .workers
@@ -34,29 +34,29 @@
         for (worker, address, recheck) in workers {
             let fleet = self.clone();
             tokio::task::spawn_local(async move {
-                let (mut kept, mut told): (Option<(TcpStream, u32)>, bool) = (None, false);
+                let (mut idle_connection, mut was_healthy): (Option<(TcpStream, u32)>, bool) = (None, false);
                 loop {
-                    let used = kept.is_some();
-                    let mut good = fleet.check_health(worker, address, &mut kept).await;
-                    if !good && used && kept.is_none() {
-                        good = fleet.check_health(worker, address, &mut kept).await;
-                        // that connection may have been the fault
+                    let was_reused = idle_connection.is_some();
+                    let mut is_healthy = fleet.check_health(worker, address, &mut idle_connection).await;
+                    if !is_healthy && was_reused && idle_connection.is_none() {
+                        is_healthy = fleet.check_health(worker, address, &mut idle_connection).await;
+                        // the reused connection may have been closed: the check is repeated on a new one
                     }
                     if let Some(state) = fleet.workers.borrow_mut().get_mut(&worker) {
-                        state.is_healthy = good;
+                        state.is_healthy = is_healthy;
                     }
-                    if std::mem::replace(&mut told, good) != good {
-                        log!("worker at {address} {}", if good { "takes work" } else { "takes none" });
+                    if std::mem::replace(&mut was_healthy, is_healthy) != is_healthy {
+                        log!("worker at {address} {}", if is_healthy { "takes work" } else { "takes none" });
                     }
                     fleet.refresh();
-                    // Its end is seen on the connection that rests, ahead of the next question.
-                    let early = tokio::select! {
+                    // The close of the idle connection shows the end of the worker before the next health check.
+                    let recheck_now = tokio::select! {
                         () = tokio::time::sleep(HEALTH_CHECK_INTERVAL) => false,
                         () = recheck.notified() => true,
-                        () = wait_for_close(kept.as_ref().map(|kept| &kept.0)) => true,
+                        () = wait_for_close(idle_connection.as_ref().map(|idle_connection| &idle_connection.0)) => true,
                     };
-                    if early {
-                        kept = None;
+                    if recheck_now {
+                        idle_connection = None;
                         if let Some(state) = fleet.workers.borrow_mut().get_mut(&worker) {
                             state.is_healthy = false;
                         }
@@ -72,38 +72,39 @@
         }
     }
 
-    /// Asks one worker; its reservation is taken over. True where it accepts work; the connection is kept where it may be used again.
+    /// Checks one worker and stores its reservation. Returns whether the worker accepts work. The connection is retained if it can
+    /// be reused.
     async fn check_health(
         &self,
         worker: NodeId,
         address: SocketAddr,
-        kept: &mut Option<(TcpStream, u32)>,
+        idle_connection: &mut Option<(TcpStream, u32)>,
     ) -> bool {
-        let asked = self.clock.now();
-        let out = self.balancer.borrow().in_flight_at(worker);
+        let requested_at = self.clock.now();
+        let in_flight = self.balancer.borrow().in_flight_at(worker);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
             state.reserved.iter_mut().for_each(ReservedCapacity::invalidate);
         }
         self.refresh();
-        let payload = frames::slow_start_request(self.own, out);
-        let Ok(Ok((good, ramp, stream))) =
-            timeout(HEALTH_CHECK_INTERVAL, ask_health(kept.take(), address, &payload)).await
+        let payload = frames::slow_start_request(self.own_id, in_flight);
+        let Ok(Ok((is_healthy, reserved_slots, stream))) =
+            timeout(HEALTH_CHECK_INTERVAL, query_health(idle_connection.take(), address, &payload)).await
         else {
             return false;
         };
-        *kept = Some(stream);
+        *idle_connection = Some(stream);
         if let Some(state) = self.workers.borrow_mut().get_mut(&worker) {
-            state.reserved = ramp.map(|slots| {
+            state.reserved = reserved_slots.map(|slots| {
                 let mut reserved = ReservedCapacity::default();
-                reserved.accept(asked, slots);
+                reserved.accept(requested_at, slots);
                 reserved
             });
         }
-        good
+        is_healthy
     }
 }
 
-/// Comes back once a connection that rests has ended, or something came on it that nobody asked for.
+/// Returns once the idle connection is closed or receives data without a request.
 async fn wait_for_close(stream: Option<&TcpStream>) {
     let Some(stream) = stream else { return std::future::pending().await };
     loop {
@@ -115,12 +116,12 @@
     }
 }
 
-async fn ask_health(
-    kept: Option<(TcpStream, u32)>,
+async fn query_health(
+    idle_connection: Option<(TcpStream, u32)>,
     address: SocketAddr,
     payload: &[u8],
 ) -> io::Result<(bool, Option<u32>, (TcpStream, u32))> {
-    let (stream, number) = match kept {
+    let (stream, number) = match idle_connection {
         Some((stream, number)) => (stream, number + 1),
         None => (TcpStream::connect(address).await?, 1),
     };
@@ -132,17 +133,17 @@
         stream.readable().await?;
         match stream.try_read(&mut bytes[filled..]) {
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-            Ok(many) => filled += many,
+            Ok(count) => filled += count,
             Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
             Err(error) => return Err(error),
         }
         match frames::next_frame(&bytes[..filled], bytes.len()) {
             NextFrame::Incomplete if filled < bytes.len() => {}
             NextFrame::Frame { kind: frames::HEALTH_RESPONSE, payload, .. } => {
-                let good = payload.first() == Some(&frames::SUCCEEDED);
-                return Ok((good, frames::parse_slow_start_response(payload), (stream, number)));
+                let is_healthy = payload.first() == Some(&frames::SUCCEEDED);
+                return Ok((is_healthy, frames::parse_slow_start_response(payload), (stream, number)));
             }
-            // Told to send no more on this connection: a new one next time.
+            // The worker announced the close of this connection: the next check opens a new one.
             _ => return Err(ErrorKind::InvalidData.into()),
         }
     }
--- a/crates/server/src/forwarder/mod.rs
+++ b/crates/server/src/forwarder/mod.rs
@@ -1,31 +1,32 @@
-//! The forwarder's side of the two levels: what the scheduler wants run goes to a worker. `worker_fleet` carries attempts to their end,
-//! `connection` holds connections to workers, `health` checks workers, `cluster_socket` speaks with planners and other members. What they
-//! decide stands in the crate `cypresscleat-forwarding`.
+//! The forwarder in the two-level setup: requests that the scheduler starts go to a worker. `worker_fleet` runs attempts,
+//! `connection` holds the connections to workers, `health` checks workers, `cluster_socket` exchanges messages with planners and
+//! other members. The decisions are made in the crate `cypresscleat-forwarding`.
 
 pub mod cluster_socket;
 mod connection;
 mod health;
 pub mod worker_fleet;
 
-/// A worker as the operator's file has it.
+/// A worker in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerConfig {
     pub name: String,
     pub address: std::net::SocketAddr,
+    /// Configured concurrency slots, the key `places` of the operator's file.
     pub slots: f64,
 }
 
-/// A planner, where it hears.
+/// A planner and the address of its datagram socket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerConfig {
     pub name: String,
     pub address: std::net::SocketAddr,
 }
 
-/// The two levels as the operator's file has them.
+/// The planners and workers in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierConfig {
-    /// Where this instance hears messages, by datagrams.
+    /// Address of this instance's datagram socket.
     pub listen: std::net::SocketAddr,
     pub planners: Vec<PlannerConfig>,
     pub workers: Vec<WorkerConfig>,
--- a/crates/server/src/forwarder/worker_fleet.rs
+++ b/crates/server/src/forwarder/worker_fleet.rs
@@ -1,6 +1,6 @@
-//! Attempts at workers. Each request has one attempt at a time; another follows only where the one before provably never ran and
-//! the retry budget allows it. Attempts end with an answer, a broken connection or by being called off; the core is told of the
-//! last one's end, once.
+//! Attempts at workers. A request has one attempt at a time. A retry follows only if the previous attempt provably never ran and
+//! the retry budget allows it. An attempt ends with a response, a lost connection or a cancellation; the core receives one event
+//! per request, for the end of its last attempt.
 
 use super::connection::Connection;
 use super::TierConfig;
@@ -25,11 +25,11 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::Notify;
 
-/// An attempt that started at most this long before its connection ended, after the worker had announced the close, is sent once
-/// more, as a router does by the protocol.
+/// Maximum age of an attempt that is resent when its connection ends after the worker announced the close. Routers resend in this
+/// case by the protocol.
 const MAX_CROSSING_TIME: Time = 50 * MS;
 /// Time that a retry is expected to need.
-const EXPECTED_ATTEMPT: Time = 20 * MS;
+const EXPECTED_ATTEMPT_TIME: Time = 20 * MS;
 
 /// An attempt of a request at a worker.
 struct Attempt {
@@ -38,46 +38,46 @@
     /// Attempts of the request so far, this one included.
     attempts: u32,
     started_at: Time,
-    wanted: ForwardedRequest,
-    /// It crossed the close of a connection, and was sent once more.
+    request: ForwardedRequest,
+    /// The attempt crossed the close of a connection and was resent once.
     was_resent: bool,
-    /// The connection and stream that it is on.
+    /// The connection and stream that carry the attempt.
     stream: Option<(Rc<Connection>, u32)>,
 }
 
 /// What is known of one worker.
 pub(super) struct WorkerState {
     pub(super) address: SocketAddr,
-    /// Its configured places.
+    /// Configured concurrency slots of the worker.
     slots: f64,
     pub(super) is_healthy: bool,
-    /// What it reserves for us, while it is warming up.
+    /// Slots that the worker reserves for this forwarder while the worker is warming up.
     pub(super) reserved: Option<ReservedCapacity>,
-    /// Its health is to be checked at once.
+    /// Requests an immediate health check.
     pub(super) recheck: Rc<Notify>,
     pub(super) connections: Vec<Rc<Connection>>,
     /// Attempts that ended since the last load report.
     ended: f64,
-    /// Of those, attempts that it rejected.
+    /// Attempts among `ended` that the worker rejected.
     rejected: f64,
-    /// Moving mean of the time to a successful answer; 0 until there is one.
+    /// Moving mean of the latency of successful responses; 0 until the first one.
     latency: f64,
 }
 
 /// The workers of a forwarder, and the attempts at them.
 pub struct WorkerFleet {
-    pub(super) own: NodeId,
+    pub(super) own_id: NodeId,
     pub(super) shared: Shared,
-    queue: Sender<CoreEvent>,
+    core_events: Sender<CoreEvent>,
     pub(super) clock: Clock,
     pub balancer: RefCell<LoadBalancer>,
     budget: RefCell<RetryBudget>,
     pub grants: RefCell<GrantTable>,
     pub mode: RefCell<DispatchMode>,
-    pub forwarders: Cell<usize>,
+    pub forwarder_count: Cell<usize>,
     attempts: RefCell<HashMap<RequestId, Attempt>>,
     pub(super) workers: RefCell<HashMap<NodeId, WorkerState>>,
-    /// Arrivals by class since the last report.
+    /// Arrivals by request class since the last load report.
     arrivals: RefCell<Vec<u64>>,
     /// Priority weight of each request class.
     class_weights: Vec<f64>,
@@ -85,40 +85,40 @@
 }
 
 impl Dispatcher for WorkerFleet {
-    fn run(self: Rc<WorkerFleet>, wanted: ForwardedRequest) {
+    fn run(self: Rc<WorkerFleet>, request: ForwardedRequest) {
         let now = self.clock.now();
-        if let Some(count) = self.arrivals.borrow_mut().get_mut(wanted.class) {
+        if let Some(count) = self.arrivals.borrow_mut().get_mut(request.class) {
             *count += 1;
         }
         self.budget.borrow_mut().record_first_attempt(now);
         let number = self.next_attempt.replace(self.next_attempt.get() + 1);
-        let one = Attempt {
+        let attempt = Attempt {
             number,
             worker: 0,
             attempts: 0,
             started_at: now,
-            wanted,
+            request,
             was_resent: false,
             stream: None,
         };
-        if let Err(one) = self.start_attempt(now, one, &[]) {
-            self.report_end(one.wanted.request_id, Outcome::Rejected, &[], None);
+        if let Err(attempt) = self.start_attempt(now, attempt, &[]) {
+            self.report_end(attempt.request.request_id, Outcome::Rejected, &[], None);
         }
     }
 
-    /// The worker is told, and the attempt is over here.
-    fn stop(self: Rc<WorkerFleet>, txn: RequestId) {
-        let Some(one) = self.attempts.borrow_mut().remove(&txn) else { return };
-        if let Some((connection, stream)) = &one.stream {
-            if connection.open.borrow_mut().remove(stream).is_some() {
+    /// Cancels the attempt: notifies the worker and reports the end of the request.
+    fn stop(self: Rc<WorkerFleet>, request_id: RequestId) {
+        let Some(attempt) = self.attempts.borrow_mut().remove(&request_id) else { return };
+        if let Some((connection, stream)) = &attempt.stream {
+            if connection.open_streams.borrow_mut().remove(stream).is_some() {
                 let mut frame = Vec::new();
                 frames::write_frame(&mut frame, frames::CLIENT_LEFT, *stream, b"");
-                connection.out.push(&frame);
+                connection.outbox.push(&frame);
             }
         }
         let now = self.clock.now();
-        self.balancer.borrow_mut().record_end(now, one.worker, AttemptOutcome::Cancelled, 0, 0);
-        self.report_end(txn, Outcome::Cancelled, &[], None);
+        self.balancer.borrow_mut().record_end(now, attempt.worker, AttemptOutcome::Cancelled, 0, 0);
+        self.report_end(request_id, Outcome::Cancelled, &[], None);
     }
 
     fn granted_slots(&self) -> f64 {
@@ -127,10 +127,10 @@
 
     fn gauges(&self) -> Gauges {
         let balancer = self.balancer.borrow();
-        let (out, slots) = (balancer.in_flight() as f64, balancer.slots().max(1.0));
+        let (in_flight, slots) = (balancer.in_flight() as f64, balancer.slots().max(1.0));
         Gauges {
-            core_utilization: Some((out / slots).min(1.0)),
-            runnable_tasks: Some(out),
+            core_utilization: Some((in_flight / slots).min(1.0)),
+            runnable_tasks: Some(in_flight),
             memory_share: None,
             connections: None,
         }
@@ -139,21 +139,21 @@
 
 impl WorkerFleet {
     /// Sets the retries for each first attempt from now on.
-    pub fn set_retry_ratio(&self, share: f64) {
-        self.budget.borrow_mut().set_retry_ratio(share);
+    pub fn set_retry_ratio(&self, ratio: f64) {
+        self.budget.borrow_mut().set_retry_ratio(ratio);
     }
 
     pub fn new(
         (name, tier): (&str, &TierConfig),
         shared: &Shared,
-        queue: Sender<CoreEvent>,
+        core_events: Sender<CoreEvent>,
         clock: Clock,
         class_weights: Vec<f64>,
         seed: u64,
     ) -> Rc<WorkerFleet> {
         let now = clock.now();
-        let workers = tier.workers.iter().map(|set| {
-            let (address, slots) = (set.address, set.slots);
+        let workers = tier.workers.iter().map(|worker| {
+            let (address, slots) = (worker.address, worker.slots);
             let state = WorkerState {
                 address,
                 slots,
@@ -165,18 +165,18 @@
                 rejected: 0.0,
                 latency: 0.0,
             };
-            (node_id(&set.name), state)
+            (node_id(&worker.name), state)
         });
         Rc::new(WorkerFleet {
-            own: node_id(name),
+            own_id: node_id(name),
             shared: shared.clone(),
-            queue,
+            core_events,
             clock,
             balancer: RefCell::new(LoadBalancer::new(seed)),
             budget: RefCell::new(RetryBudget::new(now)),
             grants: RefCell::default(),
             mode: RefCell::new(DispatchMode::new(now)),
-            forwarders: Cell::new(1),
+            forwarder_count: Cell::new(1),
             attempts: RefCell::default(),
             workers: RefCell::new(workers.collect()),
             arrivals: RefCell::new(vec![0; class_weights.len()]),
@@ -185,35 +185,36 @@
         })
     }
 
-    /// Demand by request class, for the load report.
-    pub fn demands(&self, span: f64) -> Vec<Demand> {
-        let mut came = self.arrivals.borrow_mut();
-        let all = came.iter_mut().zip(&self.class_weights).enumerate().map(|(class, (count, value))| {
-            let rate = std::mem::take(count) as f64 / span.max(0.01);
-            Demand { class: class as u16, rate: rate as f32, queued: 0, weight: *value as f32 }
-        });
-        all.take(cypresscleat_forwarding::messages::MAX_CLASSES).collect()
+    /// Demand by request class since the last call, for the load report.
+    pub fn take_demands(&self, elapsed_seconds: f64) -> Vec<Demand> {
+        let mut arrivals = self.arrivals.borrow_mut();
+        let demands =
+            arrivals.iter_mut().zip(&self.class_weights).enumerate().map(|(class, (count, weight))| {
+                let rate = std::mem::take(count) as f64 / elapsed_seconds.max(0.01);
+                Demand { class: class as u16, rate: rate as f32, queued: 0, weight: *weight as f32 }
+            });
+        demands.take(cypresscleat_forwarding::messages::MAX_CLASSES).collect()
     }
 
-    /// What was seen of each worker, for the load report.
-    pub fn observations(&self, span: f64) -> Vec<WorkerObservation> {
+    /// Observations of each worker since the last call, for the load report.
+    pub fn take_observations(&self, elapsed_seconds: f64) -> Vec<WorkerObservation> {
         let balancer = self.balancer.borrow();
         let mut workers = self.workers.borrow_mut();
-        let sights = workers.iter_mut().map(|(worker, state)| {
-            let per = |count: &mut f64| (std::mem::take(count) / span.max(0.01)) as f32;
-            let (ends, throttled) = (per(&mut state.ended), per(&mut state.rejected));
+        let observations = workers.iter_mut().map(|(worker, state)| {
+            let take_rate = |count: &mut f64| (std::mem::take(count) / elapsed_seconds.max(0.01)) as f32;
+            let (ended_rate, rejected_rate) = (take_rate(&mut state.ended), take_rate(&mut state.rejected));
             WorkerObservation {
                 worker: *worker,
                 in_flight: balancer.in_flight_at(*worker),
-                ended: ends,
-                rejected: throttled,
+                ended: ended_rate,
+                rejected: rejected_rate,
                 latency: state.latency as f32,
             }
         });
-        sights.take(cypresscleat_forwarding::messages::MAX_GRANTS).collect()
+        observations.take(cypresscleat_forwarding::messages::MAX_GRANTS).collect()
     }
 
-    /// Takes over what grants, mode and health say of each worker now; logs a change of the mode.
+    /// Applies the current grants, dispatch mode and health of each worker to the load balancer; logs a change of the mode.
     pub fn refresh(&self) {
         let now = self.clock.now();
         let grants = self.grants.borrow();
@@ -223,64 +224,67 @@
         }
         let mut balancer = self.balancer.borrow_mut();
         for (worker, state) in self.workers.borrow().iter() {
-            let alone = DispatchMode::local_share(state.slots, self.forwarders.get());
-            // No planner's figure counts past what a planner may learn of a worker: twice its configured places.
+            let local_share = DispatchMode::local_share(state.slots, self.forwarder_count.get());
+            // Limits the slots that a planner grants to the maximum that a planner can learn: twice the configured slots.
             let slots = mode
-                .slots(now, &grants, *worker, alone)
+                .slots(now, &grants, *worker, local_share)
                 .min(state.slots * cypresscleat_forwarding::capacity_plan::MAX_SLOTS_FACTOR);
-            // What a worker that is warming up says itself counts, whoever granted more.
+            // While a worker is warming up its own reservation is an upper bound, even where the grants are larger.
             let slots = state.reserved.map_or(slots, |reserved| slots.min(reserved.slots(now).into()));
             balancer.set_worker(now, *worker, slots, state.is_healthy);
         }
         balancer.tick(now);
     }
 
-    /// Starts an attempt at a worker, not at one of `excluded`; gives it back where none has capacity.
+    /// Starts an attempt at a worker that is not in `excluded`; returns the attempt as an error if no worker has capacity.
     fn start_attempt(
         self: &Rc<WorkerFleet>,
         now: Time,
-        mut one: Attempt,
+        mut attempt: Attempt,
         excluded: &[NodeId],
     ) -> Result<(), Attempt> {
-        let chosen = self.balancer.borrow_mut().choose(one.wanted.subject, excluded);
-        let Some(worker) = chosen else { return Err(one) };
+        let chosen = self.balancer.borrow_mut().choose(attempt.request.subject, excluded);
+        let Some(worker) = chosen else { return Err(attempt) };
         self.balancer.borrow_mut().record_start(worker);
-        (one.worker, one.attempts, one.started_at) = (worker, one.attempts + 1, now);
+        (attempt.worker, attempt.attempts, attempt.started_at) = (worker, attempt.attempts + 1, now);
         let Some(connection) = self.connection(worker) else {
             self.balancer.borrow_mut().record_end(now, worker, AttemptOutcome::Cancelled, 0, 0);
-            return Err(one);
+            return Err(attempt);
         };
-        self.send_attempt(one, connection);
+        self.send_attempt(attempt, connection);
         Ok(())
     }
 
-    /// Sends an attempt on that connection.
-    fn send_attempt(&self, mut one: Attempt, connection: Rc<Connection>) {
-        let stream = connection.next.replace(connection.next.get() + 1);
-        let from = connection.out.end();
-        let mut frame = Vec::with_capacity(one.wanted.payload.len() + 9);
-        frames::write_frame(&mut frame, frames::REQUEST, stream, &one.wanted.payload);
-        connection.open.borrow_mut().insert(stream, (one.wanted.request_id, one.number, from));
-        connection.out.push(&frame);
-        one.stream = Some((connection, stream));
-        self.attempts.borrow_mut().insert(one.wanted.request_id, one);
+    /// Sends an attempt on the given connection.
+    fn send_attempt(&self, mut attempt: Attempt, connection: Rc<Connection>) {
+        let stream = connection.next_stream.replace(connection.next_stream.get() + 1);
+        let start_offset = connection.outbox.end();
+        let mut frame = Vec::with_capacity(attempt.request.payload.len() + 9);
+        frames::write_frame(&mut frame, frames::REQUEST, stream, &attempt.request.payload);
+        connection
+            .open_streams
+            .borrow_mut()
+            .insert(stream, (attempt.request.request_id, attempt.number, start_offset));
+        connection.outbox.push(&frame);
+        attempt.stream = Some((connection, stream));
+        self.attempts.borrow_mut().insert(attempt.request.request_id, attempt);
     }
 
-    /// Guards an attempt that crossed the close of its connection: the worker had said that it takes no more there, and reads nothing more.
-    /// Sent once more on a new connection to the same worker, under its id, it runs once whichever copy was read. False where it did
-    /// not cross, or did so before.
-    pub(super) fn resend_crossed(self: &Rc<WorkerFleet>, txn: RequestId, number: u64) -> bool {
+    /// Resends an attempt that crossed the close of its connection: the worker announced the close and reads nothing more there.
+    /// The resent attempt goes to the same worker on a new connection under the same request id, so that it runs only once,
+    /// whichever copy the worker read. Returns false if the attempt did not cross a close or was resent before.
+    pub(super) fn resend_crossed(self: &Rc<WorkerFleet>, request_id: RequestId, number: u64) -> bool {
         let now = self.clock.now();
-        let crosses = |one: &Attempt| {
-            one.number == number && !one.was_resent && now - one.started_at <= MAX_CROSSING_TIME
+        let has_crossed = |attempt: &Attempt| {
+            attempt.number == number && !attempt.was_resent && now - attempt.started_at <= MAX_CROSSING_TIME
         };
-        let worker = match self.attempts.borrow().get(&txn) {
-            Some(one) if crosses(one) => one.worker,
+        let worker = match self.attempts.borrow().get(&request_id) {
+            Some(attempt) if has_crossed(attempt) => attempt.worker,
             _ => return false,
         };
         let Some(connection) = self.connection(worker) else { return false };
-        let Some(one) = self.attempts.borrow_mut().remove(&txn) else { return false };
-        self.send_attempt(Attempt { was_resent: true, ..one }, connection);
+        let Some(attempt) = self.attempts.borrow_mut().remove(&request_id) else { return false };
+        self.send_attempt(Attempt { was_resent: true, ..attempt }, connection);
         true
     }
 
@@ -291,69 +295,75 @@
         body: &[u8],
         retry_after: Option<(Time, bool)>,
     ) {
-        let mut kept = self.shared.pool.take();
-        kept.push(body);
-        let (queue, note) =
-            (self.queue.clone(), CoreEvent::RunCompleted { request_id, outcome, body: kept, retry_after });
-        // The queue may be full just now, and this is called from the core itself.
+        let mut buffer = self.shared.pool.take();
+        buffer.push(body);
+        let (core_events, event) = (
+            self.core_events.clone(),
+            CoreEvent::RunCompleted { request_id, outcome, body: buffer, retry_after },
+        );
+        // The queue may be full, and the core itself calls this function: waiting here would block the core.
         tokio::task::spawn_local(async move {
-            let _ = queue.send(note).await;
+            let _ = core_events.send(event).await;
         });
     }
 
-    /// An attempt has ended. Where it provably never ran a retry may follow.
+    /// Handles the end of an attempt. A retry may follow if the attempt provably never ran. `retry_hint` is the worker's
+    /// Retry-After and whether the worker asked to give up.
     pub(super) fn end_attempt(
         self: &Rc<WorkerFleet>,
-        txn: RequestId,
+        request_id: RequestId,
         number: u64,
-        end: AttemptOutcome,
-        known: Execution,
-        said: (Time, bool),
+        outcome: AttemptOutcome,
+        known_execution: Execution,
+        retry_hint: (Time, bool),
         body: &[u8],
     ) {
         let now = self.clock.now();
-        let known_try = |one: &Attempt| one.number == number;
-        let Some(one) = self.attempts.borrow_mut().remove(&txn).filter(known_try) else { return };
-        let took = now - one.started_at;
-        self.balancer.borrow_mut().record_end(now, one.worker, end, took, said.0);
-        if let Some(state) = self.workers.borrow_mut().get_mut(&one.worker) {
+        let is_current = |attempt: &Attempt| attempt.number == number;
+        let Some(attempt) = self.attempts.borrow_mut().remove(&request_id).filter(is_current) else { return };
+        let latency = now - attempt.started_at;
+        self.balancer.borrow_mut().record_end(now, attempt.worker, outcome, latency, retry_hint.0);
+        if let Some(state) = self.workers.borrow_mut().get_mut(&attempt.worker) {
             state.ended += 1.0;
-            state.rejected += f64::from(end == AttemptOutcome::Rejected);
-            state.latency +=
-                if end == AttemptOutcome::Succeeded { (took as f64 - state.latency) * 0.1 } else { 0.0 };
+            state.rejected += f64::from(outcome == AttemptOutcome::Rejected);
+            state.latency += if outcome == AttemptOutcome::Succeeded {
+                (latency as f64 - state.latency) * 0.1
+            } else {
+                0.0
+            };
         }
-        match end {
-            AttemptOutcome::Succeeded => return self.report_end(txn, Outcome::Succeeded, body, None),
-            AttemptOutcome::Failed => return self.report_end(txn, Outcome::Failed, b"", None),
+        match outcome {
+            AttemptOutcome::Succeeded => return self.report_end(request_id, Outcome::Succeeded, body, None),
+            AttemptOutcome::Failed => return self.report_end(request_id, Outcome::Failed, b"", None),
             _ => {}
         }
-        let left = one.wanted.deadline - now;
-        let (worker, tries) = (one.worker, one.attempts);
+        let time_remaining = attempt.request.deadline - now;
+        let (worker, attempt_count) = (attempt.worker, attempt.attempts);
         let retry = RetryRequest {
-            execution: known,
-            give_up: said.1,
-            attempts: tries,
-            time_left: left,
-            time_needed: EXPECTED_ATTEMPT,
+            execution: known_execution,
+            give_up: retry_hint.1,
+            attempts: attempt_count,
+            time_left: time_remaining,
+            time_needed: EXPECTED_ATTEMPT_TIME,
         };
-        let again = self.budget.borrow_mut().try_retry(now, retry);
-        let one = if again {
+        let can_retry = self.budget.borrow_mut().try_retry(now, retry);
+        let attempt = if can_retry {
             add(&self.shared.counters.tried_again);
-            match self.start_attempt(now, one, &[worker]) {
+            match self.start_attempt(now, attempt, &[worker]) {
                 Ok(()) => return,
-                Err(one) => one,
+                Err(attempt) => attempt,
             }
         } else {
-            one
+            attempt
         };
-        match known {
+        match known_execution {
             Execution::NeverRan => self.report_end(
-                one.wanted.request_id,
+                attempt.request.request_id,
                 Outcome::Rejected,
                 b"",
-                Some(said).filter(|said| said.0 > 0 || said.1),
+                Some(retry_hint).filter(|retry_hint| retry_hint.0 > 0 || retry_hint.1),
             ),
-            Execution::MayHaveRun => self.report_end(one.wanted.request_id, Outcome::Failed, b"", None),
+            Execution::MayHaveRun => self.report_end(attempt.request.request_id, Outcome::Failed, b"", None),
         }
     }
 }
--- a/crates/server/src/planner/mod.rs
+++ b/crates/server/src/planner/mod.rs
@@ -1,5 +1,5 @@
-//! The planner: hears reports, says who gets how much of which worker, where it leads. It holds no connection to a router or a
-//! worker; one that is gone costs nobody an answer.
+//! The planner process: receives load reports from forwarders and, while it leads, grants each forwarder concurrency slots on the
+//! workers. It holds no connection to a router or a worker, so the failure of a planner loses no response.
 
 use crate::clock::Clock;
 use crate::forwarder::cluster_socket::ClusterSocket;
@@ -22,46 +22,51 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 
-/// It looks up at least this often, in tenths of a millisecond.
-const LOOK: Time = 2_000;
+/// Maximum time between two passes of the main loop, in tenths of a millisecond.
+const POLL_INTERVAL: Time = 2_000;
 
-/// The duty of leading the planners.
-fn part() -> Partition {
+/// The partition whose lease makes its holder the leader of the planners.
+fn planner_partition() -> Partition {
     Partition { task: cypresscleat_leases::node_id(PLANNERS_TASK), index: 0 }
 }
 
-/// Who leads: by the planner's own word, or by the keepers'.
-enum By {
-    Itself(PlannerElection),
-    Keepers(Box<LeaseHolder>, LeasedGrants),
+/// How the leader of the planners is determined: by the planners themselves, or by a lease from the control replicas.
+enum Leadership {
+    Elected(PlannerElection),
+    Leased(Box<LeaseHolder>, LeasedGrants),
 }
 
-impl By {
-    /// The header of the next grants, if it may grant now.
+impl Leadership {
+    /// The header of the next grants, if this planner may grant now.
     fn next_grant(&mut self, now: Time) -> Option<GrantHeader> {
         match self {
-            By::Itself(lead) => lead.next_grant(now),
-            By::Keepers(hold, owned) => {
-                let now = hold.clock.now();
-                hold.valid_token(part())
-                    .and_then(|token| owned.next_grant(now, token, hold.lease_ends_at() - now))
+            Leadership::Elected(election) => election.next_grant(now),
+            Leadership::Leased(lease_holder, leased_grants) => {
+                let now = lease_holder.clock.now();
+                lease_holder.valid_token(planner_partition()).and_then(|token| {
+                    leased_grants.next_grant(now, token, lease_holder.lease_ends_at() - now)
+                })
             }
         }
     }
 }
 
-/// What a planner hears next.
-async fn next(talk: &mut ClusterSocket, by: &mut By, until: Time) -> Option<(SocketAddr, Envelope)> {
-    let By::Keepers(hold, _) = by else { return talk.hear(until).await };
+/// The next message for the planner, or `None` at `until`. Also handles events of the lease.
+async fn next_message(
+    socket: &mut ClusterSocket,
+    leadership: &mut Leadership,
+    until: Time,
+) -> Option<(SocketAddr, Envelope)> {
+    let Leadership::Leased(lease_holder, _) = leadership else { return socket.receive(until).await };
     loop {
-        let far = hold.clock.now() + LOOK;
+        let poll_at = lease_holder.clock.now() + POLL_INTERVAL;
         tokio::select! {
-            heard = talk.hear(until) => return heard,
-            event = hold.next_event(far) => match event {
+            received = socket.receive(until) => return received,
+            event = lease_holder.next_event(poll_at) => match event {
                 Some(LeaseEvent::Acquired { token, .. }) => log!("leads the planners under token {token}, and gives out at once"),
                 Some(LeaseEvent::Lost { token, .. }) => log!("leads the planners no longer, token {token}"),
-                // Nothing is under way here between two looks.
-                Some(LeaseEvent::ReleaseRequested { partition }) => hold.release(partition),
+                // No grant is in progress between two passes of the main loop.
+                Some(LeaseEvent::ReleaseRequested { partition }) => lease_holder.release(partition),
                 _ => {}
             },
         }
@@ -71,66 +76,72 @@
 pub async fn run(
     name: &str,
     tier: &TierConfig,
-    keepers: Option<&ControlReplicas>,
+    control_replicas: Option<&ControlReplicas>,
     rollout: Option<&RolloutSettings>,
     seed: u64,
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let mut term = signal(SignalKind::terminate()).map_err(tried("signals"))?;
-    let mut talk = ClusterSocket::new(name, Role::Planner, tier, clock, seed).await?;
-    if let Some((set, above)) = rollout.and_then(|set| Some((set, set.request_targets(keepers)?))) {
-        let task = MemberTask::new(name, above, set, None, None, Box::new(|_| {})).await?;
-        talk.gate = Some(task.gate());
-        spawn_local(task.run());
+    let mut terminate = signal(SignalKind::terminate()).map_err(tried("signals"))?;
+    let mut socket = ClusterSocket::new(name, Role::Planner, tier, clock, seed).await?;
+    if let Some((settings, request_targets)) =
+        rollout.and_then(|settings| Some((settings, settings.request_targets(control_replicas)?)))
+    {
+        let member_task =
+            MemberTask::new(name, request_targets, settings, None, None, Box::new(|_| {})).await?;
+        socket.gate = Some(member_task.gate());
+        spawn_local(member_task.run());
     }
-    let mut by = match keepers {
-        None => By::Itself(PlannerElection::new(node_id(name))),
-        Some(keepers) => {
-            if keepers.folder.is_some() {
-                leases::spawn_control_replica(name, keepers)?;
+    let mut leadership = match control_replicas {
+        None => Leadership::Elected(PlannerElection::new(node_id(name))),
+        Some(control_replicas) => {
+            if control_replicas.folder.is_some() {
+                leases::spawn_control_replica(name, control_replicas)?;
             }
             let rank = tier.planners.iter().position(|planner| planner.name == name).unwrap_or(255) as u8;
-            let claims = vec![Claim { task: part().task, partitions: 1, rank }];
-            By::Keepers(Box::new(LeaseHolder::new(name, keepers, claims).await?), LeasedGrants::default())
+            let claims = vec![Claim { task: planner_partition().task, partitions: 1, rank }];
+            Leadership::Leased(
+                Box::new(LeaseHolder::new(name, control_replicas, claims).await?),
+                LeasedGrants::default(),
+            )
         }
     };
     let mut plan = CapacityPlan::default();
     for worker in &tier.workers {
         plan.set_worker(node_id(&worker.name), worker.slots);
     }
-    let mut said = 0;
+    let mut grants_sent = 0;
     loop {
-        let heard = tokio::select! {
-            heard = next(&mut talk, &mut by, clock.now() + LOOK) => heard,
-            _ = term.recv() => break,
+        let received = tokio::select! {
+            received = next_message(&mut socket, &mut leadership, clock.now() + POLL_INTERVAL) => received,
+            _ = terminate.recv() => break,
         };
         let now = clock.now();
-        let mut turns = Vec::new();
-        if let By::Itself(lead) = &mut by {
+        let mut changes = Vec::new();
+        if let Leadership::Elected(election) = &mut leadership {
             let planners: Vec<_> =
-                talk.members.present_with_role(Role::Planner).map(|(planner, _)| planner).collect();
-            turns.push(lead.update_planners(now, planners.into_iter()));
+                socket.membership.present_with_role(Role::Planner).map(|(planner, _)| planner).collect();
+            changes.push(election.update_planners(now, planners.into_iter()));
         }
-        if let Some((from, Envelope { from: forwarder, message: Message::Report(report), .. })) = heard {
-            if let By::Itself(lead) = &mut by {
-                turns.push(lead.observe_epoch(now, report.epoch));
+        if let Some((from, Envelope { from: forwarder, message: Message::Report(report), .. })) = received {
+            if let Leadership::Elected(election) = &mut leadership {
+                changes.push(election.observe_epoch(now, report.epoch));
             }
-            let answers = report.number;
+            let report_number = report.number;
             plan.record_report(now, forwarder, report);
             plan.adapt(now);
-            // Out of service under a policy it gives out nothing.
-            let fit = talk.gate.as_ref().is_none_or(|gate| gate.version().is_some());
-            if let Some(header) = fit.then(|| by.next_grant(now)).flatten() {
+            // A planner that is out of service under a policy grants nothing.
+            let may_grant = socket.gate.as_ref().is_none_or(|gate| gate.version().is_some());
+            if let Some(header) = may_grant.then(|| leadership.next_grant(now)).flatten() {
                 let GrantHeader { epoch, number, duration } = header;
                 let grants = plan.grants().remove(&forwarder).unwrap_or_default();
-                let message = Message::Grants { epoch, number, report: answers, duration, grants };
-                let envelope = talk.envelope(message);
-                talk.send(vec![OutgoingMessage { to: from, envelope }]);
-                said += 1;
+                let message = Message::Grants { epoch, number, report: report_number, duration, grants };
+                let envelope = socket.envelope(message);
+                socket.send(vec![OutgoingMessage { to: from, envelope }]);
+                grants_sent += 1;
             }
         }
-        for turn in turns.into_iter().flatten() {
-            match turn {
+        for change in changes.into_iter().flatten() {
+            match change {
                 LeadershipChange::BecameLeader { epoch, from } => {
                     log!("leads under epoch {epoch}, gives out in {} ms", (from - now) / 10)
                 }
@@ -138,17 +149,17 @@
             }
         }
     }
-    if let Some(gate) = &talk.gate {
+    if let Some(gate) = &socket.gate {
         gate.leave_requested.notify_one();
         let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
-    let out = talk.members.announce_leaving();
-    talk.send(out);
-    if let By::Keepers(hold, owned) = by {
-        // What it gave out has to end before the next may give the same out again.
-        tokio::time::sleep_until(hold.clock.instant(owned.all_ended_at())).await;
-        hold.leave().await;
+    let farewells = socket.membership.announce_leaving();
+    socket.send(farewells);
+    if let Leadership::Leased(lease_holder, leased_grants) = leadership {
+        // The grants of this planner have to end before the next lease holder may grant the same slots.
+        tokio::time::sleep_until(lease_holder.clock.instant(leased_grants.all_ended_at())).await;
+        lease_holder.leave().await;
     }
-    log!("stopped: {said} grants given, {} forwarders known", plan.forwarders().count());
+    log!("stopped: {grants_sent} grants sent, {} forwarders known", plan.forwarders().count());
     Ok(())
 }
