--- a/crates/scgi/src/lib.rs
+++ b/crates/scgi/src/lib.rs
@@ -25,17 +25,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Bytes of the header: for a request those inside the netstring, for a response those up to the empty line.
-    pub header: usize,
+    pub max_header_bytes: usize,
     /// Fields in it.
-    pub fields: usize,
+    pub max_fields: usize,
     /// Bytes of the body.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Default for Bounds {
     /// A header of 4 KiB with 64 fields, a body of 2 KiB.
     fn default() -> Bounds {
-        Bounds { header: 4096, fields: 64, body: 2048 }
+        Bounds { max_header_bytes: 4096, max_fields: 64, max_body_bytes: 2048 }
     }
 }
 
--- a/crates/scgi/src/response.rs
+++ b/crates/scgi/src/response.rs
@@ -5,7 +5,7 @@
 
 /// Why bytes are no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Error {
     /// The header did not end within the bound (bytes).
     HeaderTooLarge(usize),
     TooManyFields(usize),
@@ -22,23 +22,23 @@
     Short(usize),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::HeaderTooLarge(bound) => write!(to, "a header that does not end within {bound} bytes"),
-            Fault::TooManyFields(bound) => write!(to, "more than {bound} header lines"),
-            Fault::BodyTooLarge(bound) => write!(to, "a body of more than {bound} bytes"),
-            Fault::Line(line) => write!(to, "header line {line:?}"),
-            Fault::Twice(name) => write!(to, "{name} stands twice"),
-            Fault::Status(value) => write!(to, "Status {value:?}"),
-            Fault::ContentLength(value) => write!(to, "Content-Length {value:?}"),
-            Fault::Empty => write!(to, "neither Status nor Content-Type nor Location"),
-            Fault::Short(bytes) => write!(to, "the connection ended after {bytes} bytes of a response"),
+            Error::HeaderTooLarge(bound) => write!(to, "a header that does not end within {bound} bytes"),
+            Error::TooManyFields(bound) => write!(to, "more than {bound} header lines"),
+            Error::BodyTooLarge(bound) => write!(to, "a body of more than {bound} bytes"),
+            Error::Line(line) => write!(to, "header line {line:?}"),
+            Error::Twice(name) => write!(to, "{name} stands twice"),
+            Error::Status(value) => write!(to, "Status {value:?}"),
+            Error::ContentLength(value) => write!(to, "Content-Length {value:?}"),
+            Error::Empty => write!(to, "neither Status nor Content-Type nor Location"),
+            Error::Short(bytes) => write!(to, "the connection ended after {bytes} bytes of a response"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Error {}
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response<'a> {
@@ -46,7 +46,7 @@
     header: &'a [u8],
     pub body: &'a [u8],
     /// Bytes behind what its length tells: they belong to nothing.
-    pub extra: usize,
+    pub trailing_bytes: usize,
 }
 
 impl<'a> Response<'a> {
@@ -62,15 +62,15 @@
     lines.map(|line| line.strip_suffix(b"\r").unwrap_or(line)).filter(|line| !line.is_empty())
 }
 
-fn field(line: &[u8]) -> Result<(&str, &str), Fault> {
+fn field(line: &[u8]) -> Result<(&str, &str), Error> {
     let shown = || String::from_utf8_lossy(&line[..line.len().min(60)]).into_owned();
-    let text = std::str::from_utf8(line).map_err(|_| Fault::Line(shown()))?;
-    let (name, value) = text.split_once(':').ok_or_else(|| Fault::Line(shown()))?;
+    let text = std::str::from_utf8(line).map_err(|_| Error::Line(shown()))?;
+    let (name, value) = text.split_once(':').ok_or_else(|| Error::Line(shown()))?;
     let value = value.trim_matches([' ', '\t']);
     if is_token(name) && is_value(value) {
         Ok((name, value))
     } else {
-        Err(Fault::Line(shown()))
+        Err(Error::Line(shown()))
     }
 }
 
@@ -90,31 +90,33 @@
     }
 
     /// `bytes` are all that came so far; `ended` says that no more will. `None` while it is not whole.
-    pub fn read<'a>(&mut self, bytes: &'a [u8], ended: bool) -> Result<Option<Response<'a>>, Fault> {
-        let short = || if ended { Err(Fault::Short(bytes.len())) } else { Ok(None) };
+    pub fn read<'a>(&mut self, bytes: &'a [u8], ended: bool) -> Result<Option<Response<'a>>, Error> {
+        let short = || if ended { Err(Error::Short(bytes.len())) } else { Ok(None) };
         if self.head.is_none() {
             let Some((end, start)) = self.find(bytes) else {
-                if bytes.len() > self.bounds.header {
-                    return Err(Fault::HeaderTooLarge(self.bounds.header));
+                if bytes.len() > self.bounds.max_header_bytes {
+                    return Err(Error::HeaderTooLarge(self.bounds.max_header_bytes));
                 }
                 return short();
             };
-            if end > self.bounds.header {
-                return Err(Fault::HeaderTooLarge(self.bounds.header));
+            if end > self.bounds.max_header_bytes {
+                return Err(Error::HeaderTooLarge(self.bounds.max_header_bytes));
             }
             let (status, length) = self.header(&bytes[..end])?;
             self.head = Some((end, start, status, length));
         }
         let Some((end, start, status, length)) = self.head else { return Ok(None) };
         let rest = &bytes[start..];
-        let (body, extra) = match length {
+        let (body, trailing_bytes) = match length {
             Some(length) if rest.len() < length => return short(),
             Some(length) => (&rest[..length], rest.len() - length),
-            None if rest.len() > self.bounds.body => return Err(Fault::BodyTooLarge(self.bounds.body)),
+            None if rest.len() > self.bounds.max_body_bytes => {
+                return Err(Error::BodyTooLarge(self.bounds.max_body_bytes))
+            }
             None if !ended => return Ok(None),
             None => (rest, 0),
         };
-        Ok(Some(Response { status, header: &bytes[..end], body, extra }))
+        Ok(Some(Response { status, header: &bytes[..end], body, trailing_bytes }))
     }
 
     /// Where the header ends, and where the body starts behind its empty line.
@@ -137,29 +139,29 @@
         }
     }
 
-    fn header(&self, header: &[u8]) -> Result<(u16, Option<usize>), Fault> {
+    fn header(&self, header: &[u8]) -> Result<(u16, Option<usize>), Error> {
         let (mut status, mut length, mut kind, mut count) = (None, None, false, 0);
         for line in lines(header) {
             count += 1;
-            if count > self.bounds.fields {
-                return Err(Fault::TooManyFields(self.bounds.fields));
+            if count > self.bounds.max_fields {
+                return Err(Error::TooManyFields(self.bounds.max_fields));
             }
             let (name, value) = field(line)?;
             if name.eq_ignore_ascii_case("status") {
                 let digits = value.split(' ').next().unwrap_or("");
                 let read = decimal(digits.as_bytes()).filter(|code| (100..=999).contains(code));
-                let code = read.ok_or_else(|| Fault::Status(value.chars().take(40).collect()))?;
+                let code = read.ok_or_else(|| Error::Status(value.chars().take(40).collect()))?;
                 if status.replace(code as u16).is_some() {
-                    return Err(Fault::Twice("Status"));
+                    return Err(Error::Twice("Status"));
                 }
             } else if name.eq_ignore_ascii_case("content-length") {
                 let read = decimal(value.as_bytes());
-                let bytes = read.ok_or_else(|| Fault::ContentLength(value.chars().take(40).collect()))?;
+                let bytes = read.ok_or_else(|| Error::ContentLength(value.chars().take(40).collect()))?;
                 if length.replace(bytes).is_some() {
-                    return Err(Fault::Twice("Content-Length"));
+                    return Err(Error::Twice("Content-Length"));
                 }
-                if bytes > self.bounds.body {
-                    return Err(Fault::BodyTooLarge(self.bounds.body));
+                if bytes > self.bounds.max_body_bytes {
+                    return Err(Error::BodyTooLarge(self.bounds.max_body_bytes));
                 }
             } else if name.eq_ignore_ascii_case("content-type") {
                 kind = true;
@@ -171,7 +173,7 @@
         match status {
             Some(status) => Ok((status, length)),
             None if kind => Ok((200, length)),
-            None => Err(Fault::Empty),
+            None => Err(Error::Empty),
         }
     }
 }
--- a/crates/scgi/tests/codec.rs
+++ b/crates/scgi/tests/codec.rs
@@ -1,23 +1,23 @@
 //! The codec at every cut, against faults one by one, and by properties. A failing property prints its seed.
 
-use cypresscleat_scgi::request::{self, Fault, Reader};
+use cypresscleat_scgi::request::{self, Error, Reader};
 use cypresscleat_scgi::{response, Bounds};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds { header: 300, fields: 8, body: 40 };
+const BOUNDS: Bounds = Bounds { max_header_bytes: 300, max_fields: 8, max_body_bytes: 40 };
 
 fn header(text: &str) -> Vec<u8> {
     let text = text.replace('|', "\0");
     format!("{}:{text},", text.len()).into_bytes()
 }
 
-fn whole(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn whole(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Error> {
     let read = Reader::new(BOUNDS).read(bytes);
     read.map(|read| read.map(|read| (read.body.to_vec(), read.size)))
 }
 
 /// At each cut: nothing before the end, and the same at it.
-fn by_bytes(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn by_bytes(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Error> {
     let mut reader = Reader::new(BOUNDS);
     for end in 0..=bytes.len() {
         if let Some(read) = reader.read(&bytes[..end])? {
@@ -47,38 +47,38 @@
 #[test]
 fn each_fault_is_told_by_its_name_whole_and_byte_by_byte() {
     let long = "9".repeat(20);
-    let cases: Vec<(Vec<u8>, Fault)> = vec![
-        (b"012:CONTENT".to_vec(), Fault::Length),
-        (b"+24:CONTENT".to_vec(), Fault::Length),
-        (b"-1:".to_vec(), Fault::Length),
-        (b" 24:".to_vec(), Fault::Length),
-        (b"24 :".to_vec(), Fault::Length),
-        (b":".to_vec(), Fault::Length),
-        (b"GET / HTTP/1.1".to_vec(), Fault::Length),
-        (b"0:,".to_vec(), Fault::NoContentLength),
-        (b"301:".to_vec(), Fault::HeaderTooLarge(300)),
-        (b"9999".to_vec(), Fault::HeaderTooLarge(300)),
-        (long.clone().into_bytes(), Fault::HeaderTooLarge(300)),
-        (b"24:CONTENT_LENGTH\x000\x00SCGI\x001\x00;".to_vec(), Fault::Comma),
-        (b"23:CONTENT_LENGTH\x000\x00SCGI\x001\x00,".to_vec(), Fault::Comma),
-        (header("CONTENT_LENGTH|0|SCGI|1"), Fault::Fields),
-        (header("CONTENT_LENGTH|0|SCGI|1|X|"), Fault::Fields),
-        (header("CONTENT_LENGTH|0|SCGI|1||x|"), Fault::NoName),
-        (header("CONTENT_LENGTH|0|SCGI|1|X|a|X|b|"), Fault::Twice),
-        (header("CONTENT_LENGTH|0|CONTENT_LENGTH|1|SCGI|1|"), Fault::Twice),
-        (header("SCGI|1|"), Fault::NoContentLength),
-        (header("SCGI|1|CONTENT_LENGTH|0|"), Fault::ContentLengthNotFirst),
-        (header("CONTENT_LENGTH||SCGI|1|"), Fault::ContentLength),
-        (header("CONTENT_LENGTH|-1|SCGI|1|"), Fault::ContentLength),
-        (header("CONTENT_LENGTH|+1|SCGI|1|"), Fault::ContentLength),
-        (header("CONTENT_LENGTH| 1|SCGI|1|"), Fault::ContentLength),
-        (header("CONTENT_LENGTH|01|SCGI|1|"), Fault::ContentLength),
-        (header("CONTENT_LENGTH|0x1|SCGI|1|"), Fault::ContentLength),
-        (header(&format!("CONTENT_LENGTH|{long}|SCGI|1|")), Fault::BodyTooLarge(usize::MAX)),
-        (header("CONTENT_LENGTH|41|SCGI|1|"), Fault::BodyTooLarge(41)),
-        (header("CONTENT_LENGTH|0|"), Fault::Version),
-        (header("CONTENT_LENGTH|0|SCGI|2|"), Fault::Version),
-        (header("CONTENT_LENGTH|0|SCGI|1|A|1|B|1|C|1|D|1|E|1|F|1|G|1|"), Fault::TooManyFields(8)),
+    let cases: Vec<(Vec<u8>, Error)> = vec![
+        (b"012:CONTENT".to_vec(), Error::Length),
+        (b"+24:CONTENT".to_vec(), Error::Length),
+        (b"-1:".to_vec(), Error::Length),
+        (b" 24:".to_vec(), Error::Length),
+        (b"24 :".to_vec(), Error::Length),
+        (b":".to_vec(), Error::Length),
+        (b"GET / HTTP/1.1".to_vec(), Error::Length),
+        (b"0:,".to_vec(), Error::MissingContentLength),
+        (b"301:".to_vec(), Error::HeaderTooLarge(300)),
+        (b"9999".to_vec(), Error::HeaderTooLarge(300)),
+        (long.clone().into_bytes(), Error::HeaderTooLarge(300)),
+        (b"24:CONTENT_LENGTH\x000\x00SCGI\x001\x00;".to_vec(), Error::Comma),
+        (b"23:CONTENT_LENGTH\x000\x00SCGI\x001\x00,".to_vec(), Error::Comma),
+        (header("CONTENT_LENGTH|0|SCGI|1"), Error::Fields),
+        (header("CONTENT_LENGTH|0|SCGI|1|X|"), Error::Fields),
+        (header("CONTENT_LENGTH|0|SCGI|1||x|"), Error::NoName),
+        (header("CONTENT_LENGTH|0|SCGI|1|X|a|X|b|"), Error::Twice),
+        (header("CONTENT_LENGTH|0|CONTENT_LENGTH|1|SCGI|1|"), Error::Twice),
+        (header("SCGI|1|"), Error::MissingContentLength),
+        (header("SCGI|1|CONTENT_LENGTH|0|"), Error::ContentLengthNotFirst),
+        (header("CONTENT_LENGTH||SCGI|1|"), Error::ContentLength),
+        (header("CONTENT_LENGTH|-1|SCGI|1|"), Error::ContentLength),
+        (header("CONTENT_LENGTH|+1|SCGI|1|"), Error::ContentLength),
+        (header("CONTENT_LENGTH| 1|SCGI|1|"), Error::ContentLength),
+        (header("CONTENT_LENGTH|01|SCGI|1|"), Error::ContentLength),
+        (header("CONTENT_LENGTH|0x1|SCGI|1|"), Error::ContentLength),
+        (header(&format!("CONTENT_LENGTH|{long}|SCGI|1|")), Error::BodyTooLarge(usize::MAX)),
+        (header("CONTENT_LENGTH|41|SCGI|1|"), Error::BodyTooLarge(41)),
+        (header("CONTENT_LENGTH|0|"), Error::Version),
+        (header("CONTENT_LENGTH|0|SCGI|2|"), Error::Version),
+        (header("CONTENT_LENGTH|0|SCGI|1|A|1|B|1|C|1|D|1|E|1|F|1|G|1|"), Error::TooManyFields(8)),
     ];
     for (bytes, fault) in cases {
         let shown = String::from_utf8_lossy(&bytes).into_owned();
@@ -90,11 +90,11 @@
 #[test]
 fn what_can_not_be_written_is_said_and_nothing_is_written() {
     type Fields<'a> = &'a [(&'a str, &'a [u8])];
-    let cases: [(Fields, Fault); 4] = [
-        (&[("", b"x")], Fault::NoName),
-        (&[("A", b"x\0y")], Fault::Fields),
-        (&[("A", b"x"), ("A", b"y")], Fault::Twice),
-        (&[("SCGI", b"1")], Fault::Twice),
+    let cases: [(Fields, Error); 4] = [
+        (&[("", b"x")], Error::NoName),
+        (&[("A", b"x\0y")], Error::Fields),
+        (&[("A", b"x"), ("A", b"y")], Error::Twice),
+        (&[("SCGI", b"1")], Error::Twice),
     ];
     for (fields, fault) in cases {
         let mut out = Vec::new();
@@ -103,22 +103,22 @@
     }
 }
 
-fn answer(text: &[u8], ended: bool) -> Result<Option<(u16, Vec<u8>, usize)>, response::Fault> {
+fn answer(text: &[u8], ended: bool) -> Result<Option<(u16, Vec<u8>, usize)>, response::Error> {
     let read = response::Reader::new(BOUNDS).read(text, ended);
-    read.map(|read| read.map(|read| (read.status, read.body.to_vec(), read.extra)))
+    read.map(|read| read.map(|read| (read.status, read.body.to_vec(), read.trailing_bytes)))
 }
 
 #[test]
 fn responses_end_by_their_length_or_with_the_connection() {
-    let ok = |status, body: &[u8], extra| Ok(Some((status, body.to_vec(), extra)));
+    let ok = |status, body: &[u8], trailing_bytes| Ok(Some((status, body.to_vec(), trailing_bytes)));
     assert_eq!(answer(b"Status: 200 OK\r\nContent-Length: 2\r\n\r\nhi", false), ok(200, b"hi", 0));
     assert_eq!(answer(b"Status: 200 OK\nContent-Length: 2\n\nhi", false), ok(200, b"hi", 0));
     assert_eq!(answer(b"Status: 503\r\nContent-Length: 2\r\n\r\nhigh", false), ok(503, b"hi", 2));
     assert_eq!(answer(b"Content-Type: text/plain\r\n\r\nhi", false), Ok(None));
     assert_eq!(answer(b"Content-Type: text/plain\r\n\r\nhi", true), ok(200, b"hi", 0));
     assert_eq!(answer(b"Location: /x\r\n\r\n", true), ok(302, b"", 0));
-    use response::Fault::*;
-    let faults: [(&[u8], response::Fault); 11] = [
+    use response::Error::*;
+    let faults: [(&[u8], response::Error); 11] = [
         (b"Status: 200\r\nContent-Length: 3\r\n\r\nhi", Short(36)),
         (b"Status: 200\r\nContent-", Short(21)),
         (b"", Short(0)),
@@ -145,7 +145,7 @@
     let fields = [("X-Good", "yes"), ("X-Bad", "a\r\nStatus: 200 OK"), ("X Bad", "b"), ("X-Nul", "\0")];
     assert!(!response::write(&mut out, 502, &fields, b"\r\n\r\nStatus: 200 OK\r\n\r\n"));
     let read = response::Reader::new(Bounds::default()).read(&out, true).expect("one").expect("whole");
-    assert_eq!((read.status, read.field("x-good"), read.extra), (502, Some("yes"), 0));
+    assert_eq!((read.status, read.field("x-good"), read.trailing_bytes), (502, Some("yes"), 0));
     assert_eq!((read.field("X-Bad"), read.field("X-Nul")), (None, None));
     assert_eq!(read.body, b"\r\n\r\nStatus: 200 OK\r\n\r\n");
 }
@@ -157,7 +157,7 @@
 }
 
 /// Feeds `bytes` at the given cuts.
-fn at_cuts(bytes: &[u8], cuts: &[usize]) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn at_cuts(bytes: &[u8], cuts: &[usize]) -> Result<Option<(Vec<u8>, usize)>, Error> {
     let mut reader = Reader::new(BOUNDS);
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     ends.sort_unstable();
@@ -182,7 +182,7 @@
         let borrowed: Vec<(&str, &[u8])> = fields.iter().map(|(name, value)| (&name[..], &value[..])).collect();
         let mut wire = Vec::new();
         request::write(&mut wire, &borrowed, &body).unwrap();
-        prop_assert!(wire.len() <= Reader::most(&BOUNDS));
+        prop_assert!(wire.len() <= Reader::max_request_bytes(&BOUNDS));
         let mut reader = Reader::new(BOUNDS);
         let read = reader.read(&wire).unwrap().unwrap();
         let back: Vec<_> = read.fields().skip(2).collect();
@@ -207,7 +207,7 @@
         let cut = cut % wire.len();
         prop_assert_eq!(reader.read(&wire[..cut], false), Ok(None));
         let read = reader.read(&wire, false).unwrap().unwrap();
-        prop_assert_eq!((read.status, read.body, read.extra), (status, &body[..], 0));
+        prop_assert_eq!((read.status, read.body, read.trailing_bytes), (status, &body[..], 0));
         prop_assert_eq!(read.field("x-one"), Some(value.trim_matches([' ', '\t'])));
     }
 }
@@ -238,12 +238,12 @@
         }
         let once = whole(&wire);
         if let Ok(Some((body, size))) = &once {
-            prop_assert!(body.len() <= BOUNDS.body && *size <= Reader::most(&BOUNDS));
+            prop_assert!(body.len() <= BOUNDS.max_body_bytes && *size <= Reader::max_request_bytes(&BOUNDS));
         }
         // A length past its bound may be told after fewer of its digits.
-        let same = |other: &Result<_, Fault>| match (&once, other) {
-            (Err(Fault::HeaderTooLarge(_)), Err(Fault::HeaderTooLarge(_))) => true,
-            (Err(Fault::Length), Err(Fault::HeaderTooLarge(_))) => true,
+        let same = |other: &Result<_, Error>| match (&once, other) {
+            (Err(Error::HeaderTooLarge(_)), Err(Error::HeaderTooLarge(_))) => true,
+            (Err(Error::Length), Err(Error::HeaderTooLarge(_))) => true,
             _ => once == *other,
         };
         prop_assert!(same(&by_bytes(&wire)), "{:?} {:?}", once, by_bytes(&wire));
@@ -255,7 +255,7 @@
             }
         }
         if let Ok(Some(read)) = response::Reader::new(BOUNDS).read(&reply, true) {
-            prop_assert!(read.body.len() <= BOUNDS.body);
+            prop_assert!(read.body.len() <= BOUNDS.max_body_bytes);
         }
     }
 }
--- a/crates/server/src/downstream/scgi.rs
+++ b/crates/server/src/downstream/scgi.rs
@@ -22,8 +22,11 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A response's header and a result of 4 KiB fit one buffer.
-const BOUNDS: Bounds =
-    Bounds { header: BUFFER_BYTES - MAX_RESULT_BYTES - 16, fields: 64, body: MAX_RESULT_BYTES };
+const BOUNDS: Bounds = Bounds {
+    max_header_bytes: BUFFER_BYTES - MAX_RESULT_BYTES - 16,
+    max_fields: 64,
+    max_body_bytes: MAX_RESULT_BYTES,
+};
 
 /// Where calls go: the backend's address and the path of its service.
 #[derive(Clone, Debug, PartialEq)]
@@ -194,7 +197,7 @@
         match reader.read(&buf, ended) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                if response.extra > 0 {
+                if response.trailing_bytes > 0 {
                     add(&shared.counters.malformed);
                 }
                 let mut reply = shared.pool.take();
--- a/crates/server/src/leases/control_replica.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -227,7 +227,7 @@
 fn follows(name: &str, set: &ControlReplicas, path: &Path) -> Option<ControlReplicas> {
     let read = operator::read(path, None).map_err(|wrong| wrong.lines);
     let new = match read {
-        Ok((operator, _)) => operator.keepers?,
+        Ok((operator, _)) => operator.control_replicas?,
         Err(lines) => {
             lines.iter().for_each(|line| log!("not taken over: {line}"));
             return None;
--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -13,7 +13,7 @@
 pub mod wire;
 
 use crate::log;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::sockets::tried;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::{node_id, NodeId, Time};
@@ -69,20 +69,22 @@
 
 /// One job, from the reading of the operator's file to its end.
 pub fn run_subcommand(path: &Path, name: &str, subcommand: &Subcommand) -> ExitCode {
-    let read = operator::read(path, None).map_err(|wrong| wrong.shown);
-    let read = read.and_then(|(operator, _)| match (&operator.keepers, &operator.tally, subcommand) {
-        (None, ..) => Err(format!("{}: no keepers\n", path.display())),
-        (_, None, Subcommand::CounterDemo) => Err(format!("{}: no tally\n", path.display())),
-        (_, _, Subcommand::Reconcile) if operator.settle.is_none() => {
-            Err(format!("{}: no settle\n", path.display()))
+    let read = operator::read(path, None).map_err(|wrong| wrong.rendered);
+    let read = read.and_then(|(operator, _)| {
+        match (&operator.control_replicas, &operator.counter_demo, subcommand) {
+            (None, ..) => Err(format!("{}: no keepers\n", path.display())),
+            (_, None, Subcommand::CounterDemo) => Err(format!("{}: no tally\n", path.display())),
+            (_, _, Subcommand::Reconcile) if operator.reconcile.is_none() => {
+                Err(format!("{}: no settle\n", path.display()))
+            }
+            (_, _, Subcommand::UsageReport) if operator.usage_report.is_none() => {
+                Err(format!("{}: no sums\n", path.display()))
+            }
+            _ if name.is_empty() && !matches!(subcommand, Subcommand::Owners(_)) => {
+                Err("no name: --name or EDGE_NAME\n".into())
+            }
+            _ => Ok(operator),
         }
-        (_, _, Subcommand::UsageReport) if operator.sums.is_none() => {
-            Err(format!("{}: no sums\n", path.display()))
-        }
-        _ if name.is_empty() && !matches!(subcommand, Subcommand::Owners(_)) => {
-            Err("no name: --name or EDGE_NAME\n".into())
-        }
-        _ => Ok(operator),
     });
     let operator = match read {
         Ok(operator) => operator,
@@ -91,7 +93,9 @@
             return ExitCode::from(2);
         }
     };
-    let (Some(keepers), tally) = (&operator.keepers, &operator.tally) else { return ExitCode::from(2) };
+    let (Some(keepers), tally) = (&operator.control_replicas, &operator.counter_demo) else {
+        return ExitCode::from(2);
+    };
     let done = match (subcommand, tally) {
         (Subcommand::Owners(what), _) => {
             owners_command::run(keepers, what, &known(&operator)).map(|(code, text)| {
@@ -100,11 +104,11 @@
             })
         }
         (Subcommand::CounterDemo, Some(tally)) => block_on(counter_demo::run(name, keepers, tally)),
-        (Subcommand::Reconcile, _) => match &operator.settle {
+        (Subcommand::Reconcile, _) => match &operator.reconcile {
             Some(settle) => block_on(reconcile::run(name, keepers, settle)),
             None => Ok(ExitCode::from(2)),
         },
-        (Subcommand::UsageReport, _) => match &operator.sums {
+        (Subcommand::UsageReport, _) => match &operator.usage_report {
             Some(sums) => block_on(usage_report::run(name, keepers, sums)),
             None => Ok(ExitCode::from(2)),
         },
@@ -137,17 +141,18 @@
 }
 
 /// Names that an operator's list may speak of.
-fn known(operator: &Operator) -> Vec<String> {
+fn known(operator: &OperatorConfig) -> Vec<String> {
     let mut names = vec![
         PLANNERS_TASK.to_string(),
         reconcile::TASK_NAME.to_string(),
         usage_report::TASK_NAME.to_string(),
     ];
-    names.extend(operator.tally.iter().map(|tally| tally.task.clone()));
+    names.extend(operator.counter_demo.iter().map(|tally| tally.task.clone()));
     let tier = operator.tier.iter();
     names.extend(tier.flat_map(|tier| tier.planners.iter().map(|planner| planner.name.clone())));
-    names
-        .extend(operator.keepers.iter().flat_map(|keepers| keepers.replicas.iter().map(|one| one.0.clone())));
+    names.extend(
+        operator.control_replicas.iter().flat_map(|keepers| keepers.replicas.iter().map(|one| one.0.clone())),
+    );
     names
 }
 
--- a/crates/server/src/listeners/scgi.rs
+++ b/crates/server/src/listeners/scgi.rs
@@ -80,9 +80,9 @@
     /// Lowers the bounds so that a request fits one buffer, whatever is configured.
     fn clamp_bounds(&self) {
         let mut bounds = self.bounds.get();
-        bounds.body = bounds.body.min(crate::frames::MAX_BODY_BYTES);
-        while Reader::most(&bounds) > BUFFER_BYTES {
-            bounds.header -= 1;
+        bounds.max_body_bytes = bounds.max_body_bytes.min(crate::frames::MAX_BODY_BYTES);
+        while Reader::max_request_bytes(&bounds) > BUFFER_BYTES {
+            bounds.max_header_bytes -= 1;
         }
         self.bounds.set(bounds);
     }
@@ -219,11 +219,11 @@
 }
 
 /// The status for an invalid request.
-pub fn status_for(fault: request::Fault) -> u16 {
+pub fn status_for(fault: request::Error) -> u16 {
     match fault {
-        request::Fault::HeaderTooLarge(_) | request::Fault::TooManyFields(_) => 431,
-        request::Fault::BodyTooLarge(_) => 413,
-        request::Fault::NoContentLength => 411,
+        request::Error::HeaderTooLarge(_) | request::Error::TooManyFields(_) => 431,
+        request::Error::BodyTooLarge(_) => 413,
+        request::Error::MissingContentLength => 411,
         _ => 400,
     }
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -18,7 +18,7 @@
 use cypresscleat_server::lines::Notice;
 use cypresscleat_server::listeners::scgi::ScgiContext;
 use cypresscleat_server::listeners::{Frontend, Protocol};
-use cypresscleat_server::operator::{self, Operator};
+use cypresscleat_server::operator::{self, OperatorConfig};
 use cypresscleat_server::ready::Readiness;
 use cypresscleat_server::rollout::{self, member, Policy};
 use cypresscleat_server::sockets::tried;
@@ -95,7 +95,7 @@
         Ok((_, root)) if show => (0, format!("{root}\n")),
         Ok(_) if config.is_some() => (0, format!("{}: good\n", path.display())),
         Ok(_) => (0, format!("{}: good; without EDGE_CONFIG names are not checked\n", path.display())),
-        Err(wrong) => (2, wrong.shown),
+        Err(wrong) => (2, wrong.rendered),
     };
     let _ = out.write_all(text.as_bytes());
     ExitCode::from(code)
@@ -124,9 +124,9 @@
     };
     let read = path.as_deref().map(|path| operator::read(path, Some(&config.names)));
     let operator = match read.transpose() {
-        Ok(read) => read.map_or_else(Operator::default, |(operator, _)| operator),
+        Ok(read) => read.map_or_else(OperatorConfig::default, |(operator, _)| operator),
         Err(wrong) => {
-            let _ = io::stderr().write_all(wrong.shown.as_bytes());
+            let _ = io::stderr().write_all(wrong.rendered.as_bytes());
             return Ok(ExitCode::from(2));
         }
     };
@@ -135,7 +135,7 @@
         return Ok(ExitCode::from(2));
     }
     if let (Role::Planner, Some(tier)) = (role, &operator.tier) {
-        let keepers = operator.keepers.as_ref();
+        let keepers = operator.control_replicas.as_ref();
         return planner::run(&config.name, tier, keepers, operator.rollout.as_ref(), config.settings.seed)
             .await
             .map(|()| ExitCode::SUCCESS);
@@ -185,7 +185,7 @@
 struct Followed {
     path: Option<PathBuf>,
     names: Rc<Names>,
-    now: Operator,
+    now: OperatorConfig,
     door: Option<Rc<ScgiContext>>,
     backend: Option<Rc<CurrentBackend>>,
 }
@@ -212,7 +212,7 @@
             (None, None, None) => {}
             _ => log!("scgi is switched on or off with a start only"),
         }
-        match (&self.backend, &new.calls) {
+        match (&self.backend, &new.backend) {
             (Some(place), Some(backend)) => *place.0.borrow_mut() = backend.clone(),
             (None, None) => {}
             _ => log!("calls change their protocol with a start only"),
@@ -220,8 +220,9 @@
         if self.now.store != new.store {
             log!("store changes with a start only");
         }
-        let fixed =
-            |one: &Operator| (one.tier.clone(), one.keepers.clone(), one.tally.clone(), one.rollout.clone());
+        let fixed = |one: &OperatorConfig| {
+            (one.tier.clone(), one.control_replicas.clone(), one.counter_demo.clone(), one.rollout.clone())
+        };
         if fixed(&self.now) != fixed(&new) {
             log!("tier, keepers, tally and rollout change with a start only");
         }
@@ -251,7 +252,7 @@
 async fn serve(
     config: Config,
     Begun { started, mut hup, mut term }: Begun,
-    operator: Operator,
+    operator: OperatorConfig,
     path: Option<PathBuf>,
     role: Role,
 ) -> io::Result<()> {
@@ -308,7 +309,8 @@
     settings.validate().map_err(io::Error::other)?;
     // Set once the fleet is there: a policy says how many further tries may be.
     let retries: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
-    let above = operator.rollout.as_ref().and_then(|set| set.request_targets(operator.keepers.as_ref()));
+    let above =
+        operator.rollout.as_ref().and_then(|set| set.request_targets(operator.control_replicas.as_ref()));
     let gate = match (&operator.rollout, above) {
         (Some(set), Some(above)) => {
             let apply =
@@ -342,7 +344,7 @@
         None => spawn_local(kernel::run(addresses.clone(), shared.clone(), queue.clone())),
         Some(_) => spawn_local(std::future::pending()),
     };
-    let place = operator.calls.clone().map(|backend| Rc::new(CurrentBackend(RefCell::new(backend))));
+    let place = operator.backend.clone().map(|backend| Rc::new(CurrentBackend(RefCell::new(backend))));
     let mut below = match &place {
         None => spawn_local(ledger::run(addresses.clone(), shared.clone(), queue.clone(), calls)),
         Some(place) => {
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -15,7 +15,7 @@
 use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
 use cypresscleat_operator_config::{render, Fault, Node, Schema};
 use cypresscleat_rollout::{Rules, UnreachableMembers, WatchRules};
-use cypresscleat_scgi::request::variable;
+use cypresscleat_scgi::request::header_variable;
 use cypresscleat_scgi::{is_token, is_value, Bounds};
 use cypresscleat_scheduler::Time;
 use cypresscleat_settings::Names;
@@ -29,17 +29,17 @@
 const RELAYS: usize = 8;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     pub scgi: Option<Scgi>,
-    pub calls: Option<Backend>,
+    pub backend: Option<Backend>,
     /// None: every operation takes what it gets.
     pub pools: PoolsConfig,
     pub store: Option<Kept>,
     pub tier: Option<Tier>,
-    pub keepers: Option<ControlReplicas>,
-    pub tally: Option<CounterDemoConfig>,
-    pub settle: Option<ReconcileConfig>,
-    pub sums: Option<UsageReportConfig>,
+    pub control_replicas: Option<ControlReplicas>,
+    pub counter_demo: Option<CounterDemoConfig>,
+    pub reconcile: Option<ReconcileConfig>,
+    pub usage_report: Option<UsageReportConfig>,
     pub rollout: Option<RolloutSettings>,
     pub relay: Option<RelayConfig>,
 }
@@ -67,45 +67,45 @@
 
 /// What is wrong with a file: as a person reads it, and a line for each fault.
 #[derive(Clone, Debug)]
-pub struct Wrong {
-    pub shown: String,
+pub struct InvalidFile {
+    pub rendered: String,
     pub lines: Vec<String>,
 }
 
-fn wrong(name: &str, text: &str, faults: &[Fault]) -> Wrong {
+fn wrong(name: &str, text: &str, faults: &[Fault]) -> InvalidFile {
     let lines = faults.iter().map(|fault| format!("{name}:{}", fault.line(text))).collect();
-    Wrong { shown: render(name, text, faults), lines }
+    InvalidFile { rendered: render(name, text, faults), lines }
 }
 
 /// The schema is this program's own: checked at each start, and a fault in it is told like any other.
-pub fn schema() -> Result<Schema, Wrong> {
+pub fn schema() -> Result<Schema, InvalidFile> {
     Schema::new(SCHEMA).map_err(|faults| wrong("the program's own schema", SCHEMA, &faults))
 }
 
-pub fn read(path: &Path, names: Option<&Names>) -> Result<(Operator, Node), Wrong> {
+pub fn read(path: &Path, names: Option<&Names>) -> Result<(OperatorConfig, Node), InvalidFile> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| {
         let line = format!("{name}: {error}");
-        Wrong { shown: format!("{line}\n"), lines: vec![line] }
+        InvalidFile { rendered: format!("{line}\n"), lines: vec![line] }
     })?;
     parse(&name, &text, names)
 }
 
 /// Without `names` operations and customers are taken as they stand.
-pub fn parse(name: &str, text: &str, names: Option<&Names>) -> Result<(Operator, Node), Wrong> {
+pub fn parse(name: &str, text: &str, names: Option<&Names>) -> Result<(OperatorConfig, Node), InvalidFile> {
     let schema = schema()?;
     let root = schema.read(text).map_err(|faults| wrong(name, text, &faults))?;
     let mut reader = Reader { names, faults: Vec::new() };
-    let operator = Operator {
+    let operator = OperatorConfig {
         scgi: root.find("scgi").and_then(|node| reader.scgi(node)),
-        calls: root.find("calls").and_then(|node| reader.backend(node.get("scgi"))),
+        backend: root.find("calls").and_then(|node| reader.backend(node.get("scgi"))),
         tier: root.find("tier").and_then(|node| reader.tier(node)),
-        keepers: root.find("keepers").and_then(|node| reader.keepers(node)),
-        tally: root.find("tally").and_then(|node| reader.tally(node)),
-        settle: root.find("settle").and_then(|node| reader.settle(node)),
+        control_replicas: root.find("keepers").and_then(|node| reader.keepers(node)),
+        counter_demo: root.find("tally").and_then(|node| reader.tally(node)),
+        reconcile: root.find("settle").and_then(|node| reader.settle(node)),
         rollout: root.find("rollout").map(|node| reader.rollout(node)),
         relay: root.find("relay").and_then(|node| reader.relay(node)),
-        sums: root.find("sums").and_then(|node| reader.sums(node)),
+        usage_report: root.find("sums").and_then(|node| reader.sums(node)),
         store: root.find("store").map(|node| Kept {
             folder: node.get("folder").text().into(),
             durability: match node.get("durability").text() {
@@ -123,7 +123,7 @@
     reader.refuse_keepers_as_relays(&operator, root.find("rollout"));
     let direct = operator.rollout.as_ref().is_some_and(|rollout| rollout.relays.is_empty());
     for (key, asks) in [("rollout", direct), ("relay", operator.relay.is_some())] {
-        if let (Some(node), None, true) = (root.find(key), &operator.keepers, asks) {
+        if let (Some(node), None, true) = (root.find(key), &operator.control_replicas, asks) {
             reader.fault(node, key, "it needs keepers".into());
         }
     }
@@ -135,7 +135,7 @@
 }
 
 /// A policy's text, against its own schema, which shares the definitions of the operator's file.
-pub fn policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
+pub fn parse_policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, InvalidFile> {
     if text.is_empty() {
         return Ok(Policy { hash: 0, ..Policy::default() });
     }
@@ -199,14 +199,14 @@
             routes.push(read);
         }
         let customers = self.names.map_or(&[][..], |names| &names.tenants);
-        let header = node.get("header").size() as usize;
+        let max_header_bytes = node.get("header").size() as usize;
         Some(Scgi {
             listen: node.get("listen").address()?,
             connections: node.get("connections").int() as usize,
             bounds: Bounds {
-                header,
-                fields: node.get("fields").int() as usize,
-                body: crate::frames::MAX_BODY_BYTES,
+                max_header_bytes,
+                max_fields: node.get("fields").int() as usize,
+                max_body_bytes: crate::frames::MAX_BODY_BYTES,
             },
             patience: time(node.get("patience").duration()).max(50 * MS),
             routes: Rc::new(Routes::new(routes, customers)),
@@ -303,8 +303,10 @@
     }
 
     /// A member that asks a keeper as if it were a relay would be answered, under a name that its file gives to somebody else.
-    fn refuse_keepers_as_relays(&mut self, operator: &Operator, node: Option<&Node>) {
-        let (Some(rollout), Some(keepers), Some(node)) = (&operator.rollout, &operator.keepers, node) else {
+    fn refuse_keepers_as_relays(&mut self, operator: &OperatorConfig, node: Option<&Node>) {
+        let (Some(rollout), Some(keepers), Some(node)) =
+            (&operator.rollout, &operator.control_replicas, node)
+        else {
             return;
         };
         for (_, address) in &rollout.relays {
@@ -399,7 +401,7 @@
                 format!("{:?} is no name of a header", header.text()),
             );
         }
-        Some(variable(header.text()))
+        Some(header_variable(header.text()))
     }
 
     fn place(&mut self, node: &Node, path: &str, what: &str, known: Option<&[String]>) -> usize {
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -56,8 +56,8 @@
 
 /// Reads the operator's file and runs the relay. Returns once the relay has ended.
 pub fn start(path: &Path, name: &str) -> ExitCode {
-    let read = operator::read(path, None).map_err(|error| error.shown);
-    let read = read.and_then(|(operator, _)| match (operator.keepers, operator.relay) {
+    let read = operator::read(path, None).map_err(|error| error.rendered);
+    let read = read.and_then(|(operator, _)| match (operator.control_replicas, operator.relay) {
         _ if name.is_empty() => Err("no name: --name or EDGE_NAME\n".into()),
         (Some(keepers), Some(config)) => Ok((keepers, config)),
         _ => Err(format!("{}: no relay\n", path.display())),
@@ -97,8 +97,9 @@
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
     let named = tried(format!("relay {name} on {}", config.listen));
     let member_socket = UdpSocket::bind(config.listen).await.map_err(named)?;
-    let replica_socket =
-        UdpSocket::bind(keepers.local_address()).await.map_err(tried("the socket to the control replicas"))?;
+    let replica_socket = UdpSocket::bind(keepers.local_address())
+        .await
+        .map_err(tried("the socket to the control replicas"))?;
     // Guards against the loss of the first messages: a socket sends nothing before it is known to be writable.
     for socket in [&member_socket, &replica_socket] {
         socket.writable().await?;
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -9,7 +9,7 @@
 pub mod policy_command;
 
 use crate::leases::ControlReplicas;
-use crate::operator::{self, Wrong};
+use crate::operator::{self, InvalidFile};
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::{Rules, Version};
 use cypresscleat_scheduler::Time;
@@ -58,8 +58,8 @@
 }
 
 /// Without `names` operations are taken as they stand. An empty text is each instance's own file.
-pub fn parse_policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
-    operator::policy(name, text, names)
+pub fn parse_policy(name: &str, text: &str, names: Option<&Names>) -> Result<Policy, InvalidFile> {
+    operator::parse_policy(name, text, names)
 }
 
 /// Whether this instance can carry it out, in full: its room, the text against its own settings, and that the rules which the keepers
@@ -73,7 +73,7 @@
         return Err(format!("a text of {} bytes, room for {max_document_bytes}", version.document.len()));
     }
     let policy = parse_policy("policy", &version.document, names)
-        .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.shown))?;
+        .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.rendered))?;
     if policy.rules != version.rules || policy.hash != version.hash {
         return Err("its rules or its hash are not those of its text".into());
     }
--- a/crates/server/src/rollout/policy_command.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -2,7 +2,7 @@
 //! change like any other.
 
 use crate::leases::wire::{ControlMessage, LeaderClient, ResponseKind};
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::rollout::parse_policy;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
 use cypresscleat_rollout::state::{Outcome, Stage, Version};
@@ -57,7 +57,7 @@
 }
 
 pub fn start(path: &Path, args: &PolicyArgs) -> ExitCode {
-    let done = operator::read(path, None).map_err(|wrong| (BAD, wrong.shown)).and_then(|(operator, _)| {
+    let done = operator::read(path, None).map_err(|wrong| (BAD, wrong.rendered)).and_then(|(operator, _)| {
         let found = run(&operator, args).map_err(|error| (1, error.to_string()));
         found.and_then(|found| found)
     });
@@ -80,7 +80,7 @@
     ExitCode::from(code)
 }
 
-fn run(operator: &Operator, args: &PolicyArgs) -> io::Result<Result<String, End>> {
+fn run(operator: &OperatorConfig, args: &PolicyArgs) -> io::Result<Result<String, End>> {
     if args.action == PolicyAction::Check {
         return Ok(text(args).map(|(_, version)| format!("good, {:016x}\n", version.hash)));
     }
@@ -92,7 +92,7 @@
         let silent = || (NO_QUORUM, format!("no relay answers at {relay}"));
         return Ok(found.map(|found| found.shown(args.json)).ok_or_else(silent));
     }
-    let Some(keepers) = &operator.keepers else {
+    let Some(keepers) = &operator.control_replicas else {
         return Ok(Err((BAD, "no keepers in the operator's file".into())));
     };
     let mut asker = LeaderClient::new(keepers)?;
@@ -162,7 +162,7 @@
     let Some(path) = &args.file else { return Err((BAD, "--text names the file of the policy".into())) };
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| (BAD, format!("{name}: {error}")))?;
-    let policy = parse_policy(&name, &text, None).map_err(|wrong| (BAD, wrong.shown))?;
+    let policy = parse_policy(&name, &text, None).map_err(|wrong| (BAD, wrong.rendered))?;
     let version = Version {
         hash: policy.hash,
         by: truncate(&args.by, MAX_NAME_BYTES),
