--- a/crates/server/src/leases/control_replica.rs
+++ b/crates/server/src/leases/control_replica.rs
@@ -237,7 +237,7 @@
 fn reload(name: &str, control: &ControlReplicas, path: &Path) -> Option<ControlReplicas> {
     let result = operator::read(path, None).map_err(|wrong| wrong.lines);
     let new = match result {
-        Ok((operator, _)) => operator.keepers?,
+        Ok((operator, _)) => operator.control_replicas?,
         Err(lines) => {
             lines.iter().for_each(|line| log!("not taken over: {line}"));
             return None;
--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -14,7 +14,7 @@
 pub mod wire;
 
 use crate::log;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::sockets::add_context;
 use cypresscleat_consensus::message;
 use cypresscleat_leases::{node_id, NodeId, Time};
@@ -74,20 +74,22 @@
 
 /// Runs a subcommand, from reading the operator's file to the end of the process.
 pub fn run_subcommand(path: &Path, name: &str, subcommand: &Subcommand) -> ExitCode {
-    let checked = operator::read(path, None).map_err(|wrong| wrong.shown);
-    let checked = checked.and_then(|(operator, _)| match (&operator.keepers, &operator.tally, subcommand) {
-        (None, ..) => Err(format!("{}: no keepers\n", path.display())),
-        (_, None, Subcommand::CounterDemo) => Err(format!("{}: no tally\n", path.display())),
-        (_, _, Subcommand::Reconcile) if operator.settle.is_none() => {
-            Err(format!("{}: no settle\n", path.display()))
+    let checked = operator::read(path, None).map_err(|wrong| wrong.rendered);
+    let checked = checked.and_then(|(operator, _)| {
+        match (&operator.control_replicas, &operator.counter_demo, subcommand) {
+            (None, ..) => Err(format!("{}: no keepers\n", path.display())),
+            (_, None, Subcommand::CounterDemo) => Err(format!("{}: no tally\n", path.display())),
+            (_, _, Subcommand::Reconcile) if operator.reconcile.is_none() => {
+                Err(format!("{}: no settle\n", path.display()))
+            }
+            (_, _, Subcommand::UsageReport) if operator.usage_report.is_none() => {
+                Err(format!("{}: no sums\n", path.display()))
+            }
+            _ if name.is_empty() && !matches!(subcommand, Subcommand::Owners(_)) => {
+                Err("no name: --name or EDGE_NAME\n".into())
+            }
+            _ => Ok(operator),
         }
-        (_, _, Subcommand::UsageReport) if operator.sums.is_none() => {
-            Err(format!("{}: no sums\n", path.display()))
-        }
-        _ if name.is_empty() && !matches!(subcommand, Subcommand::Owners(_)) => {
-            Err("no name: --name or EDGE_NAME\n".into())
-        }
-        _ => Ok(operator),
     });
     let operator = match checked {
         Ok(operator) => operator,
@@ -96,7 +98,9 @@
             return ExitCode::from(2);
         }
     };
-    let (Some(control), demo) = (&operator.keepers, &operator.tally) else { return ExitCode::from(2) };
+    let (Some(control), demo) = (&operator.control_replicas, &operator.counter_demo) else {
+        return ExitCode::from(2);
+    };
     let result = match (subcommand, demo) {
         (Subcommand::Owners(command), _) => owners_command::run(control, command, &known_names(&operator))
             .map(|(code, text)| {
@@ -104,11 +108,11 @@
                 ExitCode::from(code)
             }),
         (Subcommand::CounterDemo, Some(config)) => block_on(counter_demo::run(name, control, config)),
-        (Subcommand::Reconcile, _) => match &operator.settle {
+        (Subcommand::Reconcile, _) => match &operator.reconcile {
             Some(config) => block_on(reconcile::run(name, control, config)),
             None => Ok(ExitCode::from(2)),
         },
-        (Subcommand::UsageReport, _) => match &operator.sums {
+        (Subcommand::UsageReport, _) => match &operator.usage_report {
             Some(config) => block_on(usage_report::run(name, control, config)),
             None => Ok(ExitCode::from(2)),
         },
@@ -144,17 +148,17 @@
 }
 
 /// Names that the output of `owners` may contain.
-fn known_names(operator: &Operator) -> Vec<String> {
+fn known_names(operator: &OperatorConfig) -> Vec<String> {
     let mut names = vec![
         PLANNERS_TASK.to_string(),
         reconcile::TASK_NAME.to_string(),
         usage_report::TASK_NAME.to_string(),
     ];
-    names.extend(operator.tally.iter().map(|tally| tally.task.clone()));
+    names.extend(operator.counter_demo.iter().map(|tally| tally.task.clone()));
     let tier = operator.tier.iter();
     names.extend(tier.flat_map(|tier| tier.planners.iter().map(|planner| planner.name.clone())));
     names.extend(
-        operator.keepers.iter().flat_map(|control| control.replicas.iter().map(|replica| replica.0.clone())),
+        operator.control_replicas.iter().flat_map(|control| control.replicas.iter().map(|replica| replica.0.clone())),
     );
     names
 }
--- a/crates/server/src/rollout/policy_command.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -2,7 +2,7 @@
 //! a former version, which is a change like any other.
 
 use crate::leases::wire::{ControlMessage, LeaderClient, ResponseKind};
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::rollout::parse_policy;
 use cypresscleat_rollout::messages::{MemberStatus, Request, Response, Verdict};
 use cypresscleat_rollout::state::{Outcome, Stage, Version};
@@ -61,7 +61,7 @@
 }
 
 pub fn start(path: &Path, args: &PolicyArgs) -> ExitCode {
-    let result = operator::read(path, None).map_err(|wrong| (EXIT_BAD_INPUT, wrong.shown)).and_then(
+    let result = operator::read(path, None).map_err(|wrong| (EXIT_BAD_INPUT, wrong.rendered)).and_then(
         |(operator, _)| {
             let outcome = run(&operator, args).map_err(|error| (1, error.to_string()));
             outcome.and_then(|outcome| outcome)
@@ -86,7 +86,7 @@
     ExitCode::from(code)
 }
 
-fn run(operator: &Operator, args: &PolicyArgs) -> io::Result<Result<String, Failure>> {
+fn run(operator: &OperatorConfig, args: &PolicyArgs) -> io::Result<Result<String, Failure>> {
     if args.action == PolicyAction::Check {
         return Ok(read_version(args).map(|(_, version)| format!("good, {:016x}\n", version.hash)));
     }
@@ -98,7 +98,7 @@
         let no_relay = || (EXIT_NO_QUORUM, format!("no relay answers at {relay}"));
         return Ok(found.map(|status| status.format(args.json)).ok_or_else(no_relay));
     }
-    let Some(keepers) = &operator.keepers else {
+    let Some(keepers) = &operator.control_replicas else {
         return Ok(Err((EXIT_BAD_INPUT, "no keepers in the operator's file".into())));
     };
     let mut asker = LeaderClient::new(keepers)?;
@@ -176,7 +176,7 @@
     let name = path.display().to_string();
     let content =
         std::fs::read_to_string(path).map_err(|error| (EXIT_BAD_INPUT, format!("{name}: {error}")))?;
-    let policy = parse_policy(&name, &content, None).map_err(|wrong| (EXIT_BAD_INPUT, wrong.shown))?;
+    let policy = parse_policy(&name, &content, None).map_err(|wrong| (EXIT_BAD_INPUT, wrong.rendered))?;
     let version = Version {
         hash: policy.hash,
         by: truncate(&args.by, MAX_NAME_BYTES),
