--- a/crates/server/src/leases/mod.rs
+++ b/crates/server/src/leases/mod.rs
@@ -158,7 +158,10 @@
     let tier = operator.tier.iter();
     names.extend(tier.flat_map(|tier| tier.planners.iter().map(|planner| planner.name.clone())));
     names.extend(
-        operator.control_replicas.iter().flat_map(|control| control.replicas.iter().map(|replica| replica.0.clone())),
+        operator
+            .control_replicas
+            .iter()
+            .flat_map(|control| control.replicas.iter().map(|replica| replica.0.clone())),
     );
     names
 }
