--- a/crates/server/tests/core.rs
+++ b/crates/server/tests/core.rs
@@ -1,20 +1,21 @@
-//! Plays every file of tests/core through the core: no socket, no clock. Notation, times in milliseconds:
-//!   config POINTER JSON               at the head: the example's configuration, with this in that place
-//!   TIME kernel JSON                  a notice of the kernel
-//!   TIME link | unlink                a link to the kernel is up with all missed notices told | is gone
-//!   TIME NAME sends STREAM TXN [FIELD=VALUE ...]   an invocation on the connection NAME, of type 2; its body is "ask",
-//!                                     or that of `body=WORD`
-//!   TIME NAME leaves STREAM           nobody waits for the stream any more
-//!   TIME NAME closes                  the connection is gone
-//!   TIME NAME told                    it was told to send no new invocation
-//!   TIME ledger TXN OUTCOME           the newest call for that one ended so (outcomes as on the ledger's wire, or
-//!                                     `unreached`, `broken`; the reply of `posted` is "reply")
-//!   TIME term MS                      notice to leave
-//!   TIME pass                         only time passes; ticks come by themselves
-//!   expect WORDS | refuse WORDS       among what was written since the event before, by its first words
-//!   owed N                            answers that are owed now
-//! What is written: `kernel MSG TXN [BODY]`, `NAME STREAM succeeded|throttled|errored [BODY]`, `ledger post TXN MS BODY`,
-//! `ledger abandon TXN`. A txn stands without its leading zeros.
+//! Runs every scenario file of tests/core through the core, without sockets and without a real clock. Notation, times in
+//! milliseconds:
+//!   config POINTER JSON               before the start: replaces the value at POINTER in the example configuration
+//!   TIME kernel JSON                  a notice from the executor
+//!   TIME link | unlink                the link to the executor is up and all missed notices were received | is lost
+//!   TIME NAME sends STREAM TXN [FIELD=VALUE ...]   a request on the connection NAME, a frame of kind 2; its body is "ask",
+//!                                     or the value of `body=WORD`
+//!   TIME NAME leaves STREAM           the client no longer waits for the stream
+//!   TIME NAME closes                  the connection is closed
+//!   TIME NAME told                    the client was asked to send no new request on the connection
+//!   TIME ledger TXN OUTCOME           the newest call of the request TXN ended with OUTCOME (words of the downstream
+//!                                     proxy's protocol, or `unreached`, `broken`; the reply of `posted` is "reply")
+//!   TIME term MS                      termination notice
+//!   TIME pass                         only time passes; due ticks run before every event
+//!   expect WORDS | refuse WORDS       some | no output since the last event begins with these words
+//!   owed N                            number of pending responses
+//! Outputs: `kernel MSG TXN [BODY]`, `NAME STREAM succeeded|throttled|errored [BODY]`, `ledger post TXN MS BODY`,
+//! `ledger abandon TXN`. A txn is written without its leading zeros.
 
 use cypresscleat_scheduler::{Outcome, Time};
 use cypresscleat_server::config;
@@ -28,52 +29,52 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const UNIX: Time = 17_645_760_000_000;
+const UNIX_AT_START: Time = 17_645_760_000_000;
 
-struct Play {
+struct Scenario {
     core: Core,
     names: Rc<Names>,
     shared: Shared,
     kernel: Rc<Outbox>,
     peers: BTreeMap<String, Rc<Peer>>,
-    numbers: BTreeMap<RequestId, u64>,
-    seen: Vec<String>,
+    call_numbers: BTreeMap<RequestId, u64>,
+    outputs: Vec<String>,
     now: Time,
 }
 
-fn txn(word: &str) -> RequestId {
+fn padded_txn(word: &str) -> RequestId {
     format!("{word:0>16}").into_bytes().try_into().expect("a txn of 16 digits at most")
 }
 
-fn short(txn: &[u8]) -> String {
+fn without_leading_zeros(txn: &[u8]) -> String {
     String::from_utf8_lossy(txn).trim_start_matches('0').to_string()
 }
 
-fn drain(out: &Outbox) -> Vec<u8> {
+fn flush_to_vec(out: &Outbox) -> Vec<u8> {
     let mut bytes = Vec::new();
     let written = out.flush(|part| {
         bytes.extend(part);
         Ok(part.len())
     });
-    written.expect("a vector takes all");
+    written.expect("a vector accepts all bytes");
     bytes
 }
 
-impl Play {
-    fn start(changes: &[&str]) -> Play {
-        let mut all: serde_json::Value =
-            serde_json::from_str(include_str!("../../demo/config.json")).expect("the example");
+impl Scenario {
+    fn start(changes: &[&str]) -> Scenario {
+        let mut json_config: serde_json::Value =
+            serde_json::from_str(include_str!("../../demo/config.json")).expect("the example configuration");
         for change in changes {
             let (pointer, value) = change.split_once(' ').expect("POINTER JSON");
-            *all.pointer_mut(pointer).expect(pointer) = serde_json::from_str(value).expect("JSON");
+            *json_config.pointer_mut(pointer).expect(pointer) = serde_json::from_str(value).expect("JSON");
         }
-        let config = config::parse(&all.to_string(), None, None).expect("a configuration");
+        let config = config::parse(&json_config.to_string(), None, None).expect("a configuration");
         let shared = Shared::new(1000);
         let names = Rc::new(config.names);
         let core = Core::new(config.settings, names.clone(), &shared);
         let kernel = Rc::new(Outbox::new(&shared.pool));
-        let (peers, numbers, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        Play { core, names, shared, kernel, peers, numbers, seen, now: 0 }
+        let (peers, call_numbers, outputs) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        Scenario { core, names, shared, kernel, peers, call_numbers, outputs, now: 0 }
     }
 
     fn buf(&self, bytes: &[u8]) -> Buf {
@@ -82,33 +83,34 @@
         buf
     }
 
-    fn take(&mut self, note: CoreEvent) {
-        self.core.handle_event(self.now, UNIX + self.now, note);
+    fn handle_event(&mut self, event: CoreEvent) {
+        self.core.handle_event(self.now, UNIX_AT_START + self.now, event);
     }
 
-    fn event(&mut self, words: &[&str], line: &str) {
+    fn run_step(&mut self, words: &[&str], line: &str) {
         match *words {
             ["pass"] => {}
             ["link"] => {
                 self.kernel = Rc::new(Outbox::new(&self.shared.pool));
-                self.take(CoreEvent::ExecutorConnected(self.kernel.clone()));
+                self.handle_event(CoreEvent::ExecutorConnected(self.kernel.clone()));
             }
             ["unlink"] => {
-                drain(&self.kernel);
-                self.take(CoreEvent::ExecutorDisconnected);
+                flush_to_vec(&self.kernel);
+                self.handle_event(CoreEvent::ExecutorDisconnected);
             }
             ["term", ms] => {
                 let within = ms.parse::<Time>().expect("milliseconds") * 10;
-                self.take(CoreEvent::Drain { within });
+                self.handle_event(CoreEvent::Drain { within });
             }
             ["kernel", ..] => {
                 let json = line.split_once(" kernel ").expect("a notice").1;
                 let (_, notice) = lines::parse_notice(json.as_bytes(), &self.shared.pool);
-                self.take(CoreEvent::ExecutorNotice(notice.expect("a notice that can be read")));
+                self.handle_event(CoreEvent::ExecutorNotice(notice.expect("a notice that can be read")));
             }
-            ["ledger", call, how] => {
-                let (request_id, reply) = (txn(call), (how == "posted").then(|| self.buf(b"reply")));
-                let outcome = match how {
+            ["ledger", call, outcome_word] => {
+                let (request_id, reply) =
+                    (padded_txn(call), (outcome_word == "posted").then(|| self.buf(b"reply")));
+                let outcome = match outcome_word {
                     "unreached" => Outcome::ConnectFailed,
                     "broken" => Outcome::ConnectionLost,
                     "posted" => Outcome::Succeeded,
@@ -117,57 +119,58 @@
                         other => panic!("{other:?}"),
                     },
                 };
-                let number = self.numbers[&request_id];
-                self.take(CoreEvent::CallCompleted { request_id, number, outcome, reply });
+                let number = self.call_numbers[&request_id];
+                self.handle_event(CoreEvent::CallCompleted { request_id, number, outcome, reply });
             }
             [name, "sends", stream, call, ref rest @ ..] => {
-                let door = ((UNIX + self.now) / 10).to_string();
-                let txn = String::from_utf8(txn(call).to_vec()).expect("text");
+                let arrived_at = ((UNIX_AT_START + self.now) / 10).to_string();
+                let txn = String::from_utf8(padded_txn(call).to_vec()).expect("text");
                 let mut fields =
-                    BTreeMap::from([("verb", "lookup"), ("door", &door), ("cpu", "20"), ("ram", "30")]);
+                    BTreeMap::from([("verb", "lookup"), ("door", &arrived_at), ("cpu", "20"), ("ram", "30")]);
                 fields.extend([("txn", txn.as_str()), ("team", "acme"), ("standing", "0.5"), ("lb", "1")]);
                 fields.extend(rest.iter().map(|pair| pair.split_once('=').expect("FIELD=VALUE")));
                 fields.retain(|_, value| !value.is_empty());
-                let said = fields.remove("body").unwrap_or("ask");
+                let body = fields.remove("body").unwrap_or("ask");
                 let fields: Vec<_> = fields.into_iter().collect();
                 let mut payload = Vec::new();
                 frames::write_fields(&mut payload, &fields);
-                payload.extend(said.as_bytes());
-                let new = || Rc::new(Peer::new(&self.shared.pool, Rc::new(FrameWriter), 0));
-                let peer = self.peers.entry(name.to_string()).or_insert_with(new).clone();
+                payload.extend(body.as_bytes());
+                let new_peer = || Rc::new(Peer::new(&self.shared.pool, Rc::new(FrameWriter), 0));
+                let peer = self.peers.entry(name.to_string()).or_insert_with(new_peer).clone();
                 peer.queued_requests.set(peer.queued_requests.get() + 1);
                 let stream = stream.parse().expect("a stream");
                 let request = read_request(self.buf(&payload), &self.names);
-                self.take(CoreEvent::RequestArrived { peer, stream, request });
+                self.handle_event(CoreEvent::RequestArrived { peer, stream, request });
             }
             [name, "leaves", stream] => {
                 let (peer, stream) = (self.peers[name].clone(), stream.parse().expect("a stream"));
-                self.take(CoreEvent::ClientLeft { peer, stream });
+                self.handle_event(CoreEvent::ClientLeft { peer, stream });
             }
             [name, "closes"] => {
                 let peer = self.peers[name].clone();
                 peer.is_closed.set(true);
-                self.take(CoreEvent::ConnectionClosed { peer });
+                self.handle_event(CoreEvent::ConnectionClosed { peer });
             }
             [name, "told"] => self.peers[name].close_announced_at.set(Some(self.now)),
-            _ => panic!("what is this: {line}"),
+            _ => panic!("unknown step: {line}"),
         }
     }
 
-    /// All that was written, as lines.
-    fn look(&mut self) {
-        for line in String::from_utf8(drain(&self.kernel)).expect("text").lines() {
+    /// Collects all outputs since the last event, one line each.
+    fn collect_outputs(&mut self) {
+        for line in String::from_utf8(flush_to_vec(&self.kernel)).expect("text").lines() {
             let json: serde_json::Value = serde_json::from_str(line).expect("JSON");
-            let word = |key: &str| json[key].as_str().unwrap_or("").to_string();
-            if word("msg") != "SYSINFO" {
+            let text = |key: &str| json[key].as_str().unwrap_or("").to_string();
+            if text("msg") != "SYSINFO" {
                 use base64::Engine;
-                let blob = base64::engine::general_purpose::STANDARD.decode(word("blob")).expect("base64");
-                let (call, blob) = (short(word("call").as_bytes()), String::from_utf8(blob).expect("text"));
-                self.seen.push(format!("kernel {} {call} {blob}", word("msg")));
+                let blob = base64::engine::general_purpose::STANDARD.decode(text("blob")).expect("base64");
+                let (call, blob) =
+                    (without_leading_zeros(text("call").as_bytes()), String::from_utf8(blob).expect("text"));
+                self.outputs.push(format!("kernel {} {call} {blob}", text("msg")));
             }
         }
         for (name, peer) in &self.peers {
-            let bytes = drain(&peer.outbox);
+            let bytes = flush_to_vec(&peer.outbox);
             let mut rest = &bytes[..];
             while let NextFrame::Frame { kind: frames::RESPONSE, stream, payload, size } =
                 frames::next_frame(rest, BUFFER_BYTES)
@@ -178,46 +181,50 @@
                     _ => "errored",
                 };
                 let (_, body) = frames::parse_fields(&payload[1..]).expect("fields");
-                self.seen.push(format!("{name} {stream} {code} {}", String::from_utf8_lossy(body)));
+                self.outputs.push(format!("{name} {stream} {code} {}", String::from_utf8_lossy(body)));
                 rest = &rest[size..];
             }
             assert!(rest.is_empty());
         }
         for command in self.shared.downstream.queue.borrow_mut().drain(..) {
-            self.seen.push(match command {
+            self.outputs.push(match command {
                 DownstreamCommand::Call { request_id, number, timeout, body, .. } => {
-                    self.numbers.insert(request_id, number);
+                    self.call_numbers.insert(request_id, number);
                     format!(
                         "ledger post {} {} {}",
-                        short(&request_id),
+                        without_leading_zeros(&request_id),
                         timeout / 10,
                         String::from_utf8_lossy(&body)
                     )
                 }
-                DownstreamCommand::Cancel { request_id } => format!("ledger abandon {}", short(&request_id)),
+                DownstreamCommand::Cancel { request_id } => {
+                    format!("ledger abandon {}", without_leading_zeros(&request_id))
+                }
             });
         }
     }
 
-    fn line(&mut self, line: &str) {
+    fn run_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let found = |seen: &[String]| {
-            seen.iter().any(|seen| seen.split(' ').take(words.len() - 1).eq(words[1..].iter().copied()))
+        let is_written = |outputs: &[String]| {
+            outputs
+                .iter()
+                .any(|output| output.split(' ').take(words.len() - 1).eq(words[1..].iter().copied()))
         };
         match words[0] {
-            "expect" => assert!(found(&self.seen), "{line}: {:?}", self.seen),
-            "refuse" => assert!(!found(&self.seen), "{line}: {:?}", self.seen),
+            "expect" => assert!(is_written(&self.outputs), "{line}: {:?}", self.outputs),
+            "refuse" => assert!(!is_written(&self.outputs), "{line}: {:?}", self.outputs),
             "owed" => assert_eq!(self.core.pending_responses().to_string(), words[1], "{line}"),
             time => {
                 let until = time.parse::<Time>().expect("a time") * 10;
-                self.seen.clear();
+                self.outputs.clear();
                 while self.core.wake_at() <= until {
                     self.now = self.core.wake_at();
                     self.core.tick(self.now);
                 }
                 self.now = until;
-                self.event(&words[1..], line);
-                self.look();
+                self.run_step(&words[1..], line);
+                self.collect_outputs();
             }
         }
     }
@@ -225,106 +232,109 @@
 
 #[test]
 fn every_scenario_of_the_core() {
-    let mut files: Vec<_> = std::fs::read_dir("tests/core").expect("tests/core").collect();
-    files.sort_by_key(|file| file.as_ref().map(|file| file.path()).ok());
-    for file in &files {
+    let mut scenario_files: Vec<_> = std::fs::read_dir("tests/core").expect("tests/core").collect();
+    scenario_files.sort_by_key(|file| file.as_ref().map(|file| file.path()).ok());
+    for file in &scenario_files {
         let path = file.as_ref().expect("a file").path();
         println!("{}", path.display());
         let text = std::fs::read_to_string(&path).expect("a scenario");
         let lines = text.lines().filter(|line| !line.trim().is_empty() && !line.starts_with('#'));
         let changes: Vec<&str> = lines.clone().filter_map(|line| line.strip_prefix("config ")).collect();
-        let mut play = Play::start(&changes);
-        lines.filter(|line| !line.starts_with("config ")).for_each(|line| play.line(line));
-        drop(play.core);
-        play.peers.clear();
-        play.shared.downstream.queue.borrow_mut().clear();
-        drain(&play.kernel);
-        assert_eq!(play.shared.pool.in_use(), 0, "every buffer is given back");
+        let mut scenario = Scenario::start(&changes);
+        lines.filter(|line| !line.starts_with("config ")).for_each(|line| scenario.run_line(line));
+        drop(scenario.core);
+        scenario.peers.clear();
+        scenario.shared.downstream.queue.borrow_mut().clear();
+        flush_to_vec(&scenario.kernel);
+        assert_eq!(scenario.shared.pool.in_use(), 0, "all buffers are returned to the pool");
     }
-    assert!(files.len() > 5);
+    assert!(scenario_files.len() > 5);
 }
 
-/// More answers into connections that close than are kept with their bodies: what comes again is never run again.
+/// More requests are answered on closing connections than bodies are retained for. A request that is sent again must not run
+/// again, whether or not its response body is still retained.
 #[test]
-fn what_was_answered_into_a_crowd_that_closes_is_not_run_again() {
-    let mut play = Play::start(&[r#"/settings/categories/1/effect "fragile""#]);
-    play.line(r#"0 kernel {"msg":"BOOTED","how":"WARM","duration":60000}"#);
-    play.line("0 link");
+fn requests_answered_on_many_closing_connections_are_not_run_again() {
+    let mut scenario = Scenario::start(&[r#"/settings/categories/1/effect "fragile""#]);
+    scenario.run_line(r#"0 kernel {"msg":"BOOTED","how":"WARM","duration":60000}"#);
+    scenario.run_line("0 link");
     let result = r#""how":"OK","duration":5,"blob":"cmVzdWx0""#;
     for number in 1..=70 {
         let at = number * 10;
-        play.line(&format!("{at} a{number} sends 1 {number}"));
-        play.line(&format!("{at} a{number} told"));
-        play.line(&format!(
+        scenario.run_line(&format!("{at} a{number} sends 1 {number}"));
+        scenario.run_line(&format!("{at} a{number} told"));
+        scenario.run_line(&format!(
             r#"{} kernel {{"msg":"REAP","serial":{number},"call":"{number:0>16}",{result}}}"#,
             at + 5
         ));
-        play.line(&format!("expect a{number} 1 succeeded result"));
+        scenario.run_line(&format!("expect a{number} 1 succeeded result"));
     }
-    // The oldest has lost its body, the newest has not.
-    play.line("710 b sends 1 1");
-    play.line("expect b 1 errored");
-    play.line("refuse kernel SCHED 1");
-    play.line("710 b sends 2 70");
-    play.line("expect b 2 succeeded result");
-    play.line("owed 0");
+    // The body of the oldest response is no longer retained, that of the newest is.
+    scenario.run_line("710 b sends 1 1");
+    scenario.run_line("expect b 1 errored");
+    scenario.run_line("refuse kernel SCHED 1");
+    scenario.run_line("710 b sends 2 70");
+    scenario.run_line("expect b 2 succeeded result");
+    scenario.run_line("owed 0");
 }
 
-/// What a cold server tells its callers adds up to no more than it survives, however many they are; warm, its limits are the usual.
+/// The load feedback of a cold server, summed over all its clients, stays within what the server survives, whatever the number of
+/// clients. A warm server reports the usual limits.
 #[test]
-fn what_a_cold_server_tells_its_callers_adds_up_to_what_it_survives() {
-    for callers in [1, 8, 30] {
-        let mut play = Play::start(&[&format!("/settings/specifics/upstreams {callers}")]);
-        play.line(r#"0 kernel {"msg":"BOOTED","how":"COLD","duration":0}"#);
-        play.line("0 link");
+fn load_feedback_of_a_cold_server_sums_to_at_most_what_it_survives() {
+    for clients in [1, 8, 30] {
+        let mut scenario = Scenario::start(&[&format!("/settings/specifics/upstreams {clients}")]);
+        scenario.run_line(r#"0 kernel {"msg":"BOOTED","how":"COLD","duration":0}"#);
+        scenario.run_line("0 link");
         let mut last = 0.0;
         for ms in (200..9_900).step_by(200) {
-            play.line(&format!("{ms} pass"));
-            let sum = play.shared.server_status.load_feedback.get().expect("it says something")
-                * f64::from(callers);
-            // Two cores; cold from 0.2 of the speed for 10 s; 8 on a core are survived.
-            let survives = 2.0 * (1.0 + 7.0 * (0.2 + 0.8 * f64::from(ms) / 10_000.0));
-            assert!(sum <= survives, "{callers} callers at {ms}: {sum} of {survives}");
-            assert!(sum >= last, "it only grows");
+            scenario.run_line(&format!("{ms} pass"));
+            let sum = scenario.shared.server_status.load_feedback.get().expect("load feedback")
+                * f64::from(clients);
+            // Two cores; the speed rises from 0.2 to 1 within 10 s; each core survives 8 concurrent runs.
+            let max_survived = 2.0 * (1.0 + 7.0 * (0.2 + 0.8 * f64::from(ms) / 10_000.0));
+            assert!(sum <= max_survived, "{clients} clients at {ms}: {sum} of {max_survived}");
+            assert!(sum >= last, "the sum never falls");
             last = sum;
         }
         for ms in (10_000..14_000).step_by(200) {
-            play.line(&format!("{ms} pass"));
+            scenario.run_line(&format!("{ms} pass"));
         }
         let sum =
-            play.shared.server_status.load_feedback.get().expect("it says something") * f64::from(callers);
-        let usual = f64::from(callers * 2).max(2.0 * 3.0);
-        assert!((sum - usual).abs() < 0.01, "{callers} callers, warm: {sum}");
+            scenario.shared.server_status.load_feedback.get().expect("load feedback") * f64::from(clients);
+        let warm_sum = f64::from(clients * 2).max(2.0 * 3.0);
+        assert!((sum - warm_sum).abs() < 0.01, "{clients} clients, warm: {sum}");
     }
 }
 
-/// A table full of tokens: one more is turned away, a repeat of one that is known is not, and what was turned away takes no room.
+/// The table of idempotency keys is full: a request with a new key is rejected and takes no entry, a retry with a known key gets
+/// its result.
 #[test]
-fn no_token_runs_that_could_not_be_kept() {
+fn requests_whose_idempotency_key_cannot_be_stored_are_rejected() {
     let window = r#"/settings/categories/1/memory_span_ns 60000000000"#;
-    let mut play = Play::start(&[r#"/settings/categories/1/effect "dedup""#, window]);
-    play.line(r#"0 kernel {"msg":"BOOTED","how":"WARM","duration":60000}"#);
-    play.line("0 link");
-    let runs = |play: &mut Play, number: usize| {
+    let mut scenario = Scenario::start(&[r#"/settings/categories/1/effect "dedup""#, window]);
+    scenario.run_line(r#"0 kernel {"msg":"BOOTED","how":"WARM","duration":60000}"#);
+    scenario.run_line("0 link");
+    let run_request = |scenario: &mut Scenario, number: usize| {
         let at = number * 2;
-        play.line(&format!("{at} a sends {number} {number:x} unique=k{number}"));
-        play.line(&format!("expect kernel SCHED {number:x}"));
+        scenario.run_line(&format!("{at} a sends {number} {number:x} unique=k{number}"));
+        scenario.run_line(&format!("expect kernel SCHED {number:x}"));
         let txn = format!("{number:0>16x}");
-        play.line(&format!(
+        scenario.run_line(&format!(
             r#"{} kernel {{"msg":"REAP","serial":{number},"call":"{txn}","how":"OK","duration":1,"blob":"b2s="}}"#,
             at + 1
         ));
-        play.line(&format!("expect a {number} succeeded ok"));
+        scenario.run_line(&format!("expect a {number} succeeded ok"));
     };
-    (1..=4096).for_each(|number| runs(&mut play, number));
+    (1..=4096).for_each(|number| run_request(&mut scenario, number));
     for (stream, name) in [(4097, "new"), (4098, "newer")] {
-        play.line(&format!("8300 a sends {stream} {stream:x} unique={name}"));
-        play.line(&format!("expect a {stream} throttled"));
-        play.line(&format!("refuse kernel SCHED {stream:x}"));
+        scenario.run_line(&format!("8300 a sends {stream} {stream:x} unique={name}"));
+        scenario.run_line(&format!("expect a {stream} throttled"));
+        scenario.run_line(&format!("refuse kernel SCHED {stream:x}"));
     }
-    play.line("8301 a sends 4099 ffff unique=k9");
-    play.line("expect a 4099 succeeded ok");
-    // Once the first windows are over, and nothing that came inside them can lie unread, there is room again.
-    play.line("68301 a sends 4100 fffe unique=new");
-    play.line("expect kernel SCHED fffe ask");
+    scenario.run_line("8301 a sends 4099 ffff unique=k9");
+    scenario.run_line("expect a 4099 succeeded ok");
+    // The table has room again once the first retention windows are over and no retry sent within them can still be unread.
+    scenario.run_line("68301 a sends 4100 fffe unique=new");
+    scenario.run_line("expect kernel SCHED fffe ask");
 }
