--- a/crates/server/tests/both.rs
+++ b/crates/server/tests/both.rs
@@ -1,21 +1,22 @@
-//! Every scenario of tests/both through both protocols on loopback: callers as routers in frames and as gateways in SCGI,
-//! calls to a ledger and to an SCGI backend. Outcomes and drain are the same, word for word. Notation, a step a line:
-//!   set KEY VALUE                a key of the settings, as a JSON pointer, before the start
-//!   NAME opens                   its connection, where that is to come before what it sends
-//!   NAME sends OPERATION         the caller NAME asks for it, on a connection of its own; the body is "NAME asks"
-//!   NAME begins OPERATION | NAME ends     the first half of that, the rest
+//! Runs every scenario of tests/both through both protocols over loopback: clients as routers with frames and as gateways with
+//! SCGI, calls to a downstream proxy and to an SCGI backend. Outcomes and drains must be identical. Notation, one step per line:
+//!   set POINTER VALUE            a value of the configuration, before the start
+//!   NAME opens                   opens the connection of the client NAME ahead of its request
+//!   NAME sends OPERATION         the client NAME sends a request on a connection of its own; the body is "NAME asks"
+//!   NAME begins OPERATION | NAME ends     sends the first half of such a request | sends the rest
 //!   NAME leaves | NAME half-closes | NAME resets
 //!   NAME gets succeeded TEXT | errored | throttled [later] [giveup]
-//!   kernel hears MSG NAME        the next command; a SCHED brings the body as it was sent
-//!   kernel reaps NAME OK|ERROR|STOPPED   the result is "NAME done"
-//!   kernel calls NAME            its run waits for a call with the body "NAME puts"
-//!   kernel resumes NAME          hears IODONE with the reply
-//!   kernel breaks | kernel links N       the link is cut; the next one asks for what came after notice N
-//!   below hears NAME [again]     a call for it, on a new connection
+//!   kernel hears MSG NAME        the executor's next command; SCHED carries the body as it was sent
+//!   kernel reaps NAME OK|ERROR|STOPPED   the run ends; the result of OK is "NAME done"
+//!   kernel calls NAME            the run waits for a call with the body "NAME puts"
+//!   kernel resumes NAME          the executor receives IODONE with the reply
+//!   kernel breaks | kernel links N       the link is cut | the next link requests the notices after notice N
+//!   below hears NAME             a call for NAME arrives on a new connection
 //!   below answers NAME | refuses NAME | fails NAME | breaks NAME | halves NAME
-//!   below loses NAME             its call was given up
-//!   term | ends                  notice to leave; the program ends by itself, well
-//! Each step is asserted, and what each party saw is written down and compared between the protocols.
+//!   below loses NAME             the call is given up: its connection is closed
+//!   waits MS                     pauses for MS milliseconds
+//!   term | ends                  sends the termination notice | the process exits by itself with success
+//! Each step is asserted. Outputs and answers are recorded and compared between the protocols.
 
 use cypresscleat_demo::{frame, invocation, Backend, Gateway, Kernel, Ledger, Link, Place, Router};
 use serde_json::Value;
@@ -42,34 +43,34 @@
     Scgi,
 }
 
-enum Caller {
+enum Client {
     Router(Router),
     Gateway(Gateway),
 }
 
-impl Caller {
-    fn link(&mut self) -> &mut Link {
+impl Client {
+    fn link_mut(&mut self) -> &mut Link {
         match self {
-            Caller::Router(router) => &mut router.0,
-            Caller::Gateway(gateway) => &mut gateway.0,
+            Client::Router(router) => &mut router.0,
+            Client::Gateway(gateway) => &mut gateway.0,
         }
     }
-    fn bytes(&self, id: u64, name: &str, operation: &str) -> Vec<u8> {
+    fn request_bytes(&self, id: u64, name: &str, operation: &str) -> Vec<u8> {
         let body = format!("{name} asks");
         match self {
-            Caller::Router(_) => invocation(1, &format!("{id:016x}"), operation, body.as_bytes()),
-            Caller::Gateway(_) => {
+            Client::Router(_) => invocation(1, &format!("{id:016x}"), operation, body.as_bytes()),
+            Client::Gateway(_) => {
                 cypresscleat_demo::scgi_request("POST", &format!("/{operation}"), &[], body.as_bytes())
             }
         }
     }
-    /// The one answer, in neutral words; the time to come back is a number of milliseconds in both.
-    fn answer(&mut self) -> String {
+    /// Reads the one answer and describes it independently of the protocol. Both protocols state the retry delay in milliseconds.
+    fn read_answer(&mut self) -> String {
         match self {
-            Caller::Router(router) => {
+            Client::Router(router) => {
                 let mut answer = router.frame();
                 if answer.kind == 64 {
-                    answer = router.frame(); // told to send no more, before its answer
+                    answer = router.frame(); // the announcement of the close came ahead of the answer
                 }
                 assert_eq!((answer.kind, answer.stream), (4, 1), "{answer:?}");
                 let (code, mut rest) = (answer.payload[0], &answer.payload[2..]);
@@ -93,7 +94,7 @@
                     _ => "errored".into(),
                 }
             }
-            Caller::Gateway(gateway) => {
+            Client::Gateway(gateway) => {
                 let answer = gateway.response().expect("an answer");
                 match answer.status {
                     200 => format!("succeeded {}", String::from_utf8_lossy(&answer.body)),
@@ -118,99 +119,109 @@
     }
 }
 
-enum Below {
+enum Downstream {
     Ledger(Ledger),
     Backend(Backend),
 }
 
-struct Play {
+struct Scenario {
     place: Place,
     kernel: Kernel,
-    callers_by: Protocol,
-    calls_by: Protocol,
-    callers: BTreeMap<String, (Caller, Vec<u8>)>,
-    asked: u64,
-    /// Ids by name and names by id, learnt from what the kernel is asked to run.
+    client_protocol: Protocol,
+    call_protocol: Protocol,
+    clients: BTreeMap<String, (Client, Vec<u8>)>,
+    request_count: u64,
+    /// Request ids by client name, taken from the commands to the executor.
     ids: BTreeMap<String, String>,
-    below: BTreeMap<String, Below>,
-    seen: Vec<String>,
+    downstreams: BTreeMap<String, Downstream>,
+    observed: Vec<String>,
 }
 
-impl Play {
-    fn start(callers_by: Protocol, calls_by: Protocol, changes: &[(String, Value)]) -> Play {
+impl Scenario {
+    fn start(client_protocol: Protocol, call_protocol: Protocol, changes: &[(String, Value)]) -> Scenario {
         let operator =
-            if calls_by == Protocol::Scgi { format!("{OPERATOR}{BACKEND}") } else { OPERATOR.into() };
-        let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
+            if call_protocol == Protocol::Scgi { format!("{OPERATOR}{BACKEND}") } else { OPERATOR.into() };
+        let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |json_config| {
             for (pointer, value) in changes {
-                *all.pointer_mut(pointer).unwrap_or_else(|| panic!("{pointer}")) = value.clone();
+                *json_config.pointer_mut(pointer).unwrap_or_else(|| panic!("{pointer}")) = value.clone();
             }
         });
         let (mut kernel, _) = Kernel::accept(&place.kernel);
         kernel.boot("WARM");
         place.logged("kernel up");
-        let (callers, asked, ids, below, seen) = Default::default();
-        Play { place, kernel, callers_by, calls_by, callers, asked, ids, below, seen }
+        let (clients, request_count, ids, downstreams, observed) = Default::default();
+        Scenario {
+            place,
+            kernel,
+            client_protocol,
+            call_protocol,
+            clients,
+            request_count,
+            ids,
+            downstreams,
+            observed,
+        }
     }
 
     fn address(&self) -> SocketAddr {
-        match self.callers_by {
+        match self.client_protocol {
             Protocol::Frames => self.place.server,
             Protocol::Scgi => self.place.scgi.expect("a listener"),
         }
     }
 
-    fn see(&mut self, what: String) {
-        self.seen.push(what);
+    fn record(&mut self, what: String) {
+        self.observed.push(what);
     }
 
-    fn caller(&mut self, name: &str) -> &mut Caller {
-        &mut self.callers.get_mut(name).unwrap_or_else(|| panic!("no caller {name}")).0
+    fn client(&mut self, name: &str) -> &mut Client {
+        &mut self.clients.get_mut(name).unwrap_or_else(|| panic!("no client {name}")).0
     }
 
-    fn open(&mut self, name: &str) {
+    fn open_client(&mut self, name: &str) {
         let address = self.address();
-        let caller = match self.callers_by {
-            Protocol::Frames => Caller::Router(Router::connect(address)),
-            Protocol::Scgi => Caller::Gateway(Gateway::connect(address)),
+        let client = match self.client_protocol {
+            Protocol::Frames => Client::Router(Router::connect(address)),
+            Protocol::Scgi => Client::Gateway(Gateway::connect(address)),
         };
-        self.callers.insert(name.into(), (caller, Vec::new()));
+        self.clients.insert(name.into(), (client, Vec::new()));
     }
 
-    fn begin(&mut self, name: &str, operation: &str) -> Vec<u8> {
-        if !self.callers.contains_key(name) {
-            self.open(name);
+    fn prepare_request(&mut self, name: &str, operation: &str) -> Vec<u8> {
+        if !self.clients.contains_key(name) {
+            self.open_client(name);
         }
-        self.asked += 1;
-        let id = 0xa0 + self.asked;
-        self.caller(name).bytes(id, name, operation)
+        self.request_count += 1;
+        let id = 0xa0 + self.request_count;
+        self.client(name).request_bytes(id, name, operation)
     }
 
-    fn id(&self, name: &str) -> String {
+    fn request_id(&self, name: &str) -> String {
         self.ids.get(name).unwrap_or_else(|| panic!("no id of {name}")).clone()
     }
 
-    fn hear(&mut self, msg: &str, name: &str) {
-        let (heard, call, body) = self.kernel.hear().expect("a command");
+    fn expect_command(&mut self, msg: &str, name: &str) {
+        let (msg_received, call, body) = self.kernel.hear().expect("a command");
         let body = String::from_utf8(body).expect("text");
-        if heard == "SCHED" {
-            let whose = body.split(' ').next().expect("a name").to_string();
-            self.ids.insert(whose, call.clone());
+        if msg_received == "SCHED" {
+            let client_name = body.split(' ').next().expect("a name").to_string();
+            self.ids.insert(client_name, call.clone());
         }
-        let whose =
+        let client_name =
             self.ids.iter().find(|(_, id)| **id == call).map_or("nobody", |(name, _)| name).to_string();
-        assert_eq!((heard.as_str(), whose.as_str()), (msg, name));
-        let service = if heard == "SCHED" { self.kernel.service.clone() } else { String::new() };
-        self.see(format!("kernel {heard} {whose} {service} {body}"));
+        assert_eq!((msg_received.as_str(), client_name.as_str()), (msg, name));
+        let service = if msg_received == "SCHED" { self.kernel.service.clone() } else { String::new() };
+        self.record(format!("kernel {msg_received} {client_name} {service} {body}"));
     }
 
-    fn below(&mut self, name: &str) {
-        let id = self.id(name);
-        let (below, heard, body) = match self.calls_by {
+    fn accept_call(&mut self, name: &str) {
+        let id = self.request_id(name);
+        let (downstream, received_id, body) = match self.call_protocol {
             Protocol::Frames => {
                 let mut ledger = Ledger::accept(&self.place.ledger);
                 let (words, body) = ledger.hear().expect("a call");
                 assert!(words[2].parse::<u64>().is_ok_and(|ms| ms > 0));
-                (Below::Ledger(ledger), words[1].clone(), body)
+                (Downstream::Ledger(ledger), words[1].clone(), body)
             }
             Protocol::Scgi => {
                 let mut backend = Backend::accept(&self.place.ledger);
@@ -222,32 +233,32 @@
                     ("POST", "/put")
                 );
                 assert!(field("HTTP_CYPRESSCLEAT_WITHIN_MS").parse::<u64>().is_ok_and(|ms| ms > 0));
-                (Below::Backend(backend), field("HTTP_CYPRESSCLEAT_ID"), body)
+                (Downstream::Backend(backend), field("HTTP_CYPRESSCLEAT_ID"), body)
             }
         };
-        assert_eq!(heard, id);
-        self.see(format!("below {name} {}", String::from_utf8_lossy(&body)));
-        self.below.insert(name.into(), below);
+        assert_eq!(received_id, id);
+        self.record(format!("below {name} {}", String::from_utf8_lossy(&body)));
+        self.downstreams.insert(name.into(), downstream);
     }
 
-    fn answer_below(&mut self, how: &str, name: &str) {
-        let id = self.id(name);
+    fn answer_call(&mut self, how: &str, name: &str) {
+        let id = self.request_id(name);
         let reply = format!("{name} noted");
-        let below = self.below.get_mut(name).expect("a call");
-        match (below, how) {
-            (Below::Ledger(ledger), "answers") => ledger.posted(&id, reply.as_bytes()),
-            (Below::Ledger(ledger), "refuses") => ledger.0.send(format!("{id} queue_full\r\n")),
-            (Below::Ledger(ledger), "fails") => ledger.0.send(format!("{id} error\r\n")),
-            (Below::Ledger(ledger), "breaks") => ledger.0.close(),
-            (Below::Ledger(ledger), "halves") => {
+        let downstream = self.downstreams.get_mut(name).expect("a call");
+        match (downstream, how) {
+            (Downstream::Ledger(ledger), "answers") => ledger.posted(&id, reply.as_bytes()),
+            (Downstream::Ledger(ledger), "refuses") => ledger.0.send(format!("{id} queue_full\r\n")),
+            (Downstream::Ledger(ledger), "fails") => ledger.0.send(format!("{id} error\r\n")),
+            (Downstream::Ledger(ledger), "breaks") => ledger.0.close(),
+            (Downstream::Ledger(ledger), "halves") => {
                 ledger.0.send(format!("{id} posted 100\r\nhalf"));
                 ledger.0.close();
             }
-            (Below::Backend(backend), "answers") => backend.answer("200 OK", reply.as_bytes()),
-            (Below::Backend(backend), "refuses") => backend.answer("503 Service Unavailable", b"full"),
-            (Below::Backend(backend), "fails") => backend.answer("500 Internal Server Error", b""),
-            (Below::Backend(backend), "breaks") => backend.0.close(),
-            (Below::Backend(backend), "halves") => {
+            (Downstream::Backend(backend), "answers") => backend.answer("200 OK", reply.as_bytes()),
+            (Downstream::Backend(backend), "refuses") => backend.answer("503 Service Unavailable", b"full"),
+            (Downstream::Backend(backend), "fails") => backend.answer("500 Internal Server Error", b""),
+            (Downstream::Backend(backend), "breaks") => backend.0.close(),
+            (Downstream::Backend(backend), "halves") => {
                 backend.0.send("Status: 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                 backend.0.close();
             }
@@ -255,130 +266,131 @@
         }
     }
 
-    fn step(&mut self, line: &str) {
+    fn run_step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["kernel", "hears", msg, name] => self.hear(msg, name),
+            ["kernel", "hears", msg, name] => self.expect_command(msg, name),
             ["kernel", "reaps", name, how] => {
-                let (id, body) = (self.id(name), format!("{name} done"));
+                let (id, body) = (self.request_id(name), format!("{name} done"));
                 self.kernel.tell("REAP", &id, how, if how == "OK" { body.as_bytes() } else { b"" });
             }
             ["kernel", "calls", name] => {
-                let id = self.id(name);
+                let id = self.request_id(name);
                 self.kernel.tell("IOREQ", &id, "", format!("{name} puts").as_bytes());
             }
             ["kernel", "resumes", name] => {
-                let (id, reply) = (self.id(name), format!("{name} noted"));
+                let (id, reply) = (self.request_id(name), format!("{name} noted"));
                 assert_eq!(self.kernel.expect("IODONE", &id), reply.as_bytes());
-                self.see(format!("kernel IODONE {name} {reply}"));
+                self.record(format!("kernel IODONE {name} {reply}"));
             }
             ["kernel", "breaks"] => self.kernel.link.close(),
             ["kernel", "links", serial] => {
-                let (mut kernel, told) = Kernel::accept(&self.place.kernel);
-                assert_eq!(told.to_string(), serial);
+                let (mut kernel, acknowledged_serial) = Kernel::accept(&self.place.kernel);
+                assert_eq!(acknowledged_serial.to_string(), serial);
                 kernel.boot("WARM");
                 self.kernel = kernel;
-                self.see(format!("kernel OPEN {serial}"));
+                self.record(format!("kernel OPEN {serial}"));
             }
-            ["below", "hears", name] => self.below(name),
+            ["below", "hears", name] => self.accept_call(name),
             ["below", "loses", name] => {
-                let link = match self.below.get_mut(name).expect("a call") {
-                    Below::Ledger(ledger) => &mut ledger.0,
-                    Below::Backend(backend) => &mut backend.0,
+                let link = match self.downstreams.get_mut(name).expect("a call") {
+                    Downstream::Ledger(ledger) => &mut ledger.0,
+                    Downstream::Backend(backend) => &mut backend.0,
                 };
                 assert!(link.ended());
-                self.see(format!("below loses {name}"));
+                self.record(format!("below loses {name}"));
             }
-            ["below", how, name] => self.answer_below(how, name),
+            ["below", how, name] => self.answer_call(how, name),
             ["term"] => {
                 self.place.signal("TERM");
                 self.place.logged("draining");
             }
             ["ends"] => {
-                self.callers.values_mut().for_each(|(caller, _)| caller.link().close());
+                self.clients.values_mut().for_each(|(client, _)| client.link_mut().close());
                 assert!(self.place.exit().success());
             }
             ["waits", ms] => {
                 std::thread::sleep(std::time::Duration::from_millis(ms.parse().expect("a time")))
             }
             [name, "sends", operation] => {
-                let bytes = self.begin(name, operation);
-                self.caller(name).link().try_send(&bytes); // it may have had its answer already
+                let bytes = self.prepare_request(name, operation);
+                self.client(name).link_mut().try_send(&bytes); // the answer may have been sent already
             }
-            [name, "opens"] => self.open(name),
+            [name, "opens"] => self.open_client(name),
             [name, "begins", operation] => {
-                let mut bytes = self.begin(name, operation);
+                let mut bytes = self.prepare_request(name, operation);
                 let rest = bytes.split_off(bytes.len() / 2);
-                self.caller(name).link().send(bytes);
-                self.callers.get_mut(name).expect("a caller").1 = rest;
+                self.client(name).link_mut().send(bytes);
+                self.clients.get_mut(name).expect("a client").1 = rest;
             }
             [name, "ends"] => {
-                let rest = std::mem::take(&mut self.callers.get_mut(name).expect("a caller").1);
-                self.caller(name).link().try_send(&rest); // it may have had its answer already
+                let rest = std::mem::take(&mut self.clients.get_mut(name).expect("a client").1);
+                self.client(name).link_mut().try_send(&rest); // the answer may have been sent already
             }
-            [name, "leaves"] => match self.caller(name) {
-                // A router says so; a gateway has nothing but the end of its connection.
-                Caller::Router(router) => router.0.send(frame(8, 1, b"")),
-                Caller::Gateway(gateway) => gateway.0.close(),
+            [name, "leaves"] => match self.client(name) {
+                // A router sends a frame that withdraws the request; a gateway can only close its connection.
+                Client::Router(router) => router.0.send(frame(8, 1, b"")),
+                Client::Gateway(gateway) => gateway.0.close(),
             },
-            [name, "half-closes"] => self.caller(name).link().close_writing(),
-            [name, "resets"] => self.caller(name).link().reset(),
+            [name, "half-closes"] => self.client(name).link_mut().close_writing(),
+            [name, "resets"] => self.client(name).link_mut().reset(),
             [name, "gets", ..] => {
-                let answer = self.caller(name).answer();
+                let answer = self.client(name).read_answer();
                 assert_eq!(answer.split_whitespace().collect::<Vec<_>>(), words[2..], "{line}");
-                self.see(format!("{name} {answer}"));
+                self.record(format!("{name} {answer}"));
             }
-            _ => panic!("what is this: {line}"),
+            _ => panic!("unknown step: {line}"),
         }
     }
 }
 
-fn play(text: &str, callers_by: Protocol, calls_by: Protocol) -> Vec<String> {
+fn run_scenario(text: &str, client_protocol: Protocol, call_protocol: Protocol) -> Vec<String> {
     let lines: Vec<&str> =
         text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#')).collect();
-    let (sets, steps): (Vec<&str>, Vec<&str>) = lines.iter().partition(|line| line.starts_with("set "));
+    let (set_lines, steps): (Vec<&str>, Vec<&str>) = lines.iter().partition(|line| line.starts_with("set "));
     let change = |line: &str| {
         let (pointer, value) = line[4..].split_once(' ').expect("a pointer and a value");
         (pointer.to_string(), serde_json::from_str(value).expect("JSON"))
     };
-    let changes: Vec<(String, Value)> = sets.into_iter().map(change).collect();
-    let mut play = Play::start(callers_by, calls_by, &changes);
+    let changes: Vec<(String, Value)> = set_lines.into_iter().map(change).collect();
+    let mut scenario = Scenario::start(client_protocol, call_protocol, &changes);
     for line in steps {
         println!("  {}: {line}", std::thread::current().name().unwrap_or(""));
-        play.step(line);
+        scenario.run_step(line);
     }
-    play.seen
+    scenario.observed
 }
 
 #[test]
 fn every_scenario_is_the_same_in_both_protocols() {
-    let mut files: Vec<_> = std::fs::read_dir("tests/both")
+    let mut scenario_files: Vec<_> = std::fs::read_dir("tests/both")
         .expect("tests/both")
         .map(|file| file.expect("a file").path())
         .collect();
-    files.sort();
-    assert!(files.len() >= 10);
-    // Scenarios share nothing, so each has a thread.
-    let plays = files.into_iter().map(|path| {
+    scenario_files.sort();
+    assert!(scenario_files.len() >= 10);
+    // The scenarios are independent, so each runs on its own thread.
+    let scenario_threads = scenario_files.into_iter().map(|path| {
         let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
         let thread = std::thread::Builder::new().name(name.clone());
-        let played = thread.spawn(move || {
+        let spawned = thread.spawn(move || {
             let text = std::fs::read_to_string(&path).expect("a scenario");
             println!("{name} in frames");
-            let first = play(&text, Protocol::Frames, Protocol::Frames);
+            let first = run_scenario(&text, Protocol::Frames, Protocol::Frames);
             assert!(!first.is_empty());
-            for (callers, calls) in [(Protocol::Scgi, Protocol::Frames), (Protocol::Scgi, Protocol::Scgi)] {
-                println!("{name}: callers {callers:?}, calls {calls:?}");
+            for (clients, calls) in [(Protocol::Scgi, Protocol::Frames), (Protocol::Scgi, Protocol::Scgi)] {
+                println!("{name}: clients {clients:?}, calls {calls:?}");
                 assert_eq!(
-                    play(&text, callers, calls),
+                    run_scenario(&text, clients, calls),
                     first,
-                    "{name}: callers {callers:?}, calls {calls:?}"
+                    "{name}: clients {clients:?}, calls {calls:?}"
                 );
             }
         });
-        played.expect("a thread")
+        spawned.expect("a thread")
     });
-    let plays: Vec<_> = plays.collect();
-    let failed = plays.into_iter().map(|play| play.join()).filter(|ended| ended.is_err()).count();
+    let scenario_threads: Vec<_> = scenario_threads.collect();
+    let failed =
+        scenario_threads.into_iter().map(|thread| thread.join()).filter(|result| result.is_err()).count();
     assert_eq!(failed, 0, "scenarios failed; see above");
 }
