--- a/crates/server/tests/scgi.rs
+++ b/crates/server/tests/scgi.rs
@@ -1,5 +1,5 @@
-//! The gateways' front over loopback: every cut of a request, hostile and slow ones, room and descriptors, storms, drain,
-//! reload, backends. Scenarios that both protocols share are in tests/both.
+//! The SCGI listener over loopback: requests cut at every byte, hostile and slow gateways, connection slots and descriptors,
+//! connection storms, drain, reload, backends. Scenarios that both protocols share are in tests/both.
 
 use cypresscleat_demo::{frame, invocation, scgi_request, Backend, Gateway, Kernel, Place, Response, Router};
 use serde_json::json;
@@ -12,7 +12,7 @@
 const CONFIG: &str = include_str!("../../demo/config.json");
 const ONE: &str = "00000000000000a1";
 
-fn operator(connections: usize, patience: &str) -> String {
+fn operator_file(connections: usize, patience: &str) -> String {
     format!(
         r#"scgi: {{
             listen: "127.0.0.1:0"
@@ -29,7 +29,7 @@
     )
 }
 
-fn up(operator: &str, change: impl FnOnce(&mut serde_json::Value)) -> (Place, Kernel) {
+fn start(operator: &str, change: impl FnOnce(&mut serde_json::Value)) -> (Place, Kernel) {
     let place = Place::start_with(Path::new(PROGRAM), CONFIG, operator, change);
     let (mut kernel, _) = Kernel::accept(&place.kernel);
     kernel.boot("WARM");
@@ -37,57 +37,57 @@
     (place, kernel)
 }
 
-/// Runs whatever is asked for, at once, on a thread of its own; an answer says which operation and body it was for.
-fn runs_all(mut kernel: Kernel) {
+/// Runs every request at once, on a separate thread; each result states the operation and the body of the request.
+fn run_all_requests(mut kernel: Kernel) {
     thread::spawn(move || {
         while let Some((msg, call, body)) = kernel.hear() {
             if msg == "SCHED" {
-                let said = format!("{} {}", kernel.service, String::from_utf8_lossy(&body));
-                kernel.tell("REAP", &call, "OK", said.as_bytes());
+                let result = format!("{} {}", kernel.service, String::from_utf8_lossy(&body));
+                kernel.tell("REAP", &call, "OK", result.as_bytes());
             }
         }
     });
 }
 
-fn asks(place: &Place, bytes: &[u8]) -> Option<Response> {
+fn send_request(place: &Place, bytes: &[u8]) -> Option<Response> {
     let mut gateway = Gateway::connect(place.scgi.expect("a listener"));
     gateway.0.try_send(bytes);
     gateway.response()
 }
 
-fn status(place: &Place, bytes: &[u8]) -> u16 {
-    asks(place, bytes).expect("an answer").status
+fn request_status(place: &Place, bytes: &[u8]) -> u16 {
+    send_request(place, bytes).expect("an answer").status
 }
 
-fn descriptors(place: &Place) -> usize {
+fn open_descriptors(place: &Place) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", place.id())).expect("its descriptors").count()
 }
 
-fn router_succeeds(place: &Place) {
+fn expect_router_request_succeeds(place: &Place) {
     let mut router = Router::connect(place.server);
     router.0.send(invocation(1, ONE, "lookup", b"native"));
     assert_eq!(router.answer(), (1, "succeeded", b"lookup native".to_vec()));
 }
 
 #[test]
-fn requests_find_their_route_and_say_what_they_need() {
-    let (place, kernel) = up(&operator(64, "2s"), |_| {});
-    runs_all(kernel);
+fn requests_are_routed_by_path_and_method_and_their_headers_are_read() {
+    let (place, kernel) = start(&operator_file(64, "2s"), |_| {});
+    run_all_requests(kernel);
     let ask = |method, path, headers: &[(&str, &str)], body: &[u8]| {
-        asks(&place, &scgi_request(method, path, headers, body)).expect("an answer")
+        send_request(&place, &scgi_request(method, path, headers, body)).expect("an answer")
     };
     let good = ask("POST", "/lookup", &[("HTTP_X_TEAM", "bolt"), ("HTTP_X_WAIT_MS", "900")], b"cab 7");
     assert_eq!((good.status, &good.body[..]), (200, &b"lookup cab 7"[..]));
     assert_eq!(good.field("Content-Type"), Some("application/octet-stream"));
     assert_eq!(ask("GET", "/lookup/x", &[("QUERY_STRING", "cab=7")], b"").body, b"lookup cab=7");
-    assert_eq!(ask("POST", "/lookup/deep/er", &[], b"z").body, b"report z", "the longest that fits");
+    assert_eq!(ask("POST", "/lookup/deep/er", &[], b"z").body, b"report z", "the longest matching path");
     assert_eq!(ask("POST", "/report", &[("HTTP_X_WORK", "12.5"), ("HTTP_X_RANK", "0.25")], b"z").status, 200);
-    // Gateways that mount the server somewhere tell the path in two parts.
-    let parts = scgi_request("POST", "/report", &[("PATH_INFO", "/of/today")], b"y");
-    assert_eq!(asks(&place, &parts).expect("an answer").body, b"report y");
-    let not = ask("GET", "/report", &[], b"");
-    assert_eq!((not.status, not.field("Allow")), (405, Some("POST")));
-    assert_eq!(ask("GET", "/lookup/deep", &[], b"").status, 405, "a shorter path does not stand in");
+    // Gateways that mount the server under a prefix send the path in two parts.
+    let two_part_path = scgi_request("POST", "/report", &[("PATH_INFO", "/of/today")], b"y");
+    assert_eq!(send_request(&place, &two_part_path).expect("an answer").body, b"report y");
+    let not_allowed = ask("GET", "/report", &[], b"");
+    assert_eq!((not_allowed.status, not_allowed.field("Allow")), (405, Some("POST")));
+    assert_eq!(ask("GET", "/lookup/deep", &[], b"").status, 405, "no fallback to a shorter path");
     for path in ["/", "/reports", "/look", "", "/REPORT"] {
         assert_eq!(ask("POST", path, &[], b"").status, 404, "{path}");
     }
@@ -97,14 +97,14 @@
     for header in [("HTTP_X_WORK", "1e300"), ("HTTP_X_WORK", "NaN"), ("HTTP_X_RANK", "1")] {
         assert_eq!(ask("POST", "/report", &[header], b"").status, 400, "{header:?}");
     }
-    // HEAD is offered by no route here; without a body it could not be told from GET otherwise.
+    // No route here accepts HEAD; without a body such a request would otherwise look like GET.
     assert_eq!(ask("HEAD", "/lookup", &[], b"").status, 405);
 }
 
 #[test]
-fn what_is_no_request_gets_its_status_and_runs_nothing() {
-    let (place, kernel) = up(&operator(64, "2s"), |_| {});
-    runs_all(kernel);
+fn invalid_requests_get_an_error_status_and_run_nothing() {
+    let (place, kernel) = start(&operator_file(64, "2s"), |_| {});
+    run_all_requests(kernel);
     let raw = |header: &str, body: &[u8]| {
         let header = header.replace('|', "\0");
         [format!("{}:{header},", header.len()).as_bytes(), body].concat()
@@ -132,22 +132,23 @@
     ];
     for (wanted, bytes) in &cases {
         let shown: String = String::from_utf8_lossy(&bytes[..bytes.len().min(90)]).into();
-        assert_eq!(status(&place, bytes), *wanted, "{shown}");
+        assert_eq!(request_status(&place, bytes), *wanted, "{shown}");
     }
-    // Bytes behind the body belong to nothing: the request is answered all the same, and only once.
-    let mut more = scgi_request("POST", "/lookup", &[], b"one");
-    more.extend(scgi_request("POST", "/lookup", &[], b"two"));
-    assert_eq!(asks(&place, &more).expect("an answer").body, b"lookup one");
-    router_succeeds(&place);
+    // Bytes after the body are ignored: the request is answered, and only once.
+    let mut two_requests = scgi_request("POST", "/lookup", &[], b"one");
+    two_requests.extend(scgi_request("POST", "/lookup", &[], b"two"));
+    assert_eq!(send_request(&place, &two_requests).expect("an answer").body, b"lookup one");
+    expect_router_request_succeeds(&place);
 }
 
 #[test]
-fn a_request_cut_at_every_byte_never_runs_and_costs_nothing() {
-    let (place, kernel) = up(&operator(256, "300ms"), |_| {});
-    runs_all(kernel);
-    let before = descriptors(&place);
+fn a_request_cut_at_any_byte_never_runs_and_leaks_no_descriptor() {
+    let (place, kernel) = start(&operator_file(256, "300ms"), |_| {});
+    run_all_requests(kernel);
+    let before = open_descriptors(&place);
     let whole = scgi_request("POST", "/lookup", &[], b"five!");
-    // Cut, then closed for writing: told so. Cut, then silence: told so in time. Cut, then closed: nobody is told.
+    // An incomplete request, then a closed writing side: answered with 400. Then silence: answered with 408 in time. Then a
+    // close: no answer.
     for cut in 0..whole.len() {
         let mut closed = Gateway::connect(place.scgi.expect("a listener"));
         closed.0.send(&whole[..cut]);
@@ -168,7 +169,7 @@
     for (cut, gateway) in silent.iter_mut().enumerate() {
         assert_eq!(gateway.response().map(|answer| answer.status), Some(408), "{cut}");
     }
-    // One that sends a byte now and then is no better than a silent one: its time counts from its first byte.
+    // A gateway that sends single bytes slowly is treated like a silent one: its time-out counts from the first byte.
     let mut slow = Gateway::connect(place.scgi.expect("a listener"));
     let began = Instant::now();
     for byte in &whole {
@@ -180,20 +181,20 @@
     let answer = slow.response().map(|answer| answer.status);
     assert!(answer.is_none_or(|status| status == 408), "{answer:?}");
     drop((silent, slow));
-    assert_eq!(status(&place, &whole), 200);
-    router_succeeds(&place);
+    assert_eq!(request_status(&place, &whole), 200);
+    expect_router_request_succeeds(&place);
     let until = Instant::now() + Duration::from_secs(10);
-    while descriptors(&place) > before + 1 {
-        assert!(Instant::now() < until, "{} descriptors, {before} before", descriptors(&place));
+    while open_descriptors(&place) > before + 1 {
+        assert!(Instant::now() < until, "{} descriptors, {before} before", open_descriptors(&place));
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Guards the room of each front against the other's crowd.
+/// Guards the connection slots of each listener against too many connections at the other one.
 #[test]
-fn silent_gateways_take_no_room_of_routers_and_no_descriptors() {
-    let (place, kernel) = up(&operator(16, "2s"), |all| all["limits"]["sockets"] = json!(128));
-    runs_all(kernel);
+fn silent_gateways_take_no_slots_of_routers_and_no_further_descriptors() {
+    let (place, kernel) = start(&operator_file(16, "2s"), |all| all["limits"]["sockets"] = json!(128));
+    run_all_requests(kernel);
     let mut routers: Vec<Router> = (0..20)
         .map(|_| {
             let mut router = Router::connect(place.server);
@@ -203,25 +204,29 @@
         })
         .collect();
     let silent: Vec<Gateway> = (0..300).map(|_| Gateway::connect(place.scgi.expect("a listener"))).collect();
-    assert_eq!(status(&place, &scgi_request("POST", "/lookup", &[], b"x")), 200, "the newest gets in");
-    assert!(descriptors(&place) <= 128, "{}", descriptors(&place));
-    // Not one router was closed for them.
+    assert_eq!(
+        request_status(&place, &scgi_request("POST", "/lookup", &[], b"x")),
+        200,
+        "the newest connection is served"
+    );
+    assert!(open_descriptors(&place) <= 128, "{}", open_descriptors(&place));
+    // No router connection was closed for the gateways.
     for (at, router) in routers.iter_mut().enumerate() {
         let txn = format!("{:016x}", 0x100 + at);
         router.0.send(invocation(2, &txn, "lookup", b"native"));
         assert_eq!(router.answer(), (2, "succeeded", b"lookup native".to_vec()));
     }
-    // The other way round: a crowd of routers up to their limit leaves the gateways theirs.
-    let crowd: Vec<Router> = (0..150).map(|_| Router::connect(place.server)).collect();
-    assert_eq!(status(&place, &scgi_request("POST", "/lookup", &[], b"x")), 200);
-    assert!(descriptors(&place) <= 128, "{}", descriptors(&place));
-    drop((silent, crowd));
+    // Conversely, router connections up to their limit leave the gateways their slots.
+    let many_routers: Vec<Router> = (0..150).map(|_| Router::connect(place.server)).collect();
+    assert_eq!(request_status(&place, &scgi_request("POST", "/lookup", &[], b"x")), 200);
+    assert!(open_descriptors(&place) <= 128, "{}", open_descriptors(&place));
+    drop((silent, many_routers));
 }
 
-/// All reconnect at once, more than there is room for, while nothing ends: whoever finds no place is told at once.
+/// More gateways than there are slots reconnect at once while no request ends: a gateway without a slot is rejected at once.
 #[test]
-fn a_storm_is_answered_one_by_one() {
-    let (place, mut kernel) = up(&operator(16, "2s"), |_| {});
+fn each_request_of_a_connection_storm_gets_one_answer() {
+    let (place, mut kernel) = start(&operator_file(16, "2s"), |_| {});
     let address = place.scgi.expect("a listener");
     let storm: Vec<_> = (0..200)
         .map(|at| {
@@ -232,22 +237,22 @@
             })
         })
         .collect();
-    // Nothing is run to its end before all the others have had their answers.
-    let mut held = Vec::new();
+    // No run ends before all rejected requests have their answers.
+    let mut running = Vec::new();
     let mut ended = 0;
     let answers = thread::spawn(move || {
         let mut all = Vec::new();
-        for one in storm {
-            all.push(one.join().expect("an end"));
+        for gateway_thread in storm {
+            all.push(gateway_thread.join().expect("an end"));
         }
         all
     });
     while !answers.is_finished() {
         if let Some((msg, call, _)) = kernel.hear_within(Duration::from_millis(300)) {
             if msg == "SCHED" {
-                held.push(call);
+                running.push(call);
             }
-        } else if let Some(call) = held.pop() {
+        } else if let Some(call) = running.pop() {
             kernel.tell("REAP", &call, "OK", b"done");
             ended += 1;
         }
@@ -258,24 +263,30 @@
             |answer: &&(Option<Response>, Duration)| answer.0.as_ref().is_some_and(|r| r.status == wanted);
         answers.iter().filter(fits).count()
     };
-    // On a busy machine this kernel ends some runs after their callers' time, of a second: told so when it is over, not before.
+    // On a busy machine this executor ends some runs after the deadline of one second: those requests get 504 at the deadline,
+    // not earlier.
     let late = answers.iter().filter(|(answer, took)| {
         answer.as_ref().is_some_and(|r| r.status == 504) && *took > Duration::from_millis(900)
     });
-    let (late, done, back) = (late.count(), count(200), count(503));
-    assert_eq!(done + back + late, 200, "each has one answer: {done}, {back} and {late}");
+    let (late, done, rejected) = (late.count(), count(200), count(503));
+    assert_eq!(
+        done + rejected + late,
+        200,
+        "each has one answer: {done} succeeded, {rejected} rejected, {late} late"
+    );
     assert!(count(200) > 0 && count(200) <= ended && count(503) > 100);
-    let told = answers.iter().filter_map(|answer| answer.0.as_ref()).filter(|answer| answer.status == 503);
-    let quick = told.clone().filter(|answer| answer.field("Retry-After").is_some()).count();
-    assert!(quick > 100, "{quick} were told when to come back");
-    runs_all(kernel);
-    router_succeeds(&place);
+    let rejections =
+        answers.iter().filter_map(|answer| answer.0.as_ref()).filter(|answer| answer.status == 503);
+    let quick = rejections.clone().filter(|answer| answer.field("Retry-After").is_some()).count();
+    assert!(quick > 100, "{quick} answers have Retry-After");
+    run_all_requests(kernel);
+    expect_router_request_succeeds(&place);
 }
 
-/// Guards callers against waiting for a place that others' runs hold.
+/// Guards clients against waiting for a slot that the running requests of others hold.
 #[test]
-fn one_that_finds_no_room_is_told_at_once() {
-    let (place, mut kernel) = up(&operator(2, "2s"), |_| {});
+fn a_request_without_a_slot_is_rejected_at_once() {
+    let (place, mut kernel) = start(&operator_file(2, "2s"), |_| {});
     let address = place.scgi.expect("a listener");
     let mut running: Vec<Gateway> = Vec::new();
     for _ in 0..2 {
@@ -284,18 +295,18 @@
     }
     let began = Instant::now();
     for _ in 0..20 {
-        let answer = asks(&place, &scgi_request("POST", "/lookup", &[], b"x")).expect("an answer");
+        let answer = send_request(&place, &scgi_request("POST", "/lookup", &[], b"x")).expect("an answer");
         assert_eq!((answer.status, answer.field("Retry-After")), (503, Some("1")));
     }
-    // Far under the due time of those that run, with which their places would come free.
+    // Far less than the deadline of the running requests, at which their slots would become free.
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
 }
 
-/// Guards the answer to one that is still sending: the close of a connection with bytes unread would reset it.
+/// Guards the error answer to a gateway that is still sending: closing a connection with unread bytes would reset it.
 #[test]
-fn whoever_is_refused_while_it_sends_is_read_for_a_while() {
-    let (place, kernel) = up(&operator(64, "2s"), |_| {});
-    runs_all(kernel);
+fn a_gateway_refused_while_it_sends_is_read_for_a_while() {
+    let (place, kernel) = start(&operator_file(64, "2s"), |_| {});
+    run_all_requests(kernel);
     let mut sending = Gateway::connect(place.scgi.expect("a listener"));
     sending.0.send("401:");
     assert_eq!(sending.response().expect("an answer, to its end").status, 431);
@@ -305,15 +316,15 @@
     }
 }
 
-/// A caller that closes while its answer is on its way harms nobody; one that never reads neither.
+/// A gateway that resets its connection before or while its answer is sent does not affect others.
 #[test]
-fn answers_to_nobody_are_dropped() {
-    let (place, mut kernel) = up(&operator(64, "2s"), |_| {});
+fn answers_to_closed_connections_are_dropped() {
+    let (place, mut kernel) = start(&operator_file(64, "2s"), |_| {});
     let address = place.scgi.expect("a listener");
     let mut earlier = Vec::new();
-    for way in 0..3 {
+    for variant in 0..3 {
         let mut gateway = Gateway::asks(address, "POST", "/lookup", b"big");
-        // Where it heard of the caller's going before the end of the run, it was told to stop that first.
+        // Where the server noticed the reset before the end of the run, it sent PREEMPT for that run first.
         let call = loop {
             let (msg, call, _) = kernel.hear().expect("a command");
             if msg == "SCHED" {
@@ -321,49 +332,49 @@
             }
             assert!(msg == "PREEMPT" && earlier.contains(&call), "{msg} of {call}");
         };
-        if way == 0 {
+        if variant == 0 {
             gateway.0.reset();
         }
         kernel.tell("REAP", &call, "OK", &[7; 4096]);
-        if way == 1 {
-            gateway.0.reset(); // the answer may be there, unread
+        if variant == 1 {
+            gateway.0.reset(); // the answer may have arrived and be unread
         }
-        if way == 2 {
+        if variant == 2 {
             let answer = gateway.response().expect("an answer");
             assert_eq!(answer.body, vec![7; 4096]);
         }
         earlier.push(call);
     }
-    runs_all(kernel);
-    router_succeeds(&place);
+    run_all_requests(kernel);
+    expect_router_request_succeeds(&place);
 }
 
 #[test]
-fn before_the_kernel_is_up_gateways_are_told_to_come_back() {
-    let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator(64, "2s"), |_| {});
+fn before_the_executor_is_up_gateways_get_a_retry_delay() {
+    let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator_file(64, "2s"), |_| {});
     let (mut kernel, _) = Kernel::accept(&place.kernel);
-    let answer = asks(&place, &scgi_request("POST", "/lookup", &[], b"early")).expect("an answer");
+    let answer = send_request(&place, &scgi_request("POST", "/lookup", &[], b"early")).expect("an answer");
     assert_eq!((answer.status, answer.field("Retry-After")), (503, Some("1")));
     kernel.boot("WARM");
     place.logged("kernel up");
-    runs_all(kernel);
-    assert_eq!(status(&place, &scgi_request("POST", "/lookup", &[], b"now")), 200);
+    run_all_requests(kernel);
+    assert_eq!(request_status(&place, &scgi_request("POST", "/lookup", &[], b"now")), 200);
 }
 
-/// Half a request at the end of the grace never ran: it is told so, and the program ends.
+/// An incomplete request at the end of the grace period never ran: it is rejected, and the process exits.
 #[test]
-fn a_drain_turns_half_requests_away_and_closes_the_listener() {
+fn a_drain_rejects_incomplete_requests_and_closes_the_listener() {
     let change = |all: &mut serde_json::Value| {
         all["stop_ms"] = json!(60_000);
         all["settings"]["obligations"]["stop_sending_within_ns"] = json!(200_000_000);
     };
-    let (mut place, kernel) = up(&operator(64, "10s"), change);
-    runs_all(kernel);
+    let (mut place, kernel) = start(&operator_file(64, "10s"), change);
+    run_all_requests(kernel);
     let address = place.scgi.expect("a listener");
     let whole = scgi_request("POST", "/lookup", &[], b"half");
     let mut half = Gateway::connect(address);
     half.0.send(&whole[..20]);
-    assert_eq!(status(&place, &scgi_request("POST", "/lookup", &[], b"whole")), 200);
+    assert_eq!(request_status(&place, &scgi_request("POST", "/lookup", &[], b"whole")), 200);
     place.signal("TERM");
     let answer = half.response().expect("an answer");
     assert_eq!((answer.status, answer.field("Retry-After")), (503, Some("1")));
@@ -372,26 +383,26 @@
 }
 
 #[test]
-fn routes_follow_the_operators_file_and_a_faulty_one_changes_nothing() {
-    let (place, kernel) = up(&operator(64, "2s"), |_| {});
-    runs_all(kernel);
-    let ask = |path| status(&place, &scgi_request("POST", path, &[], b"x"));
-    assert_eq!((ask("/lookup"), ask("/new")), (200, 404));
+fn routes_follow_the_operators_file_and_an_invalid_file_changes_nothing() {
+    let (place, kernel) = start(&operator_file(64, "2s"), |_| {});
+    run_all_requests(kernel);
+    let status_of = |path| request_status(&place, &scgi_request("POST", path, &[], b"x"));
+    assert_eq!((status_of("/lookup"), status_of("/new")), (200, 404));
     place.operates("scgi: {listen: 7, routs: []}");
     assert!(place.logged("not taken over: ").contains("scgi.listen: expected address, found 7"));
     assert!(place.logged("not taken over: ").contains("scgi.routs: no such field"));
-    assert_eq!((ask("/lookup"), ask("/new")), (200, 404));
-    place.operates(&operator(64, "2s").replace("operation: \"lookup\"", "operation: \"dance\""));
+    assert_eq!((status_of("/lookup"), status_of("/new")), (200, 404));
+    place.operates(&operator_file(64, "2s").replace("operation: \"lookup\"", "operation: \"dance\""));
     assert!(place
         .logged("not taken over: ")
         .contains("no operation \"dance\" in the settings; one of report, lookup"));
-    place.operates(&operator(32, "2s").replace("/lookup\"", "/new\""));
+    place.operates(&operator_file(32, "2s").replace("/lookup\"", "/new\""));
     place.logged("change with a start only");
     place.logged("operator's file read again");
-    assert_eq!((ask("/lookup"), ask("/new")), (404, 200));
+    assert_eq!((status_of("/lookup"), status_of("/new")), (404, 200));
     place.operates("");
     place.logged("scgi is switched on or off with a start only");
-    assert_eq!(ask("/new"), 200);
+    assert_eq!(status_of("/new"), 200);
 }
 
 #[test]
@@ -409,9 +420,9 @@
     };
     let file = path.to_str().expect("a path");
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../demo/config.json");
-    let own = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.cue");
-    assert_eq!(run(&["check", "--operator", own], Some(example)).0, Some(0));
-    std::fs::write(&path, operator(64, "2s")).expect("to write");
+    let deployed_file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.cue");
+    assert_eq!(run(&["check", "--operator", deployed_file], Some(example)).0, Some(0));
+    std::fs::write(&path, operator_file(64, "2s")).expect("to write");
     assert_eq!(run(&["check", "--operator", file], Some(example)).0, Some(0));
     let (code, text) = run(&["check", "--operator", file, "--show"], None);
     assert!(code == Some(0) && text.contains("connections: 64") && text.contains("memory: 24KiB"), "{text}");
@@ -421,8 +432,8 @@
         code == Some(2) && text.contains(":2:11") && text.contains("conections: no such field"),
         "{text}"
     );
-    assert_eq!(run(&["--operator", file], Some(example)).0, Some(2), "nor does it start");
-    std::fs::write(&path, operator(600, "2s")).expect("to write");
+    assert_eq!(run(&["--operator", file], Some(example)).0, Some(2), "the server does not start either");
+    std::fs::write(&path, operator_file(600, "2s")).expect("to write");
     let (code, text) = run(&["serve", "--operator", file], Some(example));
     assert!(code == Some(2) && text.contains("more than half of 1024 descriptors"), "{text}");
     let cases = [
@@ -433,7 +444,7 @@
         ("methods: [\"POST\"]", "methods: [\"PAST\"]", "expected \"GET\" | \"HEAD\""),
     ];
     for (from, to, wanted) in cases {
-        std::fs::write(&path, operator(64, "2s").replace(from, to)).expect("to write");
+        std::fs::write(&path, operator_file(64, "2s").replace(from, to)).expect("to write");
         let (code, text) = run(&["check", "--operator", file], Some(example));
         assert!(code == Some(2) && text.contains(wanted), "{to}: {text}");
     }
@@ -450,20 +461,21 @@
     }
 }
 
-/// What is known of a call to a backend is told truly: what surely never ran is made again, all else is not.
+/// The outcome of a call follows from the backend's response: a call that may have run is retried only where its request class is
+/// idempotent, a rejected one always.
 #[test]
-fn calls_to_a_backend_end_as_its_answers_say() {
+fn calls_to_a_backend_end_as_its_responses_state() {
     let calls = r#"calls: scgi: {address: "LEDGER", path: "/put"}"#;
-    let (place, mut kernel) = up(&(operator(64, "2s") + calls), |_| {});
+    let (place, mut kernel) = start(&(operator_file(64, "2s") + calls), |_| {});
     let address = place.scgi.expect("a listener");
-    type Act = fn(&mut Backend);
-    let good: [(&str, Act); 4] = [
-        ("with its length", |backend| backend.answer("200 OK", b"noted")),
-        ("by its end", |backend| {
+    type Respond = fn(&mut Backend);
+    let good: [(&str, Respond); 4] = [
+        ("with Content-Length", |backend| backend.answer("200 OK", b"noted")),
+        ("ended by the close", |backend| {
             backend.0.send("Content-Type: text/plain\r\n\r\nnoted");
             backend.0.close_writing();
         }),
-        ("more than is its own", |backend| {
+        ("bytes after the body", |backend| {
             backend.0.send("Status: 200 OK\r\nContent-Length: 5\r\n\r\nnoted, and noise");
             backend.0.close();
         }),
@@ -473,48 +485,48 @@
             }
         }),
     ];
-    let bad: [(&str, Act); 6] = [
-        ("an end without a word", |backend| backend.0.close()),
-        ("noise", |backend| backend.0.send([0xff; 3000])),
+    let bad: [(&str, Respond); 6] = [
+        ("a close without a response", |backend| backend.0.close()),
+        ("invalid bytes", |backend| backend.0.send([0xff; 3000])),
         ("a header without end", |backend| {
             backend.0.try_send(&[b'a'; 20_000]);
         }),
         ("too large", |backend| backend.0.send("Status: 200 OK\r\nContent-Length: 4097\r\n\r\n")),
-        ("half", |backend| {
+        ("half a body", |backend| {
             backend.0.send("Status: 200 OK\r\nContent-Length: 5\r\n\r\nno");
             backend.0.close();
         }),
         ("an error", |backend| backend.answer("500 Sorry", b"")),
     ];
-    let begin = |kernel: &mut Kernel| {
+    let begin_call = |kernel: &mut Kernel| {
         let gateway = Gateway::asks(address, "POST", "/report", b"x");
         let (msg, call, _) = kernel.hear().expect("a command");
         assert_eq!(msg, "SCHED");
         kernel.tell("IOREQ", &call, "", b"put");
         (gateway, call)
     };
-    for (what, act) in good {
-        let (mut gateway, call) = begin(&mut kernel);
+    for (what, respond) in good {
+        let (mut gateway, call) = begin_call(&mut kernel);
         let mut backend = Backend::accept(&place.ledger);
         assert_eq!(backend.hear().1, b"put");
-        act(&mut backend);
+        respond(&mut backend);
         assert_eq!(kernel.expect("IODONE", &call), b"noted", "{what}");
         kernel.tell("REAP", &call, "OK", b"done");
         assert_eq!(gateway.response().expect("an answer").status, 200, "{what}");
     }
-    for (what, act) in bad {
-        let (mut gateway, call) = begin(&mut kernel);
-        // The operation is idempotent: the call is made once more.
+    for (what, respond) in bad {
+        let (mut gateway, call) = begin_call(&mut kernel);
+        // The request class is idempotent: the call is retried once.
         for _ in 0..2 {
             let mut backend = Backend::accept(&place.ledger);
             backend.hear();
-            act(&mut backend);
+            respond(&mut backend);
         }
         assert_eq!(gateway.response().expect("an answer").status, 502, "{what}");
-        kernel.tell("REAP", &call, "STOPPED", b""); // nobody waits for it any more
+        kernel.tell("REAP", &call, "STOPPED", b""); // the executor ends the run whose call was given up
     }
-    // Turned away, then well.
-    let (mut gateway, call) = begin(&mut kernel);
+    // Rejected, then successful.
+    let (mut gateway, call) = begin_call(&mut kernel);
     for status in ["503 Full", "200 OK"] {
         let mut backend = Backend::accept(&place.ledger);
         backend.hear();
