--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -55,12 +55,12 @@
 /// The kinds of messages. Their order and the order of their fields are the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is not a member and asks to become one.
+    /// Sent by a replica that is not a member: requests to become a member.
     JoinRequest {
         /// Whether the sender's disk is empty.
         empty_disk: bool,
     },
-    /// Tells a replica without state who the members are.
+    /// Sent to a replica without state: the members of the configuration.
     Bootstrap {
         /// The members, the receiver among them.
         members: Vec<Member>,
--- a/crates/consensus/tests/simulated_faults.rs
+++ b/crates/consensus/tests/simulated_faults.rs
@@ -84,8 +84,8 @@
             let at = simulation.leader().unwrap_or(at);
             simulation.propose(at, number, number.to_le_bytes().to_vec());
         }
-        for part in 1..=10 {
-            simulation.run(now + part * 10 * MS);
+        for step in 1..=10 {
+            simulation.run(now + step * 10 * MS);
             history.observe(&mut simulation);
         }
         simulation.check_invariants().map_err(|violation| violation.to_string())?;
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of partitions of a fence. Partitions with the lowest tokens, which are the oldest, are evicted first.
-pub const MAX_REMEMBERED_PARTITIONS: usize = crate::MAX_PARTITIONS;
+pub const MAX_FENCED_PARTITIONS: usize = crate::MAX_PARTITIONS;
 
 /// The highest token seen of each partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -29,7 +29,7 @@
         }
         if token > highest || !self.highest.contains_key(&partition) {
             self.highest.insert(partition, token);
-            if self.highest.len() > MAX_REMEMBERED_PARTITIONS {
+            if self.highest.len() > MAX_FENCED_PARTITIONS {
                 self.evict_oldest();
             }
         }
--- a/crates/leases/tests/simulation.rs
+++ b/crates/leases/tests/simulation.rs
@@ -244,7 +244,7 @@
     let partition = |index| Partition { task: 9, index };
     assert!(fence.check(partition(0), 5) && fence.check(partition(0), 5) && fence.check(partition(0), 9));
     assert!(!fence.check(partition(0), 8) && !fence.check(partition(0), 0));
-    for number in 0..cypresscleat_leases::fence::MAX_REMEMBERED_PARTITIONS as u32 + 10 {
+    for number in 0..cypresscleat_leases::fence::MAX_FENCED_PARTITIONS as u32 + 10 {
         assert!(fence.check(partition(number + 1), 100 + u64::from(number)));
     }
     assert!(!fence.check(partition(0), 8), "evicted, and still rejected");
--- a/crates/server/src/leases/known_replicas.rs
+++ b/crates/server/src/leases/known_replicas.rs
@@ -8,8 +8,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Messages to a replica without a response after which every second message goes to its other address.
-const UNANSWERED_BEFORE_OTHER: u32 = 2;
+/// Maximum number of consecutive messages without a response that go to the known address of a replica only. After that every second
+/// message goes to the other address.
+const MAX_UNANSWERED_AT_KNOWN_ADDRESS: u32 = 2;
 
 /// Another address of a replica, reported by a known replica, while this process has a different address configured.
 struct OtherAddress {
@@ -58,7 +59,7 @@
     pub fn next_address(&mut self, replica: NodeId) -> Option<SocketAddr> {
         if let Some(other) = self.others.get_mut(&replica) {
             other.unanswered = other.unanswered.wrapping_add(1);
-            if other.unanswered > UNANSWERED_BEFORE_OTHER && !other.unanswered.is_multiple_of(2) {
+            if other.unanswered > MAX_UNANSWERED_AT_KNOWN_ADDRESS && !other.unanswered.is_multiple_of(2) {
                 return Some(other.address);
             }
         }
