--- /dev/null
+++ b/crates/server/src/core/persistence.rs
@@ -0,0 +1,390 @@
+//! The core's state that outlives a request: idempotency keys with their results, and, with a store, billing rows and
+//! the requests open at a drain, which outlive the process too. Performs no I/O: batches of writes go out, and
+//! acknowledgements of the store come in. The key of a row begins with `b/` (billing), `t/` (idempotency key) or `o/`
+//! (open request).
+
+use super::incoming::{Peer, RequestId, ResponseStatus};
+use crate::pool::Buf;
+use cypresscleat_scheduler::{RequestSlot, Time};
+use cypresscleat_store::disk::Disk;
+use cypresscleat_store::{Result, Store};
+use std::collections::{BTreeSet, HashMap, VecDeque};
+use std::rc::Rc;
+use std::sync::mpsc::SyncSender;
+
+/// Writes that are persisted together in one commit.
+pub struct WriteBatch {
+    pub number: u64,
+    pub writes: Vec<(Vec<u8>, Option<Vec<u8>>)>,
+}
+
+/// Maximum size of all results in memory, in bytes. A request beyond it is known to have run, but its result is not
+/// retained.
+const MAX_RESULT_BYTES: usize = 4 << 20;
+/// Maximum number of idempotency keys known at once. A retry under a key beyond it could not be recognized, so requests
+/// with new keys are rejected until an entry expires.
+const MAX_IDEMPOTENCY_KEYS: usize = 4096;
+
+#[derive(Clone, Debug, PartialEq)]
+pub enum KeyState {
+    /// The scheduler knows the request under this slot.
+    Open(RequestSlot),
+    /// The run has started, and its outcome is not known: it may have had its effect.
+    Started,
+    Completed(Vec<u8>),
+}
+
+#[derive(Clone, Debug, PartialEq)]
+pub struct IdempotencyRecord {
+    /// Fingerprint of the request, to tell it from another under the same key.
+    pub fingerprint: u64,
+    /// Unix time, in tenths of a millisecond, until which a retry may arrive.
+    pub expires_at: Time,
+    pub state: KeyState,
+}
+
+impl IdempotencyRecord {
+    fn encode(&self) -> Vec<u8> {
+        let mut out = self.fingerprint.to_le_bytes().to_vec();
+        out.extend(self.expires_at.to_le_bytes());
+        if let KeyState::Completed(result) = &self.state {
+            out.push(1);
+            out.extend(result);
+        } else {
+            out.push(0);
+        }
+        out
+    }
+
+    fn decode(bytes: &[u8]) -> Option<IdempotencyRecord> {
+        let (fingerprint, rest) = bytes.split_at_checked(8)?;
+        let (expires_at, rest) = rest.split_at_checked(8)?;
+        let (tag, result) = rest.split_first()?;
+        Some(IdempotencyRecord {
+            fingerprint: u64::from_le_bytes(fingerprint.try_into().ok()?),
+            expires_at: Time::from_le_bytes(expires_at.try_into().ok()?),
+            state: if *tag == 1 { KeyState::Completed(result.to_vec()) } else { KeyState::Started },
+        })
+    }
+}
+
+fn idempotency_key_row(idempotency_key: &str) -> Vec<u8> {
+    format!("t/{idempotency_key}").into_bytes()
+}
+
+fn open_request_row(request_id: &RequestId) -> Vec<u8> {
+    [&b"o/"[..], request_id].concat()
+}
+
+/// State left in the store by the previous run of the program.
+#[derive(Debug, Default)]
+pub struct RecoveredState {
+    pub records: Vec<(String, IdempotencyRecord)>,
+    /// Requests that were open and never answered: the key and a description of each.
+    pub interrupted: Vec<(Vec<u8>, String)>,
+}
+
+impl RecoveredState {
+    /// Reads idempotency keys and open requests from the store.
+    pub fn load(store: &mut Store<impl Disk>) -> Result<RecoveredState> {
+        let snapshot = store.snapshot();
+        let mut recovered = RecoveredState::default();
+        let mut bytes = 0;
+        for key in snapshot.keys(b"o/").take_while(|key| key.starts_with(b"o/")) {
+            let value = store.get_at(&snapshot, key)?.unwrap_or_default();
+            let description =
+                format!("{} {}", String::from_utf8_lossy(&key[2..]), String::from_utf8_lossy(&value));
+            recovered.interrupted.push((key.to_vec(), description));
+        }
+        for key in snapshot.keys(b"t/").take_while(|key| key.starts_with(b"t/")) {
+            let value = store.get_at(&snapshot, key)?.unwrap_or_default();
+            let Some(mut record) = IdempotencyRecord::decode(&value) else { continue };
+            bytes += value.len();
+            if bytes > MAX_RESULT_BYTES {
+                record.state = KeyState::Started;
+            }
+            recovered.records.push((String::from_utf8_lossy(&key[2..]).into_owned(), record));
+        }
+        Ok(recovered)
+    }
+}
+
+/// An action that waits until a batch is persisted.
+pub enum DeferredAction {
+    Respond {
+        peer: Rc<Peer>,
+        stream: u32,
+        status: ResponseStatus,
+        body: Buf,
+    },
+    /// Runs a request with an idempotency key.
+    Run(RequestSlot, RequestId),
+}
+
+/// Billing data of a request.
+pub struct BillingRow<'a> {
+    pub request_id: &'a RequestId,
+    pub class: &'a str,
+    pub tenant: &'a str,
+    pub billed: f64,
+    /// Unix time, in tenths of a millisecond.
+    pub arrived_at: Time,
+    pub completed_at: Time,
+}
+
+/// Idempotency keys, deferred actions, and the queue to the store.
+pub struct Persistence {
+    /// Without a store, idempotency keys are known only while the process lives.
+    sender: Option<SyncSender<WriteBatch>>,
+    last_batch: u64,
+    deferred: VecDeque<(u64, DeferredAction)>,
+    /// Responses are sent after the commit of their billing row, else before it.
+    pub respond_after_commit: bool,
+    /// While the store fails, requests that could not be recorded are not served.
+    pub reject_on_failure: bool,
+    pub is_failing: bool,
+    records: HashMap<String, IdempotencyRecord>,
+    expirations: BTreeSet<(Time, String)>,
+    /// Pairs of requests: the first, and the one that waits for its result.
+    pub followers: Vec<(RequestSlot, RequestSlot)>,
+    result_bytes: usize,
+    /// All batches up to this number are finished.
+    acknowledged_through: u64,
+    /// Maximum time between the arrival of a retry and its reading.
+    pub max_unread_time: Time,
+}
+
+impl Persistence {
+    /// Keeps idempotency keys only, for the lifetime of the process.
+    pub fn in_memory() -> Persistence {
+        Persistence {
+            sender: None,
+            last_batch: 0,
+            deferred: VecDeque::new(),
+            respond_after_commit: false,
+            reject_on_failure: false,
+            is_failing: false,
+            records: HashMap::new(),
+            expirations: BTreeSet::new(),
+            followers: Vec::new(),
+            result_bytes: 0,
+            acknowledged_through: 0,
+            max_unread_time: 0,
+        }
+    }
+
+    /// Restores recovered keys; also returns a description of each request that was cut off.
+    pub fn new(
+        sender: SyncSender<WriteBatch>,
+        respond_after_commit: bool,
+        reject_on_failure: bool,
+        recovered: RecoveredState,
+    ) -> (Persistence, Vec<String>) {
+        let mut persistence = Persistence {
+            sender: Some(sender),
+            respond_after_commit,
+            reject_on_failure,
+            ..Persistence::in_memory()
+        };
+        for (idempotency_key, record) in recovered.records {
+            persistence.insert_record(idempotency_key, record);
+        }
+        // Reported to the operator once, and then removed from the store.
+        let (keys, interrupted): (Vec<_>, Vec<_>) = recovered.interrupted.into_iter().unzip();
+        if !keys.is_empty() {
+            persistence.send(keys.into_iter().map(|key| (key, None)).collect());
+        }
+        (persistence, interrupted)
+    }
+
+    /// Whether rows outlive the process.
+    pub fn has_store(&self) -> bool {
+        self.sender.is_some()
+    }
+
+    /// Sends a batch to the store and returns its number; `None` without a store, or where its queue is full.
+    fn send(&mut self, writes: Vec<(Vec<u8>, Option<Vec<u8>>)>) -> Option<u64> {
+        let number = self.last_batch + 1;
+        self.sender.as_ref()?.try_send(WriteBatch { number, writes }).ok()?;
+        self.last_batch = number;
+        Some(number)
+    }
+
+    /// Marks all batches up to this number as finished; returns the actions that waited for them.
+    pub fn acknowledge(&mut self, acknowledged_through: u64) -> Vec<DeferredAction> {
+        let mut actions = Vec::new();
+        self.acknowledged_through = acknowledged_through;
+        while self.deferred.front().is_some_and(|(number, _)| *number <= acknowledged_through) {
+            actions.extend(self.deferred.pop_front().map(|(_, action)| action));
+        }
+        actions
+    }
+
+    /// Records the billing row of a success, and its result where it has a key. Returns the number of the batch, where
+    /// the store took it.
+    pub fn record_billing(
+        &mut self,
+        row: &BillingRow,
+        idempotency_key: Option<&str>,
+        result: &[u8],
+    ) -> Option<u64> {
+        let ms = |time: Time| time / 10;
+        let key = format!("b/{:016}/{}", ms(row.completed_at), String::from_utf8_lossy(row.request_id));
+        let value = format!(
+            "{},{},{},{},{},succeeded",
+            row.class,
+            row.tenant,
+            row.billed,
+            ms(row.arrived_at),
+            ms(row.completed_at)
+        );
+        let mut writes = vec![(key.into_bytes(), Some(value.into_bytes()))];
+        writes.extend(idempotency_key.and_then(|name| self.set_result(name, result)));
+        self.send(writes)
+    }
+
+    /// Records the result of a request with a key whose client has left: a retry may still arrive.
+    pub fn record_result(&mut self, idempotency_key: &str, result: &[u8]) {
+        if let Some(write) = self.set_result(idempotency_key, result) {
+            self.send(vec![write]);
+        }
+    }
+
+    /// Sets the result of a key. Followers may have it at once; later retries once the request is released.
+    fn set_result(&mut self, idempotency_key: &str, result: &[u8]) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
+        let record = self.records.get_mut(idempotency_key)?;
+        let completed = IdempotencyRecord { state: KeyState::Completed(result.to_vec()), ..record.clone() };
+        let write =
+            self.sender.is_some().then(|| (idempotency_key_row(idempotency_key), Some(completed.encode())));
+        if self.result_bytes + result.len() <= MAX_RESULT_BYTES {
+            self.result_bytes += result.len();
+            record.state = completed.state;
+        } else {
+            record.state = KeyState::Started;
+        }
+        write
+    }
+
+    /// Defers an action until batch `number` is finished: the last batch sent, or an earlier one.
+    pub fn defer(&mut self, number: u64, action: DeferredAction) {
+        debug_assert!(self.deferred.back().is_none_or(|(earlier, _)| *earlier <= number));
+        self.deferred.push_back((number, action));
+    }
+
+    /// The batch after which everything known now is persisted; `None` where that is already so.
+    pub fn pending_batch(&self) -> Option<u64> {
+        (self.respond_after_commit && self.last_batch > self.acknowledged_through).then_some(self.last_batch)
+    }
+
+    // ---- idempotency keys ----
+
+    /// Returns the record of a key.
+    pub fn record(&self, idempotency_key: &str) -> Option<&IdempotencyRecord> {
+        self.records.get(idempotency_key)
+    }
+
+    /// Finds the request that a retry under this key repeats. The window is compared with the time at which the retry
+    /// arrived, not with the time at which it was read. A request that is still open is always repeated.
+    pub fn find_repeated(&self, idempotency_key: &str, arrived_at: Time) -> Option<&IdempotencyRecord> {
+        self.records
+            .get(idempotency_key)
+            .filter(|record| arrived_at < record.expires_at || matches!(record.state, KeyState::Open(_)))
+    }
+
+    /// When the next key expires, in Unix time, where no more keys can be stored until then.
+    pub fn full_until(&self) -> Option<Time> {
+        (self.records.len() >= MAX_IDEMPOTENCY_KEYS)
+            .then(|| self.expirations.first().map_or(0, |(expires_at, _)| *expires_at))
+    }
+
+    /// Removes the first follower of a request, which takes the request's place.
+    pub fn take_follower(&mut self, first: RequestSlot) -> Option<RequestSlot> {
+        let at = self.followers.iter().position(|(known, _)| *known == first)?;
+        Some(self.followers.remove(at).1)
+    }
+
+    /// Stores the record of a key, in place of an earlier one.
+    pub fn insert_record(&mut self, idempotency_key: String, record: IdempotencyRecord) {
+        self.remove_record(&idempotency_key);
+        if let KeyState::Completed(result) = &record.state {
+            self.result_bytes += result.len();
+        }
+        self.expirations.insert((record.expires_at, idempotency_key.clone()));
+        self.records.insert(idempotency_key, record);
+    }
+
+    fn remove_record(&mut self, idempotency_key: &str) {
+        if let Some(record) = self.records.remove(idempotency_key) {
+            self.expirations.remove(&(record.expires_at, idempotency_key.to_string()));
+            if let KeyState::Completed(result) = record.state {
+                self.result_bytes -= result.len();
+            }
+        }
+    }
+
+    /// Records the start of a run. The record must be on disk before the run starts: otherwise a run cut off by a crash
+    /// could run twice.
+    pub fn record_start(&mut self, idempotency_key: &str) -> Option<u64> {
+        let record =
+            IdempotencyRecord { state: KeyState::Started, ..self.records.get(idempotency_key)?.clone() };
+        self.send(vec![(idempotency_key_row(idempotency_key), Some(record.encode()))])
+    }
+
+    /// The scheduler has released the request. The key of a request that never ran is free again.
+    pub fn release_key(&mut self, idempotency_key: &str, slot: RequestSlot, has_run: bool) {
+        let is_open =
+            self.records.get(idempotency_key).is_some_and(|record| record.state == KeyState::Open(slot));
+        match (is_open, has_run) {
+            (true, true) => {
+                if let Some(record) = self.records.get_mut(idempotency_key) {
+                    record.state = KeyState::Started;
+                }
+            }
+            (true, false) => self.remove_record(idempotency_key),
+            (false, _) => {}
+        }
+    }
+
+    /// Removes expired keys from memory and from the store, once no retry that arrived in their window can lie unread.
+    pub fn expire(&mut self, unix_time: Time) {
+        let unix_time = unix_time - self.max_unread_time;
+        let mut writes = Vec::new();
+        while let Some((expires_at, idempotency_key)) =
+            self.expirations.first().cloned().filter(|(expires_at, _)| *expires_at <= unix_time)
+        {
+            if self
+                .records
+                .get(&idempotency_key)
+                .is_some_and(|record| matches!(record.state, KeyState::Open(_)))
+            {
+                break; // the entry goes when its request is released
+            }
+            debug_assert!(expires_at <= unix_time);
+            writes.push((idempotency_key_row(&idempotency_key), None));
+            self.remove_record(&idempotency_key);
+            if writes.len() >= 64 {
+                break;
+            }
+        }
+        if !writes.is_empty() {
+            self.send(writes);
+        }
+    }
+
+    // ---- drain ----
+
+    /// Records requests that are open when a drain begins, with a description of each.
+    pub fn record_open_requests(&mut self, requests: impl Iterator<Item = (RequestId, String)>) {
+        let writes: Vec<_> = requests
+            .map(|(request_id, description)| (open_request_row(&request_id), Some(description.into_bytes())))
+            .collect();
+        if !writes.is_empty() {
+            self.send(writes);
+        }
+    }
+
+    /// Removes the record of an open request that has been answered.
+    pub fn clear_open_request(&mut self, request_id: &RequestId) {
+        self.send(vec![(open_request_row(request_id), None)]);
+    }
+}
--- a/crates/server/src/leases/reconcile.rs
+++ b/crates/server/src/leases/reconcile.rs
@@ -13,7 +13,7 @@
 
 use super::task_worker::{self, Item, ItemSource};
 use super::ControlReplicas;
-use crate::core::keeping::{Loaded, Ran};
+use crate::core::persistence::{KeyState, RecoveredState};
 use crate::log;
 use cypresscleat_leases::{node_id, Time};
 use cypresscleat_store::disk::DiskDirectory;
@@ -55,10 +55,12 @@
         opened => opened.map_err(|error| error.to_string())?,
     };
     let mut store = Store::open(disk, StoreOptions::default()).map_err(|error| error.to_string())?;
-    let loaded = Loaded::read(&mut store).map_err(|error| error.to_string())?;
-    let unanswered =
-        loaded.cut_off.into_iter().map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
-    let started = loaded.tokens.into_iter().filter(|(_, token)| token.ran == Ran::Begun);
+    let loaded = RecoveredState::load(&mut store).map_err(|error| error.to_string())?;
+    let unanswered = loaded
+        .interrupted
+        .into_iter()
+        .map(|(key, what)| Row { key: String::from_utf8_lossy(&key).into(), what });
+    let started = loaded.records.into_iter().filter(|(_, token)| token.state == KeyState::Started);
     let started = started
         .map(|(token, _)| Row { key: format!("t/{token}"), what: "begun, its end is not known".into() });
     Ok(Some(unanswered.chain(started).take(MAX_ROWS_PER_READ).collect()))
--- a/crates/server/src/lines.rs
+++ b/crates/server/src/lines.rs
@@ -1,45 +1,46 @@
-//! The kernel's JSON lines and the ledger's lines: read from bytes, written to bytes. No I/O.
+//! The executor's JSON lines and the downstream proxy's lines: parsed from bytes, written to bytes. Performs no I/O.
 
-use crate::pool::{Buf, Pool};
+use crate::pool::{Buf, BufferPool};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use cypresscleat_scheduler::Outcome;
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// The first line in `bytes` without its end, and the size with it.
-pub fn next(bytes: &[u8]) -> Option<(&[u8], usize)> {
+/// Returns the first line in `bytes` without its line ending, and its size including it.
+pub fn next_line(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let line = &bytes[..end];
     Some((line.strip_suffix(b"\r").unwrap_or(line), end + 1))
 }
 
-// ---- the kernel ----
+// ---- executor ----
 
+/// A notice of the executor.
 pub enum Notice {
     Booted { cold: bool, age_ms: f64 },
-    Reap { call: String, how: Outcome, blob: Buf },
-    Call { call: String, blob: Buf },
+    Reap { call: String, outcome: Outcome, body: Buf },
+    Call { call: String, body: Buf },
     Info { cookie: String, stats: Vec<f64> },
     Rejected { command: String, call: String },
     Remark(String),
 }
 
-/// The number of a notice, where it has one, and what it says.
-pub fn notice(line: &[u8], pool: &Rc<Pool>) -> (Option<u64>, Result<Notice, String>) {
+/// Parses a notice: its number, where it has one, and its content.
+pub fn parse_notice(line: &[u8], pool: &Rc<BufferPool>) -> (Option<u64>, Result<Notice, String>) {
     match serde_json::from_slice::<Value>(line) {
-        Ok(all) => (all["serial"].as_u64(), read_notice(&all, pool)),
+        Ok(all) => (all["serial"].as_u64(), notice_from_json(&all, pool)),
         Err(error) => (None, Err(error.to_string())),
     }
 }
 
-fn read_notice(all: &Value, pool: &Rc<Pool>) -> Result<Notice, String> {
+fn notice_from_json(all: &Value, pool: &Rc<BufferPool>) -> Result<Notice, String> {
     let text = |key: &str| all[key].as_str().ok_or_else(|| format!("no {key}"));
     let call = || text("call").map(str::to_string);
-    let blob = || {
+    let body = || {
         let mut blob = pool.take();
         let text = all["blob"].as_str().unwrap_or("");
         let size = STANDARD.decode_slice(text, blob.spare()).map_err(|error| format!("blob: {error}"))?;
-        blob.filled(size);
+        blob.advance(size);
         Ok::<Buf, String>(blob)
     };
     let how = text("how");
@@ -48,16 +49,16 @@
             Notice::Booted { cold: how == "COLD", age_ms: all["duration"].as_f64().unwrap_or(0.0).max(0.0) }
         }
         ("REAP", Ok(how)) => {
-            let how = match how {
+            let outcome = match how {
                 "OK" => Outcome::Succeeded,
                 "ERROR" => Outcome::Failed,
                 "STOPPED" => Outcome::Cancelled,
                 "MOOT" => Outcome::NotStarted,
                 _ => return Err(format!("how {how:?}")),
             };
-            Notice::Reap { call: call()?, how, blob: blob()? }
+            Notice::Reap { call: call()?, outcome, body: body()? }
         }
-        ("IOREQ", _) => Notice::Call { call: call()?, blob: blob()? },
+        ("IOREQ", _) => Notice::Call { call: call()?, body: body()? },
         ("INFO", _) => {
             let stats = all["stats"].as_array().map_or(&[][..], Vec::as_slice);
             let stats = stats.iter().map(|value| value.as_f64().unwrap_or(f64::NAN)).collect();
@@ -71,28 +72,34 @@
     })
 }
 
-fn line(value: Value) -> String {
+fn json_line(value: Value) -> String {
     format!("{value}\n")
 }
 
+/// Opens a link; the executor sends all notices after `serial`.
 pub fn open(serial: u64) -> String {
-    line(json!({"msg": "OPEN", "serial": serial}))
+    json_line(json!({"msg": "OPEN", "serial": serial}))
 }
+/// Starts a run.
 pub fn sched(call: &str, service: &str, body: &[u8]) -> String {
-    line(json!({"msg": "SCHED", "call": call, "service": service, "blob": STANDARD.encode(body)}))
+    json_line(json!({"msg": "SCHED", "call": call, "service": service, "blob": STANDARD.encode(body)}))
 }
+/// Stops a run.
 pub fn preempt(call: &str) -> String {
-    line(json!({"msg": "PREEMPT", "call": call}))
+    json_line(json!({"msg": "PREEMPT", "call": call}))
 }
+/// Resumes a run with the reply of its downstream call.
 pub fn io_done(call: &str, reply: &[u8]) -> String {
-    line(json!({"msg": "IODONE", "call": call, "blob": STANDARD.encode(reply)}))
+    json_line(json!({"msg": "IODONE", "call": call, "blob": STANDARD.encode(reply)}))
 }
+/// Requests the gauges; the response carries the cookie.
 pub fn sysinfo(cookie: &str) -> String {
-    line(json!({"msg": "SYSINFO", "cookie": cookie}))
+    json_line(json!({"msg": "SYSINFO", "cookie": cookie}))
 }
 
-// ---- the ledger ----
+// ---- downstream proxy ----
 
+/// Builds a call, which the downstream proxy abandons after `within_ms`.
 pub fn post(call: &str, within_ms: i64, body: &[u8]) -> Vec<u8> {
     let mut out = format!("post {call} {within_ms} {}\r\n", body.len()).into_bytes();
     out.extend(body);
@@ -100,55 +107,59 @@
     out
 }
 
-/// How a call ended, told truly of whether it ran, with the body of its reply.
+/// How a call ended, exact about whether it ran, with the body of its reply.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
     pub call: &'a str,
-    pub how: Outcome,
+    pub outcome: Outcome,
     pub body: &'a [u8],
 }
 
 #[derive(Debug, PartialEq)]
 pub enum NextReply<'a> {
-    More,
+    Incomplete,
     Reply(Reply<'a>, usize),
-    /// A line that means nothing, or where the next reply begins can't be known any more.
-    Broken(String),
+    /// An invalid line, after which the start of the next reply is unknown.
+    Invalid(String),
 }
 
-/// The first line of a reply is shorter than this.
-const LINE: usize = 64;
+/// Maximum length of the first line of a reply, in bytes.
+const MAX_LINE_BYTES: usize = 64;
 
-/// The first reply in `bytes`, of which `most` fit a buffer.
-pub fn reply(bytes: &[u8], most: usize) -> NextReply<'_> {
-    let Some((line, size)) = next(&bytes[..bytes.len().min(LINE)]) else {
-        let broken = bytes.len() >= LINE;
-        return if broken { NextReply::Broken("a line without end".into()) } else { NextReply::More };
+/// Finds the first reply in `bytes`; a reply of at most `max_reply_bytes` fits a buffer.
+pub fn parse_reply(bytes: &[u8], max_reply_bytes: usize) -> NextReply<'_> {
+    let Some((line, size)) = next_line(&bytes[..bytes.len().min(MAX_LINE_BYTES)]) else {
+        let invalid = bytes.len() >= MAX_LINE_BYTES;
+        return if invalid {
+            NextReply::Invalid("the line is too long".into())
+        } else {
+            NextReply::Incomplete
+        };
     };
-    let broken = || NextReply::Broken(format!("{:?}", String::from_utf8_lossy(line)));
-    let Ok(text) = std::str::from_utf8(line) else { return broken() };
+    let invalid = || NextReply::Invalid(format!("{:?}", String::from_utf8_lossy(line)));
+    let Ok(text) = std::str::from_utf8(line) else { return invalid() };
     let words: Vec<&str> = text.split(' ').collect();
-    let (call, how) = match words[..] {
+    let (call, outcome) = match words[..] {
         [call, "posted", length] => {
-            let Ok(length) = length.parse::<usize>() else { return broken() };
-            let whole = size.saturating_add(length).saturating_add(2);
-            if whole > most {
-                return NextReply::Broken(format!("a reply of {length} bytes"));
+            let Ok(length) = length.parse::<usize>() else { return invalid() };
+            let total_size = size.saturating_add(length).saturating_add(2);
+            if total_size > max_reply_bytes {
+                return NextReply::Invalid(format!("a reply of {length} bytes"));
             }
-            return match bytes.get(size..whole) {
-                None => NextReply::More,
+            return match bytes.get(size..total_size) {
+                None => NextReply::Incomplete,
                 Some(tail) if tail.ends_with(b"\r\n") => {
                     let body = &tail[..length];
-                    NextReply::Reply(Reply { call, how: Outcome::Succeeded, body }, whole)
+                    NextReply::Reply(Reply { call, outcome: Outcome::Succeeded, body }, total_size)
                 }
-                Some(_) => NextReply::Broken(format!("{text:?} is not followed by its reply")),
+                Some(_) => NextReply::Invalid(format!("{text:?} is not followed by its reply")),
             };
         }
         [call, "queue_full"] => (call, Outcome::Rejected),
         [call, "error"] => (call, Outcome::Failed),
         [call, "expired"] => (call, Outcome::TimedOut),
         [call, "moot"] => (call, Outcome::NotStarted),
-        _ => return broken(),
+        _ => return invalid(),
     };
-    NextReply::Reply(Reply { call, how, body: b"" }, size)
+    NextReply::Reply(Reply { call, outcome, body: b"" }, size)
 }
--- a/crates/server/src/pool.rs
+++ b/crates/server/src/pool.rs
@@ -1,4 +1,4 @@
-//! Buffers of one size, used again, and the outboxes made of them. A buffer goes back where it is dropped.
+//! A pool of buffers of one size, and the outboxes built on it. A buffer returns to the pool when it is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,73 +7,82 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Holds any frame or line that the protocol allows: a result of 4 KiB, in base64 too.
-pub const SIZE: usize = 8192;
+/// Fits any frame or line that the protocols allow: a result of 4 KiB, also in base64.
+pub const BUFFER_BYTES: usize = 8192;
 
-type Block = Box<[u8; SIZE]>;
+type Block = Box<[u8; BUFFER_BYTES]>;
 
-pub struct Pool {
+/// The free buffers, and the number of buffers in use.
+pub struct BufferPool {
     free: RefCell<Vec<Block>>,
-    out: Cell<usize>,
-    most: usize,
+    in_use: Cell<usize>,
+    max_buffers: usize,
 }
 
-impl Pool {
-    pub fn new(most: usize) -> Rc<Pool> {
-        Rc::new(Pool { free: RefCell::default(), out: Cell::new(0), most: most.max(16) })
+impl BufferPool {
+    pub fn new(max_buffers: usize) -> Rc<BufferPool> {
+        Rc::new(BufferPool {
+            free: RefCell::default(),
+            in_use: Cell::new(0),
+            max_buffers: max_buffers.max(16),
+        })
     }
 
-    /// A buffer for what must be written: answers and commands are bounded by what was taken in.
-    pub fn take(self: &Rc<Pool>) -> Buf {
-        let block = self.free.borrow_mut().pop().unwrap_or_else(|| Box::new([0; SIZE]));
-        self.out.set(self.out.get() + 1);
+    /// Takes a buffer for data that must be written: responses and commands are bounded by the requests read.
+    pub fn take(self: &Rc<BufferPool>) -> Buf {
+        let block = self.free.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
+        self.in_use.set(self.in_use.get() + 1);
         Buf { block: Some(block), len: 0, pool: self.clone() }
     }
 
-    /// Whether more may be read: the last eighth is left to what must be written. Guards memory against more
-    /// input than can be held; then reading waits, as behind a slow server.
-    pub fn has_room(&self) -> bool {
-        self.out.get() < self.most - self.most / 8
+    /// Returns whether more may be read: the last eighth of the pool is reserved for data that must be written. Bounds
+    /// the memory of unread input; beyond the bound reading waits, as at a slow server.
+    pub fn has_capacity(&self) -> bool {
+        self.in_use.get() < self.max_buffers - self.max_buffers / 8
     }
 
-    pub fn out(&self) -> usize {
-        self.out.get()
+    /// Number of buffers in use.
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 }
 
+/// A buffer of `BUFFER_BYTES`, filled from the front.
 pub struct Buf {
     block: Option<Block>,
     len: usize,
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
 }
 
 impl Buf {
-    /// Adds what fits; returns how much that was.
+    /// Appends what fits; returns the number of bytes appended.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
-        let many = bytes.len().min(SIZE - self.len);
-        self.spare()[..many].copy_from_slice(&bytes[..many]);
-        self.len += many;
-        many
+        let count = bytes.len().min(BUFFER_BYTES - self.len);
+        self.spare()[..count].copy_from_slice(&bytes[..count]);
+        self.len += count;
+        count
     }
+    /// The unfilled rest, to be read into.
     pub fn spare(&mut self) -> &mut [u8] {
         let len = self.len;
         self.block.as_mut().map_or(&mut [], |block| &mut block[len..])
     }
-    pub fn filled(&mut self, more: usize) {
-        self.len = (self.len + more).min(SIZE);
+    /// Counts bytes that were read into the spare part.
+    pub fn advance(&mut self, more: usize) {
+        self.len = (self.len + more).min(BUFFER_BYTES);
     }
-    /// Goes back to the pool before it is dropped; nothing stands in it any more.
-    pub fn give_back(&mut self) {
+    /// Returns the buffer to the pool before it is dropped, and leaves it empty.
+    pub fn release(&mut self) {
         let pool = self.pool.clone();
         drop(std::mem::replace(self, Buf { block: None, len: 0, pool }));
     }
-    /// Drops the first bytes; the rest moves to the front.
-    pub fn consume(&mut self, many: usize) {
-        let (many, len) = (many.min(self.len), self.len);
+    /// Removes the first bytes; the rest moves to the front.
+    pub fn consume(&mut self, count: usize) {
+        let (count, len) = (count.min(self.len), self.len);
         if let Some(block) = self.block.as_mut() {
-            block.copy_within(many..len, 0);
+            block.copy_within(count..len, 0);
         }
-        self.len -= many;
+        self.len -= count;
     }
 }
 
@@ -87,18 +96,18 @@
 impl Drop for Buf {
     fn drop(&mut self) {
         if let Some(block) = self.block.take() {
-            self.pool.out.set(self.pool.out.get() - 1);
+            self.pool.in_use.set(self.pool.in_use.get() - 1);
             let mut free = self.pool.free.borrow_mut();
-            if free.len() < self.pool.most {
+            if free.len() < self.pool.max_buffers {
                 free.push(block);
             }
         }
     }
 }
 
-/// What waits to be written to one peer, in order.
+/// Bytes that wait to be written to one peer, in order.
 pub struct Outbox {
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
     chunks: RefCell<VecDeque<Buf>>,
     head: Cell<usize>,
     bytes: Cell<usize>,
@@ -107,7 +116,7 @@
 }
 
 impl Outbox {
-    pub fn new(pool: &Rc<Pool>) -> Outbox {
+    pub fn new(pool: &Rc<BufferPool>) -> Outbox {
         Outbox {
             pool: pool.clone(),
             chunks: RefCell::default(),
@@ -118,12 +127,13 @@
         }
     }
 
+    /// Appends bytes, and wakes the task that writes them.
     pub fn push(&self, mut bytes: &[u8]) {
         let mut chunks = self.chunks.borrow_mut();
         self.bytes.set(self.bytes.get() + bytes.len());
         while !bytes.is_empty() {
-            let many = chunks.back_mut().map_or(0, |last| last.push(bytes));
-            bytes = &bytes[many..];
+            let count = chunks.back_mut().map_or(0, |last| last.push(bytes));
+            bytes = &bytes[count..];
             if !bytes.is_empty() {
                 chunks.push_back(self.pool.take());
             }
@@ -137,11 +147,11 @@
     pub fn is_empty(&self) -> bool {
         self.bytes.get() == 0
     }
-    /// Bytes that have left it since its start.
+    /// Number of bytes written since the outbox was created.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
-    /// Where the next byte pushed will stand, counted like `written`.
+    /// Position of the next byte pushed, counted as in `written`.
     pub fn end(&self) -> u64 {
         self.written.get() + self.bytes.get() as u64
     }
@@ -151,25 +161,25 @@
         self.bytes.set(0);
     }
 
-    /// Writes until the peer takes no more; `write` is a socket's non-blocking write.
+    /// Writes until the socket accepts no more; `write` is a socket's non-blocking write.
     pub fn flush(&self, mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> io::Result<()> {
         let mut chunks = self.chunks.borrow_mut();
         while let Some(first) = chunks.front() {
-            let left = &first[self.head.get()..];
-            let many = match write(left) {
+            let rest = &first[self.head.get()..];
+            let count = match write(rest) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(many) => many,
+                Ok(count) => count,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(error),
             };
-            self.bytes.set(self.bytes.get() - many);
-            self.written.set(self.written.get() + many as u64);
-            if many == left.len() {
+            self.bytes.set(self.bytes.get() - count);
+            self.written.set(self.written.get() + count as u64);
+            if count == rest.len() {
                 chunks.pop_front();
                 self.head.set(0);
             } else {
-                self.head.set(self.head.get() + many);
+                self.head.set(self.head.get() + count);
             }
         }
         Ok(())
--- a/crates/server/src/ready.rs
+++ b/crates/server/src/ready.rs
@@ -1,5 +1,5 @@
-//! How long the start takes, told in one line: from the start of the program until it listens, until its kernel is up, until the
-//! roster has taken a report. A start that takes too long says what it waits for.
+//! Measures how long startup takes and logs one line: the time from the start of the program until it listens, until
+//! its executor is up, and until the service registry has accepted a report. A slow startup logs what it waits for.
 
 use crate::log;
 use std::cell::Cell;
@@ -7,61 +7,62 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
 
-/// Nine in ten processes of a fleet are to be ready by then, and all by the second.
-const SOON: Duration = Duration::from_secs(10);
-const AT_LAST: Duration = Duration::from_secs(30);
+/// Startup times that a fleet is expected to keep: nine of ten processes are ready by the first, all by the second.
+const FIRST_WARNING: Duration = Duration::from_secs(10);
+const SECOND_WARNING: Duration = Duration::from_secs(30);
 
-pub struct Ready {
+/// The steps of startup, and when each was reached.
+pub struct Readiness {
     started: Instant,
-    listens: Cell<Option<Duration>>,
-    kernel: Cell<Option<Duration>>,
+    listening: Cell<Option<Duration>>,
+    executor: Cell<Option<Duration>>,
     report: Cell<Option<Duration>>,
-    /// Without a roster nobody is told.
-    reports: Cell<bool>,
-    told: Cell<bool>,
+    /// Without a registry no report is expected.
+    expects_report: Cell<bool>,
+    was_logged: Cell<bool>,
 }
 
-impl Ready {
-    pub fn new(started: Instant) -> Rc<Ready> {
-        let (listens, kernel, report) = Default::default();
-        let (reports, told) = (Cell::new(true), Cell::new(false));
-        Rc::new(Ready { started, listens, kernel, report, reports, told })
+impl Readiness {
+    pub fn new(started: Instant) -> Rc<Readiness> {
+        let (listening, executor, report) = Default::default();
+        let (expects_report, was_logged) = (Cell::new(true), Cell::new(false));
+        Rc::new(Readiness { started, listening, executor, report, expects_report, was_logged })
     }
 
     fn mark(&self, what: &Cell<Option<Duration>>) {
         if what.get().is_none() {
             what.set(Some(self.started.elapsed()));
-            self.look();
+            self.log_when_ready();
         }
     }
-    /// All listeners stand; `reports` where there is a roster.
-    pub fn listens(&self, reports: bool) {
-        self.reports.set(reports);
-        self.mark(&self.listens);
+    /// Marks all listeners as listening; `expects_report` where a registry is configured.
+    pub fn mark_listening(&self, expects_report: bool) {
+        self.expects_report.set(expects_report);
+        self.mark(&self.listening);
     }
-    pub fn kernel(&self) {
-        self.mark(&self.kernel);
+    pub fn mark_executor_up(&self) {
+        self.mark(&self.executor);
     }
-    pub fn reports(&self) {
+    pub fn mark_reported(&self) {
         self.mark(&self.report);
     }
 
     fn missing(&self) -> Vec<&'static str> {
         let all = [
-            (self.listens.get().is_none(), "it does not listen"),
-            (self.kernel.get().is_none(), "its kernel is not up"),
-            (self.report.get().is_none() && self.reports.get(), "the roster has taken no report"),
+            (self.listening.get().is_none(), "it does not listen"),
+            (self.executor.get().is_none(), "its kernel is not up"),
+            (self.report.get().is_none() && self.expects_report.get(), "the roster has taken no report"),
         ];
         all.into_iter().filter_map(|(missing, what)| missing.then_some(what)).collect()
     }
 
-    fn look(&self) {
-        if self.told.get() || !self.missing().is_empty() {
+    fn log_when_ready(&self) {
+        if self.was_logged.get() || !self.missing().is_empty() {
             return;
         }
-        self.told.set(true);
+        self.was_logged.set(true);
         let ms = |at: &Cell<Option<Duration>>| at.get().unwrap_or_default().as_millis();
-        let (listens, kernel) = (ms(&self.listens), ms(&self.kernel));
+        let (listens, kernel) = (ms(&self.listening), ms(&self.executor));
         match self.report.get() {
             Some(at) => {
                 log!(
@@ -73,9 +74,9 @@
         }
     }
 
-    /// Says what a late start waits for, twice at the most.
-    pub async fn watch(self: Rc<Ready>) {
-        for at in [SOON, AT_LAST] {
+    /// Logs what a slow startup waits for, at most twice.
+    pub async fn watch(self: Rc<Readiness>) {
+        for at in [FIRST_WARNING, SECOND_WARNING] {
             sleep_until((self.started + at).into()).await;
             let missing = self.missing();
             if missing.is_empty() {
