--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -56,8 +56,8 @@
 
 /// Reads the operator's file and runs the relay. Returns once the relay has ended.
 pub fn start(path: &Path, name: &str) -> ExitCode {
-    let read = operator::read(path, None).map_err(|error| error.shown);
-    let read = read.and_then(|(operator, _)| match (operator.keepers, operator.relay) {
+    let read = operator::read(path, None).map_err(|error| error.rendered);
+    let read = read.and_then(|(operator, _)| match (operator.control_replicas, operator.relay) {
         _ if name.is_empty() => Err("no name: --name or EDGE_NAME\n".into()),
         (Some(keepers), Some(config)) => Ok((keepers, config)),
         _ => Err(format!("{}: no relay\n", path.display())),
--- a/crates/server/src/rollout/mod.rs
+++ b/crates/server/src/rollout/mod.rs
@@ -9,7 +9,7 @@
 pub mod policy_command;
 
 use crate::leases::ControlReplicas;
-use crate::operator::{self, Wrong};
+use crate::operator::{self, InvalidFile};
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_rollout::{Rules, Version};
 use cypresscleat_scheduler::Time;
@@ -60,8 +60,8 @@
 
 /// Parses a policy document. Without `names` the names of request classes are not checked. An empty document stands for the instance's
 /// own file.
-pub fn parse_policy(name: &str, document: &str, names: Option<&Names>) -> Result<Policy, Wrong> {
-    operator::policy(name, document, names)
+pub fn parse_policy(name: &str, document: &str, names: Option<&Names>) -> Result<Policy, InvalidFile> {
+    operator::parse_policy(name, document, names)
 }
 
 /// Checks in full whether this instance can apply a version: the length of its document, the document against the instance's own settings,
@@ -78,7 +78,7 @@
         ));
     }
     let policy = parse_policy("policy", &version.document, names)
-        .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.shown))?;
+        .map_err(|wrong| wrong.lines.first().cloned().unwrap_or(wrong.rendered))?;
     if policy.rules != version.rules || policy.hash != version.hash {
         return Err("the rules or the hash of the version differ from its document".into());
     }
