--- a/crates/server/src/counters.rs
+++ b/crates/server/src/counters.rs
@@ -1,15 +1,17 @@
-//! What was taken in, sent and answered, as one line on invocation (SIGUSR1) and at exit.
+//! Counters of the server, written as one log line on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 
+/// Defines a struct of counters. Their names appear in the log line as they are written here.
 macro_rules! counters {
-    ($all:ident; $($name:ident: $meaning:literal),* $(,)?) => {
+    ($struct_name:ident; $($name:ident: $description:literal),* $(,)?) => {
         #[derive(Default)]
-        pub struct $all {
-            $(#[doc = $meaning] pub $name: std::cell::Cell<u64>,)*
+        pub struct $struct_name {
+            $(#[doc = $description] pub $name: std::cell::Cell<u64>,)*
         }
 
-        impl $all {
+        impl $struct_name {
+            /// Returns all counters as `name value` pairs, separated by commas.
             pub fn summary(&self) -> String {
                 let pairs = [$((stringify!($name), self.$name.get())),*];
                 let pairs: Vec<String> = pairs.iter().map(|(name, value)| format!("{name} {value}")).collect();
@@ -24,49 +26,50 @@
 counters! { Counters;
     connections: "connections accepted",
     accept_errors: "connections that could not be accepted, as for want of descriptors",
-    idle_closed: "closed for idling, at the module's word or to make room",
-    stuck_closed: "closed as the peer read nothing",
-    silent_closed: "closed as no whole frame came in time",
-    turned_away: "connections of gateways that found no room",
+    idle_closed: "idle connections closed, by decision of the scheduler or to free a slot",
+    stuck_closed: "connections closed as the peer read nothing",
+    silent_closed: "connections closed as no complete frame arrived in time",
+    turned_away: "gateway connections rejected at the connection limit",
     checks: "health checks answered",
-    invocations: "invocations taken in",
-    open_most: "the most answers that were owed at once",
-    policy_held: "invocations held for a moment while a change of policy stopped all",
-    policy_refused: "invocations turned away while out of service under a policy",
-    tokens_refused: "invocations turned away as no more tokens could be kept",
-    resent: "invocations that came again under their id on another connection",
-    malformed: "frames or lines that could not be read",
-    caller_left: "invocations whose caller left",
-    succeeded: "answers of success",
-    throttled: "answers of throttling",
-    errored: "answers of error",
-    late_answers: "answers whose connection was gone",
+    invocations: "requests received",
+    open_most: "maximum number of responses pending at once",
+    policy_held: "requests held during the barrier of a policy change",
+    policy_refused: "requests rejected while out of service under a policy",
+    tokens_refused: "requests rejected as no more idempotency keys could be stored",
+    resent: "requests received again with the same id on another connection",
+    malformed: "malformed frames or lines",
+    caller_left: "requests whose client disconnected",
+    succeeded: "responses with success",
+    throttled: "responses with a rejection",
+    errored: "responses with an error",
+    late_answers: "responses whose connection was already closed",
     runs: "runs started",
     stops: "runs stopped",
-    runs_succeeded: "runs that ended well",
-    runs_errored: "runs that errored",
-    runs_stopped: "runs that were stopped or had nothing to do",
-    kernel_links: "links made to the kernel",
-    kernel_resent: "commands sent again on a new link",
-    kernel_rejected: "commands the kernel would not carry out",
-    calls: "calls posted to the ledger",
-    calls_succeeded: "calls posted well",
-    calls_throttled: "calls turned away",
-    calls_errored: "calls that errored",
-    calls_expired: "calls that ran out of time",
-    calls_lost: "calls whose connection broke or never came about",
-    calls_abandoned: "calls given up from here",
-    tried_again: "tries at another worker",
-    rows: "billing rows handed to the store",
-    recorded: "answers that waited for their row and had it",
-    unrecorded: "answers whose row could not be kept",
-    repeated: "repeats answered by the first one's result",
-    reports: "reports the roster took",
-    reports_lost: "reports that were not answered as due",
-    reloads: "configurations taken over on SIGHUP",
-    clock_late_ms: "the latest the module's timer ever came, in milliseconds",
+    runs_succeeded: "runs that succeeded",
+    runs_errored: "runs that failed",
+    runs_stopped: "runs that ended as stopped or as moot",
+    kernel_links: "links established to the executor",
+    kernel_resent: "commands resent to the executor on a new link",
+    kernel_rejected: "commands rejected by the executor",
+    calls: "calls posted to the downstream proxy",
+    calls_succeeded: "calls that succeeded",
+    calls_throttled: "calls rejected",
+    calls_errored: "calls that failed",
+    calls_expired: "calls that timed out",
+    calls_lost: "calls whose connection failed or could not be established",
+    calls_abandoned: "calls abandoned by this server",
+    tried_again: "further attempts at another worker",
+    rows: "billing rows sent to the store",
+    recorded: "responses sent after their billing row was stored",
+    unrecorded: "responses whose billing row could not be stored",
+    repeated: "retries answered with the stored result of the first attempt",
+    reports: "reports accepted by the service registry",
+    reports_lost: "reports that the service registry did not answer as expected",
+    reloads: "configurations reloaded on SIGHUP",
+    clock_late_ms: "maximum delay of the scheduler's timer, in milliseconds",
 }
 
+/// Increments a counter.
 pub fn add(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/crates/server/src/sockets.rs
+++ b/crates/server/src/sockets.rs
@@ -1,4 +1,4 @@
-//! What several adapters do with a socket.
+//! Socket operations that several adapters share.
 
 use std::fmt::Display;
 use std::future::poll_fn;
@@ -9,22 +9,24 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What was sent and not read would make the close of a connection a reset, which may overtake the last answers: it is read and
-/// dropped for so long at the most, and no more than so many bytes of it.
-const LINGER: Duration = Duration::from_millis(300);
-const DROPPED: usize = 64 * 1024;
+/// Closing a connection with unread input resets it, and the reset may overtake the last responses. The unread input is therefore read
+/// and discarded before the close, for at most this long.
+const MAX_LINGER: Duration = Duration::from_millis(300);
+/// Maximum number of unread bytes that are discarded before a close.
+const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 
-/// An error that says what was tried, such as an address that was to be listened at: a process that ends by it names the cause.
-pub fn add_context(what: impl Display) -> impl FnOnce(io::Error) -> io::Error {
-    move |error| io::Error::new(error.kind(), format!("{what}: {error}"))
+/// Adds the operation that failed to an I/O error, such as the address to listen on: a process that ends with the error then shows
+/// the cause.
+pub fn add_context(operation: impl Display) -> impl FnOnce(io::Error) -> io::Error {
+    move |error| io::Error::new(error.kind(), format!("{operation}: {error}"))
 }
 
-/// Writes all of it, however long the other side takes: for those that bound the time themselves.
+/// Writes all bytes, however long the peer takes to read them: callers bound the time themselves.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
         match stream.try_write(bytes) {
-            Ok(many) => bytes = &bytes[many..],
+            Ok(count) => bytes = &bytes[count..],
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
         }
@@ -32,33 +34,33 @@
     Ok(())
 }
 
-/// Reads what stands in the socket now. Before a close, or before a connection that rested is used again, the word of the event
-/// loop is not enough: it tells of what had come when it last looked.
-pub fn read_available(stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
+/// Reads the bytes that are in the socket now. Before a connection is closed, or an idle connection is reused, the readiness that the
+/// event loop reports is not enough: it covers only the bytes that had arrived at its last poll.
+pub fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
-        match (&*socket2::SockRef::from(stream)).read(into) {
+        match (&*socket2::SockRef::from(stream)).read(buffer) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            read => return read,
+            result => return result,
         }
     }
 }
 
-/// A lingering close: ends the output, then reads and drops what still comes until the other side has closed too. `over` is asked
-/// at each wake and ends it early.
-pub async fn linger(stream: &mut TcpStream, wake: &Notify, over: impl Fn() -> bool) -> io::Result<()> {
+/// Closes a connection with a linger: shuts down the output, then reads and discards input until the peer has closed too. At each
+/// wake-up `is_over` is evaluated, and true ends the linger early.
+pub async fn linger(stream: &mut TcpStream, wake: &Notify, is_over: impl Fn() -> bool) -> io::Result<()> {
     poll_fn(|context| Pin::new(&mut *stream).poll_shutdown(context)).await?;
-    let until = tokio::time::Instant::now() + LINGER;
-    let mut left = DROPPED;
+    let deadline = tokio::time::Instant::now() + MAX_LINGER;
+    let mut remaining = MAX_DISCARDED_BYTES;
     loop {
         tokio::select! {
-            () = wake.notified() => if over() { return Ok(()) } else { continue },
-            () = tokio::time::sleep_until(until) => return Ok(()),
+            () = wake.notified() => if is_over() { return Ok(()) } else { continue },
+            () = tokio::time::sleep_until(deadline) => return Ok(()),
             ready = stream.readable() => ready?,
         }
-        let mut dropped = [0; 4096];
-        match stream.try_read(&mut dropped) {
+        let mut discarded = [0; 4096];
+        match stream.try_read(&mut discarded) {
             Ok(0) => return Ok(()),
-            Ok(many) if many < left => left -= many,
+            Ok(count) if count < remaining => remaining -= count,
             Ok(_) => return Ok(()),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
--- a/crates/server/src/store_thread.rs
+++ b/crates/server/src/store_thread.rs
@@ -1,5 +1,6 @@
-//! The store on a thread of its own: the server's loop never waits for a disk. Jobs go there through a bounded queue, word of
-//! what was kept comes back as a note. What rows mean stands in `core/persistence.rs`.
+//! Runs the store on a thread of its own, so that the server's event loop never waits for a disk. Batches of writes go to the thread
+//! through a bounded queue; [`CoreEvent::Persisted`] reports what was persisted. The meaning of the rows is defined in
+//! `core/persistence.rs`.
 
 use crate::core::persistence::{RecoveredState, WriteBatch};
 use crate::core::CoreEvent;
@@ -14,118 +15,123 @@
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::spawn_local;
 
-/// Jobs that may wait; one more is refused, and answered by the rule for a store that fails.
-const QUEUE: usize = 1024;
-/// Jobs of one commit at the most.
-const GROUP: usize = 256;
-const IDLE: Duration = Duration::from_millis(50);
-const ENDS: Duration = Duration::from_secs(1);
-/// A folder that somebody else holds is waited for so long.
-const MOMENT: Duration = Duration::from_millis(500);
+/// Maximum number of queued batches. The core handles one more as it handles a failing store.
+const MAX_QUEUED_BATCHES: usize = 1024;
+/// Maximum number of batches in one commit.
+const MAX_BATCHES_PER_COMMIT: usize = 256;
+/// How long the thread waits for a batch before it closes hours and compacts.
+const IDLE_INTERVAL: Duration = Duration::from_millis(50);
+/// How long [`join`] waits for the thread.
+const MAX_JOIN_WAIT: Duration = Duration::from_secs(1);
+/// How long [`start`] waits for a folder whose lock another process holds.
+const MAX_LOCK_WAIT: Duration = Duration::from_millis(500);
 
-/// When a write counts as kept.
+/// When a write counts as persisted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Durability {
-    /// Synced by itself.
+    /// After a sync for this write alone.
     Each,
-    /// Synced with what comes within so long.
+    /// After a sync shared with the writes that arrive within this time.
     Group(Duration),
-    /// Handed to the system: it outlives the process, not the machine.
+    /// Once handed to the operating system: the write survives the process, but not a crash of the machine.
     None,
 }
 
-/// Opens the store, reads what the core has to know, and goes on on a thread. Before anything is served.
+/// Opens the store, loads the state that the core needs, and starts the store's thread. Runs before the server accepts requests.
+/// `hour_ms` is the length of an hour of [`HourlyUsage`]; `None` disables the totals.
 pub fn start(
     folder: &Path,
     durability: Durability,
-    segment: u64,
-    hours: Option<u64>,
-    notes: Sender<CoreEvent>,
+    segment_bytes: u64,
+    hour_ms: Option<u64>,
+    events: Sender<CoreEvent>,
 ) -> Result<(SyncSender<WriteBatch>, RecoveredState, JoinHandle<()>), String> {
-    let options = StoreOptions { max_segment_bytes: segment, ..StoreOptions::default() };
-    let disk = held(folder)?;
+    let options = StoreOptions { max_segment_bytes: segment_bytes, ..StoreOptions::default() };
+    let disk = open_locked(folder)?;
     let mut store = Store::open(disk, options).map_err(|error| error.to_string())?;
-    let loaded = RecoveredState::load(&mut store).map_err(|error| error.to_string())?;
+    let recovered = RecoveredState::load(&mut store).map_err(|error| error.to_string())?;
     let stats = store.stats();
     log!(
         "store: {} keys in {} segments, {} bytes dropped behind the end, {} tokens, {} invocations cut off",
         stats.keys,
         stats.segments,
         stats.torn_bytes,
-        loaded.records.len(),
-        loaded.interrupted.len()
+        recovered.records.len(),
+        recovered.interrupted.len()
     );
-    let summed = match hours {
+    let usage = match hour_ms {
         None => None,
-        Some(span) => {
-            let hours = HourlyUsage::load(&mut store, span).map_err(|error| error.to_string())?;
-            let mut summed = Summed { hours, folder: folder.to_path_buf(), failing: false };
-            put(&mut store, summed.hours.closed_hour_writes())?;
-            put(&mut store, summed.hours.close_hours_before_time(now()))?;
+        Some(hour_ms) => {
+            let hours = HourlyUsage::load(&mut store, hour_ms).map_err(|error| error.to_string())?;
+            let mut usage = UsageExport { hours, folder: folder.to_path_buf(), is_failing: false };
+            put(&mut store, usage.hours.closed_hour_writes())?;
+            put(&mut store, usage.hours.close_hours_before_time(unix_ms()))?;
             store.commit(true).map_err(|error| error.to_string())?;
-            summed.export();
-            Some(summed)
+            usage.export();
+            Some(usage)
         }
     };
-    let (to, jobs) = sync_channel(QUEUE);
-    let (done, mut words) = channel(QUEUE);
+    let (batch_sender, batches) = sync_channel(MAX_QUEUED_BATCHES);
+    let (result_sender, mut results) = channel(MAX_QUEUED_BATCHES);
     spawn_local(async move {
-        while let Some((acknowledged_through, failure)) = words.recv().await {
-            if notes.send(CoreEvent::Persisted { acknowledged_through, failure }).await.is_err() {
+        while let Some((acknowledged_through, failure)) = results.recv().await {
+            if events.send(CoreEvent::Persisted { acknowledged_through, failure }).await.is_err() {
                 return;
             }
         }
     });
     let thread = std::thread::Builder::new().name("store".into());
-    let spawned = thread.spawn(move || keep(store, durability, summed, &jobs, &done));
-    Ok((to, loaded, spawned.map_err(|error| error.to_string())?))
+    let spawned = thread.spawn(move || run(store, durability, usage, &batches, &result_sender));
+    Ok((batch_sender, recovered, spawned.map_err(|error| error.to_string())?))
 }
 
-/// The folder, held. Whoever settles for this instance while it is down holds it for a moment at a time.
-fn held(folder: &Path) -> Result<DiskDirectory, String> {
-    let until = Instant::now() + MOMENT;
+/// Opens and locks the folder. The worker that reports this instance's usage while the instance is down holds the lock briefly, so a
+/// locked folder is retried.
+fn open_locked(folder: &Path) -> Result<DiskDirectory, String> {
+    let deadline = Instant::now() + MAX_LOCK_WAIT;
     loop {
         match DiskDirectory::open(folder) {
-            Err(cypresscleat_store::Error::Locked) if Instant::now() < until => {
+            Err(cypresscleat_store::Error::Locked) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(10))
             }
-            other => return other.map_err(|error| error.to_string()),
+            result => return result.map_err(|error| error.to_string()),
         }
     }
 }
 
-/// Waits for the end of the thread, which comes with that of whoever sends it jobs; not for ever, as a disk may hang.
+/// Waits until the thread ends, which it does once the sender of batches is dropped. The wait is bounded, as a disk may hang.
 pub async fn join(thread: Option<JoinHandle<()>>) {
     let Some(thread) = thread else { return };
-    let until = Instant::now() + ENDS;
-    while !thread.is_finished() && Instant::now() < until {
+    let deadline = Instant::now() + MAX_JOIN_WAIT;
+    while !thread.is_finished() && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// How far all is done with, and why some of it failed.
-type Word = (u64, Option<String>);
+/// Number of the last batch that is done, and why a write failed, if one did.
+type CommitResult = (u64, Option<String>);
 
-/// Billing rows summed by the hour, and where they are handed out.
-struct Summed {
+/// Totals of the billing rows by hour, and their export.
+struct UsageExport {
     hours: HourlyUsage,
     folder: PathBuf,
-    failing: bool,
+    /// Whether the last export failed; a series of failures is logged once.
+    is_failing: bool,
 }
 
-impl Summed {
-    /// Only once what is told there is on the disk.
+impl UsageExport {
+    /// Exports the closed hours. Called only after the commit that recorded them.
     fn export(&mut self) {
-        let done = self.hours.export(&self.folder);
-        if let (Err(error), false) = (&done, self.failing) {
-            log!("store: hours are not handed out: {error}");
+        let result = self.hours.export(&self.folder);
+        if let (Err(error), false) = (&result, self.is_failing) {
+            log!("store: hourly usage could not be exported: {error}");
         }
-        self.failing = done.is_err();
+        self.is_failing = result.is_err();
     }
 }
 
-/// Unix time in milliseconds.
-fn now() -> u64 {
+/// Returns the Unix time in milliseconds.
+fn unix_ms() -> u64 {
     (clock::unix_time() / 10) as u64
 }
 
@@ -135,30 +141,31 @@
         .try_for_each(|(key, value)| store.put(key, value).map(|_| ()).map_err(|error| error.to_string()))
 }
 
-fn keep(
+/// Commits batches until their sender is dropped. While idle it closes hours and compacts.
+fn run(
     mut store: Store<DiskDirectory>,
     durability: Durability,
-    mut summed: Option<Summed>,
-    jobs: &Receiver<WriteBatch>,
-    words: &Sender<Word>,
+    mut usage: Option<UsageExport>,
+    batches: &Receiver<WriteBatch>,
+    results: &Sender<CommitResult>,
 ) {
     loop {
-        let first = match jobs.recv_timeout(IDLE) {
+        let first = match batches.recv_timeout(IDLE_INTERVAL) {
             Ok(first) => first,
             Err(RecvTimeoutError::Timeout) => {
-                if let Some(summed) = summed.as_mut() {
-                    let closed = summed.hours.close_hours_before_time(now());
-                    let done = match closed.is_empty() {
+                if let Some(usage) = usage.as_mut() {
+                    let closed = usage.hours.close_hours_before_time(unix_ms());
+                    let result = match closed.is_empty() {
                         true => Ok(()),
                         false => put(&mut store, closed)
                             .and_then(|()| store.commit(true).map(drop).map_err(|error| error.to_string())),
                     };
-                    match done {
-                        Ok(()) => summed.export(),
+                    match result {
+                        Ok(()) => usage.export(),
                         Err(error) => log!("store: {error}"),
                     }
                 }
-                // Only while nobody waits, a bounded step at a time.
+                // Compaction runs only while no batch waits, one bounded step at a time.
                 if let Err(error) = store.compact_step() {
                     log!("store: compaction: {error}");
                 }
@@ -166,24 +173,25 @@
             }
             Err(RecvTimeoutError::Disconnected) => break,
         };
-        let until = match durability {
+        let group_deadline = match durability {
             Durability::Group(within) => Some(Instant::now() + within),
             _ => None,
         };
-        let (mut upto, mut failed) = (first.number, write(&mut store, &mut summed, first).err());
-        if let Some(until) = until {
-            for _ in 1..GROUP {
-                let left = until.saturating_duration_since(Instant::now());
-                let Ok(job) = jobs.recv_timeout(left) else { break };
-                upto = job.number;
-                failed = write(&mut store, &mut summed, job).err().or(failed);
+        let (mut done_through, mut failure) = (first.number, write(&mut store, &mut usage, first).err());
+        if let Some(group_deadline) = group_deadline {
+            for _ in 1..MAX_BATCHES_PER_COMMIT {
+                let remaining = group_deadline.saturating_duration_since(Instant::now());
+                let Ok(batch) = batches.recv_timeout(remaining) else { break };
+                done_through = batch.number;
+                failure = write(&mut store, &mut usage, batch).err().or(failure);
             }
         }
-        failed = store.commit(durability != Durability::None).err().map(|error| error.to_string()).or(failed);
-        if let (Some(summed), None) = (summed.as_mut(), &failed) {
-            summed.export();
+        failure =
+            store.commit(durability != Durability::None).err().map(|error| error.to_string()).or(failure);
+        if let (Some(usage), None) = (usage.as_mut(), &failure) {
+            usage.export();
         }
-        if words.blocking_send((upto, failed)).is_err() {
+        if results.blocking_send((done_through, failure)).is_err() {
             break;
         }
     }
@@ -194,19 +202,19 @@
 
 fn write(
     store: &mut Store<DiskDirectory>,
-    summed: &mut Option<Summed>,
-    job: WriteBatch,
+    usage: &mut Option<UsageExport>,
+    batch: WriteBatch,
 ) -> Result<(), String> {
-    for (key, value) in job.writes {
-        if let (Some(summed), Some(value)) = (summed.as_mut(), &value) {
-            // Before the row: a first part of these writes never has a row behind an hour that is not closed.
-            put(store, summed.hours.record_row(&key, value))?;
+    for (key, value) in batch.writes {
+        if let (Some(usage), Some(value)) = (usage.as_mut(), &value) {
+            // Written before the row: no prefix of these writes contains a row of a new hour while the previous hour is still open.
+            put(store, usage.hours.record_row(&key, value))?;
         }
-        let done = match value {
+        let result = match value {
             Some(value) => store.put(&key, &value),
             None => store.remove(&key),
         };
-        done.map_err(|error| error.to_string())?;
+        result.map_err(|error| error.to_string())?;
     }
     Ok(())
 }
