--- a/crates/sessions/src/leader.rs
+++ b/crates/sessions/src/leader.rs
@@ -1,17 +1,17 @@
-//! The leader's part of a session: requests that wait until a majority has confirmed that it leads, and commands that wait to be decided.
+//! The leader's side of a session: requests that wait until a majority has confirmed the leader, and commands that wait to be committed.
 //!
-//! A request is answered only once a majority has confirmed the leader in a round that began after the request arrived. Nobody else led
-//! then, so whoever leads next counts the lease that the response renews from later.
+//! A request is answered only once a majority has confirmed the leader in a round that began after the request arrived. No other
+//! replica led at that time, so the next leader counts the lease that the response renews from a later time.
 
 use cypresscleat_consensus::{Ready, Replica, StateMachine};
 use cypresscleat_primitives::{NodeId, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The round of confirmation that a request which arrives now waits for.
+/// Returns the confirmation round that a request arriving now must wait for.
 ///
 /// # Errors
 ///
-/// The leader as far as this replica knows, 0 where it does not, where another replica leads.
+/// If this replica does not lead: the leader that it knows, or 0 if it knows none.
 pub fn confirmation_round<M: StateMachine>(replica: &Replica<M>) -> Result<u64, NodeId> {
     let leader = replica.leader().filter(|leader| *leader != replica.member().id);
     replica.read_index().ok_or(leader.unwrap_or(0))
@@ -30,33 +30,33 @@
 }
 
 impl<T> UnconfirmedRequests<T> {
-    /// A request that waits for the given round.
+    /// Adds a request that waits for the given round.
     pub fn push(&mut self, round: u64, request: T) {
         self.waiting.push_back((round, request));
     }
 
-    /// The next request whose round is confirmed.
+    /// Removes and returns the next request whose round is confirmed.
     pub fn pop_confirmed(&mut self, confirmed: u64) -> Option<T> {
         self.waiting.pop_front_if(|(round, _)| *round <= confirmed).map(|(_, request)| request)
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Forgets all.
+    /// Discards all waiting requests.
     pub fn clear(&mut self) {
         self.waiting.clear();
     }
 }
 
-/// Commands that were proposed and are not decided yet, each with what is to be done then.
+/// Commands that were proposed and are not committed yet, each with the continuation to run after the commit.
 #[derive(Clone, Debug)]
 pub struct PendingProposals<P> {
     last_number: u64,
@@ -64,41 +64,41 @@
 }
 
 impl<P> PendingProposals<P> {
-    /// Proposals are numbered from behind `last_number` on; those who share a replica begin far apart.
+    /// Numbers proposals from `last_number + 1` on. Several users of one replica must start far apart.
     pub fn new(last_number: u64) -> PendingProposals<P> {
         PendingProposals { last_number, pending: BTreeMap::new() }
     }
 
-    /// Proposes a command. `None` where the replica does not take it, which then is not pending.
+    /// Proposes a command. Returns `None` if the replica does not accept the command; the command is then not pending.
     pub fn propose<M: StateMachine>(
         &mut self,
         now: Time,
         replica: &mut Replica<M>,
         command: Vec<u8>,
-        then: P,
+        continuation: P,
     ) -> Option<Ready> {
         self.last_number += 1;
-        let out = replica.propose(now, self.last_number, command)?;
-        self.pending.insert(self.last_number, then);
-        Some(out)
+        let ready = replica.propose(now, self.last_number, command)?;
+        self.pending.insert(self.last_number, continuation);
+        Some(ready)
     }
 
-    /// The proposal `number` is decided: what is to be done now; `None` where it is none of these.
+    /// Removes the proposal `number`, which was committed, and returns its continuation; `None` if it is not among the pending ones.
     pub fn complete(&mut self, number: u64) -> Option<P> {
         self.pending.remove(&number)
     }
 
-    /// Proposals that are pending.
+    /// Number of pending proposals.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether none is pending.
+    /// Whether no proposal is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Forgets all; their numbers are not used again.
+    /// Discards all pending proposals; their numbers are not reused.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,11 +1,12 @@
-//! What a session with a leader needs, whatever the replicas agree on. No I/O, no clock: time is an argument.
+//! Building blocks of a session with the leader of a replicated state machine, for any state machine. The crate performs no I/O and
+//! reads no clock: time is an argument.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`expiry`] | who may act until when, by whose clock |
-//! | [`leader`] | requests that wait for a confirmation, commands that wait to be decided |
-//! | [`renewals`] | the last renewals that were sent |
-//! | [`replicas`] | which replica is asked next |
+//! | [`expiry`] | when a lease ends, by the holder's and by the leader's clock |
+//! | [`leader`] | requests that wait for the leader's confirmation, commands that wait to be committed |
+//! | [`renewals`] | the latest renewals that were sent |
+//! | [`replicas`] | which replica receives the next request |
 //!
 //! Times are in tenths of a millisecond.
 
--- a/crates/sessions/src/renewals.rs
+++ b/crates/sessions/src/renewals.rs
@@ -1,12 +1,12 @@
-//! The last renewals that were sent, answered or not.
+//! The latest renewals that were sent, whether a response arrived or not.
 
 use cypresscleat_primitives::Time;
 use std::collections::VecDeque;
 
-/// Renewals that are remembered; a response to an older one is ignored.
+/// Maximum number of renewals that are recorded. A response to an older renewal is ignored.
 const MAX_PENDING_RENEWALS: usize = 8;
 
-/// When each pending renewal was sent, by its request number. A lease counts from then, not from the response.
+/// Send time of each pending renewal, by request number. A lease counts from the send time, not from the response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PendingRenewals {
     sent: VecDeque<(u32, Time)>,
@@ -21,12 +21,12 @@
         }
     }
 
-    /// When the renewal `number` was sent; `None` where it is not remembered.
+    /// Returns when the renewal `number` was sent; `None` if the renewal is not recorded.
     pub fn sent_at(&self, number: u32) -> Option<Time> {
         self.sent.iter().find(|(pending, _)| *pending == number).map(|(_, at)| *at)
     }
 
-    /// Forgets all: responses to earlier renewals no longer count.
+    /// Discards all records: responses to earlier renewals no longer count.
     pub fn clear(&mut self) {
         self.sent.clear();
     }
--- a/crates/sessions/src/replicas.rs
+++ b/crates/sessions/src/replicas.rs
@@ -1,11 +1,11 @@
-//! Which replica is asked next.
+//! Choice of the replica that receives the next request.
 
 use cypresscleat_primitives::NodeId;
 
-/// Redirections that are followed between two renewals; replicas that point at each other are not asked in a circle.
+/// Maximum number of redirects that are followed between two renewals: replicas that redirect to each other must not cause a loop.
 const MAX_REDIRECTS: u32 = 2;
 
-/// The known replicas, and the one that is asked.
+/// The known replicas, and the current one, which receives the requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaRotation {
     replicas: Vec<NodeId>,
@@ -14,36 +14,37 @@
 }
 
 impl ReplicaRotation {
-    /// Begins with the replica at position `current`.
+    /// Starts with the replica at position `current`.
     pub fn new(replicas: Vec<NodeId>, current: usize) -> ReplicaRotation {
         ReplicaRotation { replicas, current, redirects_followed: 0 }
     }
 
-    /// The replica that is asked; `None` where none is known.
+    /// Returns the current replica; `None` if no replica is known.
     pub fn current(&self) -> Option<NodeId> {
         self.replicas.get(self.current).copied()
     }
 
-    /// Goes on to the next replica.
+    /// Moves on to the next replica.
     pub fn advance(&mut self) {
         self.current = (self.current + 1) % self.replicas.len().max(1);
     }
 
-    /// Stays with a replica that has answered.
+    /// Selects a replica that has responded, if it is known.
     pub fn select(&mut self, replica: NodeId) {
         if let Some(position) = self.position(replica) {
             self.current = position;
         }
     }
 
-    /// Learns of a replica that joined after this process was started.
+    /// Adds a replica that joined after this process was started.
     pub fn add(&mut self, replica: NodeId) {
         if !self.replicas.contains(&replica) {
             self.replicas.push(replica);
         }
     }
 
-    /// Follows the word of replica `from` that `leader` leads. False where that one is not known, or too many were followed already.
+    /// Follows a redirect from replica `from` to `leader`. Returns false if `leader` is not known, is `from` itself, or
+    /// `MAX_REDIRECTS` were followed already.
     pub fn follow_redirect(&mut self, from: NodeId, leader: NodeId) -> bool {
         let position = self.position(leader).filter(|_| leader != from);
         let Some(position) = position.filter(|_| self.redirects_followed < MAX_REDIRECTS) else {
@@ -54,12 +55,12 @@
         true
     }
 
-    /// Redirections followed since [`ReplicaRotation::set_redirects_followed`] was last called.
+    /// Number of redirects followed since [`ReplicaRotation::set_redirects_followed`] was last called.
     pub fn redirects_followed(&self) -> u32 {
         self.redirects_followed
     }
 
-    /// Counts redirections from here on: 0 at each renewal that is sent by itself.
+    /// Sets the number of followed redirects: 0 for each renewal that is not the result of a redirect.
     pub fn set_redirects_followed(&mut self, redirects_followed: u32) {
         self.redirects_followed = redirects_followed;
     }
--- a/crates/sessions/tests/expiry.rs
+++ b/crates/sessions/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! A holder stops before the leader gives what it held to another.
+//! A holder stops before the leader grants its lease to another holder.
 
 use cypresscleat_primitives::Time;
 use cypresscleat_sessions::expiry::{
@@ -9,7 +9,7 @@
     (1..20_000).chain((20_000..36_000_000).step_by(9_973))
 }
 
-/// The inequality of the module.
+/// The inequality in the documentation of `expiry`.
 fn is_safe(lease: Time, margin: Time) -> bool {
     (lease - margin) * (D + 1) <= (lease + 1) * D
 }
@@ -28,9 +28,9 @@
     }
 }
 
-/// Both ends as the code has them, with clocks that show `sent_at` and `received_at` at the same moment.
+/// Both ends as the code computes them, with clocks that show `sent_at` and `received_at` at the same moment.
 #[test]
-fn the_last_moment_of_a_holder_is_no_expiry_at_a_leader_whose_clock_is_fast() {
+fn a_lease_has_not_expired_at_a_fast_leader_when_its_holder_stops() {
     let (sent_at, received_at) = (5_000, -70_000);
     for lease in leases() {
         let held_for = holder_lease_end(sent_at, lease) - sent_at;
--- a/crates/sessions/tests/replicas.rs
+++ b/crates/sessions/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Renewals and the replica that is asked.
+//! Pending renewals and the choice of the replica.
 
 use cypresscleat_sessions::renewals::PendingRenewals;
 use cypresscleat_sessions::replicas::ReplicaRotation;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn replicas_take_turns_and_one_that_answers_is_asked_again() {
+fn replicas_rotate_and_one_that_responds_stays_selected() {
     let mut replicas = ReplicaRotation::new(vec![4, 5], 1);
     assert_eq!(replicas.current(), Some(5));
     replicas.advance();
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn redirections_are_followed_twice_to_known_replicas_only() {
+fn redirects_are_followed_twice_and_to_known_replicas_only() {
     let mut replicas = ReplicaRotation::new(vec![4, 5], 0);
     assert!(!replicas.follow_redirect(4, 4), "to itself");
-    assert!(!replicas.follow_redirect(4, 6), "to one that is not known");
+    assert!(!replicas.follow_redirect(4, 6), "to an unknown replica");
     assert!(replicas.follow_redirect(4, 5) && replicas.follow_redirect(5, 4));
     assert!(!replicas.follow_redirect(4, 5), "a third time");
     assert_eq!(replicas.current(), Some(4));
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction in bounded steps: the live records of the oldest segments are copied to a new file, which then takes their place.
 //!
-//! A compaction copies first, then gives the file its name, then moves the index over. Until it has its name the inputs stand
-//! for themselves and it can be given up whole; from then on the new file stands for them, also after a crash.
+//! A compaction copies the records, then renames the output to its final name, then updates the index. Before the rename the inputs
+//! are valid and the compaction can be abandoned. After the rename the output replaces the inputs, also after a crash.
 
 use crate::disk::Disk;
 use crate::error::{Error, Result};
@@ -13,26 +13,26 @@
 use crate::segments::Segment;
 use crate::store::Store;
 
-/// A step of compaction moves one entry of the index for so many of the bytes that a step may read.
+/// A compaction step updates one index entry for each of this many bytes of its read limit.
 const STEP_BYTES_PER_INDEX_ENTRY: usize = 256;
 
 /// A compaction in progress.
 pub(crate) struct Compaction {
-    /// Segments that are replaced, oldest first, by number.
+    /// Numbers of the segments that are replaced, oldest first.
     inputs: Vec<u64>,
-    /// Where the output stands now: under its temporary name until all is copied.
+    /// Current file of the output: its temporary name until all records are copied.
     file: String,
     first_segment: u64,
     number: u64,
     generation: u32,
-    /// Index of the input that is copied next, and the offset in it.
+    /// Position in `inputs` of the segment that is copied next, and the offset in that segment.
     next_input: usize,
     input_offset: u64,
-    /// Output not yet handed to the disk.
+    /// Output not yet written to the disk.
     buffer: Vec<u8>,
     written_bytes: u64,
     moves: Vec<Move>,
-    /// Once the output has its name: how many of the moves the index knows.
+    /// After the rename: number of moves that are applied to the index.
     moves_done: Option<usize>,
 }
 
@@ -48,7 +48,7 @@
         self.next_input >= self.inputs.len()
     }
 
-    /// Whether the output stands for the inputs while the index still names them.
+    /// Whether the output has replaced the inputs while the index still points to them.
     fn is_moving(&self) -> bool {
         self.moves_done.is_some_and(|done| done < self.moves.len())
     }
@@ -63,10 +63,10 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// One bounded step; returns true while there is more to do. Writers may go on between steps.
+    /// Runs one bounded step; returns true while there is more to do. Writes are possible between steps.
     ///
     /// # Errors
-    /// The disk failed, or an input is damaged. The compaction is given up; another step begins it anew.
+    /// The disk failed, or an input is damaged. The compaction is abandoned; the next step starts over.
     pub fn compact_step(&mut self) -> Result<bool> {
         self.remove_retired_files();
         if self.writer.is_read_only {
@@ -81,13 +81,13 @@
         match result {
             Ok(false) => self.compaction = Some(compaction),
             Ok(true) => {}
-            // Given up whole: an error comes only before the output has its name, so what it replaces is still there.
+            // Abandoned: errors occur only before the rename of the output, so the inputs are still there.
             Err(_) => drop(self.disk.remove(&compaction.file)),
         }
         result.map(|is_finished| !is_finished)
     }
 
-    /// Compacts all that is sealed, however little of it is dead.
+    /// Compacts all sealed segments, however small their dead fraction is.
     ///
     /// # Errors
     /// As for [`Store::compact_step`].
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Reads a piece of the input and buffers its live records; returns how many bytes of it were whole records.
+    /// Reads a piece of the input and buffers its live records; returns the length of the complete records in the piece.
     fn copy_piece(&mut self, compaction: &mut Compaction, input: &CopyInput) -> Result<u64> {
         let step_bytes = self.options.compaction_step_bytes;
         let start = compaction.input_offset;
@@ -180,7 +180,7 @@
             let offset = start + at as u64;
             let record = match decode_record(&bytes[at..]) {
                 Ok(record) => record,
-                Err(_) if bytes.len() < left && at > 0 => break, // the rest of it comes with the next step
+                Err(_) if bytes.len() < left && at > 0 => break, // the rest of the record is read in the next step
                 Err(reason) => return Err(Error::damage(&input.file, offset, reason)),
             };
             self.copy_if_live(compaction, input, offset, &record);
@@ -189,7 +189,7 @@
         Ok(at as u64)
     }
 
-    /// A record whose place was taken by a write that is not acknowledged is live too: that write may be rolled back.
+    /// Buffers a record if it is live. A record that was replaced by an unacknowledged write is live too: the write may be rolled back.
     fn copy_if_live(&self, compaction: &mut Compaction, input: &CopyInput, offset: u64, record: &Record) {
         let from = RecordLocation {
             segment: input.number,
@@ -198,7 +198,7 @@
             size: record.size as u32,
             sequence: record.sequence,
         };
-        if record.kind != RecordKind::Put || !self.index.needs(record.key, &from) {
+        if record.kind != RecordKind::Put || !self.index.is_needed(record.key, &from) {
             return;
         }
         let offset = compaction.written_bytes + compaction.buffer.len() as u64;
@@ -208,7 +208,7 @@
         compaction.moves.push(Move { key, from, to });
     }
 
-    /// All is copied: the output gets its name and stands for the inputs. Their files stay until the index names the output.
+    /// Renames the complete output, which then replaces the inputs. Their files stay until the index points to the output.
     fn replace_inputs(&mut self, compaction: &mut Compaction) -> Result<()> {
         self.disk.sync(&compaction.file)?;
         let file = segment_file_name(compaction.number, compaction.generation);
@@ -229,11 +229,11 @@
         Ok(())
     }
 
-    /// The index learns where some more of the copied records stand now. Returns true once it knows all.
+    /// Updates the index for some more of the copied records. Returns true once all are updated.
     fn move_index_entries(&mut self, compaction: &mut Compaction) -> bool {
         let start = compaction.moves_done.unwrap_or(0);
-        let many = (self.options.compaction_step_bytes / STEP_BYTES_PER_INDEX_ENTRY).max(1);
-        let end = (start + many).min(compaction.moves.len());
+        let count = (self.options.compaction_step_bytes / STEP_BYTES_PER_INDEX_ENTRY).max(1);
+        let end = (start + count).min(compaction.moves.len());
         for one in &compaction.moves[start..end] {
             let to = RecordLocation::from_hint(compaction.number, compaction.generation, &one.to);
             self.index.relocate(&mut self.segments, &one.key, one.from, to);
@@ -246,7 +246,7 @@
         true
     }
 
-    /// Not while the index still names records in them.
+    /// Removes retired files, unless the index still points to records in them.
     fn remove_retired_files(&mut self) {
         if !self.compaction.as_ref().is_some_and(Compaction::is_moving) {
             self.segments.remove_retired_files(&mut self.disk);
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! What the store needs of a disk, and a directory of the file system that provides it.
+//! The disk interface of the store, and its implementation on a directory of the file system.
 
 use crate::error::{DiskOperation, Error, Result};
 use std::collections::HashMap;
@@ -7,58 +7,58 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One directory. Names are those of files in it. What was written is on the disk for sure only once the file was synced; that
-/// a file is there under its name, only once the directory was.
+/// One directory; names are those of files in it. Written bytes are durable only after a sync of the file; the name of a file is
+/// durable only after a sync of the directory.
 pub trait Disk {
     /// Names of all files.
     fn list(&mut self) -> Result<Vec<String>>;
     /// Length of a file in bytes.
     fn length(&mut self, name: &str) -> Result<u64>;
-    /// So many bytes from there, or fewer at the end of the file.
+    /// Reads `length` bytes at `offset`, or fewer at the end of the file.
     fn read(&mut self, name: &str, offset: u64, length: usize) -> Result<Vec<u8>>;
-    /// A new, empty file.
+    /// Creates a new, empty file.
     fn create(&mut self, name: &str) -> Result<()>;
-    /// All of the bytes, or an error; then some of them may be there.
+    /// Writes all bytes. After an error some of them may be in the file.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<()>;
-    /// Cuts a file to this length.
+    /// Truncates a file to this length.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
-    /// Returns once all that was written to the file is on the disk.
+    /// Returns once all bytes written to the file are on the disk.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Returns once all names that were created, renamed or removed are so on the disk.
+    /// Returns once all creations, renames and removals of files are on the disk.
     fn sync_directory(&mut self) -> Result<()>;
-    /// Replaces what had the name `to`.
+    /// Renames a file; a file named `to` is replaced.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<()>;
 }
 
-/// Files kept open for reading and writing.
+/// Maximum number of files that stay open for reading and writing.
 const MAX_OPEN_FILES: usize = 16;
-/// Held locked by the process that has the directory open.
+/// Locked by the process that has the directory open.
 const LOCK_FILE: &str = "LOCK";
 
-/// A directory of the file system. Holds its lock for as long as it lives, and few files open.
+/// A directory of the file system. Holds the directory's lock until it is dropped, and at most `MAX_OPEN_FILES` files open.
 #[derive(Debug)]
 pub struct DiskDirectory {
     path: PathBuf,
     open_files: HashMap<String, File>,
-    /// Syncs until each fails, in tests.
+    /// Number of syncs before every further sync fails, in tests.
     syncs_until_failure: Option<u64>,
     _lock: File,
 }
 
 impl DiskDirectory {
-    /// Opens the directory and locks it; it is created if it is not there.
+    /// Opens and locks the directory; creates it if it does not exist.
     ///
     /// # Errors
-    /// [`Error::Locked`] where another process has it open, or an operation that the system refused.
+    /// [`Error::Locked`] if another process has the directory open, or an error of the operating system.
     pub fn open(path: &Path) -> Result<DiskDirectory> {
         let shown = path.display().to_string();
         std::fs::create_dir_all(path)
             .map_err(|error| Error::disk(DiskOperation::CreateDirectory, &shown, error))?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE));
         let lock = lock.map_err(|error| Error::disk(DiskOperation::Open, LOCK_FILE, error))?;
-        // Given back by the system when this process ends, however it does.
+        // The operating system releases the lock when this process ends, in whatever way.
         match lock.try_lock() {
             Ok(()) => Ok(DiskDirectory {
                 path: path.to_path_buf(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// After so many syncs of files each one fails, as on a disk that breaks: for tests.
+    /// Makes every sync after the first `syncs` syncs of files fail, as on a failing disk; for tests.
     pub fn fail_syncs_after(&mut self, syncs: u64) {
         self.syncs_until_failure = Some(syncs);
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -20,37 +20,37 @@
         /// What the disk reported.
         source: DiskError,
     },
-    /// What had been synced is not what was written.
+    /// Synced bytes differ from what was written.
     #[error("damage in {file} at byte {offset}: {source}")]
     Damage {
         /// Name of the damaged segment.
         file: String,
         /// Offset of the first byte that cannot be trusted.
         offset: u64,
-        /// What does not hold there.
+        /// What is wrong there.
         source: DamageReason,
     },
     /// The store was written in a format that this program does not know.
-    #[error("a store of another format: {file} has {version:?}")]
+    #[error("unsupported format version {version:?} in {file}")]
     Version {
-        /// Name of the segment that says so.
+        /// Name of the segment with that version.
         file: String,
-        /// Its format version, the last byte of the magic.
+        /// Format version of the segment, the last byte of the magic.
         version: char,
     },
     /// Another process has the store open.
     #[error("another process has this store open")]
     Locked,
-    /// A key or value is empty or longer than its bound; the length of the longer one.
-    #[error("a key or value of {0} bytes")]
+    /// A key is empty, or a key or value exceeds its maximum length; the length of the longer one.
+    #[error("key or value has an invalid length of {0} bytes")]
     TooLarge(usize),
     /// A segment failed and no other could be created: the store can only be read.
-    #[error("read-only, as no segment can be written")]
+    #[error("the store is read-only, as no segment can be written")]
     ReadOnly,
 }
 
 impl Error {
-    /// An operation that the system refused.
+    /// An operation that failed with an I/O error.
     pub fn disk(operation: DiskOperation, file: &str, source: io::Error) -> Error {
         Error::Disk { operation, file: file.to_string(), source: source.into() }
     }
@@ -97,11 +97,11 @@
 impl fmt::Display for DiskOperation {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(match self {
-            DiskOperation::CreateDirectory => "make",
+            DiskOperation::CreateDirectory => "create directory",
             DiskOperation::Open => "open",
             DiskOperation::Lock => "lock",
             DiskOperation::List => "list",
-            DiskOperation::ReadLength => "measure",
+            DiskOperation::ReadLength => "read the length of",
             DiskOperation::Read => "read",
             DiskOperation::Create => "create",
             DiskOperation::Write => "write",
@@ -113,38 +113,38 @@
     }
 }
 
-/// What does not hold in a damaged segment.
+/// What is wrong in a damaged segment.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DamageReason {
-    /// The bytes are no record.
+    /// The bytes are not a valid record.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The bytes are no record, and a mark behind them says that they had been synced.
-    #[error("{source}, though {synced_bytes} bytes had been synced")]
+    /// The bytes are not a valid record, and a later mark shows that they had been synced.
+    #[error("{source}, although {synced_bytes} bytes had been synced")]
     SyncedRecord {
-        /// Why they are no record.
+        /// Why the record is invalid.
         source: RecordError,
         /// Length of the segment that had been synced.
         synced_bytes: u64,
     },
-    /// The header of a segment that may hold records cannot be read.
-    #[error("its header can't be read")]
+    /// The header of a segment that may have records cannot be read.
+    #[error("the segment header cannot be read")]
     Header,
     /// Segments before this one are missing.
-    #[error("the segments {first} to {last} are missing")]
+    #[error("segments {first} to {last} are missing")]
     MissingSegments {
         /// First missing one.
         first: u64,
         /// Last missing one.
         last: u64,
     },
-    /// The segment is shorter than what was synced of it.
-    #[error("it ends here, {synced_bytes} bytes were synced")]
+    /// The segment is shorter than its synced length.
+    #[error("the segment ends here, but {synced_bytes} bytes were synced")]
     TooShort {
         /// Length that had been synced.
         synced_bytes: u64,
     },
     /// The record that the index names is not the one found there.
-    #[error("another record stands here")]
+    #[error("the record here is not the one in the index")]
     OtherRecord,
 }
--- a/crates/store/src/format/header.rs
+++ b/crates/store/src/format/header.rs
@@ -13,33 +13,33 @@
 /// Header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentHeader {
-    /// First segment of the log that this one stands for.
+    /// First segment of the log that this segment covers.
     pub first_segment: u64,
-    /// Last one: its own number.
+    /// Last segment that it covers: its own number.
     pub last_segment: u64,
-    /// Valid length of the segment before it.
+    /// Valid length of the previous segment.
     pub previous_length: u64,
 }
 
-/// Why bytes are no header of a segment.
+/// Why bytes are not a valid segment header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
     /// Fewer bytes than a header has.
-    #[error("a header cut short")]
+    #[error("truncated header")]
     CutShort,
-    /// Another magic.
-    #[error("no header of a segment")]
+    /// The magic is wrong.
+    #[error("not a segment header")]
     Magic,
     /// A format version that this program does not know.
     #[error("format version {0:?}")]
     Version(char),
-    /// The checksum does not hold.
-    #[error("a header whose checksum does not hold")]
+    /// The checksum does not match.
+    #[error("header checksum mismatch")]
     Checksum,
 }
 
 impl SegmentHeader {
-    /// The bytes of the header.
+    /// Encodes the header.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = MAGIC.to_vec();
         for number in [self.first_segment, self.last_segment, self.previous_length] {
@@ -49,10 +49,10 @@
         out
     }
 
-    /// The header at the start of `bytes`.
+    /// Decodes the header at the start of `bytes`.
     ///
     /// # Errors
-    /// Says what is there instead.
+    /// Why `bytes` do not start with a valid header.
     pub fn decode(bytes: &[u8]) -> Result<SegmentHeader, HeaderError> {
         let Some(bytes) = bytes.get(..HEADER_BYTES) else { return Err(HeaderError::CutShort) };
         if bytes[..VERSION_OFFSET] != MAGIC[..VERSION_OFFSET] {
@@ -71,7 +71,7 @@
         })
     }
 
-    /// The format version of a segment's header where it is not ours.
+    /// Returns the format version of a segment header if it differs from the version of this program.
     pub fn other_version(bytes: &[u8]) -> Option<char> {
         let magic = bytes.get(..MAGIC.len())?;
         let is_segment = magic[..VERSION_OFFSET] == MAGIC[..VERSION_OFFSET];
--- a/crates/store/src/format/hint.rs
+++ b/crates/store/src/format/hint.rs
@@ -1,4 +1,4 @@
-//! Hints beside a segment: where each put and removal of it stands, so that recovery need not read the values.
+//! Hints of a segment: the location of each put and removal, so that recovery does not need to read the values.
 
 use super::{read_u16, read_u32, read_u64, RecordKind};
 
@@ -8,7 +8,7 @@
 const LENGTH_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 4;
 
-/// Where the record of a put or removal stands in its segment.
+/// Location of the record of a put or removal in its segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hint {
     /// Sequence number of the record.
@@ -23,7 +23,7 @@
     pub key: Vec<u8>,
 }
 
-/// All hints of a segment of so many valid bytes, with a checksum over all.
+/// Encodes all hints of a segment with `segment_length` valid bytes, followed by a checksum.
 pub fn encode_hints(segment_length: u64, hints: &[Hint]) -> Vec<u8> {
     let mut out = segment_length.to_le_bytes().to_vec();
     for hint in hints {
@@ -39,8 +39,8 @@
     out
 }
 
-/// The hints of a segment of so many valid bytes; `None` where they are not whole or belong to another length. Then the
-/// segment itself has to be read.
+/// Decodes the hints of a segment with `segment_length` valid bytes; `None` if they are incomplete or belong to another length. The
+/// segment itself must then be read.
 pub fn decode_hints(bytes: &[u8], segment_length: u64) -> Option<Vec<Hint>> {
     let (body, checksum) = bytes.split_at_checked(bytes.len().checked_sub(CHECKSUM_BYTES)?)?;
     if crc32fast::hash(body).to_le_bytes() != checksum {
--- a/crates/store/src/format/mod.rs
+++ b/crates/store/src/format/mod.rs
@@ -1,4 +1,4 @@
-//! Codec of what lies in the store's directory: segment headers, records, hints and file names. No I/O.
+//! Codec of the store's files: segment headers, records, hints and file names. No I/O.
 
 mod header;
 mod hint;
--- a/crates/store/src/format/names.rs
+++ b/crates/store/src/format/names.rs
@@ -1,27 +1,27 @@
 //! Names of the files in the store's directory.
 
-/// Ending of a segment's file.
+/// Suffix of a segment's file.
 pub const SEGMENT_SUFFIX: &str = ".seg";
-/// Ending of a file that a compaction has not finished.
+/// Suffix of the output file of an unfinished compaction.
 pub const TEMPORARY_SUFFIX: &str = ".tmp";
 const HINT_SUFFIX: &str = ".hint";
 
-/// File of a segment, by number and generation.
+/// Returns the file name of a segment.
 pub fn segment_file_name(number: u64, generation: u32) -> String {
     format!("{number:016x}-{generation:08x}{SEGMENT_SUFFIX}")
 }
 
-/// File of the hints that belong to a segment's file.
+/// Returns the file name of the hints of a segment.
 pub fn hint_file_name(segment_file: &str) -> String {
     segment_file.replace(SEGMENT_SUFFIX, HINT_SUFFIX)
 }
 
-/// File under which a compaction writes what will be that segment's file.
+/// Returns the temporary file name under which a compaction writes a segment's file.
 pub fn temporary_file_name(segment_file: &str) -> String {
     segment_file.replace(SEGMENT_SUFFIX, TEMPORARY_SUFFIX)
 }
 
-/// Number and generation of a segment's file; `None` where it is not the name of one.
+/// Parses the number and generation of a segment's file name; `None` if `file` is not such a name.
 pub fn parse_segment_name(file: &str) -> Option<(u64, u32)> {
     let (number, generation) = file.strip_suffix(SEGMENT_SUFFIX)?.split_once('-')?;
     if number.len() != 16
--- a/crates/store/src/format/record.rs
+++ b/crates/store/src/format/record.rs
@@ -9,20 +9,20 @@
 const FIXED_BODY_BYTES: usize = 11;
 /// Longest record, with its frame.
 pub const MAX_RECORD_BYTES: usize = FRAME_BYTES + FIXED_BODY_BYTES + MAX_KEY_BYTES + MAX_VALUE_BYTES;
-/// Length of a mark, with its frame: its key is empty, its value a number.
+/// Length of a mark with its frame: the key is empty, the value is a number of 8 bytes.
 pub const MARK_BYTES: usize = FRAME_BYTES + FIXED_BODY_BYTES + 8;
 
 const KIND_OFFSET: usize = 8;
 const KEY_LENGTH_OFFSET: usize = 9;
 
-/// What a record says.
+/// Kind of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
     /// The key has this value.
     Put,
     /// The key has no value.
     Remove,
-    /// The segment had been synced up to the length in the value when this was written.
+    /// The segment had been synced up to the length in the value when this mark was written.
     Mark,
 }
 
@@ -45,44 +45,44 @@
     }
 }
 
-/// A record as it was read.
+/// A decoded record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    /// Its number; a later write has a higher one.
+    /// Sequence number; a later write has a higher one.
     pub sequence: u64,
-    /// What it says.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Its key; empty for a mark.
+    /// Key; empty for a mark.
     pub key: &'a [u8],
-    /// Its value; empty for a removal.
+    /// Value; empty for a removal.
     pub value: &'a [u8],
-    /// Its length with the frame.
+    /// Length of the record with its frame.
     pub size: usize,
 }
 
-/// Why bytes are no record.
+/// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// Fewer bytes than a frame has.
-    #[error("a frame cut short")]
+    #[error("truncated record frame")]
     FrameCutShort,
-    /// No record has this length.
-    #[error("a length out of bounds")]
+    /// The length is outside the bounds of a record.
+    #[error("record length out of bounds")]
     LengthOutOfBounds,
-    /// Fewer bytes than the frame says.
-    #[error("a record cut short")]
+    /// Fewer bytes than the length in the frame.
+    #[error("truncated record")]
     CutShort,
-    /// The checksum does not hold.
-    #[error("a checksum that does not hold")]
+    /// The checksum does not match.
+    #[error("record checksum mismatch")]
     Checksum,
-    /// No such kind of record.
-    #[error("an unknown kind")]
+    /// The kind of record is unknown.
+    #[error("unknown record kind")]
     UnknownKind,
     /// The key is longer than its record.
-    #[error("a key past its record")]
+    #[error("key exceeds its record")]
     KeyPastRecord,
-    /// A whole record, with a number that cannot stand here.
-    #[error("a record that does not follow the one before")]
+    /// A valid record with a sequence number that is wrong at this position.
+    #[error("record out of sequence")]
     OutOfSequence,
 }
 
@@ -90,7 +90,7 @@
 pub fn encode_record(out: &mut Vec<u8>, sequence: u64, kind: RecordKind, key: &[u8], value: &[u8]) -> usize {
     let start = out.len();
     out.extend(((FIXED_BODY_BYTES + key.len() + value.len()) as u32).to_le_bytes());
-    out.extend([0; 4]); // the checksum, once what it covers is there
+    out.extend([0; 4]); // filled with the checksum once the body is written
     out.extend(sequence.to_le_bytes());
     out.push(kind.encode());
     out.extend((key.len() as u16).to_le_bytes());
@@ -101,11 +101,11 @@
     out.len() - start
 }
 
-/// The record at the start of `bytes`. The length is believed only within bounds, and only with its checksum, which covers
-/// what it spans.
+/// Decodes the record at the start of `bytes`. The length is accepted only within its bounds, and only if the checksum over the bytes
+/// that it spans matches.
 ///
 /// # Errors
-/// Says why there is no record.
+/// Why `bytes` do not start with a valid record.
 pub fn decode_record(bytes: &[u8]) -> Result<Record<'_>, RecordError> {
     let Some(frame) = bytes.get(..FRAME_BYTES) else { return Err(RecordError::FrameCutShort) };
     let length = read_u32(frame, 0) as usize;
@@ -126,10 +126,10 @@
     Ok(Record { sequence: read_u64(body, 0), kind, key, value, size: FRAME_BYTES + length })
 }
 
-/// The synced length that the mark at the start of `bytes` states; `None` where there is no whole mark.
+/// Returns the synced length in the mark at the start of `bytes`; `None` if there is no complete mark.
 pub fn decode_mark(bytes: &[u8]) -> Option<u64> {
     let bytes = bytes.get(..MARK_BYTES)?;
-    // Cheap to rule out: length, kind and empty key of a mark.
+    // A cheap check first: length, kind and empty key of a mark.
     let could_be_mark = read_u32(bytes, 0) as usize == MARK_BYTES - FRAME_BYTES
         && bytes[FRAME_BYTES + KIND_OFFSET] == RecordKind::Mark.encode()
         && read_u16(bytes, FRAME_BYTES + KEY_LENGTH_OFFSET) == 0;
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,4 +1,4 @@
-//! The ordered index in memory: where the newest record of each key stands, and what stood there before each write that is not
+//! The ordered index in memory: the location of the newest record of each key, and the previous location for each write that is not
 //! acknowledged, so that such writes can be rolled back.
 
 use crate::format::{Hint, RecordKind};
@@ -7,40 +7,40 @@
 
 pub(crate) type Key = Vec<u8>;
 
-/// Where a record stands.
+/// Location of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RecordLocation {
-    /// Number of its segment.
+    /// Number of the record's segment.
     pub segment: u64,
     /// Generation of that segment's file.
     pub generation: u32,
     /// Offset in the file.
     pub offset: u64,
-    /// Length with its frame.
+    /// Length of the record with its frame.
     pub size: u32,
-    /// Its sequence number.
+    /// Sequence number of the record.
     pub sequence: u64,
 }
 
 impl RecordLocation {
-    /// Where the hint's record stands, in that segment.
+    /// Location of the hint's record in the given segment.
     pub fn from_hint(segment: u64, generation: u32, hint: &Hint) -> RecordLocation {
         let (offset, size, sequence) = (hint.offset, hint.size, hint.sequence);
         RecordLocation { segment, generation, offset, size, sequence }
     }
 }
 
-/// What the index said of a key before a write.
+/// Location of a key's record before a write.
 struct Undo {
     key: Key,
     previous: Option<RecordLocation>,
 }
 
-/// Index of all keys. Each change also updates how many live bytes the segments count.
+/// Index of all keys. Each change also updates the live bytes of the segments.
 #[derive(Default)]
 pub(crate) struct Index {
     locations: OrdMap<Key, RecordLocation>,
-    /// One for each write that is not acknowledged, in their order.
+    /// One entry for each unacknowledged write, in order.
     unacknowledged: Vec<Undo>,
 }
 
@@ -53,44 +53,43 @@
         self.locations.get(key).copied()
     }
 
-    /// All keys as they are now; cheap, as the copy shares its nodes with the index.
+    /// Returns all current keys. The copy is cheap, as it shares its nodes with the index.
     pub fn snapshot(&self) -> OrdMap<Key, RecordLocation> {
         self.locations.clone()
     }
 
-    /// Adds what recovery read: a put or a removal that is acknowledged.
+    /// Adds a put or removal that recovery read; it counts as acknowledged.
     pub fn load(&mut self, segments: &mut SegmentTable, segment: u64, generation: u32, hint: Hint) {
         let location = RecordLocation::from_hint(segment, generation, &hint);
         self.replace(segments, hint.key, (hint.kind == RecordKind::Put).then_some(location));
     }
 
-    /// Applies a write that is not acknowledged yet; `None` removes the key.
+    /// Applies an unacknowledged write; `None` removes the key.
     pub fn apply(&mut self, segments: &mut SegmentTable, key: &[u8], location: Option<RecordLocation>) {
         let previous = self.replace(segments, key.to_vec(), location);
         self.unacknowledged.push(Undo { key: key.to_vec(), previous });
     }
 
-    /// All writes so far are acknowledged.
+    /// Marks all writes so far as acknowledged.
     pub fn acknowledge(&mut self) {
         self.unacknowledged.clear();
     }
 
-    /// Takes back all writes that are not acknowledged.
+    /// Rolls back all unacknowledged writes.
     pub fn roll_back(&mut self, segments: &mut SegmentTable) {
         while let Some(undo) = self.unacknowledged.pop() {
             self.replace(segments, undo.key, undo.previous);
         }
     }
 
-    /// Whether the record there is the newest of its key, or would be again if a write that is not acknowledged were rolled
-    /// back.
-    pub fn needs(&self, key: &[u8], location: &RecordLocation) -> bool {
+    /// Whether the record at `location` is the newest of its key, or would be again if an unacknowledged write were rolled back.
+    pub fn is_needed(&self, key: &[u8], location: &RecordLocation) -> bool {
         let is_newest = self.locations.get(key) == Some(location);
-        let waits = |undo: &Undo| undo.key == key && undo.previous.as_ref() == Some(location);
-        is_newest || self.unacknowledged.iter().any(waits)
+        let is_undo_target = |undo: &Undo| undo.key == key && undo.previous.as_ref() == Some(location);
+        is_newest || self.unacknowledged.iter().any(is_undo_target)
     }
 
-    /// A compaction moved a record. A key that was written anew meanwhile keeps its newer location.
+    /// Updates the location of a record that compaction moved. A key that was overwritten meanwhile keeps its newer location.
     pub fn relocate(
         &mut self,
         segments: &mut SegmentTable,
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Sets the location of a key, or takes the key out; returns the location before.
+    /// Sets the location of a key, or removes the key; returns the previous location.
     fn replace(
         &mut self,
         segments: &mut SegmentTable,
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -1,4 +1,4 @@
-//! The store's own tool: look at one, check it, compact it, get billing rows out of it, fill one, measure.
+//! Command-line tool of the store: statistics, verification, dump, compaction, export of billing rows, test data, measurements.
 
 mod tool;
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,5 +1,5 @@
-//! From what lies in the directory to what the store knows: which segments count, how far each is valid, what is damage and what
-//! only a torn end. Reads, and repairs nothing that could still be wanted.
+//! Recovery: reads the directory and determines which segments are valid, the valid length of each, and what is damage or only a torn
+//! end. Recovery only reads; it repairs and removes nothing.
 
 use crate::disk::Disk;
 use crate::error::{DamageReason, Error, Result};
@@ -18,11 +18,11 @@
     pub first_segment: u64,
     pub number: u64,
     pub generation: u32,
-    /// Valid bytes; what is behind was never acknowledged.
+    /// Valid bytes; the bytes after them were never acknowledged.
     pub length: u64,
-    /// Every put and removal in it, in order.
+    /// Every put and removal in the segment, in order.
     pub hints: Vec<Hint>,
-    /// The last sequence number in it, marks included.
+    /// The last sequence number in the segment, marks included.
     pub last_sequence: u64,
 }
 
@@ -31,16 +31,16 @@
 pub(crate) struct Recovery {
     /// In the order of the log.
     pub segments: Vec<RecoveredSegment>,
-    /// Files that stand for nothing any more.
+    /// Files that are no longer needed.
     pub obsolete_files: Vec<String>,
     /// Bytes dropped behind the last valid record.
     pub torn_bytes: u64,
-    /// With `salvage`: what could not be read.
+    /// With `salvage`: the damage that was found.
     pub damage: Vec<Error>,
 }
 
-/// Reads the directory. With `salvage` damage is reported in the result and what is behind it in its segment is left out; else
-/// it is an error.
+/// Reads the directory. With `salvage`, damage is reported in the result and the rest of the damaged segment is skipped; otherwise
+/// damage is an error.
 pub(crate) fn recover(disk: &mut impl Disk, salvage: bool) -> Result<Recovery> {
     let mut reader = Reader { disk, salvage, recovery: Recovery::default() };
     let listing = reader.list_segments()?;
@@ -59,7 +59,7 @@
 }
 
 impl SegmentFile {
-    /// Whether this file is a compaction's output that stands for all that the other one covers.
+    /// Whether this file is the output of a compaction that replaces all segments the other file covers.
     fn replaces(&self, other: &SegmentFile) -> bool {
         let (own, others) = (&self.header, &other.header);
         let starts_before = own.first_segment < others.first_segment;
@@ -83,7 +83,7 @@
     headerless: Vec<HeaderlessFile>,
 }
 
-/// Where the records of a segment end, and why, if before its valid length.
+/// End of the records of a segment, and the reason if it is before the valid length.
 struct ScanEnd {
     offset: u64,
     reason: Option<RecordError>,
@@ -126,8 +126,8 @@
         Ok(listing)
     }
 
-    /// A newest segment without a header and records was just created: no record of it was acknowledged before its header was
-    /// synced, so nothing is lost with it. Any other one without a header is damaged.
+    /// Checks the files without a header. If the newest segment has neither header nor records, it was just created: no record is
+    /// acknowledged before the header is synced, so nothing is lost. Any other segment without a header is damaged.
     fn check_headerless(&mut self, listing: &Listing) -> Result<()> {
         let newest = listing.segments.iter().map(|segment| segment.header.last_segment).max();
         for file in &listing.headerless {
@@ -146,7 +146,7 @@
         Ok(decode_record(&bytes).is_ok())
     }
 
-    /// The segments that count, in the order of the log; those that a compacted one stands for are obsolete.
+    /// Returns the valid segments in the order of the log. Segments that a compacted one replaces are obsolete.
     fn drop_replaced(&mut self, segments: Vec<SegmentFile>) -> Vec<SegmentFile> {
         let is_replaced =
             |one: &SegmentFile| segments.iter().any(|other| other.name != one.name && other.replaces(one));
@@ -185,8 +185,8 @@
         Ok(())
     }
 
-    /// Reads one segment by its hints or, without them, record by record. `next` is the header of the segment behind it,
-    /// `last_sequence` the number that ends the one before.
+    /// Reads one segment by its hints or, without them, record by record. `next` is the header of the following segment,
+    /// `last_sequence` the last sequence number of the previous one.
     fn read_segment(
         &mut self,
         segment: &SegmentFile,
@@ -194,7 +194,7 @@
         last_sequence: u64,
     ) -> Result<RecoveredSegment> {
         let stored = self.disk.length(&segment.name)?;
-        // Sealed: the next one says how far it was valid. Compacted: synced whole before it got its name.
+        // Sealed segment: the next header has its valid length. Compacted segment: it was synced completely before its rename.
         let valid = match segment.generation {
             0 => next.map(|next| next.previous_length),
             _ => Some(stored),
@@ -235,8 +235,8 @@
         decode_hints(&bytes, valid)
     }
 
-    /// Records that end early are damage where the valid length is known. At the end of the newest segment they are torn,
-    /// unless a mark behind says that this had been synced.
+    /// Classifies an early end of the records. It is damage if the valid length is known. In the newest segment it is a torn end,
+    /// unless a later mark shows that the position had been synced.
     fn check_end(&mut self, file: &str, end: &ScanEnd, is_length_known: bool, stored: u64) -> Result<()> {
         let Some(reason) = end.reason else { return Ok(()) };
         if is_length_known {
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Reads the records of a segment up to its length. In a segment as it was written each has the number after the one
-    /// before; in a compacted one, a higher one.
+    /// Reads the records of a segment up to its length. Sequence numbers are contiguous in a segment that was not compacted, and
+    /// ascending in a compacted one.
     fn scan(&mut self, segment: &mut RecoveredSegment) -> Result<ScanEnd> {
         let mut pieces = Pieces::new(&segment.file, segment.length);
         let mut offset = HEADER_BYTES as u64;
@@ -284,9 +284,9 @@
         Ok(ScanEnd { offset, reason: None })
     }
 
-    /// The most that a whole mark behind `end` says was synced, where that is more than `end`.
+    /// Returns the maximum synced length that a complete mark after `end` states, if that is more than `end`.
     fn synced_past(&mut self, file: &str, end: u64, stored: u64) -> Result<Option<u64>> {
-        let mut most = None;
+        let mut max_synced = None;
         let mut start = end;
         while start < stored {
             let bytes = self.disk.read(file, start, READ_BYTES + MARK_BYTES)?;
@@ -296,15 +296,15 @@
             for at in 0..=(bytes.len() - MARK_BYTES).min(READ_BYTES - 1) {
                 let synced = decode_mark(&bytes[at..]);
                 let is_plausible = |synced: &u64| *synced > end && *synced <= start + at as u64;
-                most = most.max(synced.filter(is_plausible));
+                max_synced = max_synced.max(synced.filter(is_plausible));
             }
             start += READ_BYTES as u64;
         }
-        Ok(most)
+        Ok(max_synced)
     }
 }
 
-/// Reads a file in pieces that each hold at least one whole record where the file does.
+/// Reads a file in pieces. Each piece holds at least one complete record, if the file has one there.
 struct Pieces {
     file: String,
     length: u64,
@@ -318,7 +318,7 @@
         Pieces { file: file.to_string(), length, bytes: Vec::new(), start: HEADER_BYTES as u64 }
     }
 
-    /// The bytes from `offset` on, which is in or right behind the piece that was read last.
+    /// Returns the bytes from `offset` on, which is in the last piece or right after it.
     fn read_at(&mut self, disk: &mut impl Disk, offset: u64) -> Result<&[u8]> {
         let left = (self.length - offset) as usize;
         let available = self.bytes.len() - (offset - self.start) as usize;
@@ -334,7 +334,7 @@
         Ok(&self.bytes[(offset - self.start) as usize..])
     }
 
-    /// Length of the record at `offset` by its frame, as far as that was read.
+    /// Length of the record at `offset` according to its frame, if the frame is in the current piece.
     fn framed_length(&self, offset: u64) -> Option<usize> {
         let frame = self.bytes.get((offset - self.start) as usize..)?.get(..4)?;
         Some(u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize + FRAME_BYTES)
--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -1,4 +1,4 @@
-//! The segments that the store consists of, how many of their bytes are live, and the files that wait to be removed.
+//! The segments of the store, their live bytes, and the files that wait to be removed.
 
 use crate::disk::Disk;
 use crate::format::{hint_file_name, HEADER_BYTES};
@@ -6,20 +6,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Shared by a segment and the snapshots that read it: its file stays while a snapshot holds one.
+/// Shared by a segment and the snapshots that read it: the segment's file stays while a snapshot holds a pin.
 pub(crate) type Pin = Arc<()>;
 
 /// One segment of the log.
 pub(crate) struct Segment {
-    /// Name of its file.
+    /// Name of the segment's file.
     pub file: String,
-    /// First segment of the log that it stands for; the last one is its own number.
+    /// First segment of the log that this segment covers; the last one is its own number.
     pub first_segment: u64,
-    /// 0 as it was written, then one more with each compaction.
+    /// 0 as first written, incremented by each compaction.
     pub generation: u32,
     /// Valid bytes.
     pub length: u64,
-    /// Bytes of records that the index names.
+    /// Bytes of records that the index points to.
     pub live_bytes: u64,
     pub pin: Pin,
 }
@@ -30,7 +30,7 @@
     }
 }
 
-/// A file that no segment names any more.
+/// A file that no segment uses any more.
 struct RetiredFile {
     file: String,
     pin: Pin,
@@ -66,7 +66,7 @@
         self.segments.values().map(|segment| segment.live_bytes).sum()
     }
 
-    /// Keeps all files for as long as the pins live.
+    /// Returns pins of all segments; the files stay until the pins are dropped.
     pub fn pins(&self) -> Vec<Pin> {
         self.segments.values().map(|segment| segment.pin.clone()).collect()
     }
@@ -78,19 +78,19 @@
     }
 
     pub fn add_live(&mut self, location: RecordLocation) {
-        if let Some(segment) = self.holder(location) {
+        if let Some(segment) = self.segment_of(location) {
             segment.live_bytes += u64::from(location.size);
         }
     }
 
     pub fn subtract_live(&mut self, location: RecordLocation) {
-        if let Some(segment) = self.holder(location) {
+        if let Some(segment) = self.segment_of(location) {
             segment.live_bytes = segment.live_bytes.saturating_sub(u64::from(location.size));
         }
     }
 
-    /// The segment that holds the record, if its file is the one of that generation.
-    fn holder(&mut self, location: RecordLocation) -> Option<&mut Segment> {
+    /// Returns the segment of a record, if the segment still has the record's generation.
+    fn segment_of(&mut self, location: RecordLocation) -> Option<&mut Segment> {
         let segment = self.segments.get_mut(&location.segment);
         segment.filter(|segment| segment.generation == location.generation)
     }
@@ -100,8 +100,8 @@
         self.segments.keys().copied().filter(|number| *number != active).collect()
     }
 
-    /// The oldest sealed segments of which the largest fraction is dead; none where that is less than `min_dead_fraction`.
-    /// Always a first part of the log: a removal may be dropped only where no older record is left.
+    /// Returns the prefix of the sealed segments with the largest dead fraction; none if that is less than `min_dead_fraction`.
+    /// Always a prefix of the log: a removal may be dropped only if no older record is left.
     pub fn choose_for_compaction(&self, active: u64, min_dead_fraction: f64) -> Vec<u64> {
         let sealed = self.sealed(active);
         let (mut total_bytes, mut live_bytes) = (0, 0);
@@ -118,15 +118,15 @@
         sealed[..best_count].to_vec()
     }
 
-    /// Takes a segment out; its file waits to be removed.
+    /// Removes a segment from the table; its file is removed later.
     pub fn retire(&mut self, number: u64) {
         if let Some(segment) = self.segments.remove(&number) {
             self.retired.push(RetiredFile { file: segment.file, pin: segment.pin });
         }
     }
 
-    /// Removes retired files that no snapshot needs. One that can't be removed now is tried again; after a restart it is known
-    /// as one that another stands for.
+    /// Removes retired files that no snapshot needs. A failed removal is retried later; after a restart, recovery finds that another
+    /// segment replaces the file.
     pub fn remove_retired_files(&mut self, disk: &mut impl Disk) {
         self.retired.retain(|retired| {
             let is_removed = Arc::strong_count(&retired.pin) == 1 && disk.remove(&retired.file).is_ok();
--- a/crates/store/src/simulation.rs
+++ b/crates/store/src/simulation.rs
@@ -1,6 +1,5 @@
-//! A simulated disk in memory that crashes: what was not synced may be there or not, in parts and in any order, and so may be
-//! changes of the directory. Faults can be injected. Deterministic by seed; for tests, and for anyone who writes against the
-//! store.
+//! A simulated in-memory disk that can crash: after a crash any part of the unsynced writes and directory changes may be present, in
+//! any order. Faults can be injected. Deterministic by seed; for tests of this crate and of crates that use the store.
 
 use crate::disk::Disk;
 use crate::error::{DiskOperation, Error, Result};
@@ -9,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// Writes reach the disk in pieces of this size, each by itself.
+/// Writes reach the disk in independent pieces of this size.
 const SECTOR_BYTES: usize = 64;
 
 /// A change of a file since its last sync.
@@ -21,9 +20,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    /// As read by a process that goes on.
+    /// Contents as a running process reads them.
     current: Vec<u8>,
-    /// As surely on the disk.
+    /// Contents that are durable.
     synced: Vec<u8>,
     unsynced: Vec<Change>,
 }
@@ -39,9 +38,9 @@
 /// A fault of the disk, injected at the operation of a given number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The machine stops: this and all that follows fails, and only `crash` goes on.
+    /// The machine stops: this operation and all later ones fail; only `crash` returns a usable disk.
     Crash,
-    /// No space: half of what is written is there.
+    /// No space is left: half of the bytes are written.
     Full,
     /// The write or the sync fails.
     IoError,
@@ -55,9 +54,9 @@
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
     unsynced: Vec<DirectoryChange>,
-    /// Operations that change something, so far.
+    /// Number of modifying operations so far.
     pub operations: u64,
-    /// Faults by the number of the operation that they hit.
+    /// Faults by the number of the operation that fails.
     faults: BTreeMap<u64, Fault>,
     is_down: bool,
 }
@@ -71,21 +70,21 @@
 }
 
 impl SimulatedDisk {
-    /// The same disk with a fault at the operation of that number.
+    /// Adds a fault at the operation with this number.
     pub fn inject_fault(mut self, operation: u64, fault: Fault) -> SimulatedDisk {
         self.faults.entry(operation).or_insert(fault);
         self
     }
 
-    /// One of the states in which the machine may come back: of the changes since each sync any part, of the folder's
-    /// too, each write in pieces.
+    /// Returns one of the possible states after a crash and restart: any part of the changes since each sync, including those of the
+    /// directory, with each write in pieces.
     pub fn crash(&self, seed: u64) -> SimulatedDisk {
         let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
-        // Some crashes lose all that was not synced, some nothing, most a part.
-        let kept_fraction = [0.0, 1.0, rng.random::<f64>(), rng.random::<f64>()][rng.random_range(0..4)];
+        // Some crashes lose all unsynced changes, some lose none, most lose a part.
+        let survival_rate = [0.0, 1.0, rng.random::<f64>(), rng.random::<f64>()][rng.random_range(0..4)];
         let mut names = self.synced_names.clone();
         for change in &self.unsynced {
-            if rng.random_bool(kept_fraction) {
+            if rng.random_bool(survival_rate) {
                 apply(&mut names, change);
             }
         }
@@ -95,12 +94,12 @@
                 match change {
                     Change::Write(offset, data) => {
                         for (at, piece) in data.chunks(SECTOR_BYTES).enumerate() {
-                            if rng.random_bool(kept_fraction) {
+                            if rng.random_bool(survival_rate) {
                                 write_at(&mut bytes, *offset as usize + at * SECTOR_BYTES, piece);
                             }
                         }
                     }
-                    Change::Truncate(length) if rng.random_bool(kept_fraction) => {
+                    Change::Truncate(length) if rng.random_bool(survival_rate) => {
                         bytes.resize(*length as usize, 0)
                     }
                     Change::Truncate(_) => {}
@@ -112,13 +111,13 @@
         SimulatedDisk { files, names: names.clone(), synced_names: names, ..SimulatedDisk::default() }
     }
 
-    /// The bytes of a file, to be changed at will by a test.
+    /// Returns the bytes of a file, which a test may change.
     pub fn bytes(&mut self, name: &str) -> Option<&mut Vec<u8>> {
         let at = *self.names.get(name)?;
         self.files.get_mut(at).map(|file| &mut file.current)
     }
 
-    /// What an end of the process leaves: all that is there, as if it had been synced.
+    /// Returns the state after the end of the process: all changes are present, as if they had been synced.
     pub fn after_process_exit(&self) -> SimulatedDisk {
         let settle = |file: &File| File {
             current: file.current.clone(),
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Counts an operation that changes something; the fault that is due with it.
+    /// Counts a modifying operation; returns the fault to inject into it.
     fn operation(&mut self, operation: DiskOperation, name: &str) -> Result<Option<Fault>> {
         if self.is_down {
             return Err(failure(operation, name, "the machine is down"));
@@ -186,7 +185,7 @@
     }
     fn create(&mut self, name: &str) -> Result<()> {
         if self.operation(DiskOperation::Create, name)?.is_some() {
-            return Err(no_space(DiskOperation::Create, name, "it would not"));
+            return Err(no_space(DiskOperation::Create, name, "injected fault"));
         }
         self.files.push(File::default());
         let change = DirectoryChange::Link(name.into(), self.files.len() - 1);
@@ -202,13 +201,13 @@
         file.unsynced.push(Change::Write(offset, part.to_vec()));
         match fault {
             Some(Fault::Full) => Err(no_space(DiskOperation::Write, name, "no space")),
-            Some(_) => Err(failure(DiskOperation::Write, name, "it would not")),
+            Some(_) => Err(failure(DiskOperation::Write, name, "injected fault")),
             None => Ok(()),
         }
     }
     fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
         if self.operation(DiskOperation::Truncate, name)?.is_some() {
-            return Err(failure(DiskOperation::Truncate, name, "it would not"));
+            return Err(failure(DiskOperation::Truncate, name, "injected fault"));
         }
         let file = self.file(DiskOperation::Truncate, name)?;
         file.current.resize(length as usize, 0);
@@ -219,11 +218,11 @@
         let fault = self.operation(DiskOperation::Sync, name)?;
         let file = self.file(DiskOperation::Sync, name)?;
         if fault.is_some() {
-            // What was dirty counts as clean from now on, on the disk or not: a second sync would pretend.
+            // Dirty pages count as clean from now on, written or not: a second sync would falsely succeed.
             file.unsynced.clear();
-            let kept = file.current.len().min(file.synced.len());
-            file.synced = [&file.synced[..kept], &vec![0; file.current.len() - kept]].concat();
-            return Err(failure(DiskOperation::Sync, name, "it would not"));
+            let retained = file.current.len().min(file.synced.len());
+            file.synced = [&file.synced[..retained], &vec![0; file.current.len() - retained]].concat();
+            return Err(failure(DiskOperation::Sync, name, "injected fault"));
         }
         file.synced = file.current.clone();
         file.unsynced.clear();
@@ -231,7 +230,7 @@
     }
     fn sync_directory(&mut self) -> Result<()> {
         if self.operation(DiskOperation::Sync, ".")?.is_some() {
-            return Err(failure(DiskOperation::Sync, ".", "it would not"));
+            return Err(failure(DiskOperation::Sync, ".", "injected fault"));
         }
         self.synced_names = self.names.clone();
         self.unsynced.clear();
@@ -239,7 +238,7 @@
     }
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
         if self.operation(DiskOperation::Rename, from)?.is_some() {
-            return Err(failure(DiskOperation::Rename, from, "it would not"));
+            return Err(failure(DiskOperation::Rename, from, "injected fault"));
         }
         let file = self
             .names
@@ -253,7 +252,7 @@
     }
     fn remove(&mut self, name: &str) -> Result<()> {
         if self.operation(DiskOperation::Remove, name)?.is_some() {
-            return Err(failure(DiskOperation::Remove, name, "it would not"));
+            return Err(failure(DiskOperation::Remove, name, "injected fault"));
         }
         if !self.names.contains_key(name) {
             return Err(failure(DiskOperation::Remove, name, "no such file"));
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -4,7 +4,7 @@
 use crate::segments::Pin;
 use imbl::OrdMap;
 
-/// All keys as they were at one moment; reads go on from it while writes and compaction do.
+/// All keys as they were at one moment. Reads from the snapshot remain possible during later writes and compaction.
 pub struct Snapshot {
     pub(crate) locations: OrdMap<Key, RecordLocation>,
     pub(crate) _pins: Vec<Pin>,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: opening, reading, statistics. Writing stands in [`crate::writer`], compaction in [`crate::compaction`].
+//! The store: opening, reading, statistics. Writing is in [`crate::writer`], compaction in [`crate::compaction`].
 
 use crate::compaction::Compaction;
 use crate::disk::Disk;
@@ -10,16 +10,16 @@
 use crate::snapshot::Snapshot;
 use crate::writer::{ActiveSegment, Writer};
 
-/// Bounds that the store works within.
+/// Options of a store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreOptions {
-    /// A segment is sealed past this many bytes.
+    /// A segment is sealed once it exceeds this many bytes.
     pub max_segment_bytes: u64,
     /// The oldest segments are compacted once this fraction of their bytes is dead.
     pub min_dead_fraction: f64,
-    /// Most bytes that one step of compaction reads: writers wait for one step at the most.
+    /// Maximum number of bytes that one compaction step reads; a write waits for one step at most.
     pub compaction_step_bytes: usize,
-    /// Opens what can be read of a damaged store; nothing is written then.
+    /// Opens the readable part of a damaged store, read-only.
     pub salvage: bool,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What the store holds now, and what it has done since it was opened.
+/// Statistics: the current contents, and counters since the store was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StoreStats {
     /// Keys with a value.
@@ -43,7 +43,7 @@
     pub segments: usize,
     /// Valid bytes of all segments.
     pub segment_bytes: u64,
-    /// Of those, bytes of records that a key's value stands in.
+    /// Of those, bytes of records that hold the current value of a key.
     pub live_bytes: u64,
     /// Number of the last record that was written, marks included.
     pub last_sequence: u64,
@@ -51,7 +51,7 @@
     pub acknowledged_sequence: u64,
     /// Syncs of files and of the directory.
     pub syncs: u64,
-    /// Bytes of records handed to the disk, those of compaction included.
+    /// Bytes of records written to the disk, including those of compaction.
     pub written_bytes: u64,
     /// Bytes of segments that compaction wrote.
     pub compacted_bytes: u64,
@@ -69,16 +69,16 @@
     pub(crate) segments: SegmentTable,
     pub(crate) writer: Writer,
     pub(crate) compaction: Option<Compaction>,
-    /// The counters among the statistics; what is derived from the state is filled in by [`Store::stats`].
+    /// The counters of the statistics; [`Store::stats`] fills in the fields that are derived from the state.
     pub(crate) counters: StoreStats,
     damage: Vec<Error>,
 }
 
 impl<D: Disk> Store<D> {
-    /// Recovers what is there; an empty directory is an empty store.
+    /// Opens a store and recovers its state; an empty directory is an empty store.
     ///
     /// # Errors
-    /// Damage, a format of another version, or an operation that the disk refused.
+    /// The store is damaged, has another format version, or a disk operation failed.
     pub fn open(mut disk: D, options: StoreOptions) -> Result<Store<D>> {
         let Recovery { segments, obsolete_files, torn_bytes, damage } = recover(&mut disk, options.salvage)?;
         let mut store = Store {
@@ -118,7 +118,7 @@
         self.writer.sequence = self.writer.sequence.max(last_sequence);
     }
 
-    /// Files that stand for nothing go only once the directory surely has what stands for them.
+    /// Removes obsolete files, after a sync of the directory has made the files that replace them durable.
     fn remove_obsolete_files(&mut self, files: Vec<String>) -> Result<()> {
         if files.is_empty() {
             return Ok(());
@@ -134,8 +134,8 @@
         self.disk.sync_directory()
     }
 
-    /// Goes on writing in the newest segment. Nothing of a torn end may stand behind what comes next, and what was read is
-    /// made sure.
+    /// Continues to write in the newest segment. A torn end is truncated, so that none of it follows new records, and the records that
+    /// were read are synced.
     fn resume_segment(&mut self, newest: RecoveredSegment) -> Result<()> {
         let (number, length) = (newest.number, newest.length);
         let file = segment_file_name(number, 0);
@@ -148,12 +148,12 @@
         Ok(())
     }
 
-    /// What a salvaged store could not read.
+    /// Damage that was found in a salvaged store.
     pub fn damage(&self) -> &[Error] {
         &self.damage
     }
 
-    /// The disk back, nothing further done: as a crash would leave it.
+    /// Returns the disk without any further write, as a crash would leave it.
     pub fn into_disk(self) -> D {
         self.disk
     }
@@ -196,7 +196,7 @@
         }
     }
 
-    /// What the store holds now, and what it has done.
+    /// Returns the current statistics.
     pub fn stats(&self) -> StoreStats {
         StoreStats {
             keys: self.index.len(),
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Reads the value of every key; returns all damage that it finds.
+    /// Reads the value of every key; returns all damage that was found.
     pub fn verify(&mut self) -> Vec<Error> {
         let all: Vec<(Key, RecordLocation)> =
             self.index.snapshot().iter().map(|(key, location)| (key.clone(), *location)).collect();
--- a/crates/store/src/tool/arguments.rs
+++ b/crates/store/src/tool/arguments.rs
@@ -7,34 +7,34 @@
 pub fn arguments() -> Command {
     Command::new("cypresscleat-store")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Looks after a store: exit 0 where all is well, 3 on damage, 2 on anything else")
+        .about("Inspects and maintains a store. Exit codes: 0 success, 3 damage, 2 any other error")
         .subcommand_required(true)
-        .subcommand(command("verify", "Read every record that counts; tell all damage"))
-        .subcommand(command("stats", "Keys, segments, bytes"))
+        .subcommand(command("verify", "Read the value of every key and report all damage"))
+        .subcommand(command("stats", "Print the number of keys, segments and bytes"))
         .subcommand(
-            command("dump", "A line KEY<TAB>VALUE for each key, in order; bytes that are no text as \\xNN")
+            command("dump", "Print a line KEY<TAB>VALUE for each key, in order; bytes that are not text as \\xNN")
                 .arg(
                     Arg::new("salvage")
                         .long("salvage")
                         .action(ArgAction::SetTrue)
-                        .help("What can be read of a damaged one"),
+                        .help("Print the readable part of a damaged store"),
                 ),
         )
-        .subcommand(command("compact", "Compact all that is sealed"))
+        .subcommand(command("compact", "Compact all segments"))
         .subcommand(
-            command("export", "Billing rows, oldest first; safe to run twice, as rows carry ids")
-                .arg(number("since", "0").help("Unix milliseconds")),
+            command("export", "Print the billing rows, oldest first; safe to repeat, as rows have ids")
+                .arg(number("since", "0").help("First time, in Unix milliseconds")),
         )
         .subcommand(
-            command("fill", "Write by seed; each key is printed once it is acknowledged")
+            command("fill", "Write random entries by seed; print each key once it is acknowledged")
                 .arg(number("writes", "1000"))
                 .arg(number("seed", "1"))
-                .arg(number("group", "1").help("Writes for each commit")),
+                .arg(number("group", "1").help("Writes per commit")),
         )
         .subcommand(
             command(
                 "measure",
-                "Appends a second and their latency by durability, beside a plain file; recovery; compaction",
+                "Measure append rate and latency by durability against a plain file, recovery, and compaction",
             )
             .arg(number("writes", "20000")),
         )
--- a/crates/store/src/tool/commands.rs
+++ b/crates/store/src/tool/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The commands of the tool.
 
 use super::measure;
 use super::outcome::{Outcome, ToolError};
@@ -11,11 +11,11 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Keys of billing rows lie between these: `b/`, then the time in milliseconds with 16 digits.
+/// Keys of billing rows are in the range from `BILLING_PREFIX` to `BILLING_END`: `b/`, then the time in milliseconds with 16 digits.
 const BILLING_PREFIX: &str = "b/";
 const BILLING_END: &[u8] = b"b0";
 
-/// Runs the command; its report goes to standard output.
+/// Runs the command and writes its report to standard output.
 pub fn run(arguments: &ArgMatches) -> Result<Outcome, ToolError> {
     let (name, arguments) = arguments.subcommand().ok_or(ToolError::Usage)?;
     let path = arguments.get_one::<PathBuf>("dir").ok_or(ToolError::Usage)?;
@@ -50,7 +50,7 @@
     }
 }
 
-/// To look at a store must not create one.
+/// Opens a store that exists: commands that inspect a store must not create one.
 fn open_existing(path: &Path, salvage: bool) -> Result<Store<DiskDirectory>, ToolError> {
     if !path.is_dir() {
         return Err(ToolError::NoSuchDirectory(path.to_path_buf()));
@@ -103,7 +103,7 @@
 struct Fill {
     writes: u64,
     seed: u64,
-    /// Writes for each commit.
+    /// Writes per commit.
     group: u64,
 }
 
--- a/crates/store/src/tool/measure.rs
+++ b/crates/store/src/tool/measure.rs
@@ -1,5 +1,5 @@
-//! What the store costs on this machine's disk, beside a plain file with a sync for each write; and the index beside a
-//! plain map that is copied for each snapshot.
+//! Measures the store on this machine's disk against a plain file with a sync for each write, and the index against a plain map that
+//! is copied for each snapshot.
 
 use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{DiskOperation, Error, Result, Store, StoreOptions};
@@ -39,7 +39,7 @@
     format!("| {label} | {rate:.0} | {p50} | {p99} | {most} |\n")
 }
 
-/// Leaves nothing in `path` but a directory of its own, which it empties first.
+/// Measures in the subdirectory `measured` of `path`, which is emptied before and after, and returns the tables.
 pub fn table(path: &Path, writes: u64) -> Result<String> {
     let path = path.join("measured");
     let mut out =
@@ -69,7 +69,7 @@
     let _ = std::fs::remove_dir_all(path);
 }
 
-/// A sync for each write to a plain file.
+/// Measures writes to a plain file with a sync for each.
 fn plain_file(path: &Path, writes: u64) -> Result<String> {
     let (Ok(mut file), Some(mut times)) = (File::create(path.join("plain")), Times::new()) else {
         return Ok(String::new());
@@ -85,7 +85,7 @@
     Ok(row("plain file, a sync each", writes, began.elapsed(), &times))
 }
 
-/// Appends to a store, so many a commit.
+/// Appends to a store, with `group` writes per commit.
 struct Appends {
     label: &'static str,
     group: u64,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Overwrites while compaction goes on in steps: the longest that a writer waited for one.
+/// Measures overwrites with compaction steps in between, and the longest step, for which a writer waits.
 fn compaction(path: &Path, writes: u64) -> Result<String> {
     clean(path);
     let mut store = Store::open(
@@ -195,7 +195,7 @@
     Ok(())
 }
 
-/// Resident memory of a process that has just opened the store there: this one's keeps what it used before.
+/// Resident memory of a new process that has just opened the store: the memory of this process includes earlier measurements.
 fn resident_bytes_of_a_process(path: &Path) -> f64 {
     let _ = std::fs::create_dir_all(path);
     let program = std::env::current_exe().unwrap_or_default();
@@ -213,11 +213,11 @@
     kib.unwrap_or(0.0) * 1024.0
 }
 
-/// What a kind of index costs.
+/// Costs of one kind of index.
 struct IndexCosts {
     write_ns: f64,
     snapshot: Duration,
-    /// The first writes behind a snapshot, which still shares with the index what it can.
+    /// The first writes after a snapshot, while the snapshot still shares nodes with the index.
     write_behind_snapshot_ns: f64,
 }
 
@@ -252,7 +252,7 @@
     }
 }
 
-/// The persistent map beside a plain one that is copied for each snapshot.
+/// Compares the persistent map with a plain map that is copied for each snapshot.
 fn index() -> String {
     let mut out = "\n| keys | map: write, ns | its snapshot, us | persistent map: write, ns | its snapshot, us | first 100 writes behind a snapshot, ns each: map, persistent |\n| --- | --- | --- | --- | --- | --- |\n".to_string();
     for count in [1_000u64, 10_000, 100_000, 1_000_000] {
--- a/crates/store/src/tool/outcome.rs
+++ b/crates/store/src/tool/outcome.rs
@@ -1,26 +1,26 @@
-//! How a command ends: its exit code, and errors with their texts.
+//! Outcomes and errors of the commands, with their exit codes and messages.
 
 use cypresscleat_store::Error;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Anything but damage that kept a command from its end.
+/// A command failed for any reason other than damage.
 const EXIT_FAILED: u8 = 2;
 /// The store is damaged.
 const EXIT_DAMAGE: u8 = 3;
 
-/// What a command that came to its end has found.
+/// Result of a command that ran to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// All is well.
+    /// No damage was found.
     Good,
-    /// Damage, which the command has reported.
+    /// Damage was found and reported.
     Damaged,
 }
 
 impl Outcome {
-    /// The outcome where so many records or segments were damaged.
+    /// Returns the outcome for a number of damaged records or segments.
     pub fn from_damage(count: usize) -> Outcome {
         match count {
             0 => Outcome::Good,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The exit code that reports it.
+    /// Returns the exit code.
     pub fn exit_code(self) -> ExitCode {
         match self {
             Outcome::Good => ExitCode::SUCCESS,
@@ -37,25 +37,25 @@
     }
 }
 
-/// Why a command did not come to its end.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ToolError {
     /// The store could not be opened, read or written.
     #[error(transparent)]
     Store(#[from] Error),
     /// The report could not be written.
-    #[error("write standard output: {0}")]
+    #[error("write to standard output: {0}")]
     Output(#[from] io::Error),
-    /// There is no store to look at.
-    #[error("open {}: no such folder", .0.display())]
+    /// The directory of the store does not exist.
+    #[error("open {}: no such directory", .0.display())]
     NoSuchDirectory(PathBuf),
-    /// No such command, or no directory for it.
-    #[error("a command and a directory are needed")]
+    /// The command is unknown, or its directory is missing.
+    #[error("a command and a directory are required")]
     Usage,
 }
 
 impl ToolError {
-    /// The exit code that reports it.
+    /// Returns the exit code.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             ToolError::Store(Error::Damage { .. }) => ExitCode::from(EXIT_DAMAGE),
--- a/crates/store/src/tool/report.rs
+++ b/crates/store/src/tool/report.rs
@@ -1,11 +1,11 @@
-//! What the commands print.
+//! Output of the commands.
 
 use super::outcome::ToolError;
 use cypresscleat_store::disk::Disk;
 use cypresscleat_store::{Error, Store, StoreStats};
 use std::io::{self, Write};
 
-/// All damage that was found, then a line of totals.
+/// Writes all damage that was found, then a line of totals.
 pub fn verification(out: &mut impl Write, damage: &[Error], stats: &StoreStats) -> io::Result<()> {
     for error in damage {
         writeln!(out, "{error}")?;
@@ -14,7 +14,7 @@
     writeln!(out, "{keys} keys, {damaged} damaged, {torn} bytes dropped behind the end")
 }
 
-/// A line for each figure.
+/// Writes a line for each statistic.
 pub fn statistics(out: &mut impl Write, stats: &StoreStats, resident_bytes: f64) -> io::Result<()> {
     writeln!(out, "keys {}", stats.keys)?;
     writeln!(out, "segments {}", stats.segments)?;
@@ -25,7 +25,7 @@
     writeln!(out, "memory {resident_bytes}")
 }
 
-/// A line for each key from `from` on, up to but without `end`.
+/// Writes a line for each key from `from` on, up to and excluding `end`.
 pub fn rows(
     out: &mut impl Write,
     store: &mut Store<impl Disk>,
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Text as it is; what would break the line and bytes that are no text as `\xNN`.
+/// Escapes backslashes, control characters and bytes that are not text as `\xNN`; other text is unchanged.
 fn escape(bytes: &[u8]) -> String {
     let mut out = String::new();
     for chunk in bytes.utf8_chunks() {
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,5 +1,5 @@
-//! Writes: records are buffered, handed to the disk with a commit, and acknowledged once they are synced. A segment in which a
-//! sync failed is given up: after such a failure the system may call lost pages clean, so a second sync would prove nothing.
+//! Writes: records are buffered, written to the disk by a commit, and acknowledged once they are synced. A segment is abandoned after
+//! a failed sync: the operating system may then mark lost pages as clean, so a second sync would prove nothing.
 
 use crate::disk::Disk;
 use crate::error::{Error, Result};
@@ -12,15 +12,15 @@
 use crate::store::Store;
 use crate::{MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
-/// The segment that is written.
+/// The segment that is being written.
 #[derive(Default)]
 pub(crate) struct ActiveSegment {
     pub number: u64,
-    /// Bytes handed to the disk.
+    /// Bytes written to the disk.
     pub written_bytes: u64,
     /// Bytes known to be on the disk.
     pub synced_bytes: u64,
-    /// One for each put and removal in it, those still buffered included.
+    /// One hint for each put and removal in the segment, including those still buffered.
     pub hints: Vec<Hint>,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub(crate) struct Writer {
     pub active: ActiveSegment,
-    /// Records not yet handed to the disk; they will stand behind `active.written_bytes`.
+    /// Records not yet written to the disk; they will follow `active.written_bytes`.
     pub buffer: Vec<u8>,
     /// Number of the last record.
     pub sequence: u64,
@@ -38,12 +38,12 @@
 }
 
 impl Writer {
-    /// Where the next record will stand in the active segment.
+    /// Offset of the next record in the active segment.
     fn next_offset(&self) -> u64 {
         self.active.written_bytes + self.buffer.len() as u64
     }
 
-    /// The bytes of a record that is still buffered; `None` for one that was handed to the disk.
+    /// Returns the bytes of a record that is still buffered; `None` if the record was written to the disk.
     pub fn buffered(&self, location: RecordLocation) -> Option<&[u8]> {
         let is_active = location.segment == self.active.number && location.generation == 0;
         if !is_active || location.offset < self.active.written_bytes {
@@ -55,10 +55,11 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Sets the value of a key. Returns the write's number; it is acknowledged once [`Store::commit`] returns that or more.
+    /// Sets the value of a key. Returns the sequence number of the write, which is acknowledged once [`Store::commit`] returns this
+    /// number or a higher one.
     ///
     /// # Errors
-    /// A key or value out of bounds, a store that is read-only, or a disk that failed where the segment was full.
+    /// The key or value is out of bounds, the store is read-only, or the disk failed when a full segment was sealed.
     pub fn put(&mut self, key: &[u8], value: &[u8]) -> Result<u64> {
         if key.is_empty() || key.len() > MAX_KEY_BYTES || value.len() > MAX_VALUE_BYTES {
             return Err(Error::TooLarge(key.len().max(value.len())));
@@ -66,7 +67,7 @@
         self.append(RecordKind::Put, key, value)
     }
 
-    /// Removes a key. Returns the write's number, as [`Store::put`] does.
+    /// Removes a key. Returns the sequence number of the write, as [`Store::put`] does.
     ///
     /// # Errors
     /// As for [`Store::put`].
@@ -95,16 +96,16 @@
         Ok(sequence)
     }
 
-    /// Bytes waiting to be handed to the disk.
+    /// Bytes that are buffered and not yet written to the disk.
     pub fn pending_bytes(&self) -> usize {
         self.writer.buffer.len()
     }
 
-    /// Hands all writes to the disk, synced unless `sync` is false. Returns the number up to which writes are acknowledged.
-    /// Without a sync that holds against an end of the process, not of the machine.
+    /// Writes the buffer to the disk, and syncs unless `sync` is false. Returns the sequence number up to which writes are
+    /// acknowledged. Without a sync, acknowledged writes survive the end of the process, but not a crash of the machine.
     ///
     /// # Errors
-    /// An error gives up all that was not acknowledged: none of it can be read any more.
+    /// On an error all unacknowledged writes are rolled back and can no longer be read.
     pub fn commit(&mut self, sync: bool) -> Result<u64> {
         if self.writer.is_read_only {
             return Err(Error::ReadOnly);
@@ -136,8 +137,8 @@
         Ok(())
     }
 
-    /// A write failed, and part of it may be there. Where the file can be cut back the segment goes on, as the disk may only be
-    /// full.
+    /// Handles a failed write, part of which may be in the file. If the file can be truncated to its earlier length, the segment stays
+    /// in use, as the disk may only be full.
     fn give_up_write(&mut self, file: &str) {
         let synced_bytes = self.writer.active.synced_bytes;
         let is_cut_back = self.disk.truncate(file, self.writer.active.written_bytes).is_ok();
@@ -150,8 +151,8 @@
         self.writer.sequence = self.writer.acknowledged;
     }
 
-    /// Syncs the active segment and acknowledges what it holds. A mark is buffered behind it, by which recovery knows that this
-    /// much was synced; the mark itself may be lost.
+    /// Syncs the active segment and acknowledges its records. A mark is buffered after them, which tells recovery the synced length;
+    /// the mark itself may be lost.
     fn sync_active_segment(&mut self) -> Result<()> {
         let file = segment_file_name(self.writer.active.number, 0);
         if let Err(error) = self.disk.sync(&file) {
@@ -172,18 +173,18 @@
         self.writer.acknowledged = self.writer.sequence;
     }
 
-    /// Takes back all writes that are not acknowledged.
+    /// Rolls back all unacknowledged writes.
     fn roll_back(&mut self) {
         self.index.roll_back(&mut self.segments);
         self.writer.buffer.clear();
     }
 
-    /// Final for the segment: nothing is written to it again, what was not synced in it is given up, another one begins.
+    /// Abandons the active segment: it is not written again, its unsynced records are rolled back, and a new segment is started.
     fn fail_segment(&mut self) {
         self.counters.failed_segments += 1;
         self.roll_back();
         let (number, synced_bytes) = (self.writer.active.number, self.writer.active.synced_bytes);
-        // Numbers go on past those that may lie behind the synced part.
+        // Sequence numbers continue past those that may be in the file after the synced length.
         self.writer.sequence += 1;
         self.segments.set_length(number, synced_bytes);
         if self.begin_segment(number + 1, synced_bytes).is_err() {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Creates a segment and makes it the active one. `previous_length` is the valid length of the one before.
+    /// Creates a segment and makes it the active one. `previous_length` is the valid length of the previous segment.
     pub(crate) fn begin_segment(&mut self, number: u64, previous_length: u64) -> Result<()> {
         let file = segment_file_name(number, 0);
         let header = SegmentHeader { first_segment: number, last_segment: number, previous_length };
@@ -207,19 +208,19 @@
         Ok(())
     }
 
-    /// Seals the active segment and begins the next one.
+    /// Seals the active segment and starts the next one.
     pub(crate) fn rotate(&mut self) -> Result<()> {
         self.commit(true)?;
         let (number, length) = (self.writer.active.number, self.writer.active.synced_bytes);
         let hints = self.writer.active.hints.clone();
-        // Where no other can be begun this one goes on, with the mark that waits: numbers follow each other in a segment.
+        // If no new segment can be started, this one stays in use with its buffered mark: sequence numbers in a segment are contiguous.
         self.begin_segment(number + 1, length)?;
         self.writer.buffer.clear();
         self.write_hints(&segment_file_name(number, 0), length, &hints);
         Ok(())
     }
 
-    /// Only to save time at the next start: not synced, and no error of its own.
+    /// Writes the hints of a segment. They only save time at the next start, so they are not synced and errors are ignored.
     pub(crate) fn write_hints(&mut self, segment_file: &str, length: u64, hints: &[Hint]) {
         let file = hint_file_name(segment_file);
         let bytes = encode_hints(length, hints);
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Files cut at every byte, crashes at every step with any part of what was not synced, faults of the disk; compared with a
-//! model map. Seeds are printed with each failure.
+//! Files truncated at every byte, crashes at every step with any part of the unsynced changes, and disk faults, compared with a model
+//! map. Failures print their seed.
 
 use cypresscleat_store::disk::Disk;
 use cypresscleat_store::simulation::{Fault, SimulatedDisk};
@@ -17,9 +17,9 @@
     salvage: false,
 };
 
-/// A workload by seed, with the map after each write, and how many were acknowledged when.
+/// Writes of a workload: the map after each write, and the number of acknowledged writes.
 struct Written {
-    /// After each number of writes that were issued.
+    /// The map after each number of issued writes.
     states: Vec<Map>,
     acknowledged: usize,
 }
@@ -41,8 +41,8 @@
     }
 }
 
-/// Plays until the disk goes down, or to the end. Writes that were given up with an error count as never issued, if none
-/// after them was acknowledged: they are taken out of the model.
+/// Runs a workload by seed until an operation fails, or to the end. Returns whether the workload reached its end. A write that failed is
+/// not added to the model.
 fn workload(store: &mut Store<SimulatedDisk>, seed: u64, steps: usize, written: &mut Written) -> bool {
     let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
     for step in 0..steps {
@@ -87,7 +87,7 @@
     Ok(map)
 }
 
-/// It opens, holds a prefix of the writes with all acknowledged ones and nothing else, and takes writes again.
+/// Checks that the store opens, holds a prefix of the writes with all acknowledged ones and nothing else, and accepts writes again.
 fn check(disk: SimulatedDisk, written: &Written, what: &str) {
     let mut store = Store::open(disk, SMALL).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found = all(&mut store).unwrap_or_else(|error| panic!("{what}: {error}"));
@@ -101,12 +101,12 @@
     assert_eq!(all(&mut again).map(|map| map.len()), Ok(found.len() + 1), "{what}");
 }
 
-/// States compared in a run; `CRASH_STATES=1100000` for a longer one by hand.
-fn states_wanted() -> u64 {
+/// Number of states to compare; `CRASH_STATES=1100000` for a longer manual run.
+fn min_states() -> u64 {
     std::env::var("CRASH_STATES").ok().and_then(|word| word.parse().ok()).unwrap_or(110_000)
 }
 
-/// 110,000 states of crashes: every step of workloads with rotation and compaction, several states at each.
+/// 110,000 crash states: each step of workloads with rotation and compaction, several states at each step.
 #[test]
 fn any_crash_leaves_a_prefix_of_the_writes_with_all_acknowledged_ones() {
     let threads: Vec<_> = (0..4u64)
@@ -114,9 +114,9 @@
             std::thread::spawn(move || {
                 let mut states = 0u64;
                 let mut seed = thread;
-                while states < states_wanted() / 4 {
+                while states < min_states() / 4 {
                     seed += 4;
-                    let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+                    let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
                     workload(&mut whole, seed, 120, &mut Written::new());
                     let operations = whole.into_disk().operations;
                     for at in 1..=operations {
@@ -127,7 +127,7 @@
                                 workload(&mut store, seed, 120, &mut written);
                                 store.into_disk()
                             }
-                            Err(_) => continue, // down before there was a store
+                            Err(_) => continue, // the crash came before the store was created
                         };
                         for way in 0..5 {
                             let crash = seed.wrapping_mul(1_000_003) + at * 7 + way;
@@ -145,14 +145,14 @@
         })
         .collect();
     let states: u64 = threads.into_iter().map(|thread| thread.join().expect("no failure")).sum();
-    assert!(states >= states_wanted(), "{states} states");
+    assert!(states >= min_states(), "{states} states");
 }
 
-/// Recovery itself is stopped, ten times running: nothing is lost by that.
+/// Recovery itself is interrupted ten times in a row; no acknowledged write is lost.
 #[test]
 fn crashes_during_recovery_lose_nothing() {
     for seed in 0..60u64 {
-        let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+        let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
         let mut written = Written::new();
         workload(&mut store, seed, 160, &mut written);
         let mut disk = store.into_disk().crash(seed);
@@ -162,7 +162,7 @@
             disk = match Store::open(down, SMALL) {
                 Ok(store) => store.into_disk().crash(seed * 100 + round),
                 Err(_) => {
-                    // It stopped in recovery: what it had done until then may be there or not.
+                    // Recovery was interrupted: its changes so far may be present or not.
                     let mut stopped = disk.clone().inject_fault(at, Fault::Crash);
                     let _ = stopped.sync_directory();
                     disk.crash(seed * 100 + round)
@@ -173,12 +173,12 @@
     }
 }
 
-/// A recorded workload: 260 writes in several segments, compactions between. Its files are cut at every byte.
+/// Truncates the files of a workload at every byte: first one segment with 260 writes, then several segments with compactions.
 #[test]
 fn files_cut_at_any_byte_lose_nothing_acknowledged_before_it() {
-    // One segment that is written, cut at each byte: what stands before the cut is there, nothing else.
+    // The active segment, truncated at each byte: exactly the writes before the cut are there.
     let large = StoreOptions { max_segment_bytes: 1 << 20, ..SMALL };
-    let mut store = Store::open(SimulatedDisk::default(), large).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), large).expect("an empty store");
     let mut rng = Pcg64Mcg::new(5);
     let mut ends: Vec<(usize, Map)> = Vec::new();
     let mut map = Map::new();
@@ -218,8 +218,8 @@
             .and_then(|_| store.commit(true))
             .unwrap_or_else(|error| panic!("{cut}: {error}"));
     }
-    // Several segments: a cut in a sealed one is damage, told with its file; never a wrong answer.
-    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+    // Several segments: a cut in a sealed one is damage, reported with its file; no wrong value is ever read.
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
     let mut written = Written::new();
     assert!(workload(&mut store, 11, 400, &mut written));
     store.commit(true).expect("a commit");
@@ -249,17 +249,17 @@
     }
 }
 
-/// A bit flipped anywhere is found, or does not matter; never is a value other than what was written.
+/// A flipped bit is detected as damage or has no effect; a value that was not written is never read.
 #[test]
 fn a_flipped_bit_is_never_read_as_a_wrong_value() {
-    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
     let mut written = Written::new();
     assert!(workload(&mut store, 23, 300, &mut written));
     store.commit(true).expect("a commit");
     store.commit(true).expect("the mark behind it");
     let disk = store.into_disk().after_process_exit();
     let names = disk.clone().list().expect("names");
-    let mut told = 0;
+    let mut reported = 0;
     for name in &names {
         let length = disk.clone().length(name).expect("a length") as usize;
         for at in 0..length {
@@ -271,23 +271,23 @@
                         let known = written.states.contains(&found);
                         assert!(known, "{name} byte {at}: {found:?}");
                     }
-                    Err(Error::Damage { .. }) => told += 1,
+                    Err(Error::Damage { .. }) => reported += 1,
                     Err(other) => panic!("{name} byte {at}: {other}"),
                 },
-                Err(Error::Damage { .. } | Error::Version { .. }) => told += 1,
+                Err(Error::Damage { .. } | Error::Version { .. }) => reported += 1,
                 Err(other) => panic!("{name} byte {at}: {other}"),
             }
         }
     }
-    assert!(told > 1000, "{told} were told");
+    assert!(reported > 1000, "{reported} were reported");
 }
 
-/// Every write and every sync fails once: what was acknowledged before stays, what comes after works, nothing is invented.
+/// Every write and every sync fails once: earlier acknowledged writes stay, later operations succeed, and no other value appears.
 #[test]
 fn a_failing_write_or_sync_gives_up_only_what_was_not_acknowledged() {
     for fault in [Fault::Full, Fault::IoError] {
         for seed in 0..6u64 {
-            let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+            let mut whole = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
             workload(&mut whole, seed, 100, &mut Written::new());
             let operations = whole.into_disk().operations;
             for at in 6..=operations {
@@ -295,7 +295,7 @@
                 let disk = SimulatedDisk::default().inject_fault(at, fault);
                 let Ok(mut store) = Store::open(disk, SMALL) else { continue };
                 let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
-                // What counts is what was acknowledged: after an error the rest is given up.
+                // The acknowledged writes must stay: after an error the other writes are rolled back.
                 let mut certain = Map::new();
                 let mut pending = Map::new();
                 let mut failed = 0;
@@ -306,7 +306,7 @@
                     match rng.random_range(0..10) {
                         0..=5 => match store.put(&key, &value) {
                             Ok(_) => {
-                                // Where its segment was full, all before it was acknowledged on the way.
+                                // If the segment was full, all earlier writes were acknowledged when it was sealed.
                                 if store.stats().acknowledged_sequence > acknowledged {
                                     certain = pending.clone();
                                 }
@@ -314,7 +314,7 @@
                             }
                             Err(_) => {
                                 failed += 1;
-                                // Its segment was full: those before it may have been acknowledged on the way.
+                                // The segment was full: earlier writes may have been acknowledged when it was sealed.
                                 let found = all(&mut store).expect("to be read");
                                 assert!(found == certain || found == pending, "{what}");
                                 (certain, pending) = (found.clone(), found);
@@ -332,7 +332,7 @@
                 }
                 assert!(failed <= 1, "{what}: {failed} errors from one fault");
                 assert_eq!(all(&mut store), Ok(pending.clone()), "{what}");
-                // A second one, where the first was the one that failed: then nothing waits any more.
+                // If this commit is the operation that fails, no write is pending any more, and a second commit succeeds.
                 if store.commit(true).is_ok() {
                     certain = pending;
                 } else {
@@ -347,10 +347,10 @@
     }
 }
 
-/// A reader's snapshot stays what it was while its segments are compacted away.
+/// A snapshot stays unchanged while its segments are compacted away.
 #[test]
 fn a_snapshot_outlives_the_segments_it_reads() {
-    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
     let mut written = Written::new();
     assert!(workload(&mut store, 3, 300, &mut written));
     store.commit(true).expect("a commit");
@@ -365,7 +365,7 @@
         assert_eq!(store.get(key), Ok(Some(b"new".to_vec())));
     }
     let files = |store: &mut Store<SimulatedDisk>| store.stats().segments;
-    assert_eq!(files(&mut store), 2, "one compacted, one written");
+    assert_eq!(files(&mut store), 2, "one compacted segment, one active");
     drop(snapshot);
     store.compact_step().expect("a step");
     let names = store.into_disk().list().expect("names");
@@ -375,7 +375,7 @@
 #[test]
 fn overwriting_one_key_keeps_the_store_small() {
     let options = StoreOptions { max_segment_bytes: 64 * 1024, ..StoreOptions::default() };
-    let mut store = Store::open(SimulatedDisk::default(), options).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), options).expect("an empty store");
     for round in 0..200_000u32 {
         store.put(b"one", &round.to_le_bytes()).expect("a write");
         if round % 500 == 0 {
@@ -391,7 +391,7 @@
 
 #[test]
 fn rejects_oversized_entries_other_versions_and_a_second_owner() {
-    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty one");
+    let mut store = Store::open(SimulatedDisk::default(), SMALL).expect("an empty store");
     assert_eq!(store.put(b"", b"x"), Err(Error::TooLarge(1)));
     assert_eq!(store.put(&[0; 1025], b"x"), Err(Error::TooLarge(1025)));
     assert_eq!(store.put(b"k", &vec![0; (1 << 20) + 1]), Err(Error::TooLarge((1 << 20) + 1)));
@@ -411,6 +411,6 @@
     let one = cypresscleat_store::disk::DiskDirectory::open(&path).expect("one owner");
     assert_eq!(cypresscleat_store::disk::DiskDirectory::open(&path).map(|_| ()), Err(Error::Locked));
     drop(one);
-    assert!(cypresscleat_store::disk::DiskDirectory::open(&path).is_ok(), "given back");
+    assert!(cypresscleat_store::disk::DiskDirectory::open(&path).is_ok(), "the lock is released");
     let _ = std::fs::remove_dir_all(&path);
 }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The format of stored data stays: bytes recorded from commit 67fc394 are read, and written again equal. The files under
-//! `tests/golden/folder` were written by the program of that commit with `write_recorded_workload`.
+//! The format of stored data is stable: bytes recorded from commit 67fc394 can be read, and the same bytes are written again. The files
+//! under `tests/golden/folder` were written by the program of that commit with `write_recorded_workload`.
 
 use cypresscleat_store::disk::{Disk, DiskDirectory};
 use cypresscleat_store::format::{self, Hint, RecordKind, SegmentHeader};
@@ -14,9 +14,9 @@
     salvage: false,
 };
 
-/// Segment header: magic, first and last segment, length of the one before, CRC-32.
+/// Segment header: magic, first and last segment, length of the previous segment, CRC-32.
 const HEADER: &str = "43434c4541545331020100000000000003020000000000000403000000000000d5c8397c";
-/// Records of a put, a removal and a mark behind one another.
+/// Records of a put, a removal and a mark.
 const PUT: &str = "130000004045c06b08070605040302010103006b657976616c7565";
 const REMOVE: &str = "0e0000006bb0793709070605040302010203006b6579";
 const MARK: &str = "130000005111f6070a070605040302010300002c01000000000000";
@@ -109,7 +109,7 @@
     store.commit(true).expect("a commit");
 }
 
-/// What the workload leaves, by a plain map.
+/// Contents after the workload, computed with a plain map.
 fn recorded_contents() -> BTreeMap<Vec<u8>, Vec<u8>> {
     let mut map = BTreeMap::new();
     for step in 0..70u32 {
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_folder_of_67fc394_opens_and_is_written_on() {
+fn a_folder_of_67fc394_opens_and_accepts_writes() {
     for with_hints in [true, false] {
         let path = empty_folder(if with_hints { "hinted" } else { "unhinted" });
         std::fs::create_dir_all(&path).expect("a folder");
--- a/crates/store/tests/tool.rs
+++ b/crates/store/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool on real folders: fill and dump, damage and its exit code, a child killed at any moment.
+//! The tool on real folders: fill and dump, damage and its exit code, a process killed at any moment.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_was_filled_is_dumped_and_damage_has_its_exit_code() {
+fn filled_keys_are_dumped_and_damage_has_its_exit_code() {
     let path = folder("fill");
     let (code, keys, _) = run(&["fill", "--writes", "300", "--seed", "7"], &path);
     assert_eq!((code, keys.lines().count()), (Some(0), 300));
@@ -43,16 +43,16 @@
     assert!(code == Some(0) && stats.contains(&format!("keys {}", dumped.len())), "{stats}");
     assert_eq!(run(&["compact"], &path).0, Some(0));
     assert_eq!(run(&["dump"], &path).1, dump);
-    // Damage in the middle: file, offset, exit 3; what can be read is had with --salvage.
+    // Damage in the middle: the error names file and offset, exit code 3; --salvage prints the readable part.
     assert_eq!(run(&["fill", "--writes", "50", "--seed", "8"], &path).0, Some(0));
     let file = segment(&path);
     let mut bytes = std::fs::read(&file).expect("its bytes");
     bytes[300] ^= 4;
     std::fs::write(&file, bytes).expect("to write");
     for word in ["dump", "verify", "stats"] {
-        let (code, _, told) = run(&[word], &path);
+        let (code, _, stderr) = run(&[word], &path);
         let name = file.file_name().and_then(|name| name.to_str()).expect("a name");
-        assert!(code == Some(3) && told.contains(name) && told.contains("at byte "), "{word}: {told}");
+        assert!(code == Some(3) && stderr.contains(name) && stderr.contains("at byte "), "{word}: {stderr}");
     }
     let (code, saved, _) = run(&["dump", "--salvage"], &path);
     assert!(code == Some(3) && saved.lines().count() >= dumped.len(), "{saved}");
@@ -61,7 +61,7 @@
     let _ = std::fs::remove_dir_all(&path);
 }
 
-/// Killed for real, at random times, 200 times: each key that was printed is there.
+/// The tool is killed at random times, 200 times: each key that was printed as acknowledged is in the store.
 #[test]
 fn a_writer_killed_at_any_moment_keeps_what_it_acknowledged() {
     let path = folder("killed");
@@ -81,12 +81,12 @@
         let mut printed = String::new();
         let mut from = child.stdout.take().expect("its output");
         from.read_to_string(&mut printed).expect("text");
-        // A line may be cut off; the whole ones count.
-        let whole = printed.rfind('\n').map_or("", |end| &printed[..end]);
-        known.extend(whole.lines().map(str::to_string));
+        // The last line may be incomplete; only complete lines count.
+        let complete_lines = printed.rfind('\n').map_or("", |end| &printed[..end]);
+        known.extend(complete_lines.lines().map(str::to_string));
         if round % 20 == 19 {
-            let (code, dump, told) = run(&["dump"], &path);
-            assert_eq!(code, Some(0), "round {round}: {told}");
+            let (code, dump, stderr) = run(&["dump"], &path);
+            assert_eq!(code, Some(0), "round {round}: {stderr}");
             let dumped: BTreeSet<&str> = dump.lines().filter_map(|line| line.split('\t').next()).collect();
             let lost = known.iter().filter(|key| !dumped.contains(key.as_str())).count();
             assert_eq!(lost, 0, "round {round}");
