--- a/crates/scgi/src/lib.rs
+++ b/crates/scgi/src/lib.rs
@@ -1,9 +1,9 @@
-//! SCGI, both ends: requests and responses, read from bytes that may be cut anywhere, and written. No I/O, no clock,
-//! no copies on the way in.
+//! SCGI codec for clients and servers. Requests and responses are parsed incrementally from a growing buffer, without
+//! copies, and encoded. No I/O, no clock.
 //!
 //! Source: N. Schemenauer, "SCGI: A Simple Common Gateway Interface alternative", protocol text of 2008-06-23, and for
-//! the response RFC 3875 (CGI/1.1), section 6. Where the first leaves room, this crate is strict: what two readers could
-//! take for two things is a fault.
+//! the response RFC 3875 (CGI/1.1), section 6. Where the first is ambiguous, this crate is strict: input that two parsers
+//! could read differently is an error.
 //!
 //! ```
 //! use cypresscleat_scgi::{request, Bounds};
@@ -12,7 +12,7 @@
 //! request::write(&mut wire, &[("REQUEST_METHOD", b"POST"), ("SCRIPT_NAME", b"/report")], b"three").unwrap();
 //! assert!(wire.starts_with(b"64:CONTENT_LENGTH\x005\x00SCGI\x001\x00"));
 //! let mut reader = request::Reader::new(Bounds::default());
-//! assert_eq!(reader.read(&wire[..30]), Ok(None), "not all of it is here");
+//! assert_eq!(reader.read(&wire[..30]), Ok(None), "the request is incomplete");
 //! let read = reader.read(&wire).unwrap().unwrap();
 //! assert_eq!(read.field("SCRIPT_NAME"), Some(&b"/report"[..]));
 //! assert_eq!(read.body, b"three");
@@ -21,14 +21,13 @@
 pub mod request;
 pub mod response;
 
-/// What is held of one request or response at the most.
+/// Maximum sizes of one request or response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Bytes of the header: for a request those inside the netstring, for a response those up to the empty line.
+    /// Header: for a request the content of the netstring, for a response the bytes up to the empty line.
     pub max_header_bytes: usize,
-    /// Fields in it.
+    /// Number of header fields.
     pub max_fields: usize,
-    /// Bytes of the body.
     pub max_body_bytes: usize,
 }
 
@@ -39,21 +38,21 @@
     }
 }
 
-/// A decimal number as both protocols write it: digits alone, no sign, no blank, no zero in front of others.
-pub(crate) fn decimal(digits: &[u8]) -> Option<usize> {
-    let plain = matches!(digits, [b'0'] | [b'1'..=b'9', ..]) && digits.iter().all(u8::is_ascii_digit);
-    // At most 18 digits fit any usize here, so nothing overflows.
-    (plain && digits.len() <= 18)
+/// Parses a decimal number in the form that both protocols require: only digits, no sign, blank or leading zero.
+pub(crate) fn parse_decimal(digits: &[u8]) -> Option<usize> {
+    let is_decimal = matches!(digits, [b'0'] | [b'1'..=b'9', ..]) && digits.iter().all(u8::is_ascii_digit);
+    // 18 digits always fit a 64-bit usize, so the sum cannot overflow.
+    (is_decimal && digits.len() <= 18)
         .then(|| digits.iter().fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0')))
 }
 
-/// A token in the sense of RFC 9110: what a header's name or a method may consist of.
+/// Whether `text` is a token of RFC 9110, as header names and methods must be.
 pub fn is_token(text: &str) -> bool {
-    let may = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
-    !text.is_empty() && text.bytes().all(may)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
 
-/// What a header's value may consist of: nothing that ends the line, no other control than a tab.
+/// Whether `text` can be a header value: no line ends and no control characters except tab.
 pub fn is_value(text: &str) -> bool {
     text.bytes().all(|byte| byte == b'\t' || byte >= 0x20 && byte != 0x7f)
 }
--- a/crates/scgi/src/request.rs
+++ b/crates/scgi/src/request.rs
@@ -1,73 +1,77 @@
 //! Requests: `LENGTH:NAME\0VALUE\0 ... ,BODY`.
 
-use crate::{decimal, Bounds};
+use crate::{parse_decimal, Bounds};
 use std::fmt;
 
-/// Why bytes are no request; none of them is one after such a fault.
+/// Why bytes are not a request. After an error nothing further on the connection can be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The netstring's length is no plain decimal number, or no colon stands behind it.
-    Length,
-    /// The header is larger than this bound (bytes).
+    /// The length of the netstring is not a decimal number followed by a colon.
+    InvalidHeaderLength,
+    /// The header exceeds this maximum, in bytes.
     HeaderTooLarge(usize),
-    /// More fields than the bound.
+    /// The header has more fields than this maximum.
     TooManyFields(usize),
-    /// No comma behind the header.
-    Comma,
-    /// The header does not consist of names and values, each ended by a zero byte.
-    Fields,
-    /// A field without a name.
-    NoName,
-    /// A name that stands twice.
-    Twice,
-    /// No CONTENT_LENGTH at all.
+    /// No comma follows the header.
+    MissingComma,
+    /// The header is not a sequence of names and values, each terminated by a zero byte.
+    MalformedFields,
+    /// A field has an empty name.
+    EmptyFieldName,
+    /// A name occurs twice.
+    DuplicateField,
+    /// There is no CONTENT_LENGTH.
     MissingContentLength,
     /// CONTENT_LENGTH is not the first field.
     ContentLengthNotFirst,
-    /// CONTENT_LENGTH is no plain decimal number.
-    ContentLength,
-    /// No field SCGI with the value 1.
-    Version,
-    /// The body is larger than the bound (bytes, as far as they can be told).
+    /// CONTENT_LENGTH is not a decimal number.
+    InvalidContentLength,
+    /// There is no field SCGI with the value 1.
+    UnsupportedVersion,
+    /// The body exceeds the maximum; its size in bytes, `usize::MAX` if the size is not representable.
     BodyTooLarge(usize),
 }
 
 impl fmt::Display for Error {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Error::Length => write!(to, "the header's length is no plain number followed by a colon"),
-            Error::HeaderTooLarge(bytes) => write!(to, "a header of more than {bytes} bytes"),
-            Error::TooManyFields(bound) => write!(to, "more than {bound} header fields"),
-            Error::Comma => write!(to, "no comma behind the header"),
-            Error::Fields => write!(to, "the header is no row of names and values ended by zero bytes"),
-            Error::NoName => write!(to, "a header field without a name"),
-            Error::Twice => write!(to, "a header field that stands twice"),
-            Error::MissingContentLength => write!(to, "no CONTENT_LENGTH"),
-            Error::ContentLengthNotFirst => write!(to, "CONTENT_LENGTH is not the first field"),
-            Error::ContentLength => write!(to, "CONTENT_LENGTH is no plain number"),
-            Error::Version => write!(to, "no SCGI field with the value 1"),
-            Error::BodyTooLarge(bytes) => write!(to, "a body of {bytes} bytes"),
+            Error::InvalidHeaderLength => {
+                write!(f, "the length of the header is not a decimal number followed by a colon")
+            }
+            Error::HeaderTooLarge(bytes) => write!(f, "a header of more than {bytes} bytes"),
+            Error::TooManyFields(bound) => write!(f, "more than {bound} header fields"),
+            Error::MissingComma => write!(f, "no comma follows the header"),
+            Error::MalformedFields => {
+                write!(f, "the header is not a sequence of names and values terminated by zero bytes")
+            }
+            Error::EmptyFieldName => write!(f, "a header field has an empty name"),
+            Error::DuplicateField => write!(f, "a header field occurs twice"),
+            Error::MissingContentLength => write!(f, "no CONTENT_LENGTH"),
+            Error::ContentLengthNotFirst => write!(f, "CONTENT_LENGTH is not the first field"),
+            Error::InvalidContentLength => write!(f, "CONTENT_LENGTH is not a decimal number"),
+            Error::UnsupportedVersion => write!(f, "no SCGI field with the value 1"),
+            Error::BodyTooLarge(bytes) => write!(f, "a body of {bytes} bytes is too large"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// A request in the buffer that it came in.
+/// A request, borrowed from the buffer that it was parsed from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// Names and values, each ended by a zero byte.
+    /// Names and values, each terminated by a zero byte.
     header: &'a [u8],
     pub body: &'a [u8],
-    /// All of it, in bytes; what comes behind is not part of it.
+    /// Bytes of the whole request; further bytes in the buffer are not part of it.
     pub size: usize,
 }
 
 impl<'a> Request<'a> {
     /// Names and values in their order, CONTENT_LENGTH first.
     pub fn fields(&self) -> impl Iterator<Item = (&'a [u8], &'a [u8])> {
-        let mut words = self.header.split(|byte| *byte == 0);
-        std::iter::from_fn(move || Some((words.next()?, words.next()?)))
+        let mut strings = self.header.split(|byte| *byte == 0);
+        std::iter::from_fn(move || Some((strings.next()?, strings.next()?)))
     }
     pub fn field(&self, name: &str) -> Option<&'a [u8]> {
         self.fields().find(|(known, _)| *known == name.as_bytes()).map(|(_, value)| value)
@@ -76,16 +80,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The netstring's length is not here yet.
+    /// The length of the netstring is incomplete.
     Length,
-    /// The header from `.0` up to `.1` is not here yet, or not the comma behind it.
+    /// The header in the range `.0` to `.1`, or the comma after it, is incomplete.
     Header(usize, usize),
-    /// The header was found good; the body up to `.2` is not here yet.
+    /// The header is valid; the body, which ends at `.2`, is incomplete.
     Body(usize, usize, usize),
 }
 
-/// Reads one request from a growing buffer. Bytes looked at once are not looked at again, except the few digits of the
-/// length: a request that comes byte by byte costs no more than one that comes whole.
+/// Parses one request from a growing buffer. No byte is scanned twice except the digits of the length, so a request that
+/// arrives byte by byte costs no more than one that arrives whole.
 #[derive(Clone, Debug)]
 pub struct Reader {
     bounds: Bounds,
@@ -97,15 +101,15 @@
         Reader { bounds, stage: Stage::Length }
     }
 
-    /// The most that a request within these bounds may take, in bytes.
+    /// Maximum size in bytes of a request within these bounds.
     pub fn max_request_bytes(bounds: &Bounds) -> usize {
         bounds.max_header_bytes.to_string().len() + 2 + bounds.max_header_bytes + bounds.max_body_bytes
     }
 
-    /// `bytes` are all that came of the request so far, from its first byte on. `None` while it is not whole.
+    /// `bytes` are all bytes of the request received so far. Returns `None` while the request is incomplete.
     pub fn read<'a>(&mut self, bytes: &'a [u8]) -> Result<Option<Request<'a>>, Error> {
         if self.stage == Stage::Length {
-            match self.length(bytes)? {
+            match self.parse_length(bytes)? {
                 Some((start, length)) => self.stage = Stage::Header(start, start + length),
                 None => return Ok(None),
             }
@@ -113,9 +117,9 @@
         if let Stage::Header(start, end) = self.stage {
             let Some(comma) = bytes.get(end) else { return Ok(None) };
             if *comma != b',' {
-                return Err(Error::Comma);
+                return Err(Error::MissingComma);
             }
-            let length = self.header(&bytes[start..end])?;
+            let length = self.parse_header(&bytes[start..end])?;
             self.stage = Stage::Body(start, end, end + 1 + length);
         }
         let Stage::Body(start, end, size) = self.stage else { return Ok(None) };
@@ -123,58 +127,66 @@
         Ok(body.map(|body| Request { header: &bytes[start..end], body, size }))
     }
 
-    /// Where the header starts, and its length.
-    fn length(&self, bytes: &[u8]) -> Result<Option<(usize, usize)>, Error> {
-        // One digit more than the bound has: enough to see that a length is past it.
+    /// Offset and length of the header.
+    fn parse_length(&self, bytes: &[u8]) -> Result<Option<(usize, usize)>, Error> {
+        // One digit more than the maximum has suffices to see that a length exceeds it.
         let digits = self.bounds.max_header_bytes.to_string().len() + 1;
         let head = &bytes[..bytes.len().min(digits + 1)];
         let Some(colon) = head.iter().position(|byte| *byte == b':') else {
             if head.is_empty() {
                 return Ok(None);
             }
-            let known = decimal(head).ok_or(Error::Length)?;
-            let over = head.len() >= digits || known > self.bounds.max_header_bytes;
-            return if over { Err(Error::HeaderTooLarge(self.bounds.max_header_bytes)) } else { Ok(None) };
+            let known = parse_decimal(head).ok_or(Error::InvalidHeaderLength)?;
+            let is_too_large = head.len() >= digits || known > self.bounds.max_header_bytes;
+            return if is_too_large {
+                Err(Error::HeaderTooLarge(self.bounds.max_header_bytes))
+            } else {
+                Ok(None)
+            };
         };
-        let length = decimal(&head[..colon]).ok_or(Error::Length)?;
+        let length = parse_decimal(&head[..colon]).ok_or(Error::InvalidHeaderLength)?;
         if length > self.bounds.max_header_bytes {
             return Err(Error::HeaderTooLarge(self.bounds.max_header_bytes));
         }
         Ok(Some((colon + 1, length)))
     }
 
-    /// Checks all of the header; returns the length of the body.
-    fn header(&self, header: &[u8]) -> Result<usize, Error> {
+    /// Validates the header and returns the length of the body.
+    fn parse_header(&self, header: &[u8]) -> Result<usize, Error> {
         if header.is_empty() {
             return Err(Error::MissingContentLength);
         }
-        let all = Request { header, body: b"", size: 0 };
-        // An even count of words, the last of them ended too.
+        let request = Request { header, body: b"", size: 0 };
+        // An even number of strings, the last of them terminated too.
         let zeros = header.iter().filter(|byte| **byte == 0).count();
         if header.last() != Some(&0) || zeros % 2 != 0 {
-            return Err(Error::Fields);
+            return Err(Error::MalformedFields);
         }
         if zeros / 2 > self.bounds.max_fields {
             return Err(Error::TooManyFields(self.bounds.max_fields));
         }
-        let mut names: Vec<&[u8]> = all.fields().map(|(name, _)| name).collect();
+        let mut names: Vec<&[u8]> = request.fields().map(|(name, _)| name).collect();
         let first = names[0];
         names.sort_unstable();
         if names[0].is_empty() {
-            return Err(Error::NoName);
+            return Err(Error::EmptyFieldName);
         }
-        if names.windows(2).any(|two| two[0] == two[1]) {
-            return Err(Error::Twice);
+        if names.windows(2).any(|pair| pair[0] == pair[1]) {
+            return Err(Error::DuplicateField);
         }
-        let length = all.field("CONTENT_LENGTH").ok_or(Error::MissingContentLength)?;
+        let length = request.field("CONTENT_LENGTH").ok_or(Error::MissingContentLength)?;
         if first != b"CONTENT_LENGTH" {
             return Err(Error::ContentLengthNotFirst);
         }
-        // Plain digits past what can be held are a number all the same, and too large.
-        let many = length.len() > 18 && length[0] != b'0' && length.iter().all(u8::is_ascii_digit);
-        let length = if many { usize::MAX } else { decimal(length).ok_or(Error::ContentLength)? };
-        if all.field("SCGI") != Some(b"1") {
-            return Err(Error::Version);
+        // More digits than a usize can hold are still a valid number, but one that is too large.
+        let is_too_long = length.len() > 18 && length[0] != b'0' && length.iter().all(u8::is_ascii_digit);
+        let length = if is_too_long {
+            usize::MAX
+        } else {
+            parse_decimal(length).ok_or(Error::InvalidContentLength)?
+        };
+        if request.field("SCGI") != Some(b"1") {
+            return Err(Error::UnsupportedVersion);
         }
         if length > self.bounds.max_body_bytes {
             return Err(Error::BodyTooLarge(length));
@@ -183,27 +195,27 @@
     }
 }
 
-/// Writes a request; CONTENT_LENGTH and SCGI are put in front of `fields`. A fault writes nothing.
+/// Appends a request to `out`, with CONTENT_LENGTH and SCGI before `fields`. On an error nothing is written.
 pub fn write(out: &mut Vec<u8>, fields: &[(&str, &[u8])], body: &[u8]) -> Result<(), Error> {
     let length = body.len().to_string();
-    let own = [("CONTENT_LENGTH", length.as_bytes()), ("SCGI", &b"1"[..])];
+    let required = [("CONTENT_LENGTH", length.as_bytes()), ("SCGI", &b"1"[..])];
     let mut size = 0;
-    for (at, (name, value)) in own.iter().chain(fields).enumerate() {
+    for (at, (name, value)) in required.iter().chain(fields).enumerate() {
         if name.is_empty() {
-            return Err(Error::NoName);
+            return Err(Error::EmptyFieldName);
         }
         if name.contains('\0') || value.contains(&0) {
-            return Err(Error::Fields);
+            return Err(Error::MalformedFields);
         }
-        if own.iter().chain(fields).take(at).any(|(before, _)| before == name) {
-            return Err(Error::Twice);
+        if required.iter().chain(fields).take(at).any(|(earlier, _)| earlier == name) {
+            return Err(Error::DuplicateField);
         }
         size += name.len() + value.len() + 2;
     }
     out.reserve(size + body.len() + 12);
     out.extend(size.to_string().as_bytes());
     out.push(b':');
-    for (name, value) in own.iter().chain(fields) {
+    for (name, value) in required.iter().chain(fields) {
         out.extend(name.as_bytes());
         out.push(0);
         out.extend(*value);
@@ -214,11 +226,11 @@
     Ok(())
 }
 
-/// The name under which a gateway passes a header of HTTP on: `X-Team` is `HTTP_X_TEAM`.
+/// The CGI variable in which a gateway passes on an HTTP header: `HTTP_X_TEAM` for `X-Team`.
 pub fn header_variable(header: &str) -> String {
-    let plain = header.to_ascii_uppercase().replace('-', "_");
-    match plain.as_str() {
-        "CONTENT_TYPE" | "CONTENT_LENGTH" => plain,
-        _ => format!("HTTP_{plain}"),
+    let name = header.to_ascii_uppercase().replace('-', "_");
+    match name.as_str() {
+        "CONTENT_TYPE" | "CONTENT_LENGTH" => name,
+        _ => format!("HTTP_{name}"),
     }
 }
