--- a/crates/operator-config/src/constraints.rs
+++ b/crates/operator-config/src/constraints.rs
@@ -1,16 +1,16 @@
-//! What a text says as shapes that can be laid over each other: what holds of both is what both allow. The schema's
-//! shape over the operator's, with defaults for what nobody said, is the checked tree.
+//! Evaluates expressions to constraints and unifies them: the unification of two constraints allows what both allow. The
+//! schema's constraint unified with the operator's file, completed by defaults, is the checked tree.
 
-use crate::faults::Fault;
-use crate::syntax::{Entry, Expr, File, Op, Place, Scalar, Span, Syntax};
-use crate::tree::{quote, show_duration, show_number, show_size, Node, Value};
+use crate::diagnostics::Diagnostic;
+use crate::syntax::{Comparison, Entry, Expr, Scalar, Source, SourceFile, Span, SpannedExpr};
+use crate::tree::{format_duration, format_number, format_size, quote, Node, Value};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum Type {
     Text,
     Int,
     Number,
@@ -21,64 +21,67 @@
     Null,
 }
 
-const NAMES: [(&str, Kind); 8] = [
-    ("string", Kind::Text),
-    ("int", Kind::Int),
-    ("number", Kind::Number),
-    ("bool", Kind::Bool),
-    ("duration", Kind::Duration),
-    ("size", Kind::Size),
-    ("address", Kind::Address),
-    ("null", Kind::Null),
+const TYPES: [(&str, Type); 8] = [
+    ("string", Type::Text),
+    ("int", Type::Int),
+    ("number", Type::Number),
+    ("bool", Type::Bool),
+    ("duration", Type::Duration),
+    ("size", Type::Size),
+    ("address", Type::Address),
+    ("null", Type::Null),
 ];
 
 #[derive(Clone, Debug)]
-enum Shape {
+enum Constraint {
     Any,
     Scalar(Scalar),
     Address(SocketAddr),
-    /// A type, constraints, or both.
-    Limits(Option<Kind>, Vec<(Op, Scalar)>),
+    /// A type, comparisons with values, or both.
+    Bounded(Option<Type>, Vec<(Comparison, Scalar)>),
     Record(Record),
-    List(Vec<Laid>, Option<Box<Laid>>),
-    /// One of these, whether it is marked as the default.
-    Or(Vec<(bool, Laid)>),
-    /// A fault was told already.
-    Broken,
+    List(Vec<SpannedConstraint>, Option<Box<SpannedConstraint>>),
+    /// The alternatives, each with whether it is marked as the default.
+    Disjunction(Vec<(bool, SpannedConstraint)>),
+    /// A constraint whose diagnostic was reported already.
+    Invalid,
 }
 
-/// A shape, and where it was written.
+/// A constraint and where it was document.
 #[derive(Clone, Debug)]
-struct Laid {
-    shape: Shape,
+struct SpannedConstraint {
+    constraint: Constraint,
     span: Span,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Record {
     fields: Vec<Field>,
-    others: Option<Box<Laid>>,
-    open: bool,
+    /// The constraint on each field that has no entry of its own.
+    other_fields: Option<Box<SpannedConstraint>>,
+    /// Whether fields beyond those named are allowed.
+    is_open: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Field {
     name: String,
-    at: Span,
-    optional: bool,
-    value: Laid,
+    name_span: Span,
+    is_optional: bool,
+    value: SpannedConstraint,
 }
 
-pub struct Shaper<'a> {
-    schema: &'a File,
-    operator: Option<&'a File>,
-    /// Definitions that are being used, against those that use themselves.
-    using: RefCell<Vec<String>>,
+/// Evaluates a schema, alone or together with the operator's file.
+pub struct Evaluator<'a> {
+    schema: &'a SourceFile,
+    operator: Option<&'a SourceFile>,
+    /// Names of the definitions that are being resolved, to detect definitions that refer to themselves.
+    resolving: RefCell<Vec<String>>,
 }
 
-type Faults = Vec<Fault>;
+type Diagnostics = Vec<Diagnostic>;
 
-fn definition<'f>(file: &'f File, name: &str) -> Option<&'f Syntax> {
+fn definition<'f>(file: &'f SourceFile, name: &str) -> Option<&'f SpannedExpr> {
     let Expr::Record(entries) = &file.root.expr else { return None };
     entries.iter().find_map(|entry| match entry {
         Entry::Definition { name: known, value, .. } if known == name => Some(value),
@@ -87,7 +90,7 @@
 }
 
 fn join(path: &str, name: &str) -> String {
-    let name = if crate::syntax::is_name(name) { name.to_string() } else { quote(name) };
+    let name = if crate::syntax::is_identifier(name) { name.to_string() } else { quote(name) };
     if path.is_empty() {
         name
     } else {
@@ -95,135 +98,168 @@
     }
 }
 
-impl<'a> Shaper<'a> {
-    pub fn new(schema: &'a File, operator: Option<&'a File>) -> Shaper<'a> {
-        Shaper { schema, operator, using: RefCell::default() }
+impl<'a> Evaluator<'a> {
+    pub fn new(schema: &'a SourceFile, operator: Option<&'a SourceFile>) -> Evaluator<'a> {
+        Evaluator { schema, operator, resolving: RefCell::default() }
     }
 
-    /// The schema's `#Root` over the operator's text. Without one, only whether the schema holds together.
-    pub fn root(&self) -> (Option<Node>, Faults) {
-        let mut faults = Vec::new();
-        let start = Span { place: Place::Schema, bytes: 0..0 };
+    /// Unifies the schema's `#Root` with the operator's file. Without a file, only checks that the schema is consistent.
+    pub fn evaluate_root(&self) -> (Option<Node>, Diagnostics) {
+        let mut diagnostics = Vec::new();
+        let start = Span { source: Source::Schema, bytes: 0..0 };
         let Some(root) = definition(self.schema, "#Root") else {
-            return (None, vec![Fault::new(0..1, "", "no definition #Root")]);
+            return (None, vec![Diagnostic::new(0..1, "", "no definition #Root")]);
         };
-        self.using.borrow_mut().push("#Root".into());
-        let root = self.shape(root, "", &mut faults);
-        self.using.borrow_mut().pop();
+        self.resolving.borrow_mut().push("#Root".into());
+        let root = self.evaluate(root, "", &mut diagnostics);
+        self.resolving.borrow_mut().pop();
         let Some(operator) = self.operator else {
-            // Definitions that the root does not use are looked at too.
+            // Definitions that `#Root` does not use are checked too.
             if let Expr::Record(entries) = &self.schema.root.expr {
                 for entry in entries {
                     match entry {
                         Entry::Definition { name, value, .. } if name != "#Root" => {
-                            self.using.borrow_mut().push(name.clone());
-                            self.shape(value, "", &mut faults);
-                            self.using.borrow_mut().pop();
+                            self.resolving.borrow_mut().push(name.clone());
+                            self.evaluate(value, "", &mut diagnostics);
+                            self.resolving.borrow_mut().pop();
                         }
                         Entry::Definition { .. } => {}
-                        _ => faults.push(Fault::new(
+                        _ => diagnostics.push(Diagnostic::new(
                             start.bytes.clone(),
                             "",
-                            "a schema holds definitions only",
+                            "a schema contains definitions only",
                         )),
                     }
                 }
             }
-            return (None, faults);
+            return (None, diagnostics);
         };
-        let said = self.shape(&operator.root, "", &mut faults);
-        let both = self.lay(&root, &said, "", &mut faults);
-        let node = self.finish(&both, "", &said.span, &mut faults);
-        (node, faults)
+        let document = self.evaluate(&operator.root, "", &mut diagnostics);
+        let unified = self.unify(&root, &document, "", &mut diagnostics);
+        let node = self.build_node(&unified, "", &document.span, &mut diagnostics);
+        (node, diagnostics)
     }
 
-    // ---- from syntax ----
+    // ---- from expressions to constraints ----
 
-    fn shape(&self, syntax: &Syntax, path: &str, faults: &mut Faults) -> Laid {
-        let span = syntax.span.clone();
-        let shape = match &syntax.expr {
-            Expr::Scalar(scalar) => Shape::Scalar(scalar.clone()),
-            Expr::Kind(name) => match NAMES.iter().find(|(known, _)| known == name) {
-                Some((_, kind)) => Shape::Limits(Some(*kind), Vec::new()),
-                None => Shape::Any,
+    fn evaluate(
+        &self,
+        spanned: &SpannedExpr,
+        path: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> SpannedConstraint {
+        let span = spanned.span.clone();
+        let constraint = match &spanned.expr {
+            Expr::Scalar(scalar) => Constraint::Scalar(scalar.clone()),
+            Expr::Type(name) => match TYPES.iter().find(|(known, _)| known == name) {
+                Some((_, ty)) => Constraint::Bounded(Some(*ty), Vec::new()),
+                None => Constraint::Any,
             },
-            Expr::Bound(op, scalar) => Shape::Limits(None, vec![(*op, scalar.clone())]),
-            Expr::Use(name) => return self.used(name, span, path, faults),
-            Expr::Record(entries) => Shape::Record(self.record(entries, &span, path, faults)),
+            Expr::Bound(comparison, scalar) => Constraint::Bounded(None, vec![(*comparison, scalar.clone())]),
+            Expr::Reference(name) => return self.resolve(name, span, path, diagnostics),
+            Expr::Record(entries) => {
+                Constraint::Record(self.evaluate_record(entries, &span, path, diagnostics))
+            }
             Expr::List(items, rest) => {
-                let inner = |at| format!("{path}[{at}]");
+                let inner = |index| format!("{path}[{index}]");
                 let items = items.iter().enumerate();
-                let items = items.map(|(at, item)| self.shape(item, &inner(at), faults)).collect();
-                let rest = rest.as_ref().map(|rest| Box::new(self.shape(rest, path, faults)));
-                Shape::List(items, rest)
-            }
-            Expr::And(all) => {
-                let mut shapes =
-                    all.iter().map(|one| self.shape(one, path, faults)).collect::<Vec<_>>().into_iter();
-                let first = shapes.next().map_or(Shape::Any, |first| first.shape);
-                let first = Laid { shape: first, span: span.clone() };
-                let laid = shapes.fold(first, |all, one| self.lay(&all, &one, path, faults));
-                return Laid { span, ..laid };
+                let items =
+                    items.map(|(index, item)| self.evaluate(item, &inner(index), diagnostics)).collect();
+                let rest = rest.as_ref().map(|rest| Box::new(self.evaluate(rest, path, diagnostics)));
+                Constraint::List(items, rest)
             }
-            Expr::Or(all) => {
-                Shape::Or(all.iter().map(|(mark, one)| (*mark, self.shape(one, path, faults))).collect())
+            Expr::Conjunction(all) => {
+                let mut constraints = all
+                    .iter()
+                    .map(|one| self.evaluate(one, path, diagnostics))
+                    .collect::<Vec<_>>()
+                    .into_iter();
+                let first = constraints.next().map_or(Constraint::Any, |first| first.constraint);
+                let first = SpannedConstraint { constraint: first, span: span.clone() };
+                let unified = constraints.fold(first, |all, one| self.unify(&all, &one, path, diagnostics));
+                return SpannedConstraint { span, ..unified };
             }
+            Expr::Disjunction(all) => Constraint::Disjunction(
+                all.iter()
+                    .map(|(is_default, one)| (*is_default, self.evaluate(one, path, diagnostics)))
+                    .collect(),
+            ),
         };
-        Laid { shape, span }
+        SpannedConstraint { constraint, span }
     }
 
-    /// A definition: the operator's own before the schema's.
-    fn used(&self, name: &str, span: Span, path: &str, faults: &mut Faults) -> Laid {
-        let own = self.operator.filter(|_| span.place == Place::Operator);
-        let found = own.and_then(|file| definition(file, name)).or_else(|| definition(self.schema, name));
+    /// Resolves a definition. One of the operator's file takes precedence over the schema's.
+    fn resolve(
+        &self,
+        name: &str,
+        span: Span,
+        path: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> SpannedConstraint {
+        let operator = self.operator.filter(|_| span.source == Source::Operator);
+        let found =
+            operator.and_then(|file| definition(file, name)).or_else(|| definition(self.schema, name));
         let Some(found) = found else {
-            faults.push(Fault::new(span.bytes.clone(), path, format!("no definition {name}")));
-            return Laid { shape: Shape::Broken, span };
+            diagnostics.push(Diagnostic::new(span.bytes.clone(), path, format!("no definition {name}")));
+            return SpannedConstraint { constraint: Constraint::Invalid, span };
         };
-        if self.using.borrow().iter().any(|known| known == name) {
-            faults.push(Fault::new(span.bytes.clone(), path, format!("the definition {name} uses itself")));
-            return Laid { shape: Shape::Broken, span };
+        if self.resolving.borrow().iter().any(|known| known == name) {
+            diagnostics.push(Diagnostic::new(
+                span.bytes.clone(),
+                path,
+                format!("the definition {name} uses itself"),
+            ));
+            return SpannedConstraint { constraint: Constraint::Invalid, span };
         }
-        self.using.borrow_mut().push(name.to_string());
-        let laid = self.shape(found, path, faults);
-        self.using.borrow_mut().pop();
-        Laid { shape: laid.shape, span }
+        self.resolving.borrow_mut().push(name.to_string());
+        let evaluated = self.evaluate(found, path, diagnostics);
+        self.resolving.borrow_mut().pop();
+        SpannedConstraint { constraint: evaluated.constraint, span }
     }
 
-    fn record(&self, entries: &[Entry], span: &Span, path: &str, faults: &mut Faults) -> Record {
-        let mut record = Record { open: span.place == Place::Operator, ..Record::default() };
+    fn evaluate_record(
+        &self,
+        entries: &[Entry],
+        span: &Span,
+        path: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> Record {
+        let mut record = Record { is_open: span.source == Source::Operator, ..Record::default() };
         for entry in entries {
             match entry {
-                Entry::Field { name, at, optional, value } => {
+                Entry::Field { name, name_span, is_optional, value } => {
                     let inner = join(path, name);
-                    let value = self.shape(value, &inner, faults);
-                    let (at, optional) = (at.clone(), *optional);
+                    let value = self.evaluate(value, &inner, diagnostics);
+                    let (name_span, is_optional) = (name_span.clone(), *is_optional);
                     match record.fields.iter().position(|field| field.name == *name) {
-                        None => record.fields.push(Field { name: name.clone(), at, optional, value }),
-                        Some(twice) => {
-                            let laid = self.lay(&record.fields[twice].value, &value, &inner, faults);
-                            record.fields[twice].value = laid;
+                        None => {
+                            record.fields.push(Field { name: name.clone(), name_span, is_optional, value })
+                        }
+                        Some(known) => {
+                            let unified =
+                                self.unify(&record.fields[known].value, &value, &inner, diagnostics);
+                            record.fields[known].value = unified;
                         }
                     }
                 }
-                Entry::Others(value) => record.others = Some(Box::new(self.shape(value, path, faults))),
-                Entry::Open => record.open = true,
-                Entry::Embed(value) => match self.shape(value, path, faults).shape {
-                    Shape::Record(mut inner) => {
-                        let open = record.open;
-                        inner.open = true;
-                        record.open = true;
-                        record = self.lay_records(&record, &inner, path, faults);
-                        record.open = open;
-                    }
-                    Shape::Broken => {}
-                    _ => {
-                        faults.push(Fault::new(value.span.bytes.clone(), "", "only a record can stand here"))
+                Entry::OtherFields(value) => {
+                    record.other_fields = Some(Box::new(self.evaluate(value, path, diagnostics)))
+                }
+                Entry::Open => record.is_open = true,
+                Entry::Embedded(value) => match self.evaluate(value, path, diagnostics).constraint {
+                    Constraint::Record(mut inner) => {
+                        let is_open = record.is_open;
+                        inner.is_open = true;
+                        record.is_open = true;
+                        record = self.unify_records(&record, &inner, path, diagnostics);
+                        record.is_open = is_open;
                     }
+                    Constraint::Invalid => {}
+                    _ => diagnostics.push(Diagnostic::new(value.span.bytes.clone(), "", "expected a record")),
                 },
-                Entry::Definition { at, .. } if span.bytes.start != 0 => {
-                    let what = "definitions stand at the top of a text only";
-                    faults.push(Fault::new(at.bytes.clone(), "", what));
+                Entry::Definition { name_span, .. } if span.bytes.start != 0 => {
+                    let message = "definitions are allowed at the top level only";
+                    diagnostics.push(Diagnostic::new(name_span.bytes.clone(), "", message));
                 }
                 Entry::Definition { .. } => {}
             }
@@ -231,262 +267,310 @@
         record
     }
 
-    // ---- one over the other ----
-
-    fn lay(&self, a: &Laid, b: &Laid, path: &str, faults: &mut Faults) -> Laid {
-        let span = if b.span.place == Place::Operator { b.span.clone() } else { a.span.clone() };
-        let shape = match (&a.shape, &b.shape) {
-            (Shape::Broken, _) | (_, Shape::Broken) => Shape::Broken,
-            (Shape::Any, other) | (other, Shape::Any) => other.clone(),
-            (Shape::Or(some), _) => self.lay_any(a, some, b, path, faults),
-            (_, Shape::Or(some)) => self.lay_any(b, some, a, path, faults),
-            (Shape::Record(x), Shape::Record(y)) => Shape::Record(self.lay_records(x, y, path, faults)),
-            (Shape::List(x, more_x), Shape::List(y, more_y)) => {
-                self.lay_lists((x, more_x.as_deref()), (y, more_y.as_deref()), path, &span, faults)
+    // ---- unification ----
+
+    fn unify(
+        &self,
+        a: &SpannedConstraint,
+        b: &SpannedConstraint,
+        path: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> SpannedConstraint {
+        let span = if b.span.source == Source::Operator { b.span.clone() } else { a.span.clone() };
+        let constraint = match (&a.constraint, &b.constraint) {
+            (Constraint::Invalid, _) | (_, Constraint::Invalid) => Constraint::Invalid,
+            (Constraint::Any, other) | (other, Constraint::Any) => other.clone(),
+            (Constraint::Disjunction(alternatives), _) => {
+                self.unify_alternatives(a, alternatives, b, path, diagnostics)
             }
-            (Shape::Limits(kind, bounds), Shape::Limits(other, more)) => match meet(*kind, *other) {
-                Some(kind) => {
-                    let mut bounds = bounds.clone();
-                    bounds.extend(more.iter().cloned());
-                    Shape::Limits(kind, bounds)
-                }
-                None => conflict(a, b, path, &span, faults),
-            },
-            (Shape::Limits(kind, bounds), Shape::Scalar(value))
-            | (Shape::Scalar(value), Shape::Limits(kind, bounds)) => {
-                let typed = kind.map_or(Some(Shape::Scalar(value.clone())), |kind| admit(kind, value));
-                match typed.filter(|_| bounds.iter().all(|(op, bound)| holds(value, *op, bound))) {
-                    Some(shape) => shape,
-                    None => conflict(a, b, path, &span, faults),
+            (_, Constraint::Disjunction(alternatives)) => {
+                self.unify_alternatives(b, alternatives, a, path, diagnostics)
+            }
+            (Constraint::Record(x), Constraint::Record(y)) => {
+                Constraint::Record(self.unify_records(x, y, path, diagnostics))
+            }
+            (Constraint::List(x, rest_x), Constraint::List(y, rest_y)) => {
+                self.unify_lists((x, rest_x.as_deref()), (y, rest_y.as_deref()), path, &span, diagnostics)
+            }
+            (Constraint::Bounded(ty, bounds), Constraint::Bounded(other, other_bounds)) => {
+                match intersect_types(*ty, *other) {
+                    Some(ty) => {
+                        let mut bounds = bounds.clone();
+                        bounds.extend(other_bounds.iter().cloned());
+                        Constraint::Bounded(ty, bounds)
+                    }
+                    None => report_conflict(a, b, path, &span, diagnostics),
                 }
             }
-            (Shape::Limits(None | Some(Kind::Address | Kind::Text), _), Shape::Address(address))
-            | (Shape::Address(address), Shape::Limits(None | Some(Kind::Address | Kind::Text), _)) => {
-                Shape::Address(*address)
+            (Constraint::Bounded(ty, bounds), Constraint::Scalar(value))
+            | (Constraint::Scalar(value), Constraint::Bounded(ty, bounds)) => {
+                let typed = ty.map_or(Some(Constraint::Scalar(value.clone())), |ty| check_type(ty, value));
+                match typed
+                    .filter(|_| bounds.iter().all(|(comparison, bound)| satisfies(value, *comparison, bound)))
+                {
+                    Some(constraint) => constraint,
+                    None => report_conflict(a, b, path, &span, diagnostics),
+                }
             }
-            (Shape::Scalar(x), Shape::Scalar(y)) if same(x, y) => Shape::Scalar(x.clone()),
-            (Shape::Address(x), Shape::Address(y)) if x == y => Shape::Address(*x),
-            (Shape::Address(x), Shape::Scalar(Scalar::Text(y)))
-            | (Shape::Scalar(Scalar::Text(y)), Shape::Address(x))
+            (
+                Constraint::Bounded(None | Some(Type::Address | Type::Text), _),
+                Constraint::Address(address),
+            )
+            | (
+                Constraint::Address(address),
+                Constraint::Bounded(None | Some(Type::Address | Type::Text), _),
+            ) => Constraint::Address(*address),
+            (Constraint::Scalar(x), Constraint::Scalar(y)) if is_equal(x, y) => Constraint::Scalar(x.clone()),
+            (Constraint::Address(x), Constraint::Address(y)) if x == y => Constraint::Address(*x),
+            (Constraint::Address(x), Constraint::Scalar(Scalar::Text(y)))
+            | (Constraint::Scalar(Scalar::Text(y)), Constraint::Address(x))
                 if y.parse() == Ok(*x) =>
             {
-                Shape::Address(*x)
+                Constraint::Address(*x)
             }
-            _ => conflict(a, b, path, &span, faults),
+            _ => report_conflict(a, b, path, &span, diagnostics),
         };
-        Laid { shape, span }
+        SpannedConstraint { constraint, span }
     }
 
-    /// Those of several that go with `other`; where none does, the faults of the one that is of its sort.
-    fn lay_any(
+    /// The alternatives that unify with `other`. Where none does, reports the diagnostics of the alternative of the same kind.
+    fn unify_alternatives(
         &self,
-        any: &Laid,
-        some: &[(bool, Laid)],
-        other: &Laid,
+        any: &SpannedConstraint,
+        alternatives: &[(bool, SpannedConstraint)],
+        other: &SpannedConstraint,
         path: &str,
-        faults: &mut Faults,
-    ) -> Shape {
-        let sort = |laid: &Laid| std::mem::discriminant(&laid.shape);
-        let (mut fit, mut near): (Vec<(bool, Laid)>, Option<Faults>) = (Vec::new(), None);
-        let marked = some.iter().any(|(mark, _)| *mark);
-        for (mark, one) in some {
-            let mut own = Vec::new();
-            let laid = self.lay(one, other, path, &mut own);
-            if !own.is_empty() {
-                let nested = matches!(one.shape, Shape::Record(_) | Shape::List(..));
-                // What is no default says more of what may stand here.
-                if nested && sort(one) == sort(other) && (near.is_none() || !mark) {
-                    near = Some(own);
+        diagnostics: &mut Diagnostics,
+    ) -> Constraint {
+        let variant = |spanned: &SpannedConstraint| std::mem::discriminant(&spanned.constraint);
+        let (mut matching, mut closest): (Vec<(bool, SpannedConstraint)>, Option<Diagnostics>) =
+            (Vec::new(), None);
+        let has_default = alternatives.iter().any(|(is_default, _)| *is_default);
+        for (is_default, one) in alternatives {
+            let mut found = Vec::new();
+            let unified = self.unify(one, other, path, &mut found);
+            if !found.is_empty() {
+                let nested = matches!(one.constraint, Constraint::Record(_) | Constraint::List(..));
+                // An alternative that is not the default describes better what is allowed here.
+                if nested && variant(one) == variant(other) && (closest.is_none() || !is_default) {
+                    closest = Some(found);
                 }
                 continue;
             }
-            match laid.shape {
-                Shape::Or(inner) => {
-                    let inner_marked = inner.iter().any(|(mark, _)| *mark);
-                    for (inner_mark, laid) in inner {
-                        let both = (*mark || !marked) && (inner_mark || !inner_marked);
-                        fit.push((both && (marked || inner_marked), laid));
+            match unified.constraint {
+                Constraint::Disjunction(inner) => {
+                    let inner_has_default = inner.iter().any(|(is_default, _)| *is_default);
+                    for (inner_is_default, unified) in inner {
+                        let is_default_in_both =
+                            (*is_default || !has_default) && (inner_is_default || !inner_has_default);
+                        matching.push((is_default_in_both && (has_default || inner_has_default), unified));
                     }
                 }
-                _ => fit.push((*mark, laid)),
+                _ => matching.push((*is_default, unified)),
             }
         }
-        match (fit.len(), near) {
-            (0, Some(mut near)) => {
-                faults.append(&mut near);
-                Shape::Broken
+        match (matching.len(), closest) {
+            (0, Some(mut closest)) => {
+                diagnostics.append(&mut closest);
+                Constraint::Invalid
             }
             (0, None) => {
-                let span = if other.span.place == Place::Operator { &other.span } else { &any.span };
-                conflict(any, other, path, span, faults)
+                let span = if other.span.source == Source::Operator { &other.span } else { &any.span };
+                report_conflict(any, other, path, span, diagnostics)
             }
-            (1, _) => fit.remove(0).1.shape,
-            _ => Shape::Or(fit),
+            (1, _) => matching.remove(0).1.constraint,
+            _ => Constraint::Disjunction(matching),
         }
     }
 
-    fn lay_records(&self, a: &Record, b: &Record, path: &str, faults: &mut Faults) -> Record {
+    fn unify_records(&self, a: &Record, b: &Record, path: &str, diagnostics: &mut Diagnostics) -> Record {
         let mut fields: Vec<Field> = Vec::new();
-        for (mine, theirs) in [(a, b), (b, a)] {
-            for field in &mine.fields {
+        for (record, other_record) in [(a, b), (b, a)] {
+            for field in &record.fields {
                 if fields.iter().any(|known| known.name == field.name) {
                     continue;
                 }
                 let inner = join(path, &field.name);
-                let other = theirs.fields.iter().find(|other| other.name == field.name);
-                let mut laid = field.clone();
+                let other = other_record.fields.iter().find(|other| other.name == field.name);
+                let mut unified = field.clone();
                 if let Some(other) = other {
-                    laid.value = self.lay(&field.value, &other.value, &inner, faults);
-                    laid.optional &= other.optional;
-                    if other.at.place == Place::Operator {
-                        laid.at = other.at.clone();
+                    unified.value = self.unify(&field.value, &other.value, &inner, diagnostics);
+                    unified.is_optional &= other.is_optional;
+                    if other.name_span.source == Source::Operator {
+                        unified.name_span = other.name_span.clone();
                     }
-                } else if let Some(others) = &theirs.others {
-                    laid.value = self.lay(others, &field.value, &inner, faults);
-                } else if !(theirs.open || field.optional && field.at.place == Place::Schema) {
+                } else if let Some(other_fields) = &other_record.other_fields {
+                    unified.value = self.unify(other_fields, &field.value, &inner, diagnostics);
+                } else if !(other_record.is_open
+                    || field.is_optional && field.name_span.source == Source::Schema)
+                {
                     let names: Vec<&str> =
-                        theirs.fields.iter().map(|field| field.name.as_str()).take(20).collect();
+                        other_record.fields.iter().map(|field| field.name.as_str()).take(20).collect();
                     let names = if names.is_empty() { "none".into() } else { names.join(", ") };
-                    let what = format!("no such field; one of {names}");
-                    faults.push(Fault::new(field.at.bytes.clone(), inner, what));
-                    laid.value = Laid { shape: Shape::Broken, span: field.value.span.clone() };
+                    let message = format!("no such field; one of {names}");
+                    diagnostics.push(Diagnostic::new(field.name_span.bytes.clone(), inner, message));
+                    unified.value =
+                        SpannedConstraint { constraint: Constraint::Invalid, span: field.value.span.clone() };
                 }
-                fields.push(laid);
+                fields.push(unified);
             }
         }
-        let others = match (&a.others, &b.others) {
-            (Some(x), Some(y)) => Some(Box::new(self.lay(x, y, path, faults))),
+        let other_fields = match (&a.other_fields, &b.other_fields) {
+            (Some(x), Some(y)) => Some(Box::new(self.unify(x, y, path, diagnostics))),
             (Some(one), None) | (None, Some(one)) => Some(one.clone()),
             (None, None) => None,
         };
-        Record { fields, others, open: a.open && b.open }
+        Record { fields, other_fields, is_open: a.is_open && b.is_open }
     }
 
-    fn lay_lists(
+    fn unify_lists(
         &self,
-        (x, more_x): (&[Laid], Option<&Laid>),
-        (y, more_y): (&[Laid], Option<&Laid>),
+        (x, rest_x): (&[SpannedConstraint], Option<&SpannedConstraint>),
+        (y, rest_y): (&[SpannedConstraint], Option<&SpannedConstraint>),
         path: &str,
         span: &Span,
-        faults: &mut Faults,
-    ) -> Shape {
-        let long = x.len().max(y.len());
-        if x.len() < long && more_x.is_none() || y.len() < long && more_y.is_none() {
-            let what = format!("expected a list of {}, found one of {long}", x.len().min(y.len()));
-            faults.push(Fault::new(span.bytes.clone(), path, what));
-            return Shape::Broken;
+        diagnostics: &mut Diagnostics,
+    ) -> Constraint {
+        let longest = x.len().max(y.len());
+        if x.len() < longest && rest_x.is_none() || y.len() < longest && rest_y.is_none() {
+            let message =
+                format!("expected a list of length {}, found one of length {longest}", x.len().min(y.len()));
+            diagnostics.push(Diagnostic::new(span.bytes.clone(), path, message));
+            return Constraint::Invalid;
         }
         let mut items = Vec::new();
-        for at in 0..long {
-            // Whichever is shorter goes on with what it says of the rest.
-            if let (Some(one), Some(other)) = (x.get(at).or(more_x), y.get(at).or(more_y)) {
-                items.push(self.lay(one, other, &format!("{path}[{at}]"), faults));
+        for index in 0..longest {
+            // The shorter list is continued by the constraint on its remaining items.
+            if let (Some(one), Some(other)) = (x.get(index).or(rest_x), y.get(index).or(rest_y)) {
+                items.push(self.unify(one, other, &format!("{path}[{index}]"), diagnostics));
             }
         }
-        let rest = match (more_x, more_y) {
-            (Some(one), Some(other)) => Some(Box::new(self.lay(one, other, path, faults))),
+        let rest = match (rest_x, rest_y) {
+            (Some(one), Some(other)) => Some(Box::new(self.unify(one, other, path, diagnostics))),
             _ => None,
         };
-        Shape::List(items, rest)
+        Constraint::List(items, rest)
     }
 
-    // ---- to the tree ----
-
-    fn finish(&self, laid: &Laid, path: &str, within: &Span, faults: &mut Faults) -> Option<Node> {
-        let own = laid.span.place == Place::Operator;
-        let span = own.then(|| laid.span.bytes.clone());
-        let around = if own { &laid.span } else { within };
-        let value = match &laid.shape {
-            Shape::Broken => return None,
-            Shape::Scalar(scalar) => plain(scalar),
-            Shape::Address(address) => Value::Address(*address),
-            Shape::List(items, _) => {
-                let nodes = items
-                    .iter()
-                    .enumerate()
-                    .map(|(at, item)| self.finish(item, &format!("{path}[{at}]"), around, faults));
+    // ---- from constraints to the tree ----
+
+    fn build_node(
+        &self,
+        spanned: &SpannedConstraint,
+        path: &str,
+        within: &Span,
+        diagnostics: &mut Diagnostics,
+    ) -> Option<Node> {
+        let is_operator_text = spanned.span.source == Source::Operator;
+        let span = is_operator_text.then(|| spanned.span.bytes.clone());
+        let enclosing = if is_operator_text { &spanned.span } else { within };
+        let value = match &spanned.constraint {
+            Constraint::Invalid => return None,
+            Constraint::Scalar(scalar) => to_value(scalar),
+            Constraint::Address(address) => Value::Address(*address),
+            Constraint::List(items, _) => {
+                let nodes = items.iter().enumerate().map(|(index, item)| {
+                    self.build_node(item, &format!("{path}[{index}]"), enclosing, diagnostics)
+                });
                 Value::List(nodes.collect::<Vec<_>>().into_iter().collect::<Option<_>>()?)
             }
-            Shape::Record(record) => {
+            Constraint::Record(record) => {
                 let mut fields = Vec::new();
-                let mut whole = true;
-                for field in record.fields.iter().filter(|field| !field.optional) {
-                    match self.finish(&field.value, &join(path, &field.name), around, faults) {
+                let mut is_complete = true;
+                for field in record.fields.iter().filter(|field| !field.is_optional) {
+                    match self.build_node(&field.value, &join(path, &field.name), enclosing, diagnostics) {
                         Some(node) => fields.push((field.name.clone(), node)),
-                        None => whole = false,
+                        None => is_complete = false,
                     }
                 }
-                if !whole {
+                if !is_complete {
                     return None;
                 }
                 Value::Record(fields)
             }
-            Shape::Or(some) => {
-                let marked = some.iter().find(|(mark, _)| *mark);
-                if let Some((_, one)) = marked {
-                    return self.finish(one, path, around, faults).map(|node| Node { span, ..node });
+            Constraint::Disjunction(alternatives) => {
+                let default = alternatives.iter().find(|(is_default, _)| *is_default);
+                if let Some((_, one)) = default {
+                    return self
+                        .build_node(one, path, enclosing, diagnostics)
+                        .map(|node| Node { span, ..node });
                 }
-                return missing(laid, path, around, faults);
+                return report_missing(spanned, path, enclosing, diagnostics);
+            }
+            Constraint::Any | Constraint::Bounded(..) => {
+                return report_missing(spanned, path, enclosing, diagnostics)
             }
-            Shape::Any | Shape::Limits(..) => return missing(laid, path, around, faults),
         };
         Some(Node { value, span })
     }
 }
 
-/// Nobody said what it is: told at the first byte of the record that lacks it.
-fn missing(laid: &Laid, path: &str, around: &Span, faults: &mut Faults) -> Option<Node> {
-    let start = around.bytes.start;
-    let what = format!("missing; expected {}", show(laid));
-    let span: Range<usize> = if around.place == Place::Operator { start..start + 1 } else { 0..1 };
-    faults.push(Fault { missing: true, ..Fault::new(span, path, what) });
+/// Reports a value that neither text gives, at the first byte of the enclosing record.
+fn report_missing(
+    spanned: &SpannedConstraint,
+    path: &str,
+    enclosing: &Span,
+    diagnostics: &mut Diagnostics,
+) -> Option<Node> {
+    let start = enclosing.bytes.start;
+    let message = format!("missing; expected {}", describe(spanned));
+    let span: Range<usize> = if enclosing.source == Source::Operator { start..start + 1 } else { 0..1 };
+    diagnostics.push(Diagnostic { is_missing: true, ..Diagnostic::new(span, path, message) });
     None
 }
 
-fn conflict(a: &Laid, b: &Laid, path: &str, span: &Span, faults: &mut Faults) -> Shape {
-    let (own_a, own_b) = (a.span.place == Place::Operator, b.span.place == Place::Operator);
-    let what = match (own_a, own_b) {
-        (true, false) => format!("expected {}, found {}", show(b), show(a)),
-        (false, true) => format!("expected {}, found {}", show(a), show(b)),
-        _ => format!("{} and {} can't both hold", show(a), show(b)),
+fn report_conflict(
+    a: &SpannedConstraint,
+    b: &SpannedConstraint,
+    path: &str,
+    span: &Span,
+    diagnostics: &mut Diagnostics,
+) -> Constraint {
+    let (is_operator_text_a, is_operator_text_b) =
+        (a.span.source == Source::Operator, b.span.source == Source::Operator);
+    let message = match (is_operator_text_a, is_operator_text_b) {
+        (true, false) => format!("expected {}, found {}", describe(b), describe(a)),
+        (false, true) => format!("expected {}, found {}", describe(a), describe(b)),
+        _ => format!("{} and {} conflict", describe(a), describe(b)),
     };
-    faults.push(Fault::new(span.bytes.clone(), path, what));
-    Shape::Broken
+    diagnostics.push(Diagnostic::new(span.bytes.clone(), path, message));
+    Constraint::Invalid
 }
 
-/// The type that both allow; the outer `None` where there is none.
-fn meet(a: Option<Kind>, b: Option<Kind>) -> Option<Option<Kind>> {
+/// The type that both allow; the outer `None` where the types exclude each other.
+fn intersect_types(a: Option<Type>, b: Option<Type>) -> Option<Option<Type>> {
     match (a, b) {
-        (None, kind) | (kind, None) => Some(kind),
+        (None, ty) | (ty, None) => Some(ty),
         (Some(a), Some(b)) if a == b => Some(Some(a)),
-        (Some(Kind::Int | Kind::Number), Some(Kind::Int | Kind::Number)) => Some(Some(Kind::Int)),
-        (Some(Kind::Text | Kind::Address), Some(Kind::Text | Kind::Address)) => Some(Some(Kind::Address)),
+        (Some(Type::Int | Type::Number), Some(Type::Int | Type::Number)) => Some(Some(Type::Int)),
+        (Some(Type::Text | Type::Address), Some(Type::Text | Type::Address)) => Some(Some(Type::Address)),
         _ => None,
     }
 }
 
-fn admit(kind: Kind, value: &Scalar) -> Option<Shape> {
-    if let (Kind::Address, Scalar::Text(text)) = (kind, value) {
-        return text.parse().ok().map(Shape::Address);
+/// The constraint to exactly `value`, if the value is of type `ty`. Text of the form `IP:PORT` becomes an address.
+fn check_type(ty: Type, value: &Scalar) -> Option<Constraint> {
+    if let (Type::Address, Scalar::Text(text)) = (ty, value) {
+        return text.parse().ok().map(Constraint::Address);
     }
     let fits = matches!(
-        (kind, value),
-        (Kind::Text, Scalar::Text(_))
-            | (Kind::Int | Kind::Number, Scalar::Int(_))
-            | (Kind::Number, Scalar::Number(_))
-            | (Kind::Bool, Scalar::Bool(_))
-            | (Kind::Duration, Scalar::Duration(_))
-            | (Kind::Size, Scalar::Size(_))
-            | (Kind::Null, Scalar::Null)
+        (ty, value),
+        (Type::Text, Scalar::Text(_))
+            | (Type::Int | Type::Number, Scalar::Int(_))
+            | (Type::Number, Scalar::Number(_))
+            | (Type::Bool, Scalar::Bool(_))
+            | (Type::Duration, Scalar::Duration(_))
+            | (Type::Size, Scalar::Size(_))
+            | (Type::Null, Scalar::Null)
     );
-    fits.then(|| Shape::Scalar(value.clone()))
+    fits.then(|| Constraint::Scalar(value.clone()))
 }
 
-fn same(a: &Scalar, b: &Scalar) -> bool {
+fn is_equal(a: &Scalar, b: &Scalar) -> bool {
     compare(a, b) == Some(std::cmp::Ordering::Equal)
 }
 
-/// `None` between values of different sorts.
+/// `None` for values of different types.
 fn compare(a: &Scalar, b: &Scalar) -> Option<std::cmp::Ordering> {
     match (a, b) {
         (Scalar::Int(a), Scalar::Int(b)) | (Scalar::Duration(a), Scalar::Duration(b)) => Some(a.cmp(b)),
@@ -501,18 +585,18 @@
     }
 }
 
-fn holds(value: &Scalar, op: Op, bound: &Scalar) -> bool {
-    let Some(order) = compare(value, bound) else { return op == Op::Not };
-    match op {
-        Op::Less => order.is_lt(),
-        Op::AtMost => order.is_le(),
-        Op::More => order.is_gt(),
-        Op::AtLeast => order.is_ge(),
-        Op::Not => order.is_ne(),
+fn satisfies(value: &Scalar, comparison: Comparison, bound: &Scalar) -> bool {
+    let Some(order) = compare(value, bound) else { return comparison == Comparison::NotEqual };
+    match comparison {
+        Comparison::Less => order.is_lt(),
+        Comparison::LessOrEqual => order.is_le(),
+        Comparison::Greater => order.is_gt(),
+        Comparison::GreaterOrEqual => order.is_ge(),
+        Comparison::NotEqual => order.is_ne(),
     }
 }
 
-fn plain(scalar: &Scalar) -> Value {
+fn to_value(scalar: &Scalar) -> Value {
     match scalar {
         Scalar::Null => Value::Null,
         Scalar::Bool(flag) => Value::Bool(*flag),
@@ -524,44 +608,43 @@
     }
 }
 
-fn show_scalar(scalar: &Scalar) -> String {
+fn describe_scalar(scalar: &Scalar) -> String {
     match scalar {
         Scalar::Null => "null".into(),
         Scalar::Bool(flag) => flag.to_string(),
         Scalar::Int(int) => int.to_string(),
-        Scalar::Number(number) => show_number(*number),
+        Scalar::Number(number) => format_number(*number),
         Scalar::Text(text) => quote(&text.chars().take(60).collect::<String>()),
-        Scalar::Duration(ns) => show_duration(*ns),
-        Scalar::Size(bytes) => show_size(*bytes),
+        Scalar::Duration(ns) => format_duration(*ns),
+        Scalar::Size(bytes) => format_size(*bytes),
     }
 }
 
-/// As it could be written, in short.
-fn show(laid: &Laid) -> String {
-    match &laid.shape {
-        Shape::Any | Shape::Broken => "any value".into(),
-        Shape::Scalar(scalar) => show_scalar(scalar),
-        Shape::Address(address) => format!("\"{address}\""),
-        Shape::Limits(kind, bounds) => {
-            let name =
-                |kind: &Kind| NAMES.iter().find(|(_, known)| known == kind).map_or("_", |(name, _)| name);
-            let mut parts: Vec<String> = kind.iter().map(|kind| name(kind).to_string()).collect();
-            parts.extend(bounds.iter().map(|(op, bound)| {
-                let op = match op {
-                    Op::Less => "<",
-                    Op::AtMost => "<=",
-                    Op::More => ">",
-                    Op::AtLeast => ">=",
-                    Op::Not => "!=",
+/// The constraint in the language of the schema, shortened for diagnostics.
+fn describe(spanned: &SpannedConstraint) -> String {
+    match &spanned.constraint {
+        Constraint::Any | Constraint::Invalid => "any value".into(),
+        Constraint::Scalar(scalar) => describe_scalar(scalar),
+        Constraint::Address(address) => format!("\"{address}\""),
+        Constraint::Bounded(ty, bounds) => {
+            let name = |ty: &Type| TYPES.iter().find(|(_, known)| known == ty).map_or("_", |(name, _)| name);
+            let mut parts: Vec<String> = ty.iter().map(|ty| name(ty).to_string()).collect();
+            parts.extend(bounds.iter().map(|(comparison, bound)| {
+                let comparison = match comparison {
+                    Comparison::Less => "<",
+                    Comparison::LessOrEqual => "<=",
+                    Comparison::Greater => ">",
+                    Comparison::GreaterOrEqual => ">=",
+                    Comparison::NotEqual => "!=",
                 };
-                format!("{op}{}", show_scalar(bound))
+                format!("{comparison}{}", describe_scalar(bound))
             }));
             parts.join(" & ")
         }
-        Shape::Record(_) => "a record".into(),
-        Shape::List(..) => "a list".into(),
-        Shape::Or(some) => {
-            let parts: Vec<String> = some.iter().map(|(_, one)| show(one)).collect();
+        Constraint::Record(_) => "a record".into(),
+        Constraint::List(..) => "a list".into(),
+        Constraint::Disjunction(alternatives) => {
+            let parts: Vec<String> = alternatives.iter().map(|(_, one)| describe(one)).collect();
             parts.join(" | ")
         }
     }
--- a/crates/operator-config/src/diagnostics.rs
+++ b/crates/operator-config/src/diagnostics.rs
@@ -1,68 +1,70 @@
-//! What is wrong with a text, where, and how it is shown.
+//! Diagnostics: an error in a text, its position, and its rendering.
 
 use ariadne::{CharSet, Config, IndexType, Label, Report, ReportKind, Source};
 use std::ops::Range;
 
+/// One error in a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Bytes of the text that it is about.
+pub struct Diagnostic {
+    /// The range of bytes in the text that the error concerns.
     pub span: Range<usize>,
-    /// The field, as `scgi.routes[0].path`; empty where it is about none.
+    /// Path of the field, such as `scgi.routes[0].path`; empty where the error concerns no field.
     pub path: String,
-    pub what: String,
-    pub(crate) missing: bool,
+    pub message: String,
+    /// Whether a required field is missing.
+    pub(crate) is_missing: bool,
 }
 
-impl Fault {
-    pub fn new(span: Range<usize>, path: impl Into<String>, what: impl Into<String>) -> Fault {
-        Fault { span, path: path.into(), what: what.into(), missing: false }
+impl Diagnostic {
+    pub fn new(span: Range<usize>, path: impl Into<String>, message: impl Into<String>) -> Diagnostic {
+        Diagnostic { span, path: path.into(), message: message.into(), is_missing: false }
     }
     pub(crate) fn is_missing(&self) -> bool {
-        self.missing
+        self.is_missing
     }
 
-    /// What it says, with its field.
-    pub fn says(&self) -> String {
+    /// The message, preceded by the path of the field if there is one.
+    pub fn full_message(&self) -> String {
         if self.path.is_empty() {
-            self.what.clone()
+            self.message.clone()
         } else {
-            format!("{}: {}", self.path, self.what)
+            format!("{}: {}", self.path, self.message)
         }
     }
 
-    /// `LINE:COLUMN: field: what`, both counted from 1, columns in characters.
-    pub fn line(&self, text: &str) -> String {
+    /// `LINE:COLUMN: field: message`. Lines and columns count from 1, columns in characters.
+    pub fn to_line(&self, text: &str) -> String {
         let (line, column) = position(text, self.span.start);
-        format!("{line}:{column}: {}", self.says())
+        format!("{line}:{column}: {}", self.full_message())
     }
 }
 
-fn position(text: &str, at: usize) -> (usize, usize) {
-    let before = &text[..text.floor_char_boundary(at)];
+fn position(text: &str, offset: usize) -> (usize, usize) {
+    let before = &text[..text.floor_char_boundary(offset)];
     let start = before.rfind('\n').map_or(0, |end| end + 1);
     (before.matches('\n').count() + 1, before[start..].chars().count() + 1)
 }
 
-/// All faults as a person reads them: place, line and carets, in plain ASCII without colours.
-pub fn render(name: &str, text: &str, faults: &[Fault]) -> String {
+/// Renders all diagnostics for a person: position, source line and carets, in plain ASCII without colours.
+pub fn render(name: &str, text: &str, diagnostics: &[Diagnostic]) -> String {
     let config = Config::default()
         .with_color(false)
         .with_char_set(CharSet::Ascii)
         .with_index_type(IndexType::Byte)
         .with_compact(false);
-    let mut out = Vec::new();
-    for fault in faults {
-        // The library takes whole characters only.
-        let start = text.floor_char_boundary(fault.span.start);
-        let span = (name, start..text.ceil_char_boundary(fault.span.end).max(start));
+    let mut output = Vec::new();
+    for diagnostic in diagnostics {
+        // ariadne requires spans at character boundaries.
+        let start = text.floor_char_boundary(diagnostic.span.start);
+        let span = (name, start..text.ceil_char_boundary(diagnostic.span.end).max(start));
         let report = Report::build(ReportKind::Error, span.clone())
             .with_config(config)
-            .with_message(fault.says())
-            .with_label(Label::new(span).with_message(&fault.what))
+            .with_message(diagnostic.full_message())
+            .with_label(Label::new(span).with_message(&diagnostic.message))
             .finish();
-        // A vector takes all that is written to it.
-        let _ = report.write((name, Source::from(text)), &mut out);
+        // Writing to a vector cannot fail.
+        let _ = report.write((name, Source::from(text)), &mut output);
     }
-    let lines = String::from_utf8_lossy(&out);
-    lines.lines().map(str::trim_end).fold(String::new(), |all, line| all + line + "\n")
+    let lines = String::from_utf8_lossy(&output);
+    lines.lines().map(str::trim_end).fold(String::new(), |rendered, line| rendered + line + "\n")
 }
--- a/crates/operator-config/src/syntax.rs
+++ b/crates/operator-config/src/syntax.rs
@@ -1,7 +1,8 @@
-//! Text to syntax tree, by combinators. A fault in a field skips to the next line, so that one pass tells them all.
+//! Parser combinators that turn a text into a syntax tree. After an error in a field the parser continues on the next
+//! line, so that one pass reports every syntax error.
 
-use crate::faults::Fault;
-use crate::{DEEPEST, LONGEST, MOST_FAULTS};
+use crate::diagnostics::Diagnostic;
+use crate::{MAX_DIAGNOSTICS, MAX_NESTING, MAX_TEXT_BYTES};
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
 use winnow::combinator::{alt, delimited, not, opt, peek, preceded, repeat, separated, terminated};
@@ -10,19 +11,22 @@
 use winnow::stream::{LocatingSlice, Location, Stateful, Stream};
 use winnow::token::{any, literal, one_of, take_till, take_while};
 
-/// Which text something was written in.
+/// The text that an expression was written in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Source {
     Schema,
+    /// The operator's file.
     Operator,
 }
 
+/// A range of bytes in one of the two texts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    pub place: Place,
+    pub source: Source,
     pub bytes: Range<usize>,
 }
 
+/// A literal value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Scalar {
     Null,
@@ -37,127 +41,131 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
+pub enum Comparison {
     Less,
-    AtMost,
-    More,
-    AtLeast,
-    Not,
+    LessOrEqual,
+    Greater,
+    GreaterOrEqual,
+    NotEqual,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expr {
     Scalar(Scalar),
-    /// A type's name.
-    Kind(String),
-    /// A definition's name, with its `#`.
-    Use(String),
-    Bound(Op, Scalar),
+    /// A built-in type, by its keyword.
+    Type(String),
+    /// A use of a definition, by its name with the leading `#`.
+    Reference(String),
+    Bound(Comparison, Scalar),
     Record(Vec<Entry>),
-    List(Vec<Syntax>, Option<Box<Syntax>>),
-    And(Vec<Syntax>),
-    /// Whether each is marked as the default.
-    Or(Vec<(bool, Syntax)>),
+    List(Vec<SpannedExpr>, Option<Box<SpannedExpr>>),
+    Conjunction(Vec<SpannedExpr>),
+    /// The alternatives, each with whether `*` marks it as the default.
+    Disjunction(Vec<(bool, SpannedExpr)>),
 }
 
+/// An expression and where it was written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Syntax {
+pub struct SpannedExpr {
     pub expr: Expr,
     pub span: Span,
 }
 
+/// One entry of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     Field {
         name: String,
-        at: Span,
-        optional: bool,
-        value: Syntax,
+        name_span: Span,
+        is_optional: bool,
+        value: SpannedExpr,
     },
     Definition {
         name: String,
-        at: Span,
-        value: Syntax,
+        name_span: Span,
+        value: SpannedExpr,
     },
     /// `[string]: value`
-    Others(Syntax),
+    OtherFields(SpannedExpr),
     /// `...`
     Open,
-    Embed(Syntax),
+    /// A record whose fields are included here.
+    Embedded(SpannedExpr),
 }
 
+/// A parsed text: one record without braces.
 #[derive(Clone, Debug)]
-pub struct File {
-    pub root: Syntax,
+pub struct SourceFile {
+    pub root: SpannedExpr,
 }
 
 #[derive(Debug)]
-struct State {
-    place: Place,
-    faults: RefCell<Vec<Fault>>,
+struct ParserState {
+    source: Source,
+    diagnostics: RefCell<Vec<Diagnostic>>,
     depth: Cell<usize>,
 }
 
-type In<'a> = Stateful<LocatingSlice<&'a str>, &'a State>;
+type Input<'a> = Stateful<LocatingSlice<&'a str>, &'a ParserState>;
 
-/// Where reading stopped, and what was expected there.
+/// The byte offset at which a parser failed, and what it expected there.
 #[derive(Clone, Debug, PartialEq)]
-struct Trouble {
-    at: usize,
-    what: String,
+struct SyntaxError {
+    offset: usize,
+    message: String,
 }
 
-impl<I: Stream + Location> ParserError<I> for Trouble {
-    type Inner = Trouble;
-    fn from_input(input: &I) -> Trouble {
-        Trouble { at: input.current_token_start(), what: String::new() }
+impl<I: Stream + Location> ParserError<I> for SyntaxError {
+    type Inner = SyntaxError;
+    fn from_input(input: &I) -> SyntaxError {
+        SyntaxError { offset: input.current_token_start(), message: String::new() }
     }
-    /// Of two ways that failed, the one that came further, or else said more.
-    fn or(self, other: Trouble) -> Trouble {
-        if (self.at, !self.what.is_empty()) > (other.at, !other.what.is_empty()) {
+    /// Keeps the error with the larger offset; at equal offsets, the one with a message.
+    fn or(self, other: SyntaxError) -> SyntaxError {
+        if (self.offset, !self.message.is_empty()) > (other.offset, !other.message.is_empty()) {
             self
         } else {
             other
         }
     }
-    fn into_inner(self) -> Result<Trouble, Trouble> {
+    fn into_inner(self) -> Result<SyntaxError, SyntaxError> {
         Ok(self)
     }
 }
 
-type Read<T> = Result<T, ErrMode<Trouble>>;
+type ParseResult<T> = Result<T, ErrMode<SyntaxError>>;
 
-fn fail<T>(input: &In, what: impl Into<String>) -> Read<T> {
-    Err(ErrMode::Backtrack(Trouble { at: input.current_token_start(), what: what.into() }))
+fn backtrack<T>(input: &Input, message: impl Into<String>) -> ParseResult<T> {
+    Err(ErrMode::Backtrack(SyntaxError { offset: input.current_token_start(), message: message.into() }))
 }
 
-fn stop<T>(at: usize, what: impl Into<String>) -> Read<T> {
-    Err(ErrMode::Cut(Trouble { at, what: what.into() }))
+fn abort<T>(offset: usize, message: impl Into<String>) -> ParseResult<T> {
+    Err(ErrMode::Cut(SyntaxError { offset, message: message.into() }))
 }
 
-/// Whether a field of this name needs no quotes.
-pub fn is_name(text: &str) -> bool {
+/// Whether a field of this name can be written without quotes.
+pub fn is_identifier(text: &str) -> bool {
     let first = |c: char| c.is_alphabetic() || c == '_';
     text.starts_with(first) && text.chars().all(|c| first(c) || c.is_ascii_digit())
 }
 
-fn comment(input: &mut In) -> Read<()> {
+fn comment(input: &mut Input) -> ParseResult<()> {
     ("//", take_till(0.., '\n')).void().parse_next(input)
 }
 
-/// Blanks on this line.
-fn blank(input: &mut In) -> Read<()> {
+/// Blanks and a comment up to the end of the line.
+fn inline_space(input: &mut Input) -> ParseResult<()> {
     let white = take_while(1.., [' ', '\t', '\r']).void();
     repeat(0.., alt((white, comment))).parse_next(input)
 }
 
 /// Blanks, line ends and comments.
-fn space(input: &mut In) -> Read<()> {
+fn whitespace(input: &mut Input) -> ParseResult<()> {
     let white = take_while(1.., [' ', '\t', '\r', '\n']).void();
     repeat(0.., alt((white, comment))).parse_next(input)
 }
 
-fn name<'a>(input: &mut In<'a>) -> Read<&'a str> {
+fn identifier<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
     (
         one_of(|c: char| c.is_alphabetic() || c == '_'),
         take_while(0.., |c: char| c.is_alphanumeric() || c == '_'),
@@ -166,30 +174,30 @@
         .parse_next(input)
 }
 
-fn text(input: &mut In) -> Read<String> {
+fn quoted_text(input: &mut Input) -> ParseResult<String> {
     let start = input.current_token_start();
     literal('"').parse_next(input)?;
     let mut out = String::new();
     loop {
         let part = take_till(0.., ['"', '\\', '\n']).parse_next(input)?;
         out.push_str(part);
-        match any::<_, ErrMode<Trouble>>.parse_next(input) {
+        match any::<_, ErrMode<SyntaxError>>.parse_next(input) {
             Ok('"') => return Ok(out),
-            Ok('\\') => match any::<_, ErrMode<Trouble>>.parse_next(input) {
+            Ok('\\') => match any::<_, ErrMode<SyntaxError>>.parse_next(input) {
                 Ok('n') => out.push('\n'),
                 Ok('t') => out.push('\t'),
                 Ok('r') => out.push('\r'),
                 Ok(plain @ ('"' | '\\' | '/')) => out.push(plain),
-                _ => return stop(start, "text with an escape other than \\\" \\\\ \\/ \\n \\t \\r"),
+                _ => return abort(start, "text with an escape other than \\\" \\\\ \\/ \\n \\t \\r"),
             },
-            _ => return stop(start, "text without its closing quote on this line"),
+            _ => return abort(start, "text without its closing quote on this line"),
         }
     }
 }
 
-const DURATIONS: [(&str, f64); 6] =
+const DURATION_UNITS: [(&str, f64); 6] =
     [("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("s", 1e9), ("m", 60e9), ("h", 3600e9)];
-const SIZES: [(&str, f64); 7] = [
+const SIZE_UNITS: [(&str, f64); 7] = [
     ("B", 1.0),
     ("KB", 1e3),
     ("MB", 1e6),
@@ -199,16 +207,16 @@
     ("GiB", 1_073_741_824.0),
 ];
 
-/// A number, alone or with units: `1h30m` has several.
-fn number(input: &mut In) -> Read<Scalar> {
+/// A number without a unit, a size, or a duration, which can have several units (`1h30m`).
+fn number(input: &mut Input) -> ParseResult<Scalar> {
     let start = input.current_token_start();
-    let digits = |input: &mut In| {
+    let digits = |input: &mut Input| {
         let first = one_of(|c: char| c.is_ascii_digit());
         (first, take_while(0.., |c: char| c.is_ascii_digit() || c == '_')).void().parse_next(input)
     };
     let exponent = (one_of(['e', 'E']), opt(one_of(['+', '-'])), digits).void();
     let mut plain =
-        |input: &mut In| (digits, opt(preceded('.', digits))).take().map(str::to_string).parse_next(input);
+        |input: &mut Input| (digits, opt(preceded('.', digits))).take().map(str::to_string).parse_next(input);
     let sign = opt(one_of(['-', '+'])).parse_next(input)?;
     let mut word: String = plain.parse_next(input)?;
     let power = opt(exponent.take()).parse_next(input)?;
@@ -217,178 +225,182 @@
     }
     let word = word.replace('_', "");
     let negative = sign == Some('-');
-    let wrong = |what: &str| stop(start, what.to_string());
-    let unit = opt(name).parse_next(input)?;
+    let invalid = |message: &str| abort(start, message.to_string());
+    let unit = opt(identifier).parse_next(input)?;
     let Some(mut unit) = unit else {
         if !word.contains(['.', 'e', 'E']) {
             let signed = if negative { format!("-{word}") } else { word };
             return match signed.parse() {
                 Ok(int) => Ok(Scalar::Int(int)),
-                Err(_) => wrong("a whole number that is too large"),
+                Err(_) => invalid("a whole number that is too large"),
             };
         }
         return match word.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(Scalar::Number(if negative { -value } else { value })),
-            _ => wrong("a number that is too large"),
+            _ => invalid("a number that is too large"),
         };
     };
-    let Ok(mut value) = word.parse::<f64>() else { return wrong("a number that is too large") };
-    if let Some((_, bytes)) = SIZES.iter().find(|(known, _)| *known == unit) {
+    let Ok(mut value) = word.parse::<f64>() else { return invalid("a number that is too large") };
+    if let Some((_, bytes)) = SIZE_UNITS.iter().find(|(known, _)| *known == unit) {
         let bytes = value * bytes;
         return if negative || bytes >= 9e15 || bytes != bytes.trunc() {
-            wrong("a size that is no whole number of bytes within bounds")
+            invalid("a size must be a whole number of bytes, not negative and below 9e15")
         } else {
             Ok(Scalar::Size(bytes as u64))
         };
     }
-    let (mut sum, mut last) = (0.0, f64::INFINITY);
-    // `1h30m` is read as 1, `h30m`: a unit may hold the next digits.
+    let (mut sum, mut previous) = (0.0, f64::INFINITY);
+    // `1h30m` arrives as the number 1 and the identifier `h30m`: the unit is followed by the next number.
     loop {
         let letters = unit.find(|c: char| c.is_ascii_digit()).unwrap_or(unit.len());
-        let (own, rest) = unit.split_at(letters);
-        let Some((_, ns)) = DURATIONS.iter().find(|(known, _)| *known == own) else {
-            return wrong("a number whose unit is none of ns us ms s m h B KB MB GB KiB MiB GiB");
+        let (unit_name, rest) = unit.split_at(letters);
+        let Some((_, ns)) = DURATION_UNITS.iter().find(|(known, _)| *known == unit_name) else {
+            return invalid("unknown unit; expected one of ns us ms s m h B KB MB GB KiB MiB GiB");
         };
-        if *ns >= last {
-            return wrong("a duration whose units don't get smaller");
+        if *ns >= previous {
+            return invalid("the units of a duration must be in descending order");
         }
-        (sum, last) = (sum + value * ns, *ns);
+        (sum, previous) = (sum + value * ns, *ns);
         if rest.is_empty() {
             break;
         }
         let digits = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
-        let Ok(more) = rest[..digits].parse() else { return wrong("a number that is too large") };
-        (value, unit) = (more, &rest[digits..]);
+        let Ok(next) = rest[..digits].parse() else { return invalid("a number that is too large") };
+        (value, unit) = (next, &rest[digits..]);
     }
     if sum >= 9e18 {
-        return wrong("a duration that is too long");
+        return invalid("a duration that is too long");
     }
     let ns = sum.round() as i64;
     Ok(Scalar::Duration(if negative { -ns } else { ns }))
 }
 
-fn scalar(input: &mut In) -> Read<Scalar> {
-    let word = |input: &mut In| {
+fn scalar(input: &mut Input) -> ParseResult<Scalar> {
+    let word = |input: &mut Input| {
         let start = input.checkpoint();
-        match name.parse_next(input)? {
+        match identifier.parse_next(input)? {
             "true" => Ok(Scalar::Bool(true)),
             "false" => Ok(Scalar::Bool(false)),
             "null" => Ok(Scalar::Null),
             _ => {
                 input.reset(&start);
-                fail(input, "")
+                backtrack(input, "")
             }
         }
     };
-    alt((number, text.map(Scalar::Text), word)).parse_next(input)
+    alt((number, quoted_text.map(Scalar::Text), word)).parse_next(input)
 }
 
-fn spanned(input: &mut In, mut read: impl FnMut(&mut In) -> Read<Expr>) -> Read<Syntax> {
+fn spanned(
+    input: &mut Input,
+    mut parser: impl FnMut(&mut Input) -> ParseResult<Expr>,
+) -> ParseResult<SpannedExpr> {
     let start = input.current_token_start();
-    let expr = read(input)?;
-    let span = Span { place: input.state.place, bytes: start..input.previous_token_end().max(start) };
-    Ok(Syntax { expr, span })
+    let expr = parser(input)?;
+    let span = Span { source: input.state.source, bytes: start..input.previous_token_end().max(start) };
+    Ok(SpannedExpr { expr, span })
 }
 
-/// Guards the stack against texts that nest without end.
-fn deeper<T>(input: &mut In, read: impl FnOnce(&mut In) -> Read<T>) -> Read<T> {
-    let (state, at) = (input.state, input.current_token_start());
-    if state.depth.get() >= DEEPEST {
-        return stop(at, format!("nested deeper than {DEEPEST}"));
+/// Limits nesting to `MAX_NESTING` levels, which bounds the use of the stack.
+fn with_nesting<T>(input: &mut Input, parser: impl FnOnce(&mut Input) -> ParseResult<T>) -> ParseResult<T> {
+    let (state, offset) = (input.state, input.current_token_start());
+    if state.depth.get() >= MAX_NESTING {
+        return abort(offset, format!("nested more than {MAX_NESTING} levels deep"));
     }
     state.depth.set(state.depth.get() + 1);
-    let result = read(input);
+    let result = parser(input);
     state.depth.set(state.depth.get() - 1);
     result
 }
 
-fn bound(input: &mut In) -> Read<Expr> {
+fn bound(input: &mut Input) -> ParseResult<Expr> {
     let op = alt((
-        literal("<=").value(Op::AtMost),
-        literal(">=").value(Op::AtLeast),
-        literal("!=").value(Op::Not),
-        literal('<').value(Op::Less),
-        literal('>').value(Op::More),
+        literal("<=").value(Comparison::LessOrEqual),
+        literal(">=").value(Comparison::GreaterOrEqual),
+        literal("!=").value(Comparison::NotEqual),
+        literal('<').value(Comparison::Less),
+        literal('>').value(Comparison::Greater),
     ));
-    let (op, at) = (op, blank).map(|(op, ())| op).with_span().parse_next(input)?;
+    let (op, span) = (op, inline_space).map(|(op, ())| op).with_span().parse_next(input)?;
     match scalar.parse_next(input) {
         Ok(value) => Ok(Expr::Bound(op, value)),
-        Err(ErrMode::Backtrack(_)) => stop(at.end, "a value to compare with"),
+        Err(ErrMode::Backtrack(_)) => abort(span.end, "expected a value to compare with"),
         Err(error) => Err(error),
     }
 }
 
-fn list(input: &mut In) -> Read<Expr> {
+fn list(input: &mut Input) -> ParseResult<Expr> {
     let start = input.current_token_start();
     literal('[').parse_next(input)?;
-    space.parse_next(input)?;
-    let comma = (space, ',', space);
-    let item = preceded(not("..."), either);
-    let items: Vec<Syntax> = separated(0.., item, comma).parse_next(input)?;
-    let comma = (space, opt(','), space);
+    whitespace.parse_next(input)?;
+    let comma = (whitespace, ',', whitespace);
+    let item = preceded(not("..."), expression);
+    let items: Vec<SpannedExpr> = separated(0.., item, comma).parse_next(input)?;
+    let comma = (whitespace, opt(','), whitespace);
     comma.void().parse_next(input)?;
-    let rest = opt(preceded("...", opt(either))).parse_next(input)?;
-    (space, opt(','), space).void().parse_next(input)?;
+    let rest = opt(preceded("...", opt(expression))).parse_next(input)?;
+    (whitespace, opt(','), whitespace).void().parse_next(input)?;
     if opt(literal(']')).parse_next(input)?.is_none() {
-        return stop(start, "a list without its closing bracket");
+        return abort(start, "a list without its closing bracket");
     }
     let any = || {
-        let span = Span { place: input.state.place, bytes: start..start + 1 };
-        Syntax { expr: Expr::Kind("_".into()), span }
+        let span = Span { source: input.state.source, bytes: start..start + 1 };
+        SpannedExpr { expr: Expr::Type("_".into()), span }
     };
     Ok(Expr::List(items, rest.map(|rest| Box::new(rest.unwrap_or_else(any)))))
 }
 
-fn record(input: &mut In) -> Read<Expr> {
+fn record(input: &mut Input) -> ParseResult<Expr> {
     let start = input.current_token_start();
     literal('{').parse_next(input)?;
     let entries = entries(input, Some(start))?;
     Ok(Expr::Record(entries))
 }
 
-fn used(input: &mut In) -> Read<Expr> {
-    ('#', name).take().map(|name: &str| Expr::Use(name.to_string())).parse_next(input)
+fn reference(input: &mut Input) -> ParseResult<Expr> {
+    ('#', identifier).take().map(|name: &str| Expr::Reference(name.to_string())).parse_next(input)
 }
 
-fn kind(input: &mut In) -> Read<Expr> {
+fn type_name(input: &mut Input) -> ParseResult<Expr> {
     let start = input.checkpoint();
-    let word = name.parse_next(input)?;
-    if KINDS.contains(&word) {
-        return Ok(Expr::Kind(word.to_string()));
+    let word = identifier.parse_next(input)?;
+    if TYPE_KEYWORDS.contains(&word) {
+        return Ok(Expr::Type(word.to_string()));
     }
     input.reset(&start);
-    fail(input, format!("{word:?} is no value or type; text stands in quotes"))
+    backtrack(input, format!("{word:?} is not a value or a type; text must be quoted"))
 }
 
-fn plain(input: &mut In) -> Read<Expr> {
+fn scalar_expr(input: &mut Input) -> ParseResult<Expr> {
     scalar.map(Expr::Scalar).parse_next(input)
 }
 
-fn primary(input: &mut In) -> Read<Syntax> {
-    let at = input.checkpoint();
-    match delimited(('(', space), either, (space, ')')).parse_next(input) {
-        Err(ErrMode::Backtrack(_)) => input.reset(&at),
+fn primary(input: &mut Input) -> ParseResult<SpannedExpr> {
+    let checkpoint = input.checkpoint();
+    match delimited(('(', whitespace), expression, (whitespace, ')')).parse_next(input) {
+        Err(ErrMode::Backtrack(_)) => input.reset(&checkpoint),
         done => return done,
     }
     spanned(input, |input| {
-        let at = input.checkpoint();
-        let mut worst = Trouble { at: input.current_token_start(), what: "expected a value".into() };
-        for way in [used, bound, plain, list, record, kind] {
-            match way(input) {
-                Err(ErrMode::Backtrack(trouble)) => {
-                    worst = worst.or_with(trouble);
-                    input.reset(&at);
+        let checkpoint = input.checkpoint();
+        let mut furthest =
+            SyntaxError { offset: input.current_token_start(), message: "expected a value".into() };
+        for parser in [reference, bound, scalar_expr, list, record, type_name] {
+            match parser(input) {
+                Err(ErrMode::Backtrack(error)) => {
+                    furthest = furthest.or_later(error);
+                    input.reset(&checkpoint);
                 }
                 done => return done,
             }
         }
-        Err(ErrMode::Backtrack(worst))
+        Err(ErrMode::Backtrack(furthest))
     })
 }
 
-impl Trouble {
-    fn or_with(self, other: Trouble) -> Trouble {
-        if !other.what.is_empty() && (other.at >= self.at) {
+impl SyntaxError {
+    fn or_later(self, other: SyntaxError) -> SyntaxError {
+        if !other.message.is_empty() && (other.offset >= self.offset) {
             other
         } else {
             self
@@ -396,131 +408,137 @@
     }
 }
 
-pub const KINDS: [&str; 9] = ["string", "int", "number", "bool", "duration", "size", "address", "null", "_"];
+pub const TYPE_KEYWORDS: [&str; 9] =
+    ["string", "int", "number", "bool", "duration", "size", "address", "null", "_"];
 
-fn both(input: &mut In) -> Read<Syntax> {
-    let sep = (space, '&', space);
+fn conjunction(input: &mut Input) -> ParseResult<SpannedExpr> {
+    let sep = (whitespace, '&', whitespace);
     let start = input.current_token_start();
-    let mut all: Vec<Syntax> = separated(1.., primary, sep).parse_next(input)?;
+    let mut all: Vec<SpannedExpr> = separated(1.., primary, sep).parse_next(input)?;
     if all.len() == 1 {
         return Ok(all.remove(0));
     }
-    let span = Span { place: input.state.place, bytes: start..input.previous_token_end() };
-    Ok(Syntax { expr: Expr::And(all), span })
+    let span = Span { source: input.state.source, bytes: start..input.previous_token_end() };
+    Ok(SpannedExpr { expr: Expr::Conjunction(all), span })
 }
 
-/// One value or several to choose from.
-fn either(input: &mut In) -> Read<Syntax> {
-    deeper(input, |input| {
+/// An expression: one value, or alternatives separated by `|`.
+fn expression(input: &mut Input) -> ParseResult<SpannedExpr> {
+    with_nesting(input, |input| {
         let start = input.current_token_start();
-        let one = (opt(terminated('*', blank)).map(|mark| mark.is_some()), both);
-        let mut all: Vec<(bool, Syntax)> = separated(1.., one, (space, '|', space)).parse_next(input)?;
+        let one = (opt(terminated('*', inline_space)).map(|star| star.is_some()), conjunction);
+        let mut all: Vec<(bool, SpannedExpr)> =
+            separated(1.., one, (whitespace, '|', whitespace)).parse_next(input)?;
         if all.len() == 1 && !all[0].0 {
             return Ok(all.remove(0).1);
         }
-        let span = Span { place: input.state.place, bytes: start..input.previous_token_end() };
-        Ok(Syntax { expr: Expr::Or(all), span })
+        let span = Span { source: input.state.source, bytes: start..input.previous_token_end() };
+        Ok(SpannedExpr { expr: Expr::Disjunction(all), span })
     })
 }
 
-fn entry(input: &mut In) -> Read<Entry> {
+fn entry(input: &mut Input) -> ParseResult<Entry> {
     let start = input.current_token_start();
     if opt(literal("...")).parse_next(input)?.is_some() {
         return Ok(Entry::Open);
     }
-    let others = ('[', space, "string", space, ']', blank, ':', space);
-    if opt(others).parse_next(input)?.is_some() {
-        return either.map(Entry::Others).parse_next(input);
+    let other_fields = ('[', whitespace, "string", whitespace, ']', inline_space, ':', whitespace);
+    if opt(other_fields).parse_next(input)?.is_some() {
+        return expression.map(Entry::OtherFields).parse_next(input);
     }
     let label = alt((
-        ('#', name).take().map(|name: &str| (name.to_string(), true)),
-        text.map(|name| (name, false)),
-        name.map(|name: &str| (name.to_string(), false)),
+        ('#', identifier).take().map(|name: &str| (name.to_string(), true)),
+        quoted_text.map(|name| (name, false)),
+        identifier.map(|name: &str| (name.to_string(), false)),
     ));
-    let head = (label.with_span(), opt('?'), blank, ':', blank);
+    let head = (label.with_span(), opt('?'), inline_space, ':', inline_space);
     let found = opt(head).parse_next(input)?;
-    let place = input.state.place;
-    let Some((((name, definition), at), mark, ..)) = found else {
-        let one_more = preceded(peek(one_of(['#', '{'])), either);
-        return match opt(one_more).parse_next(input)? {
-            Some(embedded) => Ok(Entry::Embed(embedded)),
-            None => stop(start, "expected a field: `name: value`"),
+    let source = input.state.source;
+    let Some((((name, is_definition), name_span), question_mark, ..)) = found else {
+        let embedded = preceded(peek(one_of(['#', '{'])), expression);
+        return match opt(embedded).parse_next(input)? {
+            Some(embedded) => Ok(Entry::Embedded(embedded)),
+            None => abort(start, "expected a field: `name: value`"),
         };
     };
-    let at = Span { place, bytes: at };
+    let name_span = Span { source, bytes: name_span };
     // `a: b: 1` is short for `a: {b: 1}`.
     let checkpoint = input.checkpoint();
-    let value = match either.parse_next(input) {
-        Ok(value) if !starts_field(input) => value,
+    let value = match expression.parse_next(input) {
+        Ok(value) if !is_colon_next(input) => value,
         Err(error @ ErrMode::Cut(_)) => return Err(error),
         result => {
             input.reset(&checkpoint);
             let from = input.current_token_start();
-            let nested = peek((alt((text.void(), self::name.void())), opt('?'), blank, ':')).void();
+            let nested =
+                peek((alt((quoted_text.void(), self::identifier.void())), opt('?'), inline_space, ':'))
+                    .void();
             if opt(nested).parse_next(input)?.is_none() {
-                let trouble = result.err().and_then(|error| error.into_inner().ok());
-                let what = trouble.map_or(String::new(), |trouble| trouble.what);
-                let what = if what.is_empty() { "expected a value".to_string() } else { what };
-                return stop(from, what);
+                let error = result.err().and_then(|error| error.into_inner().ok());
+                let message = error.map_or(String::new(), |error| error.message);
+                let message = if message.is_empty() { "expected a value".to_string() } else { message };
+                return abort(from, message);
             }
-            let inner = deeper(input, entry)?;
-            let span = Span { place, bytes: from..input.previous_token_end() };
-            Syntax { expr: Expr::Record(vec![inner]), span }
+            let inner = with_nesting(input, entry)?;
+            let span = Span { source, bytes: from..input.previous_token_end() };
+            SpannedExpr { expr: Expr::Record(vec![inner]), span }
         }
     };
-    if definition {
-        return Ok(Entry::Definition { name, at, value });
+    if is_definition {
+        return Ok(Entry::Definition { name, name_span, value });
     }
-    Ok(Entry::Field { name, at, optional: mark.is_some(), value })
+    Ok(Entry::Field { name, name_span, is_optional: question_mark.is_some(), value })
 }
 
-/// What was read as a value was the name of a nested field.
-fn starts_field(input: &mut In) -> bool {
-    let at = input.checkpoint();
-    let colon: Read<_> = (opt('?'), blank, ':').parse_next(input);
-    input.reset(&at);
+/// Whether a colon follows: the value just parsed is then the name of a nested field.
+fn is_colon_next(input: &mut Input) -> bool {
+    let checkpoint = input.checkpoint();
+    let colon: ParseResult<_> = (opt('?'), inline_space, ':').parse_next(input);
+    input.reset(&checkpoint);
     colon.is_ok()
 }
 
-/// Entries up to the closing brace of a record that began at `open`, or to the end of the text.
-fn entries(input: &mut In, open: Option<usize>) -> Read<Vec<Entry>> {
+/// Entries up to the closing brace of the record that starts at offset `open`, or up to the end of the text.
+fn entries(input: &mut Input, open: Option<usize>) -> ParseResult<Vec<Entry>> {
     let mut all = Vec::new();
     loop {
-        (space, repeat::<_, _, (), _, _>(0.., (',', space).void())).void().parse_next(input)?;
-        let end: Read<_> = peek(any).parse_next(input);
+        (whitespace, repeat::<_, _, (), _, _>(0.., (',', whitespace).void())).void().parse_next(input)?;
+        let end: ParseResult<_> = peek(any).parse_next(input);
         match (end, open) {
             (Ok('}'), Some(_)) => {
                 literal('}').parse_next(input)?;
                 return Ok(all);
             }
             (Err(_), None) => return Ok(all),
-            (Err(_), Some(open)) => return stop(open, "a record without its closing brace"),
+            (Err(_), Some(open)) => return abort(open, "a record without its closing brace"),
             _ => {}
         }
-        let result = deeper(input, entry).and_then(|entry| {
-            // Behind a field: a comma, the end of the line, or the end of the record.
-            blank.parse_next(input)?;
-            let end: Read<_> = peek(any).parse_next(input);
+        let result = with_nesting(input, entry).and_then(|entry| {
+            // A field ends with a comma, the end of the line, or the end of the record.
+            inline_space.parse_next(input)?;
+            let end: ParseResult<_> = peek(any).parse_next(input);
             match end {
                 Ok(',' | '\n' | '}') | Err(_) => Ok(entry),
                 Ok(_) => {
-                    stop(input.current_token_start(), "expected the end of the field: a comma or a new line")
+                    abort(input.current_token_start(), "expected the end of the field: a comma or a new line")
                 }
             }
         });
         match result {
             Ok(entry) => all.push(entry),
             Err(error) => {
-                let Ok(Trouble { at, what }) = error.into_inner() else { return Ok(all) };
-                let mut faults = input.state.faults.borrow_mut();
-                // A record that never ends is told once, where the innermost began.
-                let again = faults.last().is_some_and(|fault| fault.what == what && what.contains("closing"));
-                if faults.len() < MOST_FAULTS && !again {
-                    faults.push(Fault::new(at..at + 1, "", what));
+                let Ok(SyntaxError { offset, message }) = error.into_inner() else { return Ok(all) };
+                let mut diagnostics = input.state.diagnostics.borrow_mut();
+                // An unclosed record is reported once, at the start of the innermost one.
+                let is_repeated = diagnostics
+                    .last()
+                    .is_some_and(|last| last.message == message && message.contains("closing"));
+                if diagnostics.len() < MAX_DIAGNOSTICS && !is_repeated {
+                    diagnostics.push(Diagnostic::new(offset..offset + 1, "", message));
                 }
-                drop(faults);
-                let skipped: Read<_> = take_till(0.., '\n').parse_next(input);
-                let moved: Read<_> = opt('\n').parse_next(input);
+                drop(diagnostics);
+                let skipped: ParseResult<_> = take_till(0.., '\n').parse_next(input);
+                let moved: ParseResult<_> = opt('\n').parse_next(input);
                 if skipped.is_err() || moved.is_err() || input.eof_offset() == 0 {
                     return Ok(all);
                 }
@@ -529,32 +547,33 @@
     }
 }
 
-/// All that could be read, and what could not.
-pub fn parse_all(text: &str, place: Place) -> (File, Vec<Fault>) {
-    let state = State { place, faults: RefCell::default(), depth: Cell::new(0) };
-    let span = Span { place, bytes: 0..text.len() };
+/// Parses as much of the text as possible; returns the tree with a diagnostic for each part that did not parse.
+pub fn parse_all(text: &str, source: Source) -> (SourceFile, Vec<Diagnostic>) {
+    let state = ParserState { source, diagnostics: RefCell::default(), depth: Cell::new(0) };
+    let span = Span { source, bytes: 0..text.len() };
     let mut all = Vec::new();
-    if text.len() > LONGEST {
-        let what = format!("a text of {} bytes; {LONGEST} is the most", text.len());
-        state.faults.borrow_mut().push(Fault::new(0..1, "", what));
+    if text.len() > MAX_TEXT_BYTES {
+        let message = format!("the text has {} bytes; the maximum is {MAX_TEXT_BYTES}", text.len());
+        state.diagnostics.borrow_mut().push(Diagnostic::new(0..1, "", message));
     } else {
         let mut input = Stateful { input: LocatingSlice::new(text), state: &state };
         match entries(&mut input, None) {
             Ok(entries) => all = entries,
             Err(error) => {
-                if let Ok(Trouble { at, what }) = error.into_inner() {
-                    state.faults.borrow_mut().push(Fault::new(at..at + 1, "", what));
+                if let Ok(SyntaxError { offset, message }) = error.into_inner() {
+                    state.diagnostics.borrow_mut().push(Diagnostic::new(offset..offset + 1, "", message));
                 }
             }
         }
     }
-    let file = File { root: Syntax { expr: Expr::Record(all), span } };
-    (file, state.faults.into_inner())
+    let file = SourceFile { root: SpannedExpr { expr: Expr::Record(all), span } };
+    (file, state.diagnostics.into_inner())
 }
 
-pub fn parse(text: &str, place: Place) -> Result<File, Vec<Fault>> {
-    match parse_all(text, place) {
-        (file, faults) if faults.is_empty() => Ok(file),
-        (_, faults) => Err(faults),
+/// Parses a text that must be free of syntax errors.
+pub fn parse(text: &str, source: Source) -> Result<SourceFile, Vec<Diagnostic>> {
+    match parse_all(text, source) {
+        (file, diagnostics) if diagnostics.is_empty() => Ok(file),
+        (_, diagnostics) => Err(diagnostics),
     }
 }
--- a/crates/operator-config/src/tree.rs
+++ b/crates/operator-config/src/tree.rs
@@ -1,10 +1,11 @@
-//! A checked text as a tree of values, each with the place at which it was written.
+//! The tree of values that a checked text yields, each value with its position in the text.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::time::Duration;
 
+/// A value of the tree.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     Null,
@@ -20,34 +21,37 @@
     Record(Vec<(String, Node)>),
 }
 
-/// A value that fits its schema. The readers by type answer with a neutral value where the schema did not ask for that
-/// type: a program's own fault, never an operator's.
+/// A value that satisfies its schema. The typed accessors return a neutral value where the schema does not have that
+/// type, which is a defect of the program and never of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     pub value: Value,
-    /// Its bytes in the operator's text; `None` where it comes from a default.
+    /// The range of bytes in the operator's text; `None` for a default.
     pub span: Option<Range<usize>>,
 }
 
 static NULL: Node = Node { value: Value::Null, span: None };
 
 impl Node {
+    /// A field of a record, if it is present.
     pub fn find(&self, name: &str) -> Option<&Node> {
         match &self.value {
             Value::Record(fields) => fields.iter().find(|(known, _)| known == name).map(|(_, node)| node),
             _ => None,
         }
     }
-    /// A field that the schema always gives.
+    /// A field that the schema requires or gives a default.
     pub fn get(&self, name: &str) -> &Node {
         self.find(name).unwrap_or(&NULL)
     }
+    /// The items of a list.
     pub fn list(&self) -> &[Node] {
         match &self.value {
             Value::List(nodes) => nodes,
             _ => &[],
         }
     }
+    /// The fields of a record.
     pub fn fields(&self) -> &[(String, Node)] {
         match &self.value {
             Value::Record(fields) => fields,
@@ -60,7 +64,7 @@
             _ => "",
         }
     }
-    pub fn flag(&self) -> bool {
+    pub fn boolean(&self) -> bool {
         self.value == Value::Bool(true)
     }
     pub fn int(&self) -> i64 {
@@ -95,14 +99,14 @@
             _ => None,
         }
     }
-    /// Where it was written, or else the start of the text.
-    pub fn place(&self) -> Range<usize> {
+    /// The range of bytes in the operator's text, or the start of the text for a default.
+    pub fn span_or_start(&self) -> Range<usize> {
         self.span.clone().unwrap_or(0..0)
     }
 }
 
-/// A duration in the largest unit that takes it whole.
-pub(crate) fn show_duration(ns: i64) -> String {
+/// A duration as a whole number of the largest unit that divides it.
+pub(crate) fn format_duration(ns: i64) -> String {
     const UNITS: [(&str, i64); 6] = [
         ("h", 3_600_000_000_000),
         ("m", 60_000_000_000),
@@ -118,13 +122,13 @@
     format!("{}{unit}", ns / size)
 }
 
-pub(crate) fn show_size(bytes: u64) -> String {
+pub(crate) fn format_size(bytes: u64) -> String {
     const UNITS: [(&str, u64); 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
     let unit = UNITS.iter().find(|(_, size)| bytes > 0 && bytes.is_multiple_of(*size)).unwrap_or(&("B", 1));
     format!("{}{}", bytes / unit.1, unit.0)
 }
 
-pub(crate) fn show_number(number: f64) -> String {
+pub(crate) fn format_number(number: f64) -> String {
     if number == number.trunc() && number.abs() < 1e15 {
         format!("{number:.1}")
     } else {
@@ -132,64 +136,64 @@
     }
 }
 
-/// Text as it is written.
+/// Text in quotes, with escapes.
 pub(crate) fn quote(text: &str) -> String {
-    let mut out = String::from('"');
+    let mut quoted = String::from('"');
     for c in text.chars() {
         match c {
-            '"' => out.push_str("\\\""),
-            '\\' => out.push_str("\\\\"),
-            '\n' => out.push_str("\\n"),
-            '\t' => out.push_str("\\t"),
-            '\r' => out.push_str("\\r"),
-            c => out.push(c),
+            '"' => quoted.push_str("\\\""),
+            '\\' => quoted.push_str("\\\\"),
+            '\n' => quoted.push_str("\\n"),
+            '\t' => quoted.push_str("\\t"),
+            '\r' => quoted.push_str("\\r"),
+            c => quoted.push(c),
         }
     }
-    out.push('"');
-    out
+    quoted.push('"');
+    quoted
 }
 
 impl Node {
-    fn show(&self, to: &mut fmt::Formatter, depth: usize) -> fmt::Result {
-        let pad = "    ".repeat(depth);
+    fn fmt_nested(&self, f: &mut fmt::Formatter, depth: usize) -> fmt::Result {
+        let indent = "    ".repeat(depth);
         match &self.value {
-            Value::Null => write!(to, "null"),
-            Value::Bool(flag) => write!(to, "{flag}"),
-            Value::Int(int) => write!(to, "{int}"),
-            Value::Number(number) => write!(to, "{}", show_number(*number)),
-            Value::Text(text) => write!(to, "{}", quote(text)),
-            Value::Duration(duration) => write!(to, "{}", show_duration(duration.as_nanos() as i64)),
-            Value::Size(bytes) => write!(to, "{}", show_size(*bytes)),
-            Value::Address(address) => write!(to, "\"{address}\""),
-            Value::List(nodes) if nodes.is_empty() => write!(to, "[]"),
+            Value::Null => write!(f, "null"),
+            Value::Bool(boolean) => write!(f, "{boolean}"),
+            Value::Int(int) => write!(f, "{int}"),
+            Value::Number(number) => write!(f, "{}", format_number(*number)),
+            Value::Text(text) => write!(f, "{}", quote(text)),
+            Value::Duration(duration) => write!(f, "{}", format_duration(duration.as_nanos() as i64)),
+            Value::Size(bytes) => write!(f, "{}", format_size(*bytes)),
+            Value::Address(address) => write!(f, "\"{address}\""),
+            Value::List(nodes) if nodes.is_empty() => write!(f, "[]"),
             Value::List(nodes) => {
-                writeln!(to, "[")?;
+                writeln!(f, "[")?;
                 for node in nodes {
-                    write!(to, "{pad}    ")?;
-                    node.show(to, depth + 1)?;
-                    writeln!(to, ",")?;
+                    write!(f, "{indent}    ")?;
+                    node.fmt_nested(f, depth + 1)?;
+                    writeln!(f, ",")?;
                 }
-                write!(to, "{pad}]")
+                write!(f, "{indent}]")
             }
-            Value::Record(fields) if fields.is_empty() => write!(to, "{{}}"),
+            Value::Record(fields) if fields.is_empty() => write!(f, "{{}}"),
             Value::Record(fields) => {
-                writeln!(to, "{{")?;
+                writeln!(f, "{{")?;
                 for (name, node) in fields {
-                    let plain = crate::syntax::is_name(name);
-                    let name = if plain { name.clone() } else { quote(name) };
-                    write!(to, "{pad}    {name}: ")?;
-                    node.show(to, depth + 1)?;
-                    writeln!(to)?;
+                    let is_identifier = crate::syntax::is_identifier(name);
+                    let name = if is_identifier { name.clone() } else { quote(name) };
+                    write!(f, "{indent}    {name}: ")?;
+                    node.fmt_nested(f, depth + 1)?;
+                    writeln!(f)?;
                 }
-                write!(to, "{pad}}}")
+                write!(f, "{indent}}}")
             }
         }
     }
 }
 
-/// As it could be written: what holds, defaults included.
+/// The value in the language of the file, defaults included.
 impl fmt::Display for Node {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        self.show(to, 0)
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        self.fmt_nested(f, 0)
     }
 }
--- a/crates/operator-config/tests/records.rs
+++ b/crates/operator-config/tests/records.rs
@@ -1,23 +1,25 @@
-//! Texts against schemas: what is read, and every fault with its place. Failing properties print their seed.
+//! Checks texts against schemas: the resulting tree, and every diagnostic with its position. Failing properties print their
+//! seed.
 
 use cypresscleat_operator_config::{render, Node, Schema, Value};
 use proptest::prelude::*;
 
 fn schema(text: &str) -> Schema {
-    let told = |faults: Vec<cypresscleat_operator_config::Fault>| render("schema", text, &faults);
-    Schema::new(text).unwrap_or_else(|faults| panic!("{}", told(faults)))
+    let rendered =
+        |diagnostics: Vec<cypresscleat_operator_config::Diagnostic>| render("schema", text, &diagnostics);
+    Schema::new(text).unwrap_or_else(|diagnostics| panic!("{}", rendered(diagnostics)))
 }
 
-/// The checked text as it could be written, in one line; or each fault on a line of its own.
+/// The checked tree, printed on one line; or one line for each diagnostic.
 fn read(schema: &Schema, text: &str) -> Result<String, Vec<String>> {
     match schema.read(text) {
         Ok(node) => Ok(node.to_string().split_whitespace().collect::<Vec<_>>().join(" ")),
-        Err(faults) => Err(faults.iter().map(|fault| fault.line(text)).collect()),
+        Err(diagnostics) => Err(diagnostics.iter().map(|diagnostic| diagnostic.to_line(text)).collect()),
     }
 }
 
 const ALL: &str = r#"
-    // What a program may ask for, one of each.
+    // One field of each kind that a schema can have.
     #Backend: {
         address: address
         weight:  *1 | (int & >=0 & <=100)
@@ -44,17 +46,17 @@
 "#;
 
 #[test]
-fn what_is_said_and_what_holds_by_default() {
+fn given_values_and_defaults_form_the_tree() {
     let all = schema(ALL);
-    let least = r#"name: "x", backends: []"#;
+    let minimal = r#"name: "x", backends: []"#;
     let by_default = r#"{ name: "x" ratio: 0.5 wait: 250ms room: 32KiB mode: "plain" on: false nothing: null backends: [] deep: { a: 1 } }"#;
-    assert_eq!(read(&all, least), Ok(by_default.into()));
+    assert_eq!(read(&all, minimal), Ok(by_default.into()));
     let text = r#"
         name: "x\"\n", ratio: 1   // a comment
         wait: 1.5s
         room: 1_024B; "#
         .replace(';', "");
-    let more = text
+    let full_text = text
         + r#"
         mode: 7, on: true
         backends: [
@@ -67,9 +69,11 @@
         others: {fast: 1m30s, "two words": 2h, none: 0s}
         free: {known: 1, unknown: "yes"}
     "#;
-    let node = all.read(&more).unwrap_or_else(|faults| panic!("{}", render("text", &more, &faults)));
+    let node = all
+        .read(&full_text)
+        .unwrap_or_else(|diagnostics| panic!("{}", render("text", &full_text, &diagnostics)));
     assert_eq!(node.get("name").text(), "x\"\n");
-    assert_eq!((node.get("ratio").number(), node.get("on").flag()), (1.0, true));
+    assert_eq!((node.get("ratio").number(), node.get("on").boolean()), (1.0, true));
     assert_eq!((node.get("wait").duration().as_millis(), node.get("room").size()), (1500, 1024));
     assert_eq!(node.get("mode").int(), 7);
     let backends = node.get("backends").list();
@@ -85,16 +89,17 @@
         .collect();
     assert_eq!(others, [("fast", 90), ("two words", 7200), ("none", 0)]);
     assert_eq!(node.get("free").get("unknown").text(), "yes");
-    assert_eq!(&more[node.get("wait").place()], "1.5s");
-    // Written out, it reads the same.
+    assert_eq!(&full_text[node.get("wait").span_or_start()], "1.5s");
+    // The printed tree parses to the same tree.
     let shown = node.to_string();
     let shown = shown.trim().trim_start_matches('{').trim_end_matches('}');
-    let again = all.read(shown).unwrap_or_else(|faults| panic!("{}", render("text", shown, &faults)));
+    let again =
+        all.read(shown).unwrap_or_else(|diagnostics| panic!("{}", render("text", shown, &diagnostics)));
     assert_eq!(again.to_string(), node.to_string());
 }
 
 #[test]
-fn every_fault_is_told_with_its_place() {
+fn every_diagnostic_has_its_position() {
     let all = schema(ALL);
     let cases: [(&str, &[&str]); 22] = [
         ("backends: []", &["1:1: name: missing; expected string & !=\"\""]),
@@ -114,85 +119,85 @@
         ),
         ("name: \"x\", backends: []\nwait: 1m", &["2:7: wait: expected 250ms | duration & >=1ms & <1m, found 1m"]),
         ("name: \"x\", backends: []\nmode: \"other\"", &["2:7: mode: expected \"plain\" | \"strict\" | int, found \"other\""]),
-        ("name: \"x\", backends: []\npair: [1]", &["2:7: pair: expected a list of 1, found one of 2"]),
+        ("name: \"x\", backends: []\npair: [1]", &["2:7: pair: expected a list of length 1, found one of length 2"]),
         ("name: \"x\", backends: []\npair: [1, 2]", &["2:11: pair[1]: expected string, found 2"]),
         ("name: \"x\", backends: []\ndeep: {b: {}}", &["2:11: deep.b.c: missing; expected int"]),
         ("name: \"x\", backends: []\ndeep: {b: {c: 1, d: 2}}", &["2:18: deep.b.d: no such field; one of c"]),
         ("name: \"x\", backends: []\nothers: {a: 1}", &["2:13: others.a: expected duration, found 1"]),
-        ("name: \"x\", backends: []\nname: \"y\"", &["2:7: name: \"x\" and \"y\" can't both hold"]),
+        ("name: \"x\", backends: []\nname: \"y\"", &["2:7: name: \"x\" and \"y\" conflict"]),
         ("name: \"x\", backends: [#None]", &["1:23: backends[0]: no definition #None"]),
         ("name: \"x\", backends: [], any: #A\n#A: {b: #A}", &["2:9: any.b: the definition #A uses itself"]),
-        ("name: x, backends: []", &["1:7: \"x\" is no value or type; text stands in quotes"]),
+        ("name: x, backends: []", &["1:7: \"x\" is not a value or a type; text must be quoted"]),
         ("name: \"x\nbackends: []", &["1:7: text without its closing quote on this line"]),
         ("name: \"x\" backends: []", &["1:11: expected the end of the field: a comma or a new line"]),
         ("name: \"x\", backends: [\nwait: 1ms", &["1:22: a list without its closing bracket"]),
         ("name: \"x\", backends: []\ndeep: {a: 1", &["2:7: a record without its closing brace"]),
-        ("name: \"x\", backends: []\nwait: 3parsecs", &["2:7: a number whose unit is none of ns us ms s m h B KB MB GB KiB MiB GiB"]),
+        ("name: \"x\", backends: []\nwait: 3parsecs", &["2:7: unknown unit; expected one of ns us ms s m h B KB MB GB KiB MiB GiB"]),
         (
             "name: \"x\", backends: []\n: 3\nwait: 99999999999999999999\nroom:\non: maybe",
             &[
                 "2:1: expected a field: `name: value`",
                 "3:7: a whole number that is too large",
                 "4:6: expected a value",
-                "5:5: \"maybe\" is no value or type; text stands in quotes",
+                "5:5: \"maybe\" is not a value or a type; text must be quoted",
             ],
         ),
-        ("name: \"x\", backends: []\nwait: 1s1m", &["2:7: a duration whose units don't get smaller"]),
+        ("name: \"x\", backends: []\nwait: 1s1m", &["2:7: the units of a duration must be in descending order"]),
     ];
-    for (text, faults) in cases {
-        let told: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
-        assert_eq!(read(&all, text), Err(told), "{text}");
+    for (text, diagnostics) in cases {
+        let expected: Vec<String> = diagnostics.iter().map(|diagnostic| diagnostic.to_string()).collect();
+        assert_eq!(read(&all, text), Err(expected), "{text}");
     }
 }
 
 #[test]
-fn definitions_are_used_with_more_said() {
+fn uses_of_definitions_add_constraints() {
     let all = schema(ALL);
     let text = r#"
         #Near: #Backend & {tags: ["near"]}
         name: "x"
         backends: [#Near & {address: "127.0.0.1:1"}, #Near & {address: "127.0.0.1:2", weight: 3}]
     "#;
-    let node = all.read(text).unwrap_or_else(|faults| panic!("{}", render("text", text, &faults)));
+    let node = all.read(text).unwrap_or_else(|diagnostics| panic!("{}", render("text", text, &diagnostics)));
     let backends = node.get("backends").list();
     assert_eq!(backends.len(), 2);
     assert!(backends.iter().all(|backend| backend.get("tags").list()[0].text() == "near"));
     assert_eq!(backends[1].get("weight").int(), 3);
     let wrong = text.replace("weight: 3", "weight: 101");
-    let faults = all.read(&wrong).expect_err("over its bound");
-    assert_eq!(faults[0].path, "backends[1].weight");
+    let diagnostics = all.read(&wrong).expect_err("a weight above its maximum");
+    assert_eq!(diagnostics[0].path, "backends[1].weight");
     let both = schema("#A: {x: int}\n#Root: {#A, y: *2 | int}");
     assert_eq!(read(&both, "x: 1"), Ok("{ x: 1 y: 2 }".into()));
 }
 
 #[test]
-fn a_schema_is_checked_itself() {
+fn inconsistent_schemas_are_rejected() {
     let cases = [
         ("#Other: 1", "no definition #Root"),
         ("#Root: {a: #Gone}", "no definition #Gone"),
         ("#Root: {a: #Root}", "the definition #Root uses itself"),
-        ("#Root: {a: int & string}", "int and string can't both hold"),
-        ("#Root: {}\n#B: 1 & 2", "1 and 2 can't both hold"),
-        ("#Root: {}\nx: 1", "a schema holds definitions only"),
+        ("#Root: {a: int & string}", "int and string conflict"),
+        ("#Root: {}\n#B: 1 & 2", "1 and 2 conflict"),
+        ("#Root: {}\nx: 1", "a schema contains definitions only"),
     ];
-    for (text, fault) in cases {
-        let faults = Schema::new(text).expect_err(text);
-        assert!(faults.iter().any(|told| told.what == fault), "{text}: {faults:?}");
+    for (text, message) in cases {
+        let diagnostics = Schema::new(text).expect_err(text);
+        assert!(diagnostics.iter().any(|found| found.message == message), "{text}: {diagnostics:?}");
     }
 }
 
 #[test]
-fn faults_are_shown_with_line_column_and_carets() {
+fn diagnostics_are_rendered_with_line_column_and_carets() {
     let all = schema("#Root: {wait: duration}");
     let text = "// seconds\nwait: \"soon\"";
-    let shown = render("operator.cue", text, &all.read(text).expect_err("no duration"));
+    let shown = render("operator.cue", text, &all.read(text).expect_err("text in place of a duration"));
     assert!(shown.contains("Error: wait: expected duration, found \"soon\""), "{shown}");
     assert!(shown.contains("operator.cue:2:7") && shown.contains("^^^"), "{shown}");
     assert!(shown.is_ascii());
 }
 
 #[test]
-fn texts_without_end_are_bounded() {
+fn oversized_and_deeply_nested_texts_are_rejected() {
     let all = schema("#Root: {...}");
     for deep in [
         "{a:".repeat(100_000),
@@ -206,7 +211,10 @@
     }
     assert!(all.read(&"x".repeat(300_000)).is_err());
     let many = "a: !\n".repeat(500);
-    assert_eq!(all.read(&many).expect_err("faults").len(), cypresscleat_operator_config::MOST_FAULTS);
+    assert_eq!(
+        all.read(&many).expect_err("diagnostics").len(),
+        cypresscleat_operator_config::MAX_DIAGNOSTICS
+    );
 }
 
 fn node() -> impl Strategy<Value = Node> {
@@ -233,7 +241,7 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_out_reads_the_same(node in node()) {
+    fn printed_values_parse_to_the_same_value(node in node()) {
         let all = schema("#Root: {value: _}");
         let text = format!("value: {node}");
         let read = all.read(&text);
@@ -244,20 +252,20 @@
     #[test]
     fn no_text_panics(text in "[a-z#:{}\\[\\]\"\\\\|&*.,<>=!?0-9msKiB \n/()]{0,80}") {
         let all = schema(ALL);
-        if let Err(faults) = all.read(&text) {
-            prop_assert!(!faults.is_empty());
-            render("text", &text, &faults);
+        if let Err(diagnostics) = all.read(&text) {
+            prop_assert!(!diagnostics.is_empty());
+            render("text", &text, &diagnostics);
         }
         let _ = Schema::new(&text);
     }
 
     #[test]
-    fn no_edit_of_a_good_text_panics(at in any::<usize>(), byte in any::<char>(), cut in any::<bool>()) {
-        let good = "name: \"x\", backends: [{address: \"127.0.0.1:80\"}]\ndeep: {a: 1, b: c: 2}\nwait: 1s\n";
-        let at = at % good.len();
-        let text = if cut { good[..at].to_string() } else { format!("{}{byte}{}", &good[..at], &good[at..]) };
-        if let Err(faults) = schema(ALL).read(&text) {
-            render("text", &text, &faults);
+    fn no_edit_of_a_valid_text_panics(at in any::<usize>(), byte in any::<char>(), cut in any::<bool>()) {
+        let valid = "name: \"x\", backends: [{address: \"127.0.0.1:80\"}]\ndeep: {a: 1, b: c: 2}\nwait: 1s\n";
+        let at = at % valid.len();
+        let text = if cut { valid[..at].to_string() } else { format!("{}{byte}{}", &valid[..at], &valid[at..]) };
+        if let Err(diagnostics) = schema(ALL).read(&text) {
+            render("text", &text, &diagnostics);
         }
     }
 }
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use crate::leases::owners_command::OwnersCommand;
 use crate::leases::Subcommand;
@@ -7,158 +7,160 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What the program is to do.
+/// The program mode that the command line selects.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Task {
+pub enum Mode {
     Serve {
-        operator: Option<PathBuf>,
+        operator_file: Option<PathBuf>,
     },
-    /// Hold the routers' connections, and send what is to be run to workers.
+    /// Accept client connections and forward requests to workers.
     Forward {
-        operator: PathBuf,
+        operator_file: PathBuf,
     },
-    /// Say who gets how much of which worker.
+    /// Assign shares of the workers to the forwarders.
     Plan {
-        operator: PathBuf,
+        operator_file: PathBuf,
     },
     Check {
-        operator: PathBuf,
+        operator_file: PathBuf,
         show: bool,
     },
-    /// A change of policy: asked, made, looked at.
+    /// Check, propose or show policy changes.
     Policy {
-        operator: PathBuf,
-        words: PolicyArgs,
+        operator_file: PathBuf,
+        args: PolicyArgs,
     },
-    /// Stand between the keepers and a zone's members, under this name.
+    /// Relay between the control replicas and the members of a zone, under this name.
     Relay {
-        operator: PathBuf,
+        operator_file: PathBuf,
         name: String,
     },
-    /// Duties with one owner at a time, for the instance of this name.
-    Owning {
-        operator: PathBuf,
+    /// A subcommand that works with leases on tasks, for the instance of this name.
+    Leases {
+        operator_file: PathBuf,
         name: String,
-        job: Subcommand,
+        subcommand: Subcommand,
     },
 }
 
-/// Roles have the names of the field; those of earlier versions stay as aliases.
+/// The command-line interface. Subcommands keep their names of earlier versions as aliases.
 fn command() -> Command {
     let operator = Arg::new("operator")
         .long("operator")
         .value_name("FILE")
         .value_parser(clap::value_parser!(PathBuf))
-        .help("The operator's file: typed records, see docs/ops/operator.md");
+        .help("Path of the operator's file; docs/ops/operator.md describes it");
     let show = Arg::new("show")
         .long("show")
         .action(clap::ArgAction::SetTrue)
-        .help("Print what holds, defaults included");
+        .help("Print the resulting configuration, defaults included");
     let name = Arg::new("name")
         .long("name")
         .value_name("NAME")
         .env("EDGE_NAME")
         .default_value("")
-        .help("The instance's name");
-    let duty =
+        .help("Name of this instance");
+    let task =
         |name: &'static str, help: &'static str| Arg::new(name).long(name).value_name("DUTY").help(help);
     Command::new("cypresscleat-server")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("An app server that decides what it takes, runs and turns away")
+        .about("An app server that decides which requests it admits, runs and rejects")
         .after_help(
-            "EDGE_CONFIG names the platform's configuration, a JSON file; EDGE_NAME and EDGE_LISTEN stand in for\n\
-             its keys name and listen. SIGHUP reads both files again, SIGUSR1 prints the counters, SIGTERM drains.",
+            "EDGE_CONFIG is the path of the platform's configuration, a JSON file; EDGE_NAME and EDGE_LISTEN replace\n\
+             its keys name and listen where they are missing. SIGHUP reloads both files, SIGUSR1 prints the counters,\n\
+             SIGTERM drains the server.",
         )
         .arg(operator.clone())
-        .subcommand(Command::new("serve").about("Serve; what is done without a subcommand too").arg(operator.clone()))
+        .subcommand(Command::new("serve").about("Serve requests; the default without a subcommand").arg(operator.clone()))
         .subcommand(
             Command::new("forward")
-                .about("Hold callers' connections and send what is to be run to workers; tier in the operator's file")
+                .about("Accept client connections and forward requests to workers; needs tier in the operator's file")
                 .arg(operator.clone().required(true)),
         )
         .subcommand(
             Command::new("plan")
-                .about("Say which forwarder gets how much of which worker; tier in the operator's file")
+                .about("Assign shares of the workers to forwarders; needs tier in the operator's file")
                 .arg(operator.clone().required(true)),
         )
         .subcommand(
             Command::new("control")
                 .visible_alias("keep")
-                .about("Hold who owns which task and which policy is in force, with the other control replicas; keepers in the operator's file")
+                .about("Run a control replica, which stores task ownership and the active policy; needs keepers in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
             Command::new("relay")
-                .about("Stand between the keepers and the members of a zone; keepers and relay in the operator's file")
+                .about("Relay between the control replicas and the members of a zone; needs keepers and relay in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
             Command::new("counter-demo")
                 .visible_alias("tally")
-                .about("Demo task: own partitions of a counter, and act on a ledger; keepers and tally in the operator's file")
+                .about("Demo task: own partitions of a counter and write to a ledger; needs keepers and tally in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
             Command::new("reconcile")
                 .visible_alias("settle")
-                .about("Report to a ledger what instances that are down left unanswered; keepers and settle in the operator's file")
+                .about("Report requests that stopped instances left unanswered to a ledger; needs keepers and settle in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
             Command::new("usage-report")
                 .visible_alias("sums")
-                .about("Report to a ledger what instances billed, by the hour; keepers and sums in the operator's file")
+                .about("Report the hourly usage billed by instances to a ledger; needs keepers and sums in the operator's file")
                 .args([operator.clone().required(true), name.clone()]),
         )
         .subcommand(
             Command::new("owners")
-                .about("Who owns which duty: exit 0, 2 for a bad file, 4 where no quorum answers")
+                .about("Show the owner of each task partition; exit code 0, 2 for an invalid file, 4 without a quorum")
                 .args([operator.clone().required(true), name])
-                .arg(Arg::new("json").long("json").action(clap::ArgAction::SetTrue).help("A line of JSON for each part"))
-                .arg(duty("release", "Take the parts of a duty from whoever owns them; they are given anew"))
-                .arg(duty("bar", "Keep an instance from a duty").requires("instance"))
-                .arg(duty("unbar", "Keep it from the duty no longer").requires("instance"))
+                .arg(Arg::new("json").long("json").action(clap::ArgAction::SetTrue).help("Print one line of JSON for each partition"))
+                .arg(task("release", "Revoke the partitions of a task from their owners; they are assigned again"))
+                .arg(task("bar", "Exclude an instance from a task").requires("instance"))
+                .arg(task("unbar", "End the exclusion of an instance from a task").requires("instance"))
                 .arg(Arg::new("instance").long("instance").value_name("NAME"))
                 .group(clap::ArgGroup::new("word").args(["release", "bar", "unbar"])),
         )
         .subcommand(
             Command::new("policy")
-                .about("A policy that is alike in the fleet: exit 0, 2 for a bad text, 3 dropped, 4 no quorum, 5 undecided yet")
+                .about("Check, change and show the fleet-wide policy; exit code 0, 2 for an invalid document, 3 aborted, 4 without a quorum, 5 undecided")
                 .arg(
                     Arg::new("what")
                         .required(true)
                         .value_parser(["check", "propose", "status", "history", "show", "undo", "forget"]),
                 )
                 .arg(operator.clone().required(true))
-                .arg(Arg::new("text").long("text").value_name("FILE").value_parser(clap::value_parser!(PathBuf)).help("The policy, for check and propose"))
+                .arg(Arg::new("text").long("text").value_name("FILE").value_parser(clap::value_parser!(PathBuf)).help("Policy document, for check and propose"))
                 .arg(Arg::new("why").long("why").value_name("WORDS").default_value(""))
                 .arg(Arg::new("by").long("by").value_name("NAME").env("USER").default_value("operator"))
                 .arg(Arg::new("version").long("version").value_name("N").value_parser(clap::value_parser!(u64)))
-                .arg(Arg::new("from").long("from").value_name("N").value_parser(clap::value_parser!(u64)).help("The version it was made from; else the one in force"))
+                .arg(Arg::new("from").long("from").value_name("N").value_parser(clap::value_parser!(u64)).help("Version that the document is based on; default: the active version"))
                 .arg(Arg::new("instance").long("instance").value_name("NAME"))
-                .arg(Arg::new("relay").long("relay").value_name("ADDRESS").value_parser(clap::value_parser!(SocketAddr)).help("With status: the members of the relay that hears there"))
+                .arg(Arg::new("relay").long("relay").value_name("ADDRESS").value_parser(clap::value_parser!(SocketAddr)).help("With status: show the members of the relay at this address"))
                 .arg(Arg::new("wait").long("wait").value_name("SECONDS").value_parser(clap::value_parser!(u64).range(0..=3600)).default_value("60"))
                 .arg(Arg::new("json").long("json").action(clap::ArgAction::SetTrue)),
         )
         .subcommand(
             Command::new("check")
-                .about("Check the operator's file: exit 0 where it is good, 2 with all its faults")
+                .about("Check the operator's file; exit code 0 if it is valid, 2 with all its errors")
                 .arg(operator.required(true))
                 .arg(show),
         )
 }
 
-/// `Err` is what to print and the exit code: help and version too come so.
-pub fn parse(words: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Task, (String, u8)> {
-    let told = |error: clap::Error| (error.render().to_string(), error.exit_code() as u8);
-    let matches = command().try_get_matches_from(words).map_err(told)?;
-    let operator = |matches: &ArgMatches| matches.get_one::<PathBuf>("operator").cloned();
+/// Parses the arguments. `Err` holds the text to print and the exit code, also for help and version.
+pub fn parse(args: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Mode, (String, u8)> {
+    let exit = |error: clap::Error| (error.render().to_string(), error.exit_code() as u8);
+    let matches = command().try_get_matches_from(args).map_err(exit)?;
+    let operator_file = |matches: &ArgMatches| matches.get_one::<PathBuf>("operator").cloned();
     Ok(match matches.subcommand() {
-        Some(("check", own)) => {
-            Task::Check { operator: operator(own).unwrap_or_default(), show: own.get_flag("show") }
-        }
-        Some(("policy", own)) => {
-            let text = |name: &str| own.get_one::<String>(name).cloned().unwrap_or_default();
+        Some(("check", sub_matches)) => Mode::Check {
+            operator_file: operator_file(sub_matches).unwrap_or_default(),
+            show: sub_matches.get_flag("show"),
+        },
+        Some(("policy", sub_matches)) => {
+            let text = |name: &str| sub_matches.get_one::<String>(name).cloned().unwrap_or_default();
             let action = match text("what").as_str() {
                 "check" => Policy::Check,
                 "propose" => Policy::Propose,
@@ -168,47 +170,58 @@
                 "forget" => Policy::Forget,
                 _ => Policy::Status,
             };
-            let words = PolicyArgs {
+            let args = PolicyArgs {
                 action,
-                file: own.get_one::<PathBuf>("text").cloned(),
+                file: sub_matches.get_one::<PathBuf>("text").cloned(),
                 why: text("why"),
                 by: text("by"),
-                version: own.get_one::<u64>("version").copied(),
-                parent: own.get_one::<u64>("from").copied(),
+                version: sub_matches.get_one::<u64>("version").copied(),
+                parent: sub_matches.get_one::<u64>("from").copied(),
                 instance: text("instance"),
-                wait_s: own.get_one::<u64>("wait").copied().unwrap_or(60),
-                relay: own.get_one::<SocketAddr>("relay").copied(),
-                json: own.get_flag("json"),
+                wait_s: sub_matches.get_one::<u64>("wait").copied().unwrap_or(60),
+                relay: sub_matches.get_one::<SocketAddr>("relay").copied(),
+                json: sub_matches.get_flag("json"),
             };
-            Task::Policy { operator: operator(own).unwrap_or_default(), words }
+            Mode::Policy { operator_file: operator_file(sub_matches).unwrap_or_default(), args }
         }
-        Some(("relay", own)) => Task::Relay {
-            operator: operator(own).unwrap_or_default(),
-            name: own.get_one::<String>("name").cloned().unwrap_or_default(),
+        Some(("relay", sub_matches)) => Mode::Relay {
+            operator_file: operator_file(sub_matches).unwrap_or_default(),
+            name: sub_matches.get_one::<String>("name").cloned().unwrap_or_default(),
         },
-        Some(("forward", own)) => Task::Forward { operator: operator(own).unwrap_or_default() },
-        Some(("plan", own)) => Task::Plan { operator: operator(own).unwrap_or_default() },
-        Some((job @ ("control" | "counter-demo" | "reconcile" | "usage-report" | "owners"), own)) => {
-            let text = |name: &str| own.get_one::<String>(name).cloned();
-            let word = |task: Option<String>, excluded: bool| {
+        Some(("forward", sub_matches)) => {
+            Mode::Forward { operator_file: operator_file(sub_matches).unwrap_or_default() }
+        }
+        Some(("plan", sub_matches)) => {
+            Mode::Plan { operator_file: operator_file(sub_matches).unwrap_or_default() }
+        }
+        Some((
+            subcommand @ ("control" | "counter-demo" | "reconcile" | "usage-report" | "owners"),
+            sub_matches,
+        )) => {
+            let text = |name: &str| sub_matches.get_one::<String>(name).cloned();
+            let exclude = |task: Option<String>, excluded: bool| {
                 let instance = text("instance").unwrap_or_default();
                 task.map(|task| OwnersCommand::Exclude { task, instance, excluded })
             };
-            let job = match job {
+            let subcommand = match subcommand {
                 "control" => Subcommand::ControlReplica,
                 "counter-demo" => Subcommand::CounterDemo,
                 "reconcile" => Subcommand::Reconcile,
                 "usage-report" => Subcommand::UsageReport,
                 _ => {
                     let release = text("release").map(|task| OwnersCommand::Release { task });
-                    let word = release.or(word(text("bar"), true)).or(word(text("unbar"), false));
-                    Subcommand::Owners(word.unwrap_or(OwnersCommand::List { json: own.get_flag("json") }))
+                    let action = release.or(exclude(text("bar"), true)).or(exclude(text("unbar"), false));
+                    Subcommand::Owners(
+                        action.unwrap_or(OwnersCommand::List { json: sub_matches.get_flag("json") }),
+                    )
                 }
             };
             let name = text("name").unwrap_or_default();
-            Task::Owning { operator: operator(own).unwrap_or_default(), name, job }
+            Mode::Leases { operator_file: operator_file(sub_matches).unwrap_or_default(), name, subcommand }
+        }
+        Some((_, sub_matches)) => {
+            Mode::Serve { operator_file: operator_file(sub_matches).or(operator_file(&matches)) }
         }
-        Some((_, own)) => Task::Serve { operator: operator(own).or(operator(&matches)) },
-        None => Task::Serve { operator: operator(&matches) },
+        None => Mode::Serve { operator_file: operator_file(&matches) },
     })
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The app server round the decision module: sockets outside, one core that owns the module inside.
+//! The app server around the scheduler: tasks that own sockets, and one core task that owns the scheduler.
 
 pub mod args;
 pub mod clock;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,17 +1,17 @@
-//! Wires the tasks of one app server together, and its signals.
+//! Starts the tasks of one app server, connects them, and handles the process's signals.
 
 use cypresscleat_concurrency::PoolsConfig;
 use cypresscleat_forwarding::messages::Role;
 use cypresscleat_forwarding::retry_budget;
 use cypresscleat_scheduler::{DownstreamKind, RequestClass, Settings, StopMode, Time};
-use cypresscleat_server::args::{self, Task};
+use cypresscleat_server::args::{self, Mode};
 use cypresscleat_server::clock::{unix, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
 use cypresscleat_server::core::persistence::Persistence;
 use cypresscleat_server::core::{Core, CoreEvent, Shared};
 use cypresscleat_server::counters::add;
 use cypresscleat_server::downstream::scgi::CurrentBackend;
-use cypresscleat_server::downstream::{ledger, scgi as backend};
+use cypresscleat_server::downstream::{ledger, scgi as scgi_client};
 use cypresscleat_server::forwarder::fleet::Fleet;
 use cypresscleat_server::forwarder::talk::{self, Talk};
 use cypresscleat_server::forwarder::Tier;
@@ -37,25 +37,28 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep_until, Instant};
 
-/// Messages that may stand in the queue.
-const QUEUE: usize = 256;
-/// Descriptors kept back for the links, the listener, signals and the log.
-const KEPT_BACK: usize = 32;
-/// The part of all descriptors that connections to the ledger may take.
-const CALLS: usize = 8;
-/// The part of the memory that buffers may take.
-const BUFFERS: u64 = 4;
-const BACKLOG: u32 = 1024;
-const BEHIND_STOP: Duration = Duration::from_secs(1);
-const IDLE: Duration = Duration::from_secs(3600);
-/// Lines about what was cut off in the last life.
-const TOLD: usize = 20;
-/// The core looks up at least this often, in tenths of a millisecond.
-const LOOK: Time = 10_000;
+/// Capacity of the queue of core events.
+const QUEUE_CAPACITY: usize = 256;
+/// Descriptors reserved for the connections to downstream services, the listener, signals and the log.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Connections to the ledger or backend may use all descriptors divided by this number.
+const CALL_DESCRIPTORS_DIVISOR: usize = 8;
+/// Buffers may use the memory limit divided by this number.
+const BUFFER_MEMORY_DIVISOR: u64 = 4;
+/// Backlog of the listening sockets.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Time after the drain timeout until the process ends.
+const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// Interval of the main loop while no drain is in progress.
+const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
+/// Maximum number of log lines about requests that the previous run left unfinished.
+const MAX_UNFINISHED_LOGGED: usize = 20;
+/// Maximum time between two ticks of the core, in tenths of a millisecond.
+const MAX_TICK_INTERVAL: Time = 10_000;
 
 fn main() -> ExitCode {
-    let task = match args::parse(std::env::args_os()) {
-        Ok(task) => task,
+    let mode = match args::parse(std::env::args_os()) {
+        Ok(mode) => mode,
         Err((text, code)) => {
             let _ = match code {
                 0 => io::stdout().write_all(text.as_bytes()),
@@ -64,21 +67,23 @@
             return ExitCode::from(code);
         }
     };
-    let (operator, role) = match task {
-        Task::Check { operator, show } => return check(&operator, show),
-        Task::Policy { operator, words } => return rollout::policy_command::start(&operator, &words),
-        Task::Owning { operator, name, job } => return leases::run_subcommand(&operator, &name, &job),
-        Task::Relay { operator, name } => return relay::start(&operator, &name),
-        Task::Serve { operator } => (operator, Role::Worker),
-        Task::Forward { operator } => (Some(operator), Role::Forwarder),
-        Task::Plan { operator } => (Some(operator), Role::Planner),
+    let (operator_file, role) = match mode {
+        Mode::Check { operator_file, show } => return check(&operator_file, show),
+        Mode::Policy { operator_file, args } => return rollout::policy_command::start(&operator_file, &args),
+        Mode::Leases { operator_file, name, subcommand } => {
+            return leases::run_subcommand(&operator_file, &name, &subcommand)
+        }
+        Mode::Relay { operator_file, name } => return relay::start(&operator_file, &name),
+        Mode::Serve { operator_file } => (operator_file, Role::Worker),
+        Mode::Forward { operator_file } => (Some(operator_file), Role::Forwarder),
+        Mode::Plan { operator_file } => (Some(operator_file), Role::Planner),
     };
     let started = std::time::Instant::now();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(tried("event loop"));
-    let ended =
-        runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, start(started, operator, role)));
-    match ended {
+    let result =
+        runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, start(started, operator_file, role)));
+    match result {
         Ok(code) => code,
         Err(error) => {
             log!("{error}");
@@ -87,7 +92,8 @@
     }
 }
 
-/// Names of operations and customers are checked where the platform's configuration can be read.
+/// Checks the operator's file. The names of request classes and tenants are checked if the platform's configuration can be
+/// read.
 fn check(path: &Path, show: bool) -> ExitCode {
     let config = config::read().ok();
     let mut out = io::stdout();
@@ -95,22 +101,23 @@
         Ok((_, root)) if show => (0, format!("{root}\n")),
         Ok(_) if config.is_some() => (0, format!("{}: good\n", path.display())),
         Ok(_) => (0, format!("{}: good; without EDGE_CONFIG names are not checked\n", path.display())),
-        Err(wrong) => (2, wrong.rendered),
+        Err(invalid) => (2, invalid.rendered),
     };
     let _ = out.write_all(text.as_bytes());
     ExitCode::from(code)
 }
 
-/// What stands from the first moment on.
-struct Begun {
+/// State from the start of the process.
+struct ProcessStart {
     started: std::time::Instant,
     hup: Signal,
     term: Signal,
 }
 
-/// The signals to read the configuration again and to leave end the program unless they are listened for: first of all.
+/// Reads the configuration and starts the role. Signal handlers are installed first, since SIGHUP and SIGTERM end a process
+/// that has none.
 async fn start(started: std::time::Instant, path: Option<PathBuf>, role: Role) -> io::Result<ExitCode> {
-    let begun = Begun {
+    let process_start = ProcessStart {
         started,
         hup: signal(SignalKind::hangup()).map_err(tried("signals"))?,
         term: signal(SignalKind::terminate()).map_err(tried("signals"))?,
@@ -125,8 +132,8 @@
     let read = path.as_deref().map(|path| operator::read(path, Some(&config.names)));
     let operator = match read.transpose() {
         Ok(read) => read.map_or_else(OperatorConfig::default, |(operator, _)| operator),
-        Err(wrong) => {
-            let _ = io::stderr().write_all(wrong.rendered.as_bytes());
+        Err(invalid) => {
+            let _ = io::stderr().write_all(invalid.rendered.as_bytes());
             return Ok(ExitCode::from(2));
         }
     };
@@ -140,20 +147,25 @@
             .await
             .map(|()| ExitCode::SUCCESS);
     }
-    let lacks = |op: usize| operator.scgi.as_ref().is_some_and(|scgi| scgi.routes.lacks_idempotency_key(op));
-    if let Err(what) = config::check_tokens(&config.settings, role == Role::Forwarder, lacks) {
+    let lacks_header =
+        |class: usize| operator.scgi.as_ref().is_some_and(|scgi| scgi.routes.lacks_idempotency_key(class));
+    if let Err(what) = config::check_idempotency_keys(&config.settings, role == Role::Forwarder, lacks_header)
+    {
         log!("{what}");
         return Ok(ExitCode::from(2));
     }
-    let taken = operator.scgi.as_ref().map_or(0, |scgi| scgi.connections);
-    if config.sockets / CALLS + KEPT_BACK + taken > config.sockets / 2 && taken > 0 {
+    let scgi_connections = operator.scgi.as_ref().map_or(0, |scgi| scgi.connections);
+    if config.sockets / CALL_DESCRIPTORS_DIVISOR + RESERVED_DESCRIPTORS + scgi_connections
+        > config.sockets / 2
+        && scgi_connections > 0
+    {
         log!(
-            "scgi.connections {taken}: with those for calls and {KEPT_BACK} kept back more than half of {} descriptors",
+            "scgi.connections {scgi_connections}: with those for calls and {RESERVED_DESCRIPTORS} kept back more than half of {} descriptors",
             config.sockets
         );
         return Ok(ExitCode::from(2));
     }
-    serve(config, begun, operator, path, role).await.map(|()| ExitCode::SUCCESS)
+    serve(config, process_start, operator, path, role).await.map(|()| ExitCode::SUCCESS)
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -161,18 +173,18 @@
     let bound = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     });
     bound.map_err(tried(format!("listen {address}")))
 }
 
-/// The module of a forwarder: its cores are the places of all workers, and what runs there is no memory of its own.
-fn forwards(settings: Settings, tier: &Tier) -> Settings {
-    let places: f64 = tier.workers.iter().map(|worker| worker.places).sum();
-    let plain = |op: &RequestClass| RequestClass { calls_downstream: false, ..op.clone() };
+/// The settings of a forwarder. Its cores are the slots of all workers; requests that run there use none of its memory.
+fn forwarder_settings(settings: Settings, tier: &Tier) -> Settings {
+    let slots: f64 = tier.workers.iter().map(|worker| worker.places).sum();
+    let without_calls = |class: &RequestClass| RequestClass { calls_downstream: false, ..class.clone() };
     Settings {
-        classes: settings.classes.iter().map(plain).collect(),
-        cores: places,
+        classes: settings.classes.iter().map(without_calls).collect(),
+        cores: slots,
         slow_start: false,
         running_memory_factor: 1.0,
         stop_mode: StopMode::Discard,
@@ -181,67 +193,72 @@
     }
 }
 
-/// What the operator's file can change while the program runs.
-struct Followed {
+/// The settings of the operator's file that a reload can change while the program runs.
+struct ReloadableConfig {
     path: Option<PathBuf>,
     names: Rc<Names>,
-    now: OperatorConfig,
-    door: Option<Rc<ScgiContext>>,
+    current: OperatorConfig,
+    scgi_context: Option<Rc<ScgiContext>>,
     backend: Option<Rc<CurrentBackend>>,
 }
 
-impl Followed {
-    /// Reads the file again. A faulty one changes nothing; what can't change in service is said and left. Returns the pools
-    /// that hold from now on, where they are others.
-    fn follow(&mut self) -> Option<PoolsConfig> {
+impl ReloadableConfig {
+    /// Reloads the file. An invalid file changes nothing; settings that need a restart are logged and keep their values.
+    /// Returns the new pools if they changed.
+    fn reload(&mut self) -> Option<PoolsConfig> {
         let path = self.path.as_ref()?;
         let new = match operator::read(path, Some(&self.names)) {
             Ok((new, _)) => new,
-            Err(wrong) => {
-                wrong.lines.iter().for_each(|line| log!("not taken over: {line}"));
+            Err(invalid) => {
+                invalid.lines.iter().for_each(|line| log!("not taken over: {line}"));
                 return None;
             }
         };
-        match (&self.door, &self.now.scgi, &new.scgi) {
-            (Some(door), Some(old), Some(new)) => {
+        match (&self.scgi_context, &self.current.scgi, &new.scgi) {
+            (Some(scgi), Some(old), Some(new)) => {
                 if (old.listen, old.connections) != (new.listen, new.connections) {
                     log!("scgi.listen and scgi.connections change with a start only");
                 }
-                door.reconfigure(new.routes.clone(), new.bounds, new.patience);
+                scgi.reconfigure(new.routes.clone(), new.bounds, new.request_timeout);
             }
             (None, None, None) => {}
             _ => log!("scgi is switched on or off with a start only"),
         }
         match (&self.backend, &new.backend) {
-            (Some(place), Some(backend)) => *place.0.borrow_mut() = backend.clone(),
+            (Some(current), Some(backend)) => *current.0.borrow_mut() = backend.clone(),
             (None, None) => {}
             _ => log!("calls change their protocol with a start only"),
         }
-        if self.now.store != new.store {
+        if self.current.store != new.store {
             log!("store changes with a start only");
         }
-        let fixed = |one: &OperatorConfig| {
-            (one.tier.clone(), one.control_replicas.clone(), one.counter_demo.clone(), one.rollout.clone())
+        let fixed_settings = |config: &OperatorConfig| {
+            (
+                config.tier.clone(),
+                config.control_replicas.clone(),
+                config.counter_demo.clone(),
+                config.rollout.clone(),
+            )
         };
-        if fixed(&self.now) != fixed(&new) {
+        if fixed_settings(&self.current) != fixed_settings(&new) {
             log!("tier, keepers, tally and rollout change with a start only");
         }
-        let pools = (self.now.pools != new.pools).then(|| new.pools.clone());
-        self.now = new;
+        let pools = (self.current.pools != new.pools).then(|| new.pools.clone());
+        self.current = new;
         log!("operator's file read again");
         pools
     }
 }
 
-/// What a policy changes beside the core: how long a request over SCGI may take to come, and further tries.
-fn applies(
-    door: Option<Rc<ScgiContext>>,
+/// Applies the parts of a policy outside the core: the timeout for receiving an SCGI request, and the retry ratio.
+fn activation_hook(
+    scgi: Option<Rc<ScgiContext>>,
     fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
-    patience: Option<Time>,
+    request_timeout: Option<Time>,
 ) -> member::ActivationHook {
     Box::new(move |policy: &Policy| {
-        if let (Some(door), Some(patience)) = (&door, policy.patience.or(patience)) {
-            door.set_request_timeout(patience);
+        if let (Some(scgi), Some(request_timeout)) = (&scgi, policy.patience.or(request_timeout)) {
+            scgi.set_request_timeout(request_timeout);
         }
         if let Some(fleet) = fleet.borrow().as_ref() {
             fleet.retries(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
@@ -251,73 +268,93 @@
 
 async fn serve(
     config: Config,
-    Begun { started, mut hup, mut term }: Begun,
+    ProcessStart { started, mut hup, mut term }: ProcessStart,
     operator: OperatorConfig,
     path: Option<PathBuf>,
     role: Role,
 ) -> io::Result<()> {
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
-    let (queue, notes) = channel(QUEUE);
-    // Before anybody can be served.
-    let (mut store, mut keeping) = (None, None);
-    if let Some(kept) = &operator.store {
-        let (to, loaded, thread) =
-            recovery::start(&kept.folder, kept.durability, kept.segment, kept.hours, queue.clone())
-                .map_err(|what| io::Error::other(format!("store: {what}")))?;
-        let (own, cut_off) = Persistence::new(to, kept.after, kept.refuse, loaded);
-        cut_off.iter().take(TOLD).for_each(|one| log!("cut off in the last life: {one}"));
-        if cut_off.len() > TOLD {
-            log!("cut off in the last life: {} more", cut_off.len() - TOLD);
+    let (queue, events) = channel(QUEUE_CAPACITY);
+    // The store is loaded before the first request can be accepted.
+    let (mut store, mut persistence) = (None, None);
+    if let Some(config) = &operator.store {
+        let (sender, loaded, thread) = recovery::start(
+            &config.folder,
+            config.durability,
+            config.segment_bytes,
+            config.hour_length_ms,
+            queue.clone(),
+        )
+        .map_err(|what| io::Error::other(format!("store: {what}")))?;
+        let (new, unfinished) =
+            Persistence::new(sender, config.answers_after_commit, config.rejects_without_store, loaded);
+        unfinished
+            .iter()
+            .take(MAX_UNFINISHED_LOGGED)
+            .for_each(|request| log!("cut off in the last life: {request}"));
+        if unfinished.len() > MAX_UNFINISHED_LOGGED {
+            log!("cut off in the last life: {} more", unfinished.len() - MAX_UNFINISHED_LOGGED);
         }
-        (store, keeping) = (Some(thread), Some(own));
+        (store, persistence) = (Some(thread), Some(new));
     }
     let listener = listen(config.listen)?;
     log!("{} listens on {}", config.name, listener.local_addr()?);
-    let buffers = (config.memory_mb << 20) as usize / BUFFERS as usize / pool::BUFFER_BYTES;
+    let buffers = (config.memory_mb << 20) as usize / BUFFER_MEMORY_DIVISOR as usize / pool::BUFFER_BYTES;
     let shared = Shared { readiness: Readiness::new(started), ..Shared::new(buffers) };
     let clock = Clock::start();
-    let calls = config.sockets / CALLS;
+    let max_calls = config.sockets / CALL_DESCRIPTORS_DIVISOR;
     let names = Rc::new(config.names.clone());
-    let taken = operator.scgi.as_ref().map_or(0, |scgi| scgi.connections);
-    let most = config.sockets - calls - KEPT_BACK - taken;
-    let callers = config.settings.client_count as usize;
-    let mut fronts =
-        vec![Frontend::new(&shared, queue.clone(), clock, Protocol::Frames(names.clone()), (most, callers))];
-    let mut accepting = vec![spawn_local(fronts[0].clone().accept(listener))];
-    let mut door = None;
+    let scgi_connections = operator.scgi.as_ref().map_or(0, |scgi| scgi.connections);
+    let max_connections = config.sockets - max_calls - RESERVED_DESCRIPTORS - scgi_connections;
+    let clients = config.settings.client_count as usize;
+    let mut frontends = vec![Frontend::new(
+        &shared,
+        queue.clone(),
+        clock,
+        Protocol::Frames(names.clone()),
+        (max_connections, clients),
+    )];
+    let mut accepting = vec![spawn_local(frontends[0].clone().accept(listener))];
+    let mut scgi_context = None;
     if let Some(scgi) = &operator.scgi {
         let listener = listen(scgi.listen)?;
         log!("scgi listens on {}", listener.local_addr()?);
-        let own = Rc::new(ScgiContext::new(
+        let context = Rc::new(ScgiContext::new(
             &config.name,
             unix(),
             role == Role::Forwarder,
             scgi.routes.clone(),
             scgi.bounds,
-            scgi.patience,
+            scgi.request_timeout,
         ));
-        let speaks = Protocol::Scgi(own.clone());
-        let front = Frontend::new(&shared, queue.clone(), clock, speaks, (scgi.connections, callers));
-        accepting.push(spawn_local(front.clone().accept(listener)));
-        fronts.push(front);
-        door = Some(own);
+        let protocol = Protocol::Scgi(context.clone());
+        let frontend = Frontend::new(&shared, queue.clone(), clock, protocol, (scgi.connections, clients));
+        accepting.push(spawn_local(frontend.clone().accept(listener)));
+        frontends.push(frontend);
+        scgi_context = Some(context);
     }
-    fronts.iter().for_each(|front| drop(spawn_local(front.clone().sweep())));
+    frontends.iter().for_each(|frontend| drop(spawn_local(frontend.clone().sweep())));
     let addresses = Rc::new(Addresses::new(&config));
     let tier = operator.tier.clone().filter(|_| role == Role::Forwarder);
     let mut settings = Settings { pools: operator.pools.clone(), ..config.settings };
     settings.validate().map_err(io::Error::other)?;
-    // Set once the fleet is there: a policy says how many further tries may be.
-    let retries: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
-    let above =
-        operator.rollout.as_ref().and_then(|set| set.request_targets(operator.control_replicas.as_ref()));
-    let gate = match (&operator.rollout, above) {
-        (Some(set), Some(above)) => {
-            let apply =
-                applies(door.clone(), retries.clone(), operator.scgi.as_ref().map(|scgi| scgi.patience));
+    // Set once the fleet exists; a policy sets its retry ratio.
+    let fleet_slot: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
+    let targets = operator
+        .rollout
+        .as_ref()
+        .and_then(|settings| settings.request_targets(operator.control_replicas.as_ref()));
+    let gate = match (&operator.rollout, targets) {
+        (Some(settings), Some(targets)) => {
+            let hook = activation_hook(
+                scgi_context.clone(),
+                fleet_slot.clone(),
+                operator.scgi.as_ref().map(|scgi| scgi.request_timeout),
+            );
             let queue = Some(queue.clone());
             let task =
-                member::MemberTask::new(&config.name, above, set, Some(names.clone()), queue, apply).await?;
+                member::MemberTask::new(&config.name, targets, settings, Some(names.clone()), queue, hook)
+                    .await?;
             let gate = task.gate();
             spawn_local(task.run());
             Some(gate)
@@ -327,15 +364,16 @@
     let fleet = match &tier {
         None => None,
         Some(tier) => {
-            settings = forwards(settings, tier);
-            let value = settings.classes.iter().map(|op| op.priority_weight).collect();
-            let fleet = Fleet::new((&config.name, tier), &shared, queue.clone(), clock, value, settings.seed);
+            settings = forwarder_settings(settings, tier);
+            let weights = settings.classes.iter().map(|class| class.priority_weight).collect();
+            let fleet =
+                Fleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
             let mut talk = Talk::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
             talk.gate = gate.clone();
-            *retries.borrow_mut() = Some(fleet.clone());
+            *fleet_slot.borrow_mut() = Some(fleet.clone());
             spawn_local(talk::forwarder(talk, fleet.clone(), tier.clone()));
             spawn_local(fleet.clone().watch_health());
-            // Nothing else has to come up: workers are found as they do.
+            // A forwarder waits for no executor; it detects workers as they start.
             let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
             Some(fleet)
         }
@@ -344,15 +382,22 @@
         None => spawn_local(kernel::run(addresses.clone(), shared.clone(), queue.clone())),
         Some(_) => spawn_local(std::future::pending()),
     };
-    let place = operator.backend.clone().map(|backend| Rc::new(CurrentBackend(RefCell::new(backend))));
-    let mut below = match &place {
-        None => spawn_local(ledger::run(addresses.clone(), shared.clone(), queue.clone(), calls)),
-        Some(place) => {
+    let current_backend =
+        operator.backend.clone().map(|config| Rc::new(CurrentBackend(RefCell::new(config))));
+    let mut downstream = match &current_backend {
+        None => spawn_local(ledger::run(addresses.clone(), shared.clone(), queue.clone(), max_calls)),
+        Some(backend) => {
             let (names, shared) = (names.clone(), shared.clone());
-            spawn_local(backend::run(place.clone(), names, shared, queue.clone(), calls))
+            spawn_local(scgi_client::run(backend.clone(), names, shared, queue.clone(), max_calls))
         }
     };
-    let mut followed = Followed { path, names: names.clone(), now: operator, door, backend: place };
+    let mut reloadable = ReloadableConfig {
+        path,
+        names: names.clone(),
+        current: operator,
+        scgi_context,
+        backend: current_backend,
+    };
     let seed = settings.seed;
     spawn_local(roster::run(addresses.clone(), config.name.clone(), seed, shared.clone()));
     shared.readiness.mark_listening(config.roster.is_some());
@@ -364,67 +409,71 @@
     if let Some(gate) = &gate {
         core.set_gate(gate.clone());
     }
-    if let Some(keeping) = keeping {
-        core.set_persistence(keeping);
+    if let Some(persistence) = persistence {
+        core.set_persistence(persistence);
     }
-    let mut core = spawn_local(run(core, notes, clock, fronts));
-    let mut stops: Option<Instant> = None;
+    let mut core = spawn_local(run_core(core, events, clock, frontends));
+    let mut drain_end: Option<Instant> = None;
     loop {
-        let end = stops.unwrap_or_else(|| Instant::now() + IDLE);
+        let end = drain_end.unwrap_or_else(|| Instant::now() + IDLE_INTERVAL);
         tokio::select! {
             _ = usr1.recv() => log!("{}", shared.counters.line()),
-            // A fault in the new text changes nothing: what is open goes on as it is.
+            // An invalid new configuration changes nothing, and open connections continue.
             _ = hup.recv() => {
                 match config::read() {
                     Ok(config) => {
                         add(&shared.counters.reloads);
-                        addresses.follow(&config);
+                        addresses.update(&config);
                         let Config { kernel, ledger, roster, .. } = config;
                         log!("configuration read again: kernel {kernel} ledger {ledger:?} roster {roster:?}");
                     }
                     Err(what) => log!("not taken over: {what}"),
                 }
-                if let Some(setup) = followed.follow() {
-                    let _ = queue.send(CoreEvent::PoolsChanged(setup)).await;
+                if let Some(pools) = reloadable.reload() {
+                    let _ = queue.send(CoreEvent::PoolsChanged(pools)).await;
                 }
             }
-            _ = term.recv(), if stops.is_none() => {
-                // Stopped from outside by then, or later by itself: to go just before could lose what is being
-                // written.
-                stops = Some(Instant::now() + Duration::from_millis(config.stop as u64 / 10) + BEHIND_STOP);
-                let _ = queue.send(CoreEvent::Drain { within: config.stop }).await;
+            _ = term.recv(), if drain_end.is_none() => {
+                // Backstop for a drain that does not finish. An earlier end could lose responses that are being written.
+                drain_end = Some(Instant::now() + Duration::from_millis(config.drain_timeout as u64 / 10) + DRAIN_GRACE);
+                let _ = queue.send(CoreEvent::Drain { within: config.drain_timeout }).await;
             }
-            // Without its core the server would take invocations and answer none.
-            ended = &mut core => {
-                ended.map_err(io::Error::other)?;
+            // Without its core the server would accept requests and respond to none.
+            result = &mut core => {
+                result.map_err(io::Error::other)?;
                 accepting.iter().for_each(|accepting| accepting.abort());
                 break;
             }
-            // Without a link it would never run any, or never end a call.
+            // Without these connections no request would run, or no call would end.
             _ = &mut kernel => return Err(io::Error::other("the link to the kernel ended")),
-            _ = &mut below => return Err(io::Error::other("the link to the tier below ended")),
-            () = sleep_until(end) => if stops.is_some() { break },
+            _ = &mut downstream => return Err(io::Error::other("the link to the downstream tier ended")),
+            () = sleep_until(end) => if drain_end.is_some() { break },
         }
     }
     if let Some(gate) = gate {
         gate.leave_requested.notify_one();
         let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
-    core.abort(); // with it goes whoever sends to the store
+    core.abort(); // drops the sender to the store
     recovery::ends(store.take()).await;
     log!("stopped: {}", shared.counters.line());
     Ok(())
 }
 
-/// The one task that owns the module: its timer first, then the queue. Ends once a drain is done.
-async fn run(mut core: Core, mut notes: Receiver<CoreEvent>, clock: Clock, fronts: Vec<Rc<Frontend>>) {
-    while !(core.is_done() && fronts.iter().all(|front| front.is_closed())) {
-        let due = clock.instant(core.wake_at().min(clock.now() + LOOK));
+/// The task that owns the core: handles its timer first, then the queue. Returns once a drain is complete.
+async fn run_core(
+    mut core: Core,
+    mut events: Receiver<CoreEvent>,
+    clock: Clock,
+    frontends: Vec<Rc<Frontend>>,
+) {
+    while !(core.is_done() && frontends.iter().all(|frontend| frontend.is_closed())) {
+        let due = clock.instant(core.wake_at().min(clock.now() + MAX_TICK_INTERVAL));
         tokio::select! {
             biased;
             () = sleep_until(due.into()) => {}
-            note = notes.recv() => match note {
-                Some(note) => core.handle_event(clock.now(), unix(), note),
+            event = events.recv() => match event {
+                Some(event) => core.handle_event(clock.now(), unix(), event),
                 None => return,
             },
         }
