--- a/crates/server/src/operator.cue
+++ b/crates/server/src/operator.cue
@@ -1,77 +1,77 @@
-// What the operator's file may say. Everything is off where it says nothing.
+// Schema of the operator's file. A feature whose key is missing is off.
 
 #Method: "GET" | "HEAD" | "POST" | "PUT" | "PATCH" | "DELETE" | "OPTIONS"
 
 #Route: {
-    // Matches itself and all below it; the longest that fits counts.
+    // Matches this path and all paths below it; the longest matching path applies.
     path:      string & !=""
     methods:   *["GET", "POST"] | [...#Method]
     operation: string
-    // Each of these four: a header of the request, and what holds where a request lacks it.
-    // Name of a customer.
+    // Each of the next four names a request header, and a default for requests without this header.
+    // Name of the tenant.
     customer:  *{} | {header?: string, default?: string}
-    // From 0 to under 1.
+    // Priority that the client gives, from 0 to below 1.
     rank:      *{} | {header?: string, default?: number & >=0 & <1}
-    // How long the caller still waits; the header tells milliseconds.
+    // Time for which the client still waits; the header gives milliseconds.
     within:    *{} | {header?: string, default?: duration & >=1ms & <=1h}
-    // Work to expect; the header tells milliseconds on one core.
+    // Expected work; the header gives milliseconds on one core.
     hint:      *{} | {header?: string, default?: duration & >0s & <=1h}
-    // Booked while it is held.
+    // Memory accounted for a request while the server holds it.
     memory:    *24KiB | (size & >=1KiB & <=1999KiB)
     content_type: *"application/octet-stream" | (string & !="")
-    // For a tokened operation: the header with its token. It runs once under each.
+    // For operations with an idempotency key: the header with the key. A request runs at most once for each key.
     token?: {header: string}
 }
 
 #Scgi: {
     listen:      address
-    // Of the descriptors that the platform grants; no others' room is taken.
+    // Maximum number of connections, reserved out of the descriptors that the platform grants.
     connections: *64 | (int & >=1 & <=100000)
     header:      *4KiB | (size & >=256B & <=6000B)
     fields:      *64 | (int & >=8 & <=256)
-    // A request that is not whole by then is answered 408.
+    // Timeout for receiving a whole request, after which the response is 408.
     patience:    *2s | (duration & >=50ms & <=60s)
     routes:      [...#Route]
 }
 
 #Calls: {
-    // A backend that answers in SCGI, in place of the ledger.
+    // A backend that speaks SCGI, in place of the ledger.
     scgi: {
         address: address
         path:    *"/" | (string & !="")
     }
 }
 
-// Parts are of all places, of the line and of the memory, from 0 to 1.
+// Shares are fractions, from 0 to 1, of all slots, of the queue and of the memory.
 #Pool: {
     operations: [...string]
-    // Its own, lent while it is not used.
+    // Guaranteed share, lent to other pools while unused.
     least:   *0.0 | (number & >=0 & <=1)
     most:    *1.0 | (number & >0 & <=1)
-    // Its claim on places that are nobody's own.
+    // Weight in the distribution of slots that are guaranteed to no pool.
     weight:  *1.0 | (number & >0 & <=1000)
-    // What of its own is never lent.
+    // Part of the guaranteed share that is never lent.
     reserve: *0.0 | (number & >=0 & <=1)
 }
 
 #Pools: {
     limiter: *"gradient" | "aimd" | "vegas" | "pid" | "fixed"
-    // By their names. Operations in none share what is nobody's own.
+    // Pools by name. Operations in no pool share the capacity that is guaranteed to no pool.
     pools:   {[string]: #Pool}
 }
 
 #Store: {
-    // One that lasts; held by one process.
+    // Must outlive the instance; one process uses the folder at a time.
     folder:     string & !=""
     durability: *"group" | "each" | "none"
-    // What comes within this long is committed together.
+    // With durability group: rows that arrive within this time are committed together.
     within:     *2ms | (duration & >=0s & <=1s)
-    // Whether an answer leaves behind the commit of its row.
+    // Whether a response is sent before or after the commit of its row.
     answer:     *"after" | "before"
-    // While rows can't be kept: serve without, or take nothing.
+    // While rows can't be stored: serve without the store, or reject requests.
     full:       *"serve" | "refuse"
     segment:    *4MiB | (size & >=64KiB & <=1GiB)
-    // Sum billing rows by spans of this length, and hand the closed ones out beside the folder, for the duty sums.
+    // Sum billing rows by spans of this length, and write the closed spans beside the folder, for the usage report.
     hours?:     duration & >=100ms & <=24h
 }
 
@@ -81,23 +81,23 @@
 }
 
 #Tier: {
-    // Where this instance hears the others, by datagrams.
+    // UDP address at which this instance receives messages of the others.
     listen:   address
     planners: [...#Peer]
     workers:  [...{
         name:    string & !=""
         address: address
-        // Runs that it has room for at once.
+        // Maximum number of requests that the worker runs at once.
         places:  int & >=1 & <=100000
     }]
 }
 
 #Keepers: {
-    // An owner that is not heard for this long owns nothing any more.
+    // Duration of a lease: an owner that is not heard from for this time loses ownership.
     lease:  *2s | (duration & >=200ms & <=60s)
-    // Three or five; each has the address at which this instance finds it.
+    // Three or five control replicas, each with its address as seen from this instance.
     all:    [...#Peer]
-    // Where this instance keeps, if it is one of them. One that lasts.
+    // Storage of this instance if it is a control replica. The folder must outlive the instance.
     folder?: string & !=""
 }
 
@@ -105,45 +105,45 @@
     ledger: address
     duty:   *"tally" | (string & !="")
     parts:  *1 | (int & >=1 & <=10000)
-    // Between two items of a part.
+    // Interval between two items of a partition.
     every:  *100ms | (duration & >=1ms & <=1h)
 }
 
 #Settle: {
     ledger:  address
-    // Stores of instances, on a volume that all who may settle reach.
+    // Folders of the instances' stores, on a volume that every instance which may own this task can access.
     folders: [...string & !=""]
-    // Between two looks at a folder.
+    // Interval between two scans of a folder.
     every:   *1s | (duration & >=100ms & <=1h)
 }
 
 #Sums: {
     ledger:  address
-    // Stores of instances, on a volume that all who may own the duty reach.
+    // Folders of the instances' stores, on a volume that every instance which may own this task can access.
     folders: [...string & !=""]
-    // As the instances' store.hours.
+    // Must equal store.hours of the instances.
     span:    *1h | (duration & >=100ms & <=24h)
-    // Between two looks at a folder.
+    // Interval between two scans of a folder.
     every:   *1s | (duration & >=10ms & <=1h)
 }
 
 #Rollout: {
-    // Where this instance keeps versions of the policy. One that lasts.
+    // Storage for versions of the policy. The folder must outlive the instance.
     folder: string & !=""
-    // Where no keeper answers for so long, it begins under the version it had last; without this it waits.
+    // If no control replica responds for this time, the instance starts under its last stored version. Without this key it waits.
     alone?: duration & >=1s & <=1h
-    // Longest text that it takes.
+    // Maximum size of a policy document.
     room:   *16KiB | (size & >=256B & <=16KiB)
-    // Its zone's relays; where there are any it asks them in place of the keepers.
+    // Relays of this instance's zone. If there are any, the instance polls them in place of the control replicas.
     relays: *[] | [...#Peer]
 }
 
 #Relay: {
-    // Where members of the zone find it, by datagrams.
+    // UDP address at which the members of the zone reach the relay.
     listen: address
-    // Where it keeps versions of the policy, and hands them out from. One that lasts.
+    // Storage for the versions of the policy that the relay serves. The folder must outlive the instance.
     folder: string & !=""
-    // Longest lease that it gives; never past its own.
+    // Maximum duration of a lease that the relay grants; a granted lease never exceeds the relay's own.
     most:   *2s | (duration & >=200ms & <=60s)
 }
 
--- a/crates/server/src/policy.cue
+++ b/crates/server/src/policy.cue
@@ -1,22 +1,24 @@
-// What is alike in the whole fleet, and how it is changed. The definitions are those of the operator's file.
+// Schema of a policy document: settings that are equal in the whole fleet, and the rules for changing them. The definitions
+// are those of the operator's file.
 #Root: {
-    // What becomes of members that are not heard: out of service after their lease, or waited for.
+    // Members that are not heard from: fence takes them out of service after their lease, wait waits for them.
     missing: *"fence" | "wait"
-    // How long a member may serve without a word of the keepers.
+    // Duration of a member's lease: the time for which it may serve without contact to the control replicas.
     lease:   *2s | (duration & >=200ms & <=60s)
-    // A change that is not decided by then is dropped.
+    // A change that is not decided within this time is aborted.
     within:  *30s | (duration & >=1s & <=1h)
-    // The change to this version stops everybody first: no two versions ever admit at once.
+    // Barrier: all members stop before the change to this version, so that no two versions admit at the same time.
     together: *false | bool
-    // Undone by itself where answers in time, or billed value, of each invocation asked fall by more than this share.
+    // The change is reverted automatically if timely responses, or billed value, for each incoming request fall by more than
+    // this share.
     watch?: {
         share:  number & >0 & <1
         within: duration & >=4s & <=10m
     }
-    // In place of the instance's own.
+    // Replaces the pools of the instance's own file.
     pools?:    #Pools
-    // A request over SCGI that is not whole by then is answered 408.
+    // Timeout for receiving a whole request over SCGI, after which the response is 408.
     patience?: duration & >=50ms & <=60s
-    // Further tries of a forwarder for each first one.
+    // Retries of a forwarder for each first attempt.
     retries?:  number & >=0 & <=1
 }
--- a/deploy/operator.cue
+++ b/deploy/operator.cue
@@ -1,6 +1,6 @@
-// The operator's file. Nothing here is in force unless the line `run` names it with --operator; on this platform it
-// does not, as instances may listen on the address of their routers only. docs/ops/scgi.md says what each key does;
-// `cypresscleat-server check --operator deploy/operator.cue` checks it.
+// Example of an operator's file. It has no effect unless the `run` command names it with --operator. On this platform the
+// command does not, since instances may listen only on the address for their routers. docs/ops/scgi.md describes each key;
+// `cypresscleat-server check --operator deploy/operator.cue` checks the file.
 
 #Gateway: {
     customer: {header: "X-Team"}
