--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -5,24 +5,24 @@
 use cypresscleat_forwarding::retry_budget;
 use cypresscleat_scheduler::{DownstreamKind, RequestClass, Settings, StopMode, Time};
 use cypresscleat_server::args::{self, Mode};
-use cypresscleat_server::clock::{unix, Clock};
+use cypresscleat_server::clock::{unix_time, Clock};
 use cypresscleat_server::config::{self, Addresses, Config};
 use cypresscleat_server::core::persistence::Persistence;
 use cypresscleat_server::core::{Core, CoreEvent, Shared};
 use cypresscleat_server::counters::add;
 use cypresscleat_server::downstream::scgi::CurrentBackend;
 use cypresscleat_server::downstream::{ledger, scgi as scgi_client};
-use cypresscleat_server::forwarder::fleet::Fleet;
-use cypresscleat_server::forwarder::talk::{self, Talk};
-use cypresscleat_server::forwarder::Tier;
+use cypresscleat_server::forwarder::cluster_socket::{self, ClusterSocket};
+use cypresscleat_server::forwarder::worker_fleet::WorkerFleet;
+use cypresscleat_server::forwarder::TierConfig;
 use cypresscleat_server::lines::Notice;
 use cypresscleat_server::listeners::scgi::ScgiContext;
 use cypresscleat_server::listeners::{Frontend, Protocol};
 use cypresscleat_server::operator::{self, OperatorConfig};
 use cypresscleat_server::ready::Readiness;
 use cypresscleat_server::rollout::{self, member, Policy};
-use cypresscleat_server::sockets::tried;
-use cypresscleat_server::{kernel, leases, log, planner, pool, recovery, relay, roster};
+use cypresscleat_server::sockets::add_context;
+use cypresscleat_server::{kernel, leases, log, planner, pool, relay, roster, store_thread};
 use cypresscleat_settings::Names;
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -80,7 +80,7 @@
     };
     let started = std::time::Instant::now();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(tried("event loop"));
+    let runtime = runtime.map_err(add_context("event loop"));
     let result =
         runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, start(started, operator_file, role)));
     match result {
@@ -119,8 +119,8 @@
 async fn start(started: std::time::Instant, path: Option<PathBuf>, role: Role) -> io::Result<ExitCode> {
     let process_start = ProcessStart {
         started,
-        hup: signal(SignalKind::hangup()).map_err(tried("signals"))?,
-        term: signal(SignalKind::terminate()).map_err(tried("signals"))?,
+        hup: signal(SignalKind::hangup()).map_err(add_context("signals"))?,
+        term: signal(SignalKind::terminate()).map_err(add_context("signals"))?,
     };
     let config = match config::read() {
         Ok(config) => config,
@@ -175,12 +175,12 @@
         socket.bind(address)?;
         socket.listen(LISTEN_BACKLOG)
     });
-    bound.map_err(tried(format!("listen {address}")))
+    bound.map_err(add_context(format!("listen {address}")))
 }
 
 /// The settings of a forwarder. Its cores are the slots of all workers; requests that run there use none of its memory.
-fn forwarder_settings(settings: Settings, tier: &Tier) -> Settings {
-    let slots: f64 = tier.workers.iter().map(|worker| worker.places).sum();
+fn forwarder_settings(settings: Settings, tier: &TierConfig) -> Settings {
+    let slots: f64 = tier.workers.iter().map(|worker| worker.slots).sum();
     let without_calls = |class: &RequestClass| RequestClass { calls_downstream: false, ..class.clone() };
     Settings {
         classes: settings.classes.iter().map(without_calls).collect(),
@@ -253,7 +253,7 @@
 /// Applies the parts of a policy outside the core: the timeout for receiving an SCGI request, and the retry ratio.
 fn activation_hook(
     scgi: Option<Rc<ScgiContext>>,
-    fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
+    fleet: Rc<RefCell<Option<Rc<WorkerFleet>>>>,
     request_timeout: Option<Time>,
 ) -> member::ActivationHook {
     Box::new(move |policy: &Policy| {
@@ -261,7 +261,7 @@
             scgi.set_request_timeout(request_timeout);
         }
         if let Some(fleet) = fleet.borrow().as_ref() {
-            fleet.retries(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
+            fleet.set_retry_ratio(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
         }
     })
 }
@@ -273,12 +273,12 @@
     path: Option<PathBuf>,
     role: Role,
 ) -> io::Result<()> {
-    let mut usr1 = signal(SignalKind::user_defined1()).map_err(tried("signals"))?;
+    let mut usr1 = signal(SignalKind::user_defined1()).map_err(add_context("signals"))?;
     let (queue, events) = channel(QUEUE_CAPACITY);
     // The store is loaded before the first request can be accepted.
     let (mut store, mut persistence) = (None, None);
     if let Some(config) = &operator.store {
-        let (sender, loaded, thread) = recovery::start(
+        let (sender, loaded, thread) = store_thread::start(
             &config.folder,
             config.durability,
             config.segment_bytes,
@@ -321,7 +321,7 @@
         log!("scgi listens on {}", listener.local_addr()?);
         let context = Rc::new(ScgiContext::new(
             &config.name,
-            unix(),
+            unix_time(),
             role == Role::Forwarder,
             scgi.routes.clone(),
             scgi.bounds,
@@ -339,7 +339,7 @@
     let mut settings = Settings { pools: operator.pools.clone(), ..config.settings };
     settings.validate().map_err(io::Error::other)?;
     // Set once the fleet exists; a policy sets its retry ratio.
-    let fleet_slot: Rc<RefCell<Option<Rc<Fleet>>>> = Rc::default();
+    let fleet_slot: Rc<RefCell<Option<Rc<WorkerFleet>>>> = Rc::default();
     let targets = operator
         .rollout
         .as_ref()
@@ -367,11 +367,12 @@
             settings = forwarder_settings(settings, tier);
             let weights = settings.classes.iter().map(|class| class.priority_weight).collect();
             let fleet =
-                Fleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
-            let mut talk = Talk::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
-            talk.gate = gate.clone();
+                WorkerFleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
+            let mut talk =
+                ClusterSocket::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
+            socket.gate = gate.clone();
             *fleet_slot.borrow_mut() = Some(fleet.clone());
-            spawn_local(talk::forwarder(talk, fleet.clone(), tier.clone()));
+            spawn_local(cluster_socket::run_forwarder(socket, fleet.clone(), tier.clone()));
             spawn_local(fleet.clone().watch_health());
             // A forwarder waits for no executor; it detects workers as they start.
             let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
@@ -417,7 +418,7 @@
     loop {
         let end = drain_end.unwrap_or_else(|| Instant::now() + IDLE_INTERVAL);
         tokio::select! {
-            _ = usr1.recv() => log!("{}", shared.counters.line()),
+            _ = usr1.recv() => log!("{}", shared.counters.summary()),
             // An invalid new configuration changes nothing, and open connections continue.
             _ = hup.recv() => {
                 match config::read() {
@@ -455,8 +456,8 @@
         let _ = tokio::time::timeout(rollout::LEAVE_TIMEOUT, gate.leave_done.notified()).await;
     }
     core.abort(); // drops the sender to the store
-    recovery::ends(store.take()).await;
-    log!("stopped: {}", shared.counters.line());
+    store_thread::join(store.take()).await;
+    log!("stopped: {}", shared.counters.summary());
     Ok(())
 }
 
@@ -473,7 +474,7 @@
             biased;
             () = sleep_until(due.into()) => {}
             event = events.recv() => match event {
-                Some(event) => core.handle_event(clock.now(), unix(), event),
+                Some(event) => core.handle_event(clock.now(), unix_time(), event),
                 None => return,
             },
         }
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -3,15 +3,15 @@
 
 use crate::clock::MS;
 use crate::downstream::scgi::Backend;
-use crate::forwarder::{PlannerSet, Tier, WorkerSet};
+use crate::forwarder::{PlannerConfig, TierConfig, WorkerConfig};
 use crate::leases::counter_demo::CounterDemoConfig;
 use crate::leases::reconcile::ReconcileConfig;
 use crate::leases::usage_report::UsageReportConfig;
 use crate::leases::ControlReplicas;
 use crate::listeners::routes::{HeaderOr, Route, Routes};
-use crate::recovery::Durability;
 use crate::relay::RelayConfig;
 use crate::rollout::{Policy, RolloutSettings};
+use crate::store_thread::Durability;
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{ConfigError, PoolConfig, PoolsConfig};
 use cypresscleat_operator_config::{render, Diagnostic, Node, Schema};
@@ -37,7 +37,7 @@
     /// Without pools every request class competes for the whole capacity.
     pub pools: PoolsConfig,
     pub store: Option<StoreConfig>,
-    pub tier: Option<Tier>,
+    pub tier: Option<TierConfig>,
     pub control_replicas: Option<ControlReplicas>,
     pub counter_demo: Option<CounterDemoConfig>,
     pub reconcile: Option<ReconcileConfig>,
@@ -277,28 +277,28 @@
         config
     }
 
-    fn read_tier(&mut self, node: &Node) -> Option<Tier> {
-        let mut planners: Vec<PlannerSet> = Vec::new();
-        let mut workers: Vec<WorkerSet> = Vec::new();
+    fn read_tier(&mut self, node: &Node) -> Option<TierConfig> {
+        let mut planners: Vec<PlannerConfig> = Vec::new();
+        let mut workers: Vec<WorkerConfig> = Vec::new();
         let duplicate = "the name or the address is taken";
         for planner in node.get("planners").list() {
             let (name, address) = (planner.get("name").text().to_string(), planner.get("address").address()?);
             if planners.iter().any(|known| known.name == name || known.address == address) {
                 self.report(planner, "tier.planners", duplicate.into());
             }
-            planners.push(PlannerSet { name, address });
+            planners.push(PlannerConfig { name, address });
         }
         for worker in node.get("workers").list() {
             let (name, address) = (worker.get("name").text().to_string(), worker.get("address").address()?);
             if workers.iter().any(|known| known.name == name || known.address == address) {
                 self.report(worker, "tier.workers", duplicate.into());
             }
-            workers.push(WorkerSet { name, address, places: worker.get("places").int() as f64 });
+            workers.push(WorkerConfig { name, address, slots: worker.get("places").int() as f64 });
         }
         if workers.is_empty() {
             self.report(node, "tier.workers", "expected at least one worker".into());
         }
-        Some(Tier { listen: node.get("listen").address()?, planners, workers })
+        Some(TierConfig { listen: node.get("listen").address()?, planners, workers })
     }
 
     /// A list of peers with unique names and addresses.
--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -230,7 +230,7 @@
             "",
             "--relay goes with status only",
         ),
-        (&["policy", "forget", "--operator", good], BAD_INPUT, "", "--instance says which"),
+        (&["policy", "forget", "--operator", good], BAD_INPUT, "", "--instance is required"),
         (&["policy", "adopt", "--operator", good], BAD_INPUT, "", "invalid value 'adopt'"),
     ];
     for (words, code, out, err) in rows {
@@ -316,7 +316,11 @@
         let mut replica =
             Process::new("k0", Path::new(PROGRAM), &[role, "--operator", &path, "--name", "k0"]);
         replica.start();
-        assert!(replica.logged("keeper k0 hears at ", 0, PATIENCE).is_some(), "{role}: {:?}", replica.log());
+        assert!(
+            replica.logged("keeper k0 listens on ", 0, PATIENCE).is_some(),
+            "{role}: {:?}",
+            replica.log()
+        );
         replica.end();
         assert!(replica.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
         assert!(replica.logged("keeper k0 stopped", 0, PATIENCE).is_some(), "{role}");
