--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -368,7 +368,7 @@
             let weights = settings.classes.iter().map(|class| class.priority_weight).collect();
             let fleet =
                 WorkerFleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
-            let mut talk =
+            let mut socket =
                 ClusterSocket::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
             socket.gate = gate.clone();
             *fleet_slot.borrow_mut() = Some(fleet.clone());
