--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -1,5 +1,5 @@
-//! One owner at a time between processes of the program: keepers, instances and the ledger that they act on, with faults between
-//! them. The ledger's journal judges, not what an instance says of itself.
+//! Exclusive ownership between processes of the program: control replicas, instances and the ledger that they write to, with injected
+//! faults. The checks use the ledger's journal, not the reports of the instances.
 
 use cypresscleat_demo::owners::{judge, Act, Judged, Ledger, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order, Process};
@@ -8,444 +8,464 @@
 use std::time::{Duration, Instant};
 
 const LEASE: Duration = Duration::from_secs(1);
-/// For whatever has to happen at all.
-const PATIENCE: Duration = Duration::from_secs(25);
+/// Maximum time to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(25);
 
-fn ms(many: u64) -> Duration {
-    Duration::from_millis(many)
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
-fn stage(keepers: usize, instances: usize, parts: u32, every: Duration) -> Stage {
+fn start_stage(keepers: usize, instances: usize, parts: u32, every: Duration) -> Stage {
     let program = Path::new(env!("CARGO_BIN_EXE_cypresscleat-server"));
     let stage =
         Stage::start(&Setup { program, keepers, instances, parts, lease: LEASE, every, seed: 1, drift: 0 });
-    assert!(stage.progress(2 * parts as usize, PATIENCE), "nobody began\n{}", stage.logs());
+    assert!(stage.progress(2 * parts as usize, TIMEOUT), "no instance started\n{}", stage.logs());
     stage
 }
 
-/// The instance that did the last act that had an effect, and its token.
-fn acting(stage: &Stage) -> (String, u64) {
+/// The instance of the last operation that took effect, and its fencing token.
+fn current_owner(stage: &Stage) -> (String, u64) {
     let journal = stage.ledger.journal();
-    let last = journal.iter().rev().find(|act| act.taken).expect("an act");
+    let last = journal.iter().rev().find(|act| act.taken).expect("an operation");
     (last.by.clone(), last.token)
 }
 
-/// Waits until somebody else than `not` acts; since when.
-fn acts_after(stage: &Stage, not: &str, since: Instant) -> Act {
-    let until = Instant::now() + PATIENCE;
+/// Waits until an instance other than `not` performs an operation after `since`; returns that operation.
+fn wait_for_other_owner(stage: &Stage, not: &str, since: Instant) -> Act {
+    let until = Instant::now() + TIMEOUT;
     loop {
         let found =
             stage.ledger.journal().into_iter().find(|act| act.at > since && act.taken && act.by != not);
         if let Some(act) = found {
             return act;
         }
-        assert!(Instant::now() < until, "nobody took it over from {not}");
+        assert!(Instant::now() < until, "no instance took over from {not}");
         sleep(ms(5));
     }
 }
 
-fn harmless(stage: &Stage) -> Judged {
+fn verify_journal(stage: &Stage) -> Judged {
     let judged = judge(&stage.ledger.journal());
     assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
     judged
 }
 
-fn all_but(stage: &Stage, name: &str) -> Vec<String> {
+fn names_except(stage: &Stage, name: &str) -> Vec<String> {
     let names = stage.keepers.iter().chain(&stage.instances).map(|one| one.name.clone());
     names.chain(["ledger".into()]).filter(|one| one != name).collect()
 }
 
 #[test]
-fn an_owner_that_was_stopped_in_the_middle_of_an_act_does_no_harm() {
-    let mut stage = stage(3, 3, 1, ms(10));
+fn an_operation_of_a_stopped_owner_that_arrives_late_is_rejected() {
+    let mut stage = start_stage(3, 3, 1, ms(10));
     for _ in 0..2 {
-        let (owner, token) = acting(&stage);
-        // Its act is on its way, and is held back: it arrives after the next owner's.
+        let (owner, token) = current_owner(&stage);
+        // The owner's operation is delayed in the network and arrives after the first operation of the next owner.
         stage.net.set(&owner, "ledger", |link| link.cut = true);
         sleep(ms(60));
         let stopped = Instant::now();
         stage.obey(&Order::Stop(owner.clone()));
-        let next = acts_after(&stage, &owner, stopped);
+        let next = wait_for_other_owner(&stage, &owner, stopped);
         assert!(next.token > token);
         stage.obey(&Order::Heal);
         stage.obey(&Order::Wake(owner.clone()));
-        assert!(stage.progress(5, PATIENCE));
-        let refused = |act: &Act| act.by == owner && act.older && act.token == token && act.at > next.at;
-        let until = Instant::now() + PATIENCE;
-        while !stage.ledger.journal().iter().any(refused) {
-            assert!(Instant::now() < until, "its late act never arrived");
+        assert!(stage.progress(5, TIMEOUT));
+        let is_rejected_late_operation =
+            |act: &Act| act.by == owner && act.older && act.token == token && act.at > next.at;
+        let until = Instant::now() + TIMEOUT;
+        while !stage.ledger.journal().iter().any(is_rejected_late_operation) {
+            assert!(Instant::now() < until, "the delayed operation never arrived");
             sleep(ms(5));
         }
     }
-    assert!(harmless(&stage).refused >= 2);
+    assert!(verify_journal(&stage).refused >= 2);
 }
 
 #[test]
-fn a_told_handover_is_soon_and_a_death_costs_the_lease() {
-    let mut stage = stage(3, 3, 1, ms(10));
-    // The soonest of three: on a busy machine one may wait for a disk, and a death never costs as little as that.
-    let mut told = Duration::MAX;
+fn a_graceful_handover_is_fast_and_a_crash_takes_the_lease() {
+    let mut stage = start_stage(3, 3, 1, ms(10));
+    // The minimum of three: on a busy machine a handover may wait for a disk, and a crash never takes as little as that.
+    let mut handover = Duration::MAX;
     for _ in 0..3 {
-        let (owner, _) = acting(&stage);
+        let (owner, _) = current_owner(&stage);
         let began = Instant::now();
         stage.obey(&Order::End(owner.clone()));
-        told = told.min(acts_after(&stage, &owner, began).at - began);
-        assert!(stage.process(&owner).ended(PATIENCE).is_some_and(|status| status.success()));
+        handover = handover.min(wait_for_other_owner(&stage, &owner, began).at - began);
+        assert!(stage.process(&owner).ended(TIMEOUT).is_some_and(|status| status.success()));
         stage.obey(&Order::Start(owner, Disk::Old));
-        assert!(stage.progress(5, PATIENCE));
+        assert!(stage.progress(5, TIMEOUT));
     }
-    let (owner, _) = acting(&stage);
+    let (owner, _) = current_owner(&stage);
     let began = Instant::now();
     stage.obey(&Order::Kill(owner.clone()));
-    let died = acts_after(&stage, &owner, began).at - began;
+    let crash = wait_for_other_owner(&stage, &owner, began).at - began;
     // Bounds for a busy machine; docs/results.md has what was measured on a quiet one.
-    assert!(told < LEASE / 2, "told: {told:?}");
-    assert!(died > LEASE / 2 && died < PATIENCE, "died: {died:?}");
-    harmless(&stage);
+    assert!(handover < LEASE / 2, "handover: {handover:?}");
+    assert!(crash > LEASE / 2 && crash < TIMEOUT, "crash: {crash:?}");
+    verify_journal(&stage);
 }
 
 #[test]
-fn an_owner_cut_off_from_the_keepers_stops_before_the_next_begins() {
-    let mut stage = stage(3, 3, 1, ms(10));
-    let (owner, token) = acting(&stage);
-    let keepers: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
+fn an_owner_cut_off_from_the_control_replicas_stops_before_the_next_starts() {
+    let mut stage = start_stage(3, 3, 1, ms(10));
+    let (owner, token) = current_owner(&stage);
+    let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
     let cut = Instant::now();
-    stage.obey(&Order::Cut(vec![vec![owner.clone()], keepers]));
-    let next = acts_after(&stage, &owner, cut);
+    stage.obey(&Order::Cut(vec![vec![owner.clone()], replicas]));
+    let next = wait_for_other_owner(&stage, &owner, cut);
     assert!(next.token > token);
     let journal = stage.ledger.journal();
-    let last = journal.iter().rfind(|act| act.by == owner).expect("its last act");
-    assert!(
-        last.at < next.at,
-        "it acts on the ledger all the time, and stops by its own clock before the other one begins"
-    );
+    let last = journal.iter().rfind(|act| act.by == owner).expect("an operation of the first owner");
+    assert!(last.at < next.at, "the first owner must stop by its own clock before the next one starts");
     stage.obey(&Order::Heal);
-    assert!(stage.progress(5, PATIENCE));
-    assert_eq!(harmless(&stage).refused, 0);
+    assert!(stage.progress(5, TIMEOUT));
+    assert_eq!(verify_journal(&stage).refused, 0);
 }
 
 #[test]
-fn an_owner_cut_off_from_the_ledger_alone_keeps_the_duty() {
-    let mut stage = stage(3, 2, 1, ms(10));
-    let (owner, token) = acting(&stage);
+fn an_owner_cut_off_from_the_ledger_alone_keeps_the_task() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
+    let (owner, token) = current_owner(&stage);
     stage.obey(&Order::Cut(vec![vec![owner.clone()], vec!["ledger".into()]]));
     sleep(2 * LEASE);
     stage.obey(&Order::Heal);
-    assert!(stage.progress(5, PATIENCE));
+    assert!(stage.progress(5, TIMEOUT));
     assert_eq!(
-        acting(&stage),
+        current_owner(&stage),
         (owner, token),
-        "the keepers hear it: it is its duty until somebody says otherwise"
+        "the control replicas renew the owner's lease, so it keeps the task"
     );
-    harmless(&stage);
+    verify_journal(&stage);
 }
 
 #[test]
-fn cut_off_from_all_and_back() {
-    let mut stage = stage(3, 2, 1, ms(10));
-    let (owner, _) = acting(&stage);
+fn a_fully_isolated_owner_is_replaced_and_reconnects() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
+    let (owner, _) = current_owner(&stage);
     let cut = Instant::now();
-    let others = all_but(&stage, &owner);
+    let others = names_except(&stage, &owner);
     stage.obey(&Order::Cut(vec![vec![owner.clone()], others]));
-    acts_after(&stage, &owner, cut);
+    wait_for_other_owner(&stage, &owner, cut);
     stage.obey(&Order::Heal);
-    assert!(stage.progress(10, PATIENCE));
-    harmless(&stage);
+    assert!(stage.progress(10, TIMEOUT));
+    verify_journal(&stage);
 }
 
 #[test]
-fn two_sides_that_each_see_half_and_a_flapping_link() {
-    let mut stage = stage(3, 2, 1, ms(10));
-    // k0 sees k1, k2 sees k1, k0 and k2 do not see each other: a chain, in which a majority still agrees.
+fn ownership_survives_a_partial_partition_and_a_flapping_link() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
+    // k0 and k2 each reach k1 but not each other; a quorum still exists.
     stage.obey(&Order::Cut(vec![vec!["k0".into()], vec!["k2".into()]]));
-    assert!(stage.progress(20, PATIENCE));
+    assert!(stage.progress(20, TIMEOUT));
     stage.obey(&Order::OneWay("k1".into(), "k0".into()));
-    assert!(stage.progress(20, PATIENCE));
+    assert!(stage.progress(20, TIMEOUT));
     stage.obey(&Order::Heal);
     let before = stage.changes().len();
-    let (owner, _) = acting(&stage);
+    let (owner, _) = current_owner(&stage);
     let began = Instant::now();
-    let keepers: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
+    let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
     for _ in 0..12 {
-        stage.obey(&Order::Cut(vec![vec![owner.clone()], keepers.clone()]));
+        stage.obey(&Order::Cut(vec![vec![owner.clone()], replicas.clone()]));
         sleep(ms(250));
         stage.obey(&Order::Heal);
         sleep(ms(150));
     }
     let changes = stage.changes().len() - before;
-    // Owned and lost are a line each: one change for a lease at the most.
+    // Gaining and losing ownership log a line each; at most one change of ownership occurs per lease.
     let bound = 2 * (began.elapsed().as_secs_f64() / LEASE.as_secs_f64()).ceil() as usize + 2;
     assert!(changes <= bound, "{changes} changes of ownership while a link flapped");
-    assert!(stage.progress(5, PATIENCE));
-    harmless(&stage);
+    assert!(stage.progress(5, TIMEOUT));
+    verify_journal(&stage);
 }
 
 #[test]
-fn keepers_die_one_after_the_other_and_all_at_once() {
-    let mut stage = stage(3, 2, 2, ms(10));
+fn control_replicas_are_killed_one_by_one_and_all_at_once() {
+    let mut stage = start_stage(3, 2, 2, ms(10));
     for at in 0..3 {
         stage.obey(&Order::Kill(format!("k{at}")));
-        assert!(stage.progress(10, PATIENCE), "two of three go on");
+        assert!(stage.progress(10, TIMEOUT), "two of three replicas form a quorum");
         stage.obey(&Order::Start(format!("k{at}"), Disk::Old));
-        let hears = stage.keepers[at].logged("entries", 0, PATIENCE);
-        assert!(hears.is_some(), "it remembers");
-        assert!(stage.progress(10, PATIENCE));
+        let recovered = stage.keepers[at].logged("entries", 0, TIMEOUT);
+        assert!(recovered.is_some(), "the replica does not log its recovered entries");
+        assert!(stage.progress(10, TIMEOUT));
     }
-    let (_, token) = acting(&stage);
+    let (_, token) = current_owner(&stage);
     for process in ["k0", "k1", "k2", "n0", "n1"] {
         stage.obey(&Order::Kill(process.into()));
     }
     for process in ["k2", "n1", "k0", "n0", "k1"] {
         stage.obey(&Order::Start(process.into(), Disk::Old));
     }
-    assert!(stage.progress(10, PATIENCE));
-    assert!(acting(&stage).1 > token, "tokens rise over restarts of everything");
-    harmless(&stage);
+    assert!(stage.progress(10, TIMEOUT));
+    assert!(current_owner(&stage).1 > token, "fencing tokens rise over a restart of all processes");
+    verify_journal(&stage);
 }
 
 #[test]
-fn without_a_majority_nothing_changes_hands_and_with_it_all_goes_on() {
-    let mut stage = stage(3, 2, 1, ms(10));
+fn without_a_quorum_no_task_changes_owner_and_with_one_work_resumes() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
     stage.obey(&Order::Kill("k0".into()));
     stage.obey(&Order::Stop("k1".into()));
     sleep(LEASE + LEASE / 2);
-    let still = stage.ledger.journal().len();
+    let operation_count = stage.ledger.journal().len();
     sleep(LEASE);
-    assert_eq!(stage.ledger.journal().len(), still, "a lease that nobody renews is over");
-    assert_eq!(stage.owners().1, 4, "no quorum answers");
+    assert_eq!(
+        stage.ledger.journal().len(),
+        operation_count,
+        "an owner performed an operation after its lease expired"
+    );
+    assert_eq!(stage.owners().1, 4, "no quorum responds");
     stage.obey(&Order::Wake("k1".into()));
-    assert!(stage.progress(10, PATIENCE));
+    assert!(stage.progress(10, TIMEOUT));
     assert_eq!(stage.owners().1, 0);
-    harmless(&stage);
+    verify_journal(&stage);
 }
 
 #[test]
-fn an_empty_and_an_older_disk_are_taken_in_anew_and_tokens_still_rise() {
-    let mut stage = stage(3, 2, 1, ms(10));
+fn a_replica_with_an_empty_or_stale_disk_rejoins_and_fencing_tokens_still_rise() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
     stage.obey(&Order::Keep("k1".into()));
-    assert!(stage.progress(20, PATIENCE));
-    let mut token = acting(&stage).1;
-    for (disk, words) in [(Disk::Older, "is a copy or was put back"), (Disk::Empty, "empty")] {
+    assert!(stage.progress(20, TIMEOUT));
+    let mut token = current_owner(&stage).1;
+    for (disk, log_text) in [(Disk::Older, "is a copy or was put back"), (Disk::Empty, "empty")] {
         let lines = stage.keepers[1].log().len();
         stage.obey(&Order::Start("k1".into(), disk));
-        assert!(stage.keepers[1].logged(words, lines, PATIENCE).is_some());
-        // It is counted in again: another one may go, and the two that are left are a majority.
-        let taken_in = |stage: &Stage| {
-            let comes = |one: &(Instant, String)| one.1.contains(" comes");
-            stage.keepers.iter().flat_map(|one| one.log()).filter(comes).count()
+        assert!(stage.keepers[1].logged(log_text, lines, TIMEOUT).is_some());
+        // k1 is a member again: with another replica killed the two that remain form a quorum.
+        let count_admissions = |stage: &Stage| {
+            let logs_admission = |one: &(Instant, String)| one.1.contains(" comes");
+            stage.keepers.iter().flat_map(|one| one.log()).filter(logs_admission).count()
         };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         let before = usize::from(disk == Disk::Empty);
-        while taken_in(&stage) <= before {
-            assert!(Instant::now() < until, "it was never taken in");
+        while count_admissions(&stage) <= before {
+            assert!(Instant::now() < until, "the replica was never admitted as a member");
             sleep(ms(10));
         }
         sleep(ms(500));
         stage.obey(&Order::Kill("k0".into()));
-        assert!(stage.progress(10, PATIENCE), "with k1 as it is now two of three go on");
+        assert!(stage.progress(10, TIMEOUT), "k1 and k2 form a quorum");
         stage.obey(&Order::Start("k0".into(), Disk::Old));
-        assert!(stage.progress(10, PATIENCE));
-        assert!(acting(&stage).1 >= token);
-        token = acting(&stage).1;
+        assert!(stage.progress(10, TIMEOUT));
+        assert!(current_owner(&stage).1 >= token);
+        token = current_owner(&stage).1;
     }
-    harmless(&stage);
+    verify_journal(&stage);
 }
 
 #[test]
-fn an_operator_sees_releases_and_bars() {
-    let mut stage = stage(5, 2, 1, ms(10));
+fn an_operator_lists_owners_and_bars_instances() {
+    let mut stage = start_stage(5, 2, 1, ms(10));
     let (lines, code) = stage.owners();
     assert_eq!((lines.len(), code), (1, 0), "{lines:?}");
-    let (owner, _) = acting(&stage);
+    let (owner, _) = current_owner(&stage);
     assert_eq!(stage.owner(0), Some(owner.clone()));
     assert!(lines[0]["lease_left_ms"].as_f64().is_some_and(|left| left > 0.0 && left <= 1000.0));
     let began = Instant::now();
     assert_eq!(stage.command(&["--bar", "tally", "--instance", &owner]).1, 0);
-    let next = acts_after(&stage, &owner, began).by;
+    let next = wait_for_other_owner(&stage, &owner, began).by;
     assert_ne!(next, owner);
     let began = Instant::now();
     assert_eq!(stage.command(&["--unbar", "tally", "--instance", &owner]).1, 0);
     assert_eq!(stage.command(&["--bar", "tally", "--instance", &next]).1, 0);
-    assert_eq!(acts_after(&stage, &next, began).by, owner);
-    assert_eq!(harmless(&stage).refused, 0, "handed over, never torn away");
+    assert_eq!(wait_for_other_owner(&stage, &next, began).by, owner);
+    assert_eq!(verify_journal(&stage).refused, 0, "a barred owner hands over before the next one starts");
     stage.obey(&Order::End(owner));
 }
 
 #[test]
-fn faults_by_chance_do_no_harm() {
-    let mut stage = stage(3, 3, 2, ms(20));
+fn random_faults_duplicate_and_lose_no_operation() {
+    let mut stage = start_stage(3, 3, 2, ms(20));
     stage.faults(41, Duration::from_secs(15));
-    assert!(stage.progress(20, PATIENCE), "in peace it goes on");
-    harmless(&stage);
+    assert!(stage.progress(20, TIMEOUT), "work resumes in a healthy network");
+    verify_journal(&stage);
 }
 
-/// No file of a keeper may grow past 32 KiB: its disk is full. It ends at its first write that fails, having said nothing of it; the
-/// others go on, and it is one of them again once there is room.
+/// A limit of 32 KiB per file stands for a full disk. The control replica ends at its first failed write without acknowledging it; the
+/// others continue, and the replica is a member again once the disk has capacity.
 #[test]
-fn a_keeper_whose_disk_is_full_ends_and_says_nothing_of_what_it_could_not_keep() {
-    let mut stage = stage(3, 2, 1, ms(5));
+fn a_control_replica_with_a_full_disk_ends_and_acknowledges_no_failed_write() {
+    let mut stage = start_stage(3, 2, 1, ms(5));
     stage.obey(&Order::Kill("k2".into()));
     let path = stage.operator("k2");
     let program = env!("CARGO_BIN_EXE_cypresscleat-server");
     let script = format!("trap '' XFSZ; ulimit -f 64; exec {program} keep --operator {path} --name k2");
-    let mut full = Process::new("k2", Path::new("/bin/sh"), &["-c", &script]);
-    full.start();
-    let until = Instant::now() + PATIENCE;
-    while full.runs() {
-        assert!(stage.progress(20, PATIENCE), "the others go on");
-        assert!(Instant::now() < until, "its disk never filled");
+    let mut full_disk = Process::new("k2", Path::new("/bin/sh"), &["-c", &script]);
+    full_disk.start();
+    let until = Instant::now() + TIMEOUT;
+    while full_disk.runs() {
+        assert!(stage.progress(20, TIMEOUT), "the other replicas form a quorum");
+        assert!(Instant::now() < until, "the disk never filled");
     }
-    assert_eq!(full.ended(ms(1000)).and_then(|status| status.code()), Some(1), "{:?}", full.log().last());
-    assert!(full.log().iter().any(|line| line.1.contains("File too large")), "{:?}", full.log());
-    assert!(stage.progress(10, PATIENCE));
+    assert_eq!(
+        full_disk.ended(ms(1000)).and_then(|status| status.code()),
+        Some(1),
+        "{:?}",
+        full_disk.log().last()
+    );
+    assert!(full_disk.log().iter().any(|line| line.1.contains("File too large")), "{:?}", full_disk.log());
+    assert!(stage.progress(10, TIMEOUT));
     stage.obey(&Order::Start("k2".into(), Disk::Old));
-    assert!(stage.progress(20, PATIENCE));
+    assert!(stage.progress(20, TIMEOUT));
     stage.obey(&Order::Kill("k0".into()));
-    assert!(stage.progress(20, PATIENCE), "it counts again");
-    harmless(&stage);
+    assert!(stage.progress(20, TIMEOUT), "the restarted replica counts toward the quorum");
+    verify_journal(&stage);
 }
 
-/// A sync that fails is final: the keeper ends, says nothing of what it could not keep, and comes back as a disk that counts as empty.
+/// A failed sync is final: the control replica ends without acknowledging the entries, and after a restart its disk counts as empty.
 #[test]
-fn a_keeper_whose_disk_fails_in_a_sync_ends_and_its_disk_never_counts_as_that_one_again() {
-    let mut stage = stage(3, 2, 1, ms(5));
+fn a_control_replica_whose_sync_fails_ends_and_its_disk_counts_as_empty() {
+    let mut stage = start_stage(3, 2, 1, ms(5));
     stage.obey(&Order::Kill("k2".into()));
     let path = stage.operator("k2");
     let program = Path::new(env!("CARGO_BIN_EXE_cypresscleat-server"));
-    let mut breaks = Process::new("k2", program, &["keep", "--operator", &path, "--name", "k2"])
+    let mut failing = Process::new("k2", program, &["keep", "--operator", &path, "--name", "k2"])
         .env("CLEAT_TEST_SYNCS", "20");
-    breaks.start();
-    let until = Instant::now() + PATIENCE;
-    while breaks.runs() {
-        assert!(stage.progress(20, PATIENCE), "the others go on");
-        assert!(Instant::now() < until, "its disk never failed");
+    failing.start();
+    let until = Instant::now() + TIMEOUT;
+    while failing.runs() {
+        assert!(stage.progress(20, TIMEOUT), "the other replicas form a quorum");
+        assert!(Instant::now() < until, "the disk never failed");
     }
-    assert_eq!(breaks.ended(ms(1000)).and_then(|status| status.code()), Some(1), "{:?}", breaks.log().last());
-    // Its last line may still be on its way through the pipe when it has ended.
-    let until = Instant::now() + PATIENCE;
-    while !breaks.log().iter().any(|line| line.1.contains("as the test asks for")) {
-        assert!(Instant::now() < until, "{:?}", breaks.log());
+    assert_eq!(
+        failing.ended(ms(1000)).and_then(|status| status.code()),
+        Some(1),
+        "{:?}",
+        failing.log().last()
+    );
+    // The last log line may still be in the pipe when the process has ended.
+    let until = Instant::now() + TIMEOUT;
+    while !failing.log().iter().any(|line| line.1.contains("as the test asks for")) {
+        assert!(Instant::now() < until, "{:?}", failing.log());
         sleep(ms(10));
     }
-    assert!(stage.progress(10, PATIENCE));
+    assert!(stage.progress(10, TIMEOUT));
     let lines = stage.keepers[2].log().len();
     stage.obey(&Order::Start("k2".into(), Disk::Old));
     assert!(stage.keepers[2]
-        .logged("is a copy or was put back; it counts as empty", lines, PATIENCE)
+        .logged("is a copy or was put back; it counts as empty", lines, TIMEOUT)
         .is_some());
-    let until = Instant::now() + PATIENCE;
-    let comes = |one: &(Instant, String)| one.1.contains(" comes");
-    while !stage.keepers.iter().flat_map(|one| one.log()).any(|line| comes(&line)) {
-        assert!(Instant::now() < until, "it was never taken in");
+    let until = Instant::now() + TIMEOUT;
+    let logs_admission = |one: &(Instant, String)| one.1.contains(" comes");
+    while !stage.keepers.iter().flat_map(|one| one.log()).any(|line| logs_admission(&line)) {
+        assert!(Instant::now() < until, "the replica was never admitted as a member");
         sleep(ms(10));
     }
     sleep(ms(500));
     stage.obey(&Order::Kill("k0".into()));
-    assert!(stage.progress(20, PATIENCE), "it counts, as a new one");
-    harmless(&stage);
+    assert!(stage.progress(20, TIMEOUT), "the replica counts toward the quorum with its new disk");
+    verify_journal(&stage);
 }
 
-/// Keepers change in service: k2 goes, k3 comes, by the file and SIGHUP; then one of the old ones may die.
+/// A membership change in service: k3 replaces k2 through the operator's file and SIGHUP. Afterwards one of the old replicas may fail.
 #[test]
-fn a_keeper_is_replaced_by_another_in_service() {
-    let mut stage = stage(3, 2, 1, ms(10));
-    let token = acting(&stage).1;
+fn a_control_replica_is_replaced_by_another_in_service() {
+    let mut stage = start_stage(3, 2, 1, ms(10));
+    let token = current_owner(&stage).1;
     let address = stage.keeper("k3");
     let folder = stage.folder().join("k3").display().to_string();
-    // k3 finds the others at their own addresses, and they it at its own.
+    // No simulated network links are needed: k3 and the other replicas use each other's own addresses.
     stage.rewrite("k3", |_| String::new());
     let plain = std::fs::read_to_string(stage.operator("operator")).expect("a file");
-    let without = |text: &str| {
+    let replace_k2 = |text: &str| {
         let at = text.find("{name: \"k2\"").expect("k2 in the list");
         let end = at + text[at..].find('}').expect("its end") + 1;
         format!("{}{{name: \"k3\", address: \"{address}\"}}{}", &text[..at], &text[end..])
     };
-    let own = without(&plain).replacen("]", &format!("], folder: \"{folder}\""), 1);
+    let own = replace_k2(&plain).replacen("]", &format!("], folder: \"{folder}\""), 1);
     stage.rewrite("k3", |_| own.clone());
     stage.obey(&Order::Start("k3".into(), Disk::Old));
-    assert!(stage.keepers[3].logged("empty", 0, PATIENCE).is_some());
+    assert!(stage.keepers[3].logged("empty", 0, TIMEOUT).is_some());
     for name in ["k0", "k1"] {
-        stage.rewrite(name, |text| without(&text));
+        stage.rewrite(name, |text| replace_k2(&text));
         stage.process(name).signal("HUP");
     }
     let logged = |stage: &Stage, words: &str| {
         stage.keepers.iter().flat_map(|one| one.log()).any(|line| line.1.contains(words))
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !(logged(&stage, " goes") && logged(&stage, " comes")) {
-        assert!(Instant::now() < until, "the keepers never changed\n{}", stage.logs());
+        assert!(Instant::now() < until, "the membership never changed\n{}", stage.logs());
         sleep(ms(10));
     }
     sleep(ms(500));
     stage.obey(&Order::Kill("k2".into()));
-    assert!(stage.progress(20, PATIENCE));
+    assert!(stage.progress(20, TIMEOUT));
     stage.obey(&Order::Kill("k0".into()));
-    // Instances that were started with the old list still find k1.
-    assert!(stage.progress(20, PATIENCE), "k1 and k3 are a majority of k0, k1, k3\n{}", stage.logs());
-    assert!(acting(&stage).1 >= token);
-    harmless(&stage);
+    // Instances started with the old list still find k1.
+    assert!(stage.progress(20, TIMEOUT), "k1 and k3 are a quorum of k0, k1, k3\n{}", stage.logs());
+    assert!(current_owner(&stage).1 >= token);
+    verify_journal(&stage);
 }
 
-/// Rows of two instances, one that lives and one that was killed, tallied by the hour (of 200 ms here) while those who tally die.
+/// Billing rows of a running and of a killed instance are summed per hour (200 ms here) while the reporting processes are killed and
+/// restarted.
 #[test]
-fn sums_of_all_rows_reach_the_ledger_once_while_owners_and_instances_come_and_go() {
-    let mut stage = stage(3, 1, 1, ms(50));
+fn sums_of_all_rows_reach_the_ledger_once_while_owners_and_instances_restart() {
+    let mut stage = start_stage(3, 1, 1, ms(50));
     let ledger = Ledger::start();
     let folders: Vec<_> = (0..2).map(|at| stage.folder().join(format!("store{at}"))).collect();
     let list: Vec<String> =
         folders.iter().map(|folder| format!("{:?}", folder.display().to_string())).collect();
-    let rest = format!(
+    let settings = format!(
         "sums: {{ledger: \"{}\", folders: [{}], span: 200ms, every: 20ms}}",
         ledger.address,
         list.join(", ")
     );
-    let mut owners: Vec<Process> = (0..2).map(|at| stage.also("sums", &format!("s{at}"), &rest)).collect();
+    let mut owners: Vec<Process> =
+        (0..2).map(|at| stage.also("sums", &format!("s{at}"), &settings)).collect();
     owners.iter_mut().for_each(Process::start);
-    let unix = || std::time::UNIX_EPOCH.elapsed().map_or(0, |since| since.as_millis() as u64);
+    let unix_ms = || std::time::UNIX_EPOCH.elapsed().map_or(0, |since| since.as_millis() as u64);
     let row = |number: u64| {
-        let key = format!("b/{:016}/{number:016x}", unix());
+        let key = format!("b/{:016}/{number:016x}", unix_ms());
         (key.into_bytes(), Some(b"lookup,,1.5,0,0,succeeded".to_vec()))
     };
-    // The second one was killed: rows, no sums.
+    // The second instance was killed: its store has rows and no sums.
     {
-        let disk = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a folder");
+        let disk = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a directory");
         let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
         for number in 0..70 {
             let (key, value) = row(number);
-            store.put(&key, &value.unwrap_or_default()).expect("room");
+            store.put(&key, &value.unwrap_or_default()).expect("capacity");
             sleep(ms(10));
         }
-        store.commit(true).expect("a good disk");
+        store.commit(true).expect("a working disk");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let mut rows = 0;
-    for life in 0..2 {
+    for incarnation in 0..2 {
         let local = tokio::task::LocalSet::new();
         rows += local.block_on(&runtime, async {
-            let (notes, mut words) = tokio::sync::mpsc::channel(1024);
+            let (events_sender, mut events) = tokio::sync::mpsc::channel(1024);
             let durability = cypresscleat_server::store_thread::Durability::Group(ms(2));
-            let started =
-                cypresscleat_server::store_thread::start(&folders[0], durability, 1 << 16, Some(200), notes);
+            let started = cypresscleat_server::store_thread::start(
+                &folders[0],
+                durability,
+                1 << 16,
+                Some(200),
+                events_sender,
+            );
             let (to, _, thread) = started.expect("a store");
             for number in 1..=60 {
-                let writes = vec![row(life * 100 + number)];
-                to.send(cypresscleat_server::core::persistence::WriteBatch { number, writes }).expect("room");
+                let writes = vec![row(incarnation * 100 + number)];
+                to.send(cypresscleat_server::core::persistence::WriteBatch { number, writes })
+                    .expect("capacity");
                 tokio::time::sleep(ms(12)).await;
-                if number == 30 && life == 0 {
+                if number == 30 && incarnation == 0 {
                     owners[0].kill();
                 }
             }
             drop(to);
-            while let Ok(Some(_)) = tokio::time::timeout(ms(300), words.recv()).await {}
+            while let Ok(Some(_)) = tokio::time::timeout(ms(300), events.recv()).await {}
             cypresscleat_server::store_thread::join(Some(thread)).await;
             60
         });
         owners[1].end();
-        assert!(owners[1].ended(PATIENCE).is_some_and(|status| status.success()));
+        assert!(owners[1].ended(TIMEOUT).is_some_and(|status| status.success()));
         owners[0].start();
         owners[1].start();
     }
-    let told = |part: u64| {
+    let reported = |part: u64| {
         let journal = ledger.journal();
         let all = journal.iter().filter(|act| act.taken && act.part == part);
         all.fold((0, 0), |sum: (u64, u64), act| {
@@ -453,66 +473,71 @@
             (sum.0 + number("rows"), sum.1 + number("billed_milli"))
         })
     };
-    let until = Instant::now() + PATIENCE;
-    while (told(0).0, told(1).0) != (rows, 70) {
-        assert!(Instant::now() < until, "{:?} and {:?} of {rows} and 70 rows", told(0), told(1));
+    let until = Instant::now() + TIMEOUT;
+    while (reported(0).0, reported(1).0) != (rows, 70) {
+        assert!(Instant::now() < until, "{:?} and {:?} of {rows} and 70 rows", reported(0), reported(1));
         sleep(ms(10));
     }
-    assert_eq!((told(0).1, told(1).1), (rows * 1500, 70 * 1500));
+    assert_eq!((reported(0).1, reported(1).1), (rows * 1500, 70 * 1500));
     sleep(ms(500));
-    assert_eq!((told(0).0, told(1).0), (rows, 70), "nothing is told again under another hour");
+    assert_eq!((reported(0).0, reported(1).0), (rows, 70), "no row is reported again under another hour");
     let hours = ledger.journal().iter().filter(|act| act.taken && act.part == 0).count();
     assert!(hours >= 5, "{hours} hours");
     stage.obey(&Order::Heal);
 }
 
-/// A store as an instance leaves it that is killed: so many invocations taken in, one token begun, one done.
-fn left_behind(folder: &Path, many: u64) {
-    let disk = cypresscleat_store::disk::DiskDirectory::open(folder).expect("a folder");
+/// Writes the store of a killed instance: `count` admitted requests, one idempotency key in progress and one completed.
+fn write_killed_store(folder: &Path, count: u64) {
+    let disk = cypresscleat_store::disk::DiskDirectory::open(folder).expect("a directory");
     let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
-    for number in 0..many {
-        store.put(format!("o/{number:016x}").as_bytes(), b"report, taken in").expect("room");
+    for number in 0..count {
+        store.put(format!("o/{number:016x}").as_bytes(), b"report, taken in").expect("capacity");
     }
     let token = |state: &[u8]| [&7u64.to_le_bytes()[..], &i64::MAX.to_le_bytes(), state].concat();
-    store.put(b"t/begun", &token(&[0])).expect("room");
-    store.put(b"t/done", &token(&[1, 65])).expect("room");
-    store.commit(true).expect("a good disk");
+    store.put(b"t/begun", &token(&[0])).expect("capacity");
+    store.put(b"t/done", &token(&[1, 65])).expect("capacity");
+    store.commit(true).expect("a working disk");
 }
 
 #[test]
-fn what_dead_instances_left_is_settled_once_through_the_death_of_who_settles() {
-    let stage = stage(3, 1, 1, ms(50));
+fn work_of_killed_instances_is_settled_once_when_the_settling_process_is_killed() {
+    let stage = start_stage(3, 1, 1, ms(50));
     let ledger = Ledger::start();
     let folders: Vec<_> = (0..2).map(|at| stage.folder().join(format!("store{at}"))).collect();
-    left_behind(&folders[0], 300);
-    left_behind(&folders[1], 20);
-    // The second one's instance is here: it settles by itself.
-    let held = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a folder");
+    write_killed_store(&folders[0], 300);
+    write_killed_store(&folders[1], 20);
+    // The second folder's instance still runs and holds its store open.
+    let open_store = cypresscleat_store::disk::DiskDirectory::open(&folders[1]).expect("a directory");
     let list: Vec<String> =
         folders.iter().map(|folder| format!("{:?}", folder.display().to_string())).collect();
-    let rest =
+    let settings =
         format!("settle: {{ledger: \"{}\", folders: [{}], every: 100ms}}", ledger.address, list.join(", "));
     let mut settlers: Vec<Process> =
-        (0..2).map(|at| stage.also("settle", &format!("s{at}"), &rest)).collect();
+        (0..2).map(|at| stage.also("settle", &format!("s{at}"), &settings)).collect();
     settlers.iter_mut().for_each(Process::start);
-    let taken = |part: u64| ledger.journal().iter().filter(|act| act.taken && act.part == part).count();
-    let wait = |part: u64, many: usize| {
-        let until = Instant::now() + PATIENCE;
-        while taken(part) < many {
-            assert!(Instant::now() < until, "{} of {many} rows of part {part}", taken(part));
+    let count_operations =
+        |part: u64| ledger.journal().iter().filter(|act| act.taken && act.part == part).count();
+    let wait_for_rows = |part: u64, count: usize| {
+        let until = Instant::now() + TIMEOUT;
+        while count_operations(part) < count {
+            assert!(Instant::now() < until, "{} of {count} rows of part {part}", count_operations(part));
             sleep(ms(2));
         }
     };
-    // Whoever settles the first folder dies in the middle of it; the other one goes on.
-    wait(0, 20);
+    // The process that settles the first folder is killed midway; the other one continues.
+    wait_for_rows(0, 20);
     let by = ledger.journal()[0].by.clone();
     settlers.iter_mut().filter(|one| one.name == by).for_each(Process::kill);
-    wait(0, 301);
-    assert_eq!(taken(1), 0, "what an instance holds is not read");
-    drop(held);
-    wait(1, 21);
+    wait_for_rows(0, 301);
+    assert_eq!(count_operations(1), 0, "the store of a running instance is not read");
+    drop(open_store);
+    wait_for_rows(1, 21);
     sleep(ms(500));
-    assert_eq!((taken(0), taken(1)), (301, 21), "each once: what is done is no row, what was begun is one");
+    assert_eq!(
+        (count_operations(0), count_operations(1)),
+        (301, 21),
+        "each row once: a completed idempotency key has no row, one in progress has one"
+    );
     assert!(ledger.journal().iter().any(|act| act.by != by));
     let tokens: Vec<u64> =
         ledger.journal().iter().filter(|act| act.taken && act.part == 0).map(|act| act.token).collect();
--- a/crates/server/tests/rollout.rs
+++ b/crates/server/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Changes of policy between processes of the program: keepers, app servers under load, forwarders and a planner, with faults between
-//! them. The journals on one clock judge, and what callers were answered.
+//! Policy changes between processes of the program: control replicas, app servers under load, forwarders and a planner, with injected
+//! faults. The checks use the journals, which share one clock, and the responses that clients received.
 
 use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
 use cypresscleat_fault_injection::{free_port, Disk, Order};
@@ -10,55 +10,65 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
 const CONFIG: &str = include_str!("../../demo/config.json");
-/// For whatever has to happen at all.
-const PATIENCE: Duration = Duration::from_secs(25);
+/// Maximum time to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(25);
 const LEASE: Duration = Duration::from_secs(1);
 
-fn ms(many: u64) -> Duration {
-    Duration::from_millis(many)
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
-/// A policy with a lease of a second; its pools differ by `part`.
-fn text(part: u32, more: &str) -> String {
+/// A policy with a lease of one second; `part` sets the minimum share of its pool.
+fn policy_document(part: u32, more: &str) -> String {
     format!(
         "lease: 1s\nwithin: 8s\n{more}\npools: {{limiter: \"fixed\", pools: {{quick: {{operations: [\"lookup\"], least: 0.{part}}}}}}}\n"
     )
 }
 
-fn stage_with(members: usize, more: &dyn Fn(usize) -> String, own: &dyn Fn(usize, &mut Value)) -> Stage {
+fn start_stage_with(
+    members: usize,
+    more: &dyn Fn(usize) -> String,
+    own: &dyn Fn(usize, &mut Value),
+) -> Stage {
     let setup =
         Setup { program: Path::new(PROGRAM), config: CONFIG, keepers: 3, members, more, own, seed: 1 };
     Stage::start(&setup)
 }
 
-/// Members that serve under a first version with a lease of a second.
-fn stage(members: usize) -> Stage {
-    let stage = stage_with(members, &|_| String::new(), &|_, _| {});
-    assert!(stage.all_have(0, members, PATIENCE), "they never began");
-    let (lines, code) = stage.propose(&text(2, ""), 20);
+/// Members that serve under version 1, with a lease of one second.
+fn start_stage(members: usize) -> Stage {
+    let stage = start_stage_with(members, &|_| String::new(), &|_, _| {});
+    assert!(stage.all_have(0, members, TIMEOUT), "the members never started");
+    let (lines, code) = stage.propose(&policy_document(2, ""), 20);
     assert_eq!((code, lines[0]["version"].as_u64()), (0, Some(1)), "{lines:?}");
-    assert!(stage.all_have(1, members, PATIENCE));
+    assert!(stage.all_have(1, members, TIMEOUT));
     stage
 }
 
-/// The rule, by the journals; all are in peace under `version` at the end.
-fn good(stage: &mut Stage, version: u64, members: usize, together: &dyn Fn(u64) -> bool) -> Judged {
+/// Heals all faults, waits until every member is under `version`, and checks the journals: no request is lost and no member admits
+/// under a superseded version past the bound.
+fn verify_outcome(
+    stage: &mut Stage,
+    version: u64,
+    members: usize,
+    has_barrier: &dyn Fn(u64) -> bool,
+) -> Judged {
     stage.peace();
-    assert!(stage.all_have(version, members, PATIENCE), "{:?}", stage.policy(&["status"]));
+    assert!(stage.all_have(version, members, TIMEOUT), "{:?}", stage.policy(&["status"]));
     let books = stage.rests();
     assert_eq!((books.lost, books.asked), (0, books.answered), "{books:?}");
-    let judged = judge(&stage.journal(), LEASE.as_secs_f64() * 1e3, together);
+    let judged = judge(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
     assert_eq!(judged.wrong, 0, "{judged:?}");
     judged
 }
 
-/// Proposes until it is taken; the version.
-fn takes(stage: &Stage, part: u32) -> u64 {
-    let until = Instant::now() + PATIENCE;
+/// Proposes a policy until a proposal is committed; returns its version.
+fn propose_until_committed(stage: &Stage, part: u32) -> u64 {
+    let until = Instant::now() + TIMEOUT;
     loop {
-        let (lines, code) = stage.propose(&text(part, ""), 10);
+        let (lines, code) = stage.propose(&policy_document(part, ""), 10);
         if code == 0 {
-            return lines[0]["version"].as_u64().expect("a version");
+            return lines[0]["version"].as_u64().expect("a version number");
         }
         assert!(Instant::now() < until, "{lines:?}");
         sleep(ms(200));
@@ -66,28 +76,28 @@
 }
 
 #[test]
-fn a_change_holds_everywhere_and_one_that_a_single_member_refuses_nowhere() {
-    // m2 knows no "lookup".
+fn a_change_is_active_on_all_members_or_on_none_if_one_rejects_it() {
+    // m2 has no request class "lookup", so it rejects policies that name it.
     let own = |at: usize, all: &mut Value| {
         if at == 2 {
             all["settings"]["categories"][1]["name"] = json!("other");
         }
     };
-    let stage = stage_with(3, &|_| String::new(), &own);
-    assert!(stage.all_have(0, 3, PATIENCE));
+    let stage = start_stage_with(3, &|_| String::new(), &own);
+    assert!(stage.all_have(0, 3, TIMEOUT));
     let (lines, code) = stage.propose("lease: 1s\npools: {limiter: \"aimd\", pools: {}}\n", 20);
     assert_eq!(code, 0, "{lines:?}");
-    assert!(stage.all_have(1, 3, PATIENCE));
-    let (lines, code) = stage.propose(&text(3, ""), 20);
+    assert!(stage.all_have(1, 3, TIMEOUT));
+    let (lines, code) = stage.propose(&policy_document(3, ""), 20);
     let error = lines[0]["error"].as_str().unwrap_or("").to_string();
     assert_eq!(code, 3, "{lines:?}");
     assert!(error.contains("m2: policy:4:") && error.contains("no operation \"lookup\""), "{error}");
-    assert!(stage.all_have(1, 3, PATIENCE));
-    // A bad text is told with its line before anybody is asked.
+    assert!(stage.all_have(1, 3, TIMEOUT));
+    // An invalid document is rejected with its line before any member is asked.
     let (lines, code) = stage.propose("lease: 1s\nleese: 2s\n", 20);
     assert_eq!(code, 2);
     assert!(lines[0]["error"].as_str().is_some_and(|error| error.contains("leese")), "{lines:?}");
-    // Made from an older one: refused, and the difference is shown.
+    // A document based on an older version is rejected, and the difference is shown.
     let path = stage.folder().join("old.cue").display().to_string();
     std::fs::write(&path, "lease: 3s\n").expect("to write a policy");
     let (lines, code) = stage.policy(&["propose", "--text", &path, "--from", "0"]);
@@ -95,104 +105,105 @@
     assert!(lines[0]["error"].as_str().is_some_and(|error| error.contains("+ lease: 1s")), "{lines:?}");
     assert_eq!(stage.policy(&["check", "--text", &path]).1, 0);
     let (lines, _) = stage.policy(&["history"]);
-    let taken: Vec<bool> = lines.iter().map(|line| line["taken"] == json!(true)).collect();
-    assert_eq!(taken, [true, false], "{lines:?}");
-    // Undoing is a change like any other.
+    let committed: Vec<bool> = lines.iter().map(|line| line["taken"] == json!(true)).collect();
+    assert_eq!(committed, [true, false], "{lines:?}");
+    // A revert is an ordinary change.
     assert_eq!(stage.policy(&["undo", "--wait", "20"]).1, 0);
-    assert!(stage.all_have(3, 3, PATIENCE));
+    assert!(stage.all_have(3, 3, TIMEOUT));
     let (lines, _) = stage.policy(&["show", "--version", "1"]);
     assert!(lines[0]["text"].as_str().is_some_and(|text| text.contains("aimd")));
-    assert_eq!(stage.policy(&["show"]).0[0]["text"], json!(""), "back to each instance's own file");
+    assert_eq!(stage.policy(&["show"]).0[0]["text"], json!(""), "each instance uses its own file again");
 }
 
 #[test]
-fn an_app_server_killed_at_each_step_leaves_no_change_undecided_and_comes_back_under_it() {
+fn an_app_server_killed_at_each_step_leaves_the_change_decided_and_restarts_under_it() {
     for step in ["before_check", "kept", "said_yes", "heard", "in_force"] {
-        let mut stage = stage_with(3, &|_| String::new(), &|_, _| {});
-        assert!(stage.all_have(0, 3, PATIENCE));
+        let mut stage = start_stage_with(3, &|_| String::new(), &|_, _| {});
+        assert!(stage.all_have(0, 3, TIMEOUT));
         assert_eq!(stage.propose("lease: 1s\n", 20).1, 0);
-        assert!(stage.all_have(1, 3, PATIENCE));
+        assert!(stage.all_have(1, 3, TIMEOUT));
         stage.obey(&Order::Kill("m0".into()));
         stage.process("m0").with("CLEAT_TEST_DIES", step);
-        // What it knows it need not check again; what comes is what it dies of.
+        // m0 does not check the active version again after a restart, so the next change reaches the step that ends it.
         stage.obey(&Order::Start("m0".into(), Disk::Old));
         if step == "heard" || step == "in_force" {
-            // It dies of going over to the version in force, as on a restart.
-            assert!(stage.process("m0").ended(PATIENCE).is_some(), "{step}");
+            // These steps also occur when a restarted member adopts the active version, so the process ends at once.
+            assert!(stage.process("m0").ended(TIMEOUT).is_some(), "{step}");
         } else {
-            assert!(stage.logged("m0", "policy 1 is in force here", 2, PATIENCE), "{step}");
+            assert!(stage.logged("m0", "policy 1 is in force here", 2, TIMEOUT), "{step}");
         }
-        let (lines, code) = stage.propose(&text(4, ""), 20);
+        let (lines, code) = stage.propose(&policy_document(4, ""), 20);
         assert_eq!(code, 0, "{step}: {lines:?}");
-        assert!(stage.process("m0").ended(PATIENCE).is_some(), "{step}: it was to die");
+        assert!(stage.process("m0").ended(TIMEOUT).is_some(), "{step}: the process did not end");
         stage.load(1, ms(10));
         stage.process("m0").forgets("CLEAT_TEST_DIES");
         stage.obey(&Order::Start("m0".into(), Disk::Old));
-        good(&mut stage, 2, 3, &|_| false);
+        verify_outcome(&mut stage, 2, 3, &|_| false);
     }
 }
 
 #[test]
-fn one_that_was_stopped_past_its_lease_admits_nothing_under_the_old_version() {
-    let mut stage = stage(3);
+fn a_member_stopped_past_its_lease_admits_nothing_under_the_old_version() {
+    let mut stage = start_stage(3);
     stage.load(3, ms(5));
     sleep(ms(300));
     stage.obey(&Order::Stop("m0".into()));
-    let version = takes(&stage, 3);
+    let version = propose_until_committed(&stage, 3);
     sleep(ms(500));
     stage.obey(&Order::Wake("m0".into()));
     sleep(ms(500));
-    let judged = good(&mut stage, version, 3, &|_| false);
+    let judged = verify_outcome(&mut stage, version, 3, &|_| false);
     assert!(judged.admitted > 100, "{judged:?}");
     let journal = stage.journal();
-    let woken = journal.iter().position(|line| line["event"] == json!("woken")).expect("it was woken");
+    let woken =
+        journal.iter().position(|line| line["event"] == json!("woken")).expect("no process was resumed");
     let first = journal[woken..]
         .iter()
         .find(|line| line["event"] == json!("admitted") && line["member"] == json!("m0"))
-        .expect("it serves again");
+        .expect("m0 never admits again");
     assert_eq!(first["version"].as_u64(), Some(version));
 }
 
 #[test]
-fn one_that_is_cut_off_goes_out_of_service_says_when_to_come_back_and_returns() {
-    let mut stage = stage(3);
+fn a_partitioned_member_rejects_requests_and_returns_to_service() {
+    let mut stage = start_stage(3);
     stage.load(2, ms(10));
-    let keepers: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
-    stage.obey(&Order::Cut(vec![vec!["m1".into()], keepers]));
-    let version = takes(&stage, 4);
-    assert!(stage.logged("m1", "out of service", 1, PATIENCE));
+    let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
+    stage.obey(&Order::Cut(vec![vec!["m1".into()], replicas]));
+    let version = propose_until_committed(&stage, 4);
+    assert!(stage.logged("m1", "out of service", 1, TIMEOUT));
     let before = stage.books().throttled;
     sleep(ms(500));
-    assert!(stage.books().throttled > before, "who asks it is turned away at once");
+    assert!(stage.books().throttled > before, "its clients are rejected at once");
     stage.obey(&Order::Heal);
-    good(&mut stage, version, 3, &|_| false);
+    verify_outcome(&mut stage, version, 3, &|_| false);
 }
 
 #[test]
-fn where_changes_wait_one_that_is_cut_off_serves_on_until_it_says_yes() {
-    let mut stage = stage(3);
+fn where_changes_wait_a_partitioned_member_serves_until_it_votes() {
+    let mut stage = start_stage(3);
     let wait = "missing: \"wait\"";
-    assert_eq!(stage.propose(&text(3, wait), 20).1, 0);
-    assert!(stage.all_have(2, 3, PATIENCE));
+    assert_eq!(stage.propose(&policy_document(3, wait), 20).1, 0);
+    assert!(stage.all_have(2, 3, TIMEOUT));
     stage.load(2, ms(10));
-    let keepers: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
-    stage.obey(&Order::Cut(vec![vec!["m1".into()], keepers]));
-    let (lines, code) = stage.propose(&text(4, wait), 2);
+    let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
+    stage.obey(&Order::Cut(vec![vec!["m1".into()], replicas]));
+    let (lines, code) = stage.propose(&policy_document(4, wait), 2);
     assert_eq!(code, 5, "{lines:?}");
-    let out = |stage: &Stage| {
+    let count_out_of_service = |stage: &Stage| {
         stage.members[1].log().iter().filter(|line| line.1.contains("out of service")).count()
     };
     sleep(LEASE);
-    assert_eq!(out(&stage), 0, "nobody goes on without it, so it serves");
-    // Beside it no other change can be made.
-    assert_eq!(stage.propose(&text(5, wait), 2).1, 3);
+    assert_eq!(count_out_of_service(&stage), 0, "the change waits for m1, so m1 keeps serving");
+    // No other change can be proposed while this one is pending.
+    assert_eq!(stage.propose(&policy_document(5, wait), 2).1, 3);
     stage.obey(&Order::Heal);
-    good(&mut stage, 3, 3, &|_| false);
+    verify_outcome(&mut stage, 3, 3, &|_| false);
     assert_eq!(stage.books().throttled, 0);
 }
 
 #[test]
-fn together_nobody_admits_beside_a_newer_version_and_what_comes_meanwhile_is_held() {
+fn a_barrier_lets_no_two_versions_admit_at_once_and_holds_requests_meanwhile() {
     // A busy machine stretches the time for which requests are held. Lease and objectives are longer than that, so that none is
     // rejected because a lease was not renewed or an objective had passed.
     let own = |_: usize, all: &mut Value| {
@@ -201,116 +212,118 @@
             all["settings"]["categories"][at]["deadline_ns"] = json!(20_000_000_000u64);
         }
     };
-    let text = |part: u32, more: &str| text(part, more).replace("lease: 1s", "lease: 6s");
-    let mut stage = stage_with(4, &|_| String::new(), &own);
-    assert!(stage.all_have(0, 4, PATIENCE), "they never began");
-    assert_eq!(stage.propose(&text(2, ""), 20).1, 0);
-    assert!(stage.all_have(1, 4, PATIENCE));
+    let policy_document =
+        |part: u32, more: &str| policy_document(part, more).replace("lease: 1s", "lease: 6s");
+    let mut stage = start_stage_with(4, &|_| String::new(), &own);
+    assert!(stage.all_have(0, 4, TIMEOUT), "the members never started");
+    assert_eq!(stage.propose(&policy_document(2, ""), 20).1, 0);
+    assert!(stage.all_have(1, 4, TIMEOUT));
     stage.load(4, ms(2));
     sleep(ms(300));
     stage.net.both("m3", "k0", |link| link.delay = ms(120));
     stage.net.both("m3", "k1", |link| link.delay = ms(120));
     stage.net.both("m3", "k2", |link| link.delay = ms(120));
     for part in 3..6 {
-        assert_eq!(stage.propose(&text(part, "together: true"), 20).1, 0);
+        assert_eq!(stage.propose(&policy_document(part, "together: true"), 20).1, 0);
         sleep(ms(300));
     }
-    let judged = good(&mut stage, 4, 4, &|version| version > 1);
+    let judged = verify_outcome(&mut stage, 4, 4, &|version| version > 1);
     assert_eq!(judged.mixture_ms, 0.0, "{judged:?}");
     let held =
         stage.members.iter().any(|one| one.log().iter().any(|line| line.1.contains("holds what comes")));
     assert!(held);
     let logs: Vec<_> = stage.members.iter().map(|one| (one.name.clone(), one.log())).collect();
-    assert_eq!(stage.books().throttled, 0, "what was held was served: {:?}; {logs:#?}", stage.books());
+    assert_eq!(stage.books().throttled, 0, "held requests were rejected: {:?}; {logs:#?}", stage.books());
 }
 
 #[test]
-fn without_a_majority_of_keepers_no_change_is_made_and_all_stop_within_their_lease() {
-    let mut stage = stage(3);
+fn without_a_quorum_no_change_is_committed_and_members_stop_within_their_lease() {
+    let mut stage = start_stage(3);
     stage.load(1, ms(10));
     stage.obey(&Order::Kill("k0".into()));
     stage.obey(&Order::Stop("k1".into()));
-    let (_, code) = stage.propose(&text(3, ""), 5);
+    let (_, code) = stage.propose(&policy_document(3, ""), 5);
     assert_eq!(code, 4);
     for member in ["m0", "m1", "m2"] {
-        assert!(stage.logged(member, "out of service", 1, PATIENCE), "{member}");
+        assert!(stage.logged(member, "out of service", 1, TIMEOUT), "{member}");
     }
     stage.peace();
-    let version = takes(&stage, 5);
-    good(&mut stage, version, 3, &|_| false);
+    let version = propose_until_committed(&stage, 5);
+    verify_outcome(&mut stage, version, 3, &|_| false);
 }
 
 #[test]
-fn a_third_is_down_while_a_change_is_made_and_comes_back_some_from_empty_disks() {
-    let mut stage = stage(6);
+fn members_down_during_a_change_recover_also_from_an_empty_disk() {
+    let mut stage = start_stage(6);
     for name in ["m0", "m1"] {
         stage.obey(&Order::Kill(name.into()));
     }
     stage.load(1, ms(10));
-    let version = takes(&stage, 3);
+    let version = propose_until_committed(&stage, 3);
     stage.obey(&Order::Start("m0".into(), Disk::Old));
     stage.obey(&Order::Start("m1".into(), Disk::Empty));
-    good(&mut stage, version, 6, &|_| false);
+    verify_outcome(&mut stage, version, 6, &|_| false);
 }
 
 #[test]
-fn a_proposer_and_the_leading_keeper_that_die_leave_it_to_others() {
-    let mut stage = stage(3);
-    // m2 answers late: there is time to kill.
-    for keeper in ["k0", "k1", "k2"] {
-        stage.net.both("m2", keeper, |link| link.delay = ms(150));
+fn a_change_is_decided_after_its_proposer_and_the_leader_are_killed() {
+    let mut stage = start_stage(3);
+    // The slow responses of m2 leave time to kill the leader.
+    for replica in ["k0", "k1", "k2"] {
+        stage.net.both("m2", replica, |link| link.delay = ms(150));
     }
     let path = stage.folder().join("next.cue").display().to_string();
-    std::fs::write(&path, text(6, "")).expect("to write a policy");
+    std::fs::write(&path, policy_document(6, "")).expect("to write a policy");
     let operator = stage.operator("operator");
-    let words = ["policy", "propose", "--operator", &operator, "--text", &path];
-    let mut proposer = cypresscleat_fault_injection::Process::new("proposer", Path::new(PROGRAM), &words);
+    let arguments = ["policy", "propose", "--operator", &operator, "--text", &path];
+    let mut proposer = cypresscleat_fault_injection::Process::new("proposer", Path::new(PROGRAM), &arguments);
     proposer.start();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let leader = loop {
-        let leads = |line: &(Instant, String)| line.1.contains("policy 2 is proposed");
-        if let Some(one) = stage.keepers.iter().find(|one| one.log().iter().any(leads)) {
+        let logs_proposal = |line: &(Instant, String)| line.1.contains("policy 2 is proposed");
+        if let Some(one) = stage.keepers.iter().find(|one| one.log().iter().any(logs_proposal)) {
             break one.name.clone();
         }
-        assert!(Instant::now() < until, "it was never proposed");
+        assert!(Instant::now() < until, "the change was never proposed");
         sleep(ms(2));
     };
     proposer.kill();
     stage.obey(&Order::Kill(leader.clone()));
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !stage.journal().iter().any(|line| line["event"] == json!("taken") && line["version"] == json!(2)) {
-        assert!(Instant::now() < until, "it stayed undecided");
+        assert!(Instant::now() < until, "the change stayed undecided");
         sleep(ms(20));
     }
     stage.obey(&Order::Start(leader, Disk::Old));
-    good(&mut stage, 2, 3, &|_| false);
+    verify_outcome(&mut stage, 2, 3, &|_| false);
 }
 
-/// One that drains in the middle of a change says so: the change goes on without waiting for its lease, and it admits nothing more.
+/// A member that drains during a change reports so: the change proceeds without waiting for its lease, and the member admits nothing
+/// more.
 #[test]
-fn one_that_drains_in_the_middle_of_a_change_is_not_waited_for() {
-    let mut stage = stage(3);
-    // Slow enough that the drain comes first.
-    for keeper in ["k0", "k1", "k2"] {
-        stage.net.both("m2", keeper, |link| link.delay = ms(200));
+fn a_change_does_not_wait_for_a_member_that_drains() {
+    let mut stage = start_stage(3);
+    // The delay makes the drain come before the decision.
+    for replica in ["k0", "k1", "k2"] {
+        stage.net.both("m2", replica, |link| link.delay = ms(200));
     }
-    let (lines, code) = stage.propose(&text(4, ""), 0);
+    let (lines, code) = stage.propose(&policy_document(4, ""), 0);
     assert_eq!(code, 5, "{lines:?}");
     stage.obey(&Order::End("m0".into()));
     stage.process("m1").signal("HUP");
-    assert!(stage.process("m0").ended(PATIENCE).is_some_and(|status| status.success()));
-    let until = Instant::now() + PATIENCE;
+    assert!(stage.process("m0").ended(TIMEOUT).is_some_and(|status| status.success()));
+    let until = Instant::now() + TIMEOUT;
     while stage.policy(&["show"]).0[0]["version"] != json!(2) {
-        assert!(Instant::now() < until, "it was never taken");
+        assert!(Instant::now() < until, "the change was never committed");
         sleep(ms(20));
     }
-    assert!(stage.all_have(2, 2, PATIENCE), "it left, and counts no longer");
+    assert!(stage.all_have(2, 2, TIMEOUT), "the drained member is still counted");
     stage.obey(&Order::Start("m0".into(), Disk::Old));
-    good(&mut stage, 2, 3, &|_| false);
+    verify_outcome(&mut stage, 2, 3, &|_| false);
 }
 
-/// The rig writes the folder of a member; what else stands in its record.
-fn also(stage: &mut Stage, name: &str, more: &str) {
+/// Adds settings to the `rollout` record that the test setup wrote into a member's file, and starts the member.
+fn start_with_setting(stage: &mut Stage, name: &str, more: &str) {
     let path = stage.operator(name);
     let file = std::fs::read_to_string(&path).expect("a file");
     std::fs::write(&path, file.replace("\"}\n", &format!("\", {more}}}\n"))).expect("to write it");
@@ -318,37 +331,37 @@
 }
 
 #[test]
-fn a_text_that_one_member_has_no_room_for_takes_hold_nowhere() {
-    let mut stage = stage_with(3, &|_| String::new(), &|_, _| {});
-    also(&mut stage, "m1", "room: 256B");
-    assert!(stage.all_have(0, 3, PATIENCE));
-    let long = format!("lease: 1s\n// {}\n", "words ".repeat(60));
-    let (lines, code) = stage.propose(&long, 20);
+fn a_document_too_large_for_one_member_is_active_nowhere() {
+    let mut stage = start_stage_with(3, &|_| String::new(), &|_, _| {});
+    start_with_setting(&mut stage, "m1", "room: 256B");
+    assert!(stage.all_have(0, 3, TIMEOUT));
+    let long_document = format!("lease: 1s\n// {}\n", "words ".repeat(60));
+    let (lines, code) = stage.propose(&long_document, 20);
     assert_eq!(code, 3, "{lines:?}");
     let error = lines[0]["error"].as_str().unwrap_or("");
     assert!(
-        error.contains(&format!("m1: the document has {} bytes; the maximum is 256", long.len())),
+        error.contains(&format!("m1: the document has {} bytes; the maximum is 256", long_document.len())),
         "{error}"
     );
     assert_eq!(stage.propose("lease: 1s\n", 20).1, 0);
-    assert!(stage.all_have(2, 3, PATIENCE));
+    assert!(stage.all_have(2, 3, TIMEOUT));
 }
 
 #[test]
-fn one_that_starts_where_no_keeper_answers_waits_or_begins_alone_as_it_was_told() {
-    let mut stage = stage_with(2, &|_| String::new(), &|_, _| {});
-    also(&mut stage, "m0", "alone: 1s");
-    assert!(stage.all_have(0, 2, PATIENCE));
-    let version = takes(&stage, 3);
-    assert!(stage.all_have(version, 2, PATIENCE));
+fn a_member_that_starts_without_control_replicas_waits_or_starts_alone_as_configured() {
+    let mut stage = start_stage_with(2, &|_| String::new(), &|_, _| {});
+    start_with_setting(&mut stage, "m0", "alone: 1s");
+    assert!(stage.all_have(0, 2, TIMEOUT));
+    let version = propose_until_committed(&stage, 3);
+    assert!(stage.all_have(version, 2, TIMEOUT));
     for name in ["k0", "k1", "k2", "m0", "m1"] {
         stage.obey(&Order::Kill(name.into()));
     }
     for name in ["m0", "m1"] {
         stage.obey(&Order::Start(name.into(), Disk::Old));
     }
-    let words = format!("m0 begins under policy {version}, which it had last");
-    assert!(stage.logged("m0", &words, 1, PATIENCE));
+    let log_line = format!("m0 begins under policy {version}, which it had last");
+    assert!(stage.logged("m0", &log_line, 1, TIMEOUT));
     sleep(ms(500));
     assert!(!stage.members[1].log().iter().any(|line| line.1.contains("begins under policy")));
     stage.load(1, ms(10));
@@ -358,46 +371,50 @@
     for name in ["k0", "k1", "k2"] {
         stage.obey(&Order::Start(name.into(), Disk::Old));
     }
-    good(&mut stage, version, 2, &|_| false);
+    verify_outcome(&mut stage, version, 2, &|_| false);
 }
 
 #[test]
-fn a_change_that_does_harm_is_undone_by_itself_once() {
-    // Eight callers are answered in 20 ms on four cores, and in 80 on one.
+fn a_harmful_change_is_reverted_automatically_once() {
+    // Eight clients get responses in 20 ms on four cores, and in 80 ms on one.
     let own = |_: usize, all: &mut Value| {
         for at in 0..2 {
             all["settings"]["categories"][at]["aim_ns"] = json!(45_000_000);
         }
     };
-    let mut stage = stage_with(2, &|_| String::new(), &own);
-    assert!(stage.all_have(0, 2, PATIENCE));
-    assert_eq!(stage.propose(&text(2, ""), 20).1, 0);
+    let mut stage = start_stage_with(2, &|_| String::new(), &own);
+    assert!(stage.all_have(0, 2, TIMEOUT));
+    assert_eq!(stage.propose(&policy_document(2, ""), 20).1, 0);
     stage.load(8, ms(5));
     sleep(Duration::from_secs(5));
-    let harm = "lease: 1s\nwatch: {share: 0.3, within: 4s}\npools: {limiter: \"fixed\", pools: {\
+    let harmful = "lease: 1s\nwatch: {share: 0.3, within: 4s}\npools: {limiter: \"fixed\", pools: {\
                 all: {operations: [\"lookup\", \"report\"], most: 0.01}}}\n";
-    assert_eq!(stage.propose(harm, 20).1, 0);
-    let until = Instant::now() + PATIENCE;
-    let done =
+    assert_eq!(stage.propose(harmful, 20).1, 0);
+    let until = Instant::now() + TIMEOUT;
+    let is_reverted =
         |stage: &Stage| stage.policy(&["show"]).0.first().is_some_and(|line| line["undoes"] == json!(true));
-    while !done(&stage) {
+    while !is_reverted(&stage) {
         assert!(
             Instant::now() < until,
-            "it was never undone: {:?}",
+            "the change was never reverted: {:?}",
             stage.keepers.iter().map(|one| one.log()).collect::<Vec<_>>()
         );
         sleep(ms(100));
     }
     let (lines, _) = stage.policy(&["show"]);
-    assert!(lines[0]["by"] == json!("watch") && lines[0]["text"] == json!(text(2, "")), "{lines:?}");
+    assert!(
+        lines[0]["by"] == json!("watch") && lines[0]["text"] == json!(policy_document(2, "")),
+        "{lines:?}"
+    );
     assert!(stage.keepers.iter().any(|one| one
         .log()
         .iter()
         .any(|line| line.1.contains("policy 2 did harm: each invocation before"))));
-    good(&mut stage, 3, 2, &|_| false);
+    verify_outcome(&mut stage, 3, 2, &|_| false);
 }
 
-/// Guards against a change that does harm and stays, as the leader that watched it is another one by then. Known to fail: KNOWN-RED.txt.
+/// Guards against a harmful change that stays active because the leader that watched it lost its leadership. Known to fail:
+/// KNOWN-RED.txt.
 #[test]
 fn a_change_that_does_harm_is_undone_through_a_change_of_leader() {
     let own = |_: usize, all: &mut Value| {
@@ -405,81 +422,87 @@
             all["settings"]["categories"][at]["aim_ns"] = json!(45_000_000);
         }
     };
-    let mut stage = stage_with(2, &|_| String::new(), &own);
-    assert!(stage.all_have(0, 2, PATIENCE));
+    let mut stage = start_stage_with(2, &|_| String::new(), &own);
+    assert!(stage.all_have(0, 2, TIMEOUT));
     stage.load(8, ms(5));
     sleep(Duration::from_secs(5));
-    let harm = "lease: 1s\nwatch: {share: 0.3, within: 4s}\npools: {limiter: \"fixed\", pools: {\
+    let harmful = "lease: 1s\nwatch: {share: 0.3, within: 4s}\npools: {limiter: \"fixed\", pools: {\
                 all: {operations: [\"lookup\", \"report\"], most: 0.01}}}\n";
-    assert_eq!(stage.propose(harm, 20).1, 0);
+    assert_eq!(stage.propose(harmful, 20).1, 0);
     let became_leader = |log: Vec<(Instant, String)>| {
         log.into_iter().rfind(|line| line.1.contains("leads the keepers in")).map(|line| line.0)
     };
     let leader = stage.keepers.iter().max_by_key(|one| became_leader(one.log())).expect("a replica");
     let leader = leader.name.clone();
-    // Longer than an election takes.
+    // The pause is longer than an election takes.
     stage.obey(&Order::Stop(leader.clone()));
     sleep(ms(700));
     stage.obey(&Order::Wake(leader));
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while stage.policy(&["show"]).0.first().is_none_or(|line| line["undoes"] != json!(true)) {
-        assert!(Instant::now() < until, "it was never undone");
+        assert!(Instant::now() < until, "the change was never reverted");
         sleep(ms(100));
     }
-    good(&mut stage, 2, 2, &|_| false);
+    verify_outcome(&mut stage, 2, 2, &|_| false);
 }
 
 #[test]
-fn forwarders_and_a_planner_go_by_the_same_version_and_grants_name_it() {
+fn forwarders_and_a_planner_use_the_same_version_and_grants_carry_it() {
     let (planner, forwarder) = (free_port(), free_port());
-    let mut stage = stage_with(2, &|_| String::new(), &|_, _| {});
+    let mut stage = start_stage_with(2, &|_| String::new(), &|_, _| {});
     let workers: Vec<String> =
         (0..2).map(|at| format!("{{name: \"m{at}\", address: \"{}\", places: 8}}", stage.at[at])).collect();
     let plain = std::fs::read_to_string(stage.operator("operator")).expect("a file");
     for (name, role, listen) in [("p0", "plan", planner), ("f0", "forward", forwarder)] {
-        let rest = format!(
+        let operator_settings = format!(
             "rollout: {{folder: \"{}\"}}\ntier: {{listen: \"{listen}\", planners: [{{name: \"p0\", address: \"{planner}\"}}], workers: [{}]}}\n",
             stage.folder().join(format!("disk-{name}")).display(),
             workers.join(", ")
         );
         let path = stage.operator(name);
-        // The one that has no keeper's folder of its own is an instance.
-        let keepers: String = plain.lines().take(1).map(|line| format!("{line}\n")).collect();
-        std::fs::write(&path, format!("{keepers}{rest}")).expect("to write the operator's file");
+        // A file without a control replica's folder describes an instance.
+        let replica_list: String = plain.lines().take(1).map(|line| format!("{line}\n")).collect();
+        std::fs::write(&path, format!("{replica_list}{operator_settings}"))
+            .expect("to write the operator's file");
         stage.member(role, name, &path, &|_| {});
         stage.process(name).start();
     }
-    assert!(stage.all_have(0, 4, PATIENCE), "{:?}", stage.policy(&["status"]));
-    assert!(stage.logged("f0", "by its grants: epoch", 1, PATIENCE), "{:?}", stage.members[3].log());
+    assert!(stage.all_have(0, 4, TIMEOUT), "{:?}", stage.policy(&["status"]));
+    assert!(stage.logged("f0", "by its grants: epoch", 1, TIMEOUT), "{:?}", stage.members[3].log());
     assert_eq!(stage.propose("lease: 1s\nretries: 0.2\n", 20).1, 0);
-    assert!(stage.all_have(1, 4, PATIENCE));
-    // The planner stands still: the forwarder goes over without it, and goes by itself.
+    assert!(stage.all_have(1, 4, TIMEOUT));
+    // The planner is stopped: the forwarder adopts the new version without the planner and dispatches without grants.
     stage.obey(&Order::Stop("p0".into()));
-    let version = takes(&stage, 3);
+    let version = propose_until_committed(&stage, 3);
     stage.obey(&Order::Wake("p0".into()));
-    assert!(stage.all_have(version, 4, PATIENCE));
-    let again = stage.members[3].log().iter().filter(|line| line.1.contains("by its grants: epoch")).count();
-    assert!(again >= 1);
-    let unlike = |one: &cypresscleat_fault_injection::Process| {
+    assert!(stage.all_have(version, 4, TIMEOUT));
+    let grant_lines =
+        stage.members[3].log().iter().filter(|line| line.1.contains("by its grants: epoch")).count();
+    assert!(grant_lines >= 1);
+    let has_version_mismatch = |one: &cypresscleat_fault_injection::Process| {
         one.log().iter().any(|line| line.1.contains("its grants are not used"))
     };
-    assert!(stage.members[2..].iter().any(unlike), "unlike versions are told of while one has not heard");
-    good(&mut stage, version, 4, &|_| false);
+    assert!(
+        stage.members[2..].iter().any(has_version_mismatch),
+        "no process logged that its peer uses another version"
+    );
+    verify_outcome(&mut stage, version, 4, &|_| false);
 }
 
 #[test]
-fn faults_by_chance_mix_no_versions_past_the_bound_and_lose_nothing() {
-    let mut stage = stage(5);
+fn random_faults_mix_no_versions_past_the_bound_and_lose_nothing() {
+    let mut stage = start_stage(5);
     stage.load(2, ms(15));
-    let texts = |count: u64| match count % 4 {
-        0 => text(3, "together: true"),
+    let document_at = |count: u64| match count % 4 {
+        0 => policy_document(3, "together: true"),
         1 => "lease: 1s\nwithin: 6s\npools: {limiter: \"fixed\", pools: {a: {operations: [\"nosuch\"]}}}\n"
             .to_string(),
-        _ => text((2 + count % 5) as u32, ""),
+        _ => policy_document((2 + count % 5) as u32, ""),
     };
-    let proposed = stage.faults(77, Duration::from_secs(12), &texts);
-    let together = |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
-    let version = takes(&stage, 7);
-    let judged = good(&mut stage, version, 5, &together);
+    let proposed = stage.faults(77, Duration::from_secs(12), &document_at);
+    let has_barrier =
+        |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
+    let version = propose_until_committed(&stage, 7);
+    let judged = verify_outcome(&mut stage, version, 5, &has_barrier);
     assert!(judged.taken >= 2, "{judged:?}");
 }
