--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -1,5 +1,5 @@
-//! What operators type and what their scripts read: subcommands, flags, exit codes, keys of the operator's file with their defaults,
-//! counters, fields of JSON. Recorded as it stands; a new name comes beside the old one, which stays.
+//! The interface of operators and their scripts: subcommands, flags, exit codes, keys of the operator's file with their defaults,
+//! counters and JSON fields, as recorded. A new name is added as an alias; the old name stays valid.
 
 use cypresscleat_demo::{owners, rollout, Place};
 use cypresscleat_fault_injection::{free_port, Order, Process};
@@ -12,18 +12,18 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
 const CONFIG: &str = include_str!("../../demo/config.json");
 const LEASE: Duration = Duration::from_secs(1);
-/// For whatever has to happen at all.
-const PATIENCE: Duration = Duration::from_secs(25);
+/// Maximum time to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(25);
 
 const SUCCESS: i32 = 0;
 const BAD_INPUT: i32 = 2;
-const DROPPED: i32 = 3;
+const ABORTED: i32 = 3;
 const NO_QUORUM: i32 = 4;
 
 /// Runs the program to its end, without the platform's configuration.
-fn run(words: &[&str]) -> Output {
+fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(PROGRAM);
-    command.args(words).env_remove("EDGE_CONFIG").env_remove("EDGE_NAME").env("USER", "operator");
+    command.args(arguments).env_remove("EDGE_CONFIG").env_remove("EDGE_NAME").env("USER", "operator");
     command.output().expect("to run the program")
 }
 
@@ -39,14 +39,14 @@
     format!("{}/tests/operator_interface/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
-/// A folder of the test's own, gone with it.
+/// A temporary folder of one test, removed on drop.
 struct TempFolder(PathBuf);
 
 impl TempFolder {
     fn new() -> TempFolder {
         let name = format!("cypresscleat-interface-{}-{}", std::process::id(), free_port().port());
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("a directory");
         TempFolder(folder)
     }
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// The key `keepers` with addresses where nobody listens.
-fn three_keepers() -> String {
+/// The key `keepers` with addresses at which no process listens.
+fn three_control_replicas() -> String {
     let all: Vec<String> =
         (0..3).map(|at| format!("{{name: \"k{at}\", address: \"{}\"}}", free_port())).collect();
     format!("keepers: {{lease: 1s, all: [{}]}}\n", all.join(", "))
@@ -72,21 +72,21 @@
 
 // ---- subcommands and flags ----
 
-/// The flags of a subcommand as its help shows them: names, values, defaults; without the prose.
+/// The flags of a subcommand as its help shows them: names, values and defaults, without descriptions.
 fn flags(help: &str) -> Vec<String> {
     let is_listed = |line: &&str| line.trim_start().starts_with('-') || line.trim_start().starts_with('<');
-    let datum = |line: &str| {
+    let describe = |line: &str| {
         let (names, rest) = line.trim().split_once("  ").unwrap_or((line.trim(), ""));
-        let marks = ["[env: ", "[default: ", "[possible values: "].map(|mark| {
-            let from = rest.find(mark)?;
+        let annotations = ["[env: ", "[default: ", "[possible values: "].map(|prefix| {
+            let from = rest.find(prefix)?;
             let to = rest[from..].find(']')? + from + 1;
-            // The value of the variable is that of whoever runs the test.
+            // The value of the variable depends on the environment of the test run.
             let shown = &rest[from..to];
             Some(shown.split_once('=').map_or(shown.to_string(), |(name, _)| format!("{name}]")))
         });
-        [Some(names.to_string())].into_iter().chain(marks).flatten().collect::<Vec<_>>().join(" ")
+        [Some(names.to_string())].into_iter().chain(annotations).flatten().collect::<Vec<_>>().join(" ")
     };
-    help.lines().filter(is_listed).map(datum).collect()
+    help.lines().filter(is_listed).map(describe).collect()
 }
 
 const OPERATOR: &str = "--operator <FILE>";
@@ -143,8 +143,9 @@
         ("check", &[OPERATOR, "--show", HELP]),
     ];
     for (subcommand, expected) in rows {
-        let words: Vec<&str> = [subcommand, "--help"].into_iter().filter(|word| !word.is_empty()).collect();
-        let output = run(&words);
+        let arguments: Vec<&str> =
+            [subcommand, "--help"].into_iter().filter(|argument| !argument.is_empty()).collect();
+        let output = run(&arguments);
         assert_eq!(output.status.code(), Some(SUCCESS), "{subcommand}");
         assert_eq!(flags(&stdout(&output)), expected, "{subcommand}");
     }
@@ -176,7 +177,7 @@
     let faulty = &folder.file("faulty.cue", "pools: {limiter: \"gradeint\", pools: {}}\n");
     let missing = &folder.0.join("missing.cue").display().to_string();
     let (good, policy) = (&recorded("required_keys.cue"), &recorded("policy.cue"));
-    // What is run, its exit code, and words that stand on stdout and stderr.
+    // Arguments, exit code, and text that stdout and stderr contain.
     let rows: &[(&[&str], i32, &str, &str)] = &[
         (&["--help"], SUCCESS, "Usage: cypresscleat-server", ""),
         (&["--version"], SUCCESS, "cypresscleat-server ", ""),
@@ -233,16 +234,22 @@
         (&["policy", "forget", "--operator", good], BAD_INPUT, "", "--instance is required"),
         (&["policy", "adopt", "--operator", good], BAD_INPUT, "", "invalid value 'adopt'"),
     ];
-    for (words, code, out, err) in rows {
-        let output = run(words);
-        assert_eq!(output.status.code(), Some(*code), "{words:?}: {}{}", stdout(&output), stderr(&output));
-        assert!(stdout(&output).contains(out), "{words:?}: {}", stdout(&output));
-        assert!(stderr(&output).contains(err), "{words:?}: {}", stderr(&output));
+    for (arguments, code, expected_stdout, expected_stderr) in rows {
+        let output = run(arguments);
+        assert_eq!(
+            output.status.code(),
+            Some(*code),
+            "{arguments:?}: {}{}",
+            stdout(&output),
+            stderr(&output)
+        );
+        assert!(stdout(&output).contains(expected_stdout), "{arguments:?}: {}", stdout(&output));
+        assert!(stderr(&output).contains(expected_stderr), "{arguments:?}: {}", stderr(&output));
     }
 }
 
-/// Roles beside the app server that act on a duty, with the key of the operator's file that each needs.
-const DUTY_ROLES: [(&str, &str); 6] = [
+/// Roles beside the app server that work on a task, with the key of the operator's file that each requires.
+const TASK_ROLES: [(&str, &str); 6] = [
     ("tally", "tally"),
     ("settle", "settle"),
     ("sums", "sums"),
@@ -252,10 +259,10 @@
 ];
 
 #[test]
-fn duty_roles_refuse_to_start_without_their_key_or_a_name() {
+fn task_roles_do_not_start_without_their_key_or_a_name() {
     let folder = TempFolder::new();
-    let keepers = folder.file("keepers.cue", &three_keepers());
-    for (role, key) in DUTY_ROLES {
+    let keepers = folder.file("keepers.cue", &three_control_replicas());
+    for (role, key) in TASK_ROLES {
         let output = run(&[role, "--operator", &keepers, "--name", "n0"]);
         assert_eq!(output.status.code(), Some(BAD_INPUT), "{role}");
         assert!(stderr(&output).contains(&format!(": no {key}")), "{role}: {}", stderr(&output));
@@ -265,9 +272,9 @@
     }
 }
 
-/// Waits until the control replicas say that an instance owns a part, or that none does; the duty and the owner.
-fn owner(stage: &owners::Stage, is_owned: bool) -> (String, String) {
-    let until = Instant::now() + PATIENCE;
+/// Waits until the control replicas report that an instance owns a partition, or that none does; returns the task and the owner.
+fn wait_for_owner(stage: &owners::Stage, is_owned: bool) -> (String, String) {
+    let until = Instant::now() + TIMEOUT;
     loop {
         let (lines, _) = stage.owners();
         let line = lines.iter().find(|line| line["owner"].is_null() != is_owned).filter(|_| is_owned);
@@ -282,9 +289,9 @@
     }
 }
 
-/// Under either name a role owns the same duty under the same identity, and ends with the same exit code.
+/// Under either name a role owns the same task under the same identity, and ends with the same exit code.
 #[test]
-fn a_role_does_the_same_under_its_earlier_name() {
+fn a_role_works_the_same_under_its_earlier_name() {
     let (program, every) = (Path::new(PROGRAM), Duration::from_millis(20));
     let setup =
         owners::Setup { program, keepers: 3, instances: 0, parts: 1, lease: LEASE, every, seed: 1, drift: 0 };
@@ -296,10 +303,10 @@
         let owned = [name, earlier].map(|role| {
             let mut process = stage.also(role, "n0", &section);
             process.start();
-            let owned = owner(&stage, true);
+            let owned = wait_for_owner(&stage, true);
             process.end();
-            assert!(process.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
-            owner(&stage, false);
+            assert!(process.ended(TIMEOUT).is_some_and(|status| status.success()), "{role}");
+            wait_for_owner(&stage, false);
             owned
         });
         assert_eq!(owned[0], owned[1], "{name}");
@@ -307,23 +314,19 @@
 }
 
 #[test]
-fn a_control_replica_hears_under_its_earlier_name() {
+fn a_control_replica_listens_under_its_earlier_name() {
     let folder = TempFolder::new();
     for role in [RENAMED[0].0, RENAMED[0].1] {
         let disk = folder.0.join(format!("disk-{role}"));
-        let keepers = three_keepers().replace("lease: 1s", &format!("lease: 1s, folder: {disk:?}"));
+        let keepers = three_control_replicas().replace("lease: 1s", &format!("lease: 1s, folder: {disk:?}"));
         let path = folder.file(&format!("{role}.cue"), &keepers);
         let mut replica =
             Process::new("k0", Path::new(PROGRAM), &[role, "--operator", &path, "--name", "k0"]);
         replica.start();
-        assert!(
-            replica.logged("keeper k0 listens on ", 0, PATIENCE).is_some(),
-            "{role}: {:?}",
-            replica.log()
-        );
+        assert!(replica.logged("keeper k0 listens on ", 0, TIMEOUT).is_some(), "{role}: {:?}", replica.log());
         replica.end();
-        assert!(replica.ended(PATIENCE).is_some_and(|status| status.success()), "{role}");
-        assert!(replica.logged("keeper k0 stopped", 0, PATIENCE).is_some(), "{role}");
+        assert!(replica.ended(TIMEOUT).is_some_and(|status| status.success()), "{role}");
+        assert!(replica.logged("keeper k0 stopped", 0, TIMEOUT).is_some(), "{role}");
     }
 }
 
@@ -407,13 +410,13 @@
 fn relay_prints_its_counters_in_the_recorded_order() {
     let folder = TempFolder::new();
     let (listen, disk) = (free_port(), folder.0.join("disk"));
-    let text = format!("{}relay: {{listen: \"{listen}\", folder: {disk:?}}}\n", three_keepers());
-    let path = folder.file("relay.cue", &text);
+    let settings = format!("{}relay: {{listen: \"{listen}\", folder: {disk:?}}}\n", three_control_replicas());
+    let path = folder.file("relay.cue", &settings);
     let mut relay = Process::new("r0", Path::new(PROGRAM), &["relay", "--operator", &path, "--name", "r0"]);
     relay.start();
-    assert!(relay.logged("relay r0 hears members at ", 0, PATIENCE).is_some());
+    assert!(relay.logged("relay r0 hears members at ", 0, TIMEOUT).is_some());
     relay.signal("USR1");
-    let at = relay.logged("asks ", 0, PATIENCE).expect("the counters");
+    let at = relay.logged("asks ", 0, TIMEOUT).expect("the counters");
     let line = relay.log()[at - 1].1.clone();
     let expected = [
         "asks",
@@ -440,7 +443,7 @@
     fields
 }
 
-const ACT_FIELDS: [&str; 7] = ["at_ns", "by", "duty", "item", "resource", "taken", "token"];
+const OPERATION_FIELDS: [&str; 7] = ["at_ns", "by", "duty", "item", "resource", "taken", "token"];
 const OWNERSHIP_FIELDS: [&str; 5] = ["at_ns", "duty", "event", "owner", "token"];
 
 #[test]
@@ -449,7 +452,7 @@
     let setup =
         owners::Setup { program, keepers: 3, instances: 1, parts: 1, lease: LEASE, every, seed: 1, drift: 0 };
     let mut stage = owners::Stage::start(&setup);
-    assert!(stage.progress(3, PATIENCE), "nobody began\n{}", stage.logs());
+    assert!(stage.progress(3, TIMEOUT), "no instance started\n{}", stage.logs());
     stage.obey(&Order::Keep("k0".into()));
     let (lines, code) = stage.owners();
     assert_eq!((lines.len(), code), (1, SUCCESS));
@@ -457,17 +460,21 @@
     assert_eq!(fields(&lines[0]), expected);
     let path = stage.folder().join("journal.json");
     stage.write(&path).expect("to write the journal");
-    let text = std::fs::read_to_string(&path).expect("the journal");
-    let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    let (mut acts, mut ownership, mut faults) = (0, 0, 0);
+    let journal = std::fs::read_to_string(&path).expect("the journal");
+    let lines: Vec<Value> = journal.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+    let (mut operations, mut ownership, mut faults) = (0, 0, 0);
     for line in &lines {
         let fields = fields(line);
-        acts += usize::from(fields == ACT_FIELDS);
+        operations += usize::from(fields == OPERATION_FIELDS);
         ownership += usize::from(fields == OWNERSHIP_FIELDS);
         faults += usize::from(fields == ["at_ns", "fault"]);
     }
-    assert!(acts > 0 && ownership > 0 && faults == 1, "{acts} {ownership} {faults}\n{text}");
-    assert_eq!(acts + ownership + faults, lines.len(), "{text}");
+    assert!(
+        operations > 0 && ownership > 0 && faults == 1,
+        "{operations} {ownership} {faults}
+{journal}"
+    );
+    assert_eq!(operations + ownership + faults, lines.len(), "{journal}");
 }
 
 #[test]
@@ -476,10 +483,10 @@
     let setup =
         rollout::Setup { program, config: CONFIG, keepers: 3, members: 1, more: &more, own: &own, seed: 1 };
     let mut stage = rollout::Stage::start(&setup);
-    assert!(stage.all_have(0, 1, PATIENCE), "they never began");
+    assert!(stage.all_have(0, 1, TIMEOUT), "the member never started");
     let (lines, code) = stage.propose("lease: 1s\n", 20);
     assert_eq!((fields(&lines[0]), code), (vec!["taken", "version"], SUCCESS));
-    assert!(stage.all_have(1, 1, PATIENCE) && stage.serve_under(1, &[0], PATIENCE));
+    assert!(stage.all_have(1, 1, TIMEOUT) && stage.serve_under(1, &[0], TIMEOUT));
 
     let (lines, code) = stage.policy(&["status"]);
     assert_eq!((fields(&lines[0]), code), (vec!["change", "in_force", "members"], SUCCESS));
@@ -494,22 +501,22 @@
     let shown = ["at_ms", "by", "from", "hash", "text", "undoes", "version", "why"];
     assert_eq!((fields(&lines[0]), code), (shown.to_vec(), SUCCESS));
 
-    let text = recorded("policy.cue");
-    let (lines, code) = stage.policy(&["propose", "--text", &text, "--from", "0"]);
-    assert_eq!((fields(&lines[0]), code), (vec!["code", "error", "version"], DROPPED));
+    let document_path = recorded("policy.cue");
+    let (lines, code) = stage.policy(&["propose", "--text", &document_path, "--from", "0"]);
+    assert_eq!((fields(&lines[0]), code), (vec!["code", "error", "version"], ABORTED));
 
     stage.load(1, Duration::from_millis(20));
     let admitted = ["at_ns", "event", "invocation", "member", "version"];
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !stage.journal().iter().any(|line| fields(line) == admitted) {
-        assert!(Instant::now() < until, "nothing was admitted");
+        assert!(Instant::now() < until, "no request was admitted");
         thread::sleep(Duration::from_millis(20));
     }
-    let by_keepers = ["at_ns", "event", "version"];
+    let by_replicas = ["at_ns", "event", "version"];
     let by_members = ["at_ns", "event", "member", "version"];
     for line in stage.journal() {
         let fields = fields(&line);
-        assert!(fields == admitted || fields == by_keepers || fields == by_members, "{line}");
+        assert!(fields == admitted || fields == by_replicas || fields == by_members, "{line}");
     }
     stage.rests();
 }
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -364,7 +364,7 @@
     let token = current_owner(&stage).1;
     let address = stage.keeper("k3");
     let folder = stage.folder().join("k3").display().to_string();
-    // No simulated network links are needed: k3 and the other replicas use each other's own addresses.
+    // k3 reaches the other replicas at their own addresses, and they reach k3 at its own.
     stage.rewrite("k3", |_| String::new());
     let plain = std::fs::read_to_string(stage.operator("operator")).expect("a file");
     let replace_k2 = |text: &str| {
