--- a/crates/server/tests/documentation_links.rs
+++ b/crates/server/tests/documentation_links.rs
@@ -1,4 +1,4 @@
-//! Relative links in the README and the pages under `docs/` lead to files that exist, so that whoever is on call finds the code.
+//! Relative links in the README and the pages under `docs/` refer to existing files, so that on-call engineers find the code.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +11,7 @@
     let mut pages = vec![root().join("README.md")];
     let mut folders = vec![root().join("docs")];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(&folder).expect("a folder of pages") {
+        for entry in std::fs::read_dir(&folder).expect("a directory of pages") {
             let path = entry.expect("an entry").path();
             if path.is_dir() {
                 folders.push(path);
@@ -35,7 +35,7 @@
     let mut missing = Vec::new();
     for page in pages() {
         let text = std::fs::read_to_string(&page).expect("a page");
-        let folder = page.parent().expect("a page lies in a folder");
+        let folder = page.parent().expect("a page has a parent directory");
         let broken = relative_targets(&text).into_iter().filter(|target| !folder.join(target).exists());
         missing.extend(broken.map(|target| format!("{}: {target}", page.display())));
     }
--- a/crates/server/tests/golden.rs
+++ b/crates/server/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the server's control roles send and store, as recorded from the program at commit 67fc394: datagrams, snapshots of all that is
-//! agreed, a policy's canonical text by its hash, the versions that members keep.
+//! Messages and stored data of the server's control roles, as recorded from the program at commit 67fc394: datagrams, snapshots of the
+//! replicated state, the hashes of canonical policy documents, and the versions that members store.
 
 #[path = "../../leases/tests/support/golden.rs"]
 #[allow(dead_code)]
@@ -23,9 +23,9 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-fn wires() -> Vec<(&'static str, ControlMessage)> {
+fn messages() -> Vec<(&'static str, ControlMessage)> {
     let key = (7, 8);
-    let letter = Message {
+    let consensus_message = Message {
         from: Member { id: 1, disk: 2 },
         to_disk: 3,
         term: 400,
@@ -34,7 +34,7 @@
     let last_seen_grant = (5, Partition { task: 6, index: 7 });
     let claims = vec![Claim { task: 6, partitions: 8, rank: 1 }];
     let address = |text: &str| text.parse().expect("an address");
-    let held = policy::Response::Renewed {
+    let renewed = policy::Response::Renewed {
         key,
         number: 1,
         lease: Some(20_000),
@@ -44,7 +44,7 @@
         pause: 0,
     };
     vec![
-        ("consensus", ControlMessage::Consensus(letter)),
+        ("consensus", ControlMessage::Consensus(consensus_message)),
         (
             "lease_request",
             ControlMessage::LeaseRequest(Request::Renew {
@@ -61,7 +61,7 @@
             ControlMessage::LeaseResponse { from: 300, response: Response::SessionExpired { session: 9 } },
         ),
         ("rollout_request", ControlMessage::RolloutRequest(policy::Request::Leave { key, number: 2 })),
-        ("rollout_response", ControlMessage::RolloutResponse { from: 300, response: held }),
+        ("rollout_response", ControlMessage::RolloutResponse { from: 300, response: renewed }),
         ("address_v4", ControlMessage::ReplicaAddress { replica: 300, address: address("127.0.0.1:8080") }),
         ("address_v6", ControlMessage::ReplicaAddress { replica: 300, address: address("[::1]:8080") }),
     ]
@@ -70,34 +70,35 @@
 #[test]
 fn datagrams_keep_their_bytes() {
     let mut lines = Vec::new();
-    for (name, wire) in wires() {
-        let bytes = message::encode(&wire).expect("it is short");
-        assert_eq!(message::decode::<ControlMessage>(&bytes), Ok(wire), "{name}: read back");
+    for (name, wire) in messages() {
+        let bytes = message::encode(&wire).expect("the message fits into a datagram");
+        assert_eq!(message::decode::<ControlMessage>(&bytes), Ok(wire), "{name}: decoded again");
         lines.push((name.to_string(), bytes));
     }
     assert_recorded("datagrams.hex", &lines);
 }
 
-/// Partitions and a policy on one log; and a snapshot of partitions alone, which earlier versions wrote.
+/// Leases and a policy in one log, and a snapshot of leases alone, as earlier versions wrote.
 #[test]
-fn snapshots_of_all_that_is_agreed_keep_their_bytes() {
+fn snapshots_of_the_replicated_state_keep_their_bytes() {
     let claims = vec![Claim { task: 6, partitions: 2, rank: 0 }];
     let open = postcard::to_stdvec(&state::Command::OpenSession { instance: 1, incarnation: 2, claims })
         .expect("a command");
     let propose = policies::encode_command(&policies::Command::Propose(Version { parent: 0, ..version() }));
-    let (mut agreed, mut alone) = (ReplicatedState::default(), LeaseState::default());
-    let mut lines = vec![("empty".to_string(), agreed.snapshot())];
+    let (mut replicated, mut leases) = (ReplicatedState::default(), LeaseState::default());
+    let mut lines = vec![("empty".to_string(), replicated.snapshot())];
     for (index, command) in [(5, &open), (6, &propose)] {
-        lines.push((format!("outcome_{index}"), agreed.apply(index, command)));
-        lines.push((format!("snapshot_{index}"), agreed.snapshot()));
+        lines.push((format!("outcome_{index}"), replicated.apply(index, command)));
+        lines.push((format!("snapshot_{index}"), replicated.snapshot()));
     }
-    alone.apply(5, &open);
-    lines.push(("partitions_alone".to_string(), alone.snapshot()));
+    leases.apply(5, &open);
+    lines.push(("partitions_alone".to_string(), leases.snapshot()));
     for (name, bytes) in lines.iter().filter(|(name, _)| !name.starts_with("outcome")) {
-        let again = ReplicatedState::from_snapshot(bytes).expect("a snapshot is read");
-        let written = if name == "partitions_alone" { again.leases.snapshot() } else { again.snapshot() };
-        assert_eq!(&written, bytes, "{name}: written again");
-        assert_eq!(again.policies == PolicyState::default(), name != "snapshot_6", "{name}");
+        let restored = ReplicatedState::from_snapshot(bytes).expect("a valid snapshot");
+        let written =
+            if name == "partitions_alone" { restored.leases.snapshot() } else { restored.snapshot() };
+        assert_eq!(&written, bytes, "{name}: encoded again");
+        assert_eq!(restored.policies == PolicyState::default(), name != "snapshot_6", "{name}");
     }
     assert_recorded("agreed.hex", &lines);
 }
@@ -110,7 +111,7 @@
     ("limits", "patience: 750ms\nretries: 0.25\n"),
 ];
 
-/// Hash of the canonical text, and the rules that are sent with it.
+/// The hash of the canonical document, and the rules that are sent with it.
 #[test]
 fn policies_keep_their_hash_and_rules() {
     let mut lines = Vec::new();
@@ -150,20 +151,20 @@
     vec![plain, version()]
 }
 
-/// The folder is as a member at 67fc394 wrote it.
+/// The golden folder was written by a member at 67fc394.
 #[test]
 fn a_member_reads_and_writes_the_folder_of_an_earlier_version() {
     let golden = golden_folder().join("member");
     if std::env::var_os("RECORD_GOLDEN").is_some() {
-        versions()
-            .iter()
-            .for_each(|version| document_store::store_version(&golden, version, None).expect("it is kept"));
+        versions().iter().for_each(|version| {
+            document_store::store_version(&golden, version, None).expect("the version is stored")
+        });
     }
     assert_eq!(document_store::stored_versions(&golden), [3, 12]);
     assert_eq!(document_store::load_versions(&golden).collect::<Vec<_>>(), versions());
     let folder = std::env::temp_dir().join(format!("golden-member-{}", std::process::id()));
     for version in versions() {
-        document_store::store_version(&folder, &version, None).expect("it is kept");
+        document_store::store_version(&folder, &version, None).expect("the version is stored");
     }
     for entry in std::fs::read_dir(&golden).expect("the golden folder").flatten() {
         let bytes = |folder: &Path| std::fs::read(folder.join(entry.file_name())).expect("a file");
--- a/crates/server/tests/member_disk.rs
+++ b/crates/server/tests/member_disk.rs
@@ -1,4 +1,4 @@
-//! A member of a rollout whose disk stalls: a named pipe stands where a version is to be written, and nobody reads from it for a while.
+//! A member of a rollout whose disk stalls: a named pipe replaces the file of a version, and nothing reads from the pipe for a while.
 
 use cypresscleat_consensus::message;
 use cypresscleat_rollout::member::AdmissionPermit;
@@ -14,14 +14,14 @@
 use tokio::time::{sleep, timeout, Instant};
 
 const LEASE: Time = SECOND;
-/// How long the disk stalls: over two leases.
+/// The duration of the stall: over two leases.
 const STALL: Duration = Duration::from_millis(2_500);
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// The version that is proposed.
 const PROPOSED: u64 = 2;
 
-/// A leader with version 0 active and another one proposed; comes back with the member's verdict on that.
-async fn leader(socket: &UdpSocket) -> Verdict {
+/// Runs a leader with version 0 active and version `PROPOSED` pending; returns the member's vote on it.
+async fn run_leader(socket: &UdpSocket) -> Verdict {
     let mut bytes = vec![0; message::MAX_DATAGRAM_BYTES];
     loop {
         let (size, member) = socket.recv_from(&mut bytes).await.expect("a request");
@@ -46,21 +46,21 @@
             }
             _ => continue,
         };
-        answers(socket, member, response).await;
+        send_response(socket, member, response).await;
     }
 }
 
-async fn answers(socket: &UdpSocket, member: SocketAddr, response: Response) {
+async fn send_response(socket: &UdpSocket, member: SocketAddr, response: Response) {
     let bytes = message::encode(&ControlMessage::RolloutResponse { from: node_id("k"), response })
-        .expect("it is short");
-    socket.send_to(&bytes, member).await.expect("it goes");
+        .expect("the message fits into a datagram");
+    socket.send_to(&bytes, member).await.expect("the datagram is sent");
 }
 
-/// Guards admission against the member's own disk: while it stalled no heartbeat went out, and the lease ended.
+/// Guards against a lease that expires because the member sends no heartbeats while its disk stalls.
 #[test]
-fn a_member_whose_disk_stalls_for_two_leases_admits_all_the_while() {
+fn a_member_whose_disk_stalls_for_two_leases_keeps_admitting() {
     let folder = std::env::temp_dir().join(format!("member-and-stalled-disk-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("a directory");
     let pipe = folder.join(format!("{PROPOSED:012}.new"));
     assert!(Command::new("mkfifo").arg(&pipe).status().is_ok_and(|status| status.success()), "a named pipe");
     let reader = std::thread::spawn(move || {
@@ -70,16 +70,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let (denied, verdict) = runtime.block_on(async {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-        let above = [("k".to_string(), socket.local_addr().expect("an address"))];
-        let set = RolloutSettings {
+        let replicas = [("k".to_string(), socket.local_addr().expect("an address"))];
+        let settings = RolloutSettings {
             folder: folder.clone(),
             start_alone_after: None,
             max_document_bytes: MAX_DOCUMENT_BYTES,
             relays: Vec::new(),
         };
-        let task = MemberTask::new("m", &above, &set, None, None, Box::new(|_| {})).await.expect("a socket");
+        let task = MemberTask::new("m", &replicas, &settings, None, None, Box::new(|_| {})).await.expect("a socket");
         let gate = task.gate();
-        let looks = async {
+        let permit_sampler = async {
             while gate.permit() == AdmissionPermit::Deny {
                 sleep(Duration::from_millis(5)).await;
             }
@@ -91,13 +91,13 @@
             denied
         };
         tokio::select! {
-            () = task.run() => panic!("it ended"),
-            both = async { tokio::join!(looks, timeout(PATIENCE, leader(&socket))) } => both,
+            () = task.run() => panic!("the member task ended"),
+            results = async { tokio::join!(permit_sampler, timeout(TIMEOUT, run_leader(&socket))) } => results,
         }
     });
     let _ = reader.join();
     let _ = std::fs::remove_dir_all(folder);
-    assert_eq!(denied, 0, "it admits nothing while its disk stalls");
-    // A pipe can't be synced: the version is refused, and that is told once the disk goes on.
+    assert_eq!(denied, 0, "the member denied admission while its disk stalled");
+    // A pipe cannot be synced, so the member refuses the version and reports that once the stall ends.
     assert!(matches!(verdict, Ok(Verdict::Refused(_))), "{verdict:?}");
 }
--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -469,11 +469,7 @@
         ownership += usize::from(fields == OWNERSHIP_FIELDS);
         faults += usize::from(fields == ["at_ns", "fault"]);
     }
-    assert!(
-        operations > 0 && ownership > 0 && faults == 1,
-        "{operations} {ownership} {faults}
-{journal}"
-    );
+    assert!(operations > 0 && ownership > 0 && faults == 1, "{operations} {ownership} {faults}\n{journal}");
     assert_eq!(operations + ownership + faults, lines.len(), "{journal}");
 }
 
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -1,5 +1,5 @@
-//! A planner that dies at each step of the exchange, or speaks nonsense: a scripted one in front of a real forwarder and real
-//! workers. In every case each caller has its answer, in time, and nothing runs twice.
+//! A scripted planner that fails at each step of the exchange or sends invalid messages to a real forwarder with real workers. In every
+//! case each client gets its response in time, and no request runs twice.
 
 use cypresscleat_demo::tier::{ran_twice, trickle, Levels};
 use cypresscleat_forwarding::grants::GRANT_DURATION;
@@ -15,16 +15,19 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
 const CONFIG: &str = include_str!("../../demo/config.json");
 
-/// What the planner does with its `count`-th report: the datagrams that go back.
-type Script =
-    fn(count: u32, answers: u32, say: &dyn Fn(u64, u64, u32, Vec<Grant>) -> Vec<u8>) -> Vec<Vec<u8>>;
+/// The datagrams that the planner sends in response to its `count`-th report.
+type Script = fn(
+    count: u32,
+    report_number: u32,
+    encode_grants: &dyn Fn(u64, u64, u32, Vec<Grant>) -> Vec<u8>,
+) -> Vec<Vec<u8>>;
 
 fn grants() -> Vec<Grant> {
     ["w0", "w1"].map(|name| Grant { worker: node_id(name), slots: 4 }).to_vec()
 }
 
-fn say(epoch: u64, number: u64, answers: u32, grants: Vec<Grant>) -> Vec<u8> {
-    let message = Message::Grants { epoch, number, report: answers, duration: GRANT_DURATION, grants };
+fn encode_grants(epoch: u64, number: u64, report_number: u32, grants: Vec<Grant>) -> Vec<u8> {
+    let message = Message::Grants { epoch, number, report: report_number, duration: GRANT_DURATION, grants };
     let mut bytes = Vec::new();
     messages::encode(
         &mut bytes,
@@ -33,12 +36,12 @@
     bytes
 }
 
-/// Plays the script until told to stop.
-fn planner(socket: UdpSocket, script: Script, over: Arc<AtomicBool>) -> thread::JoinHandle<u32> {
-    socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a time-out");
+/// Runs the script until `is_over` is set; returns the number of reports received.
+fn start_planner(socket: UdpSocket, script: Script, is_over: Arc<AtomicBool>) -> thread::JoinHandle<u32> {
+    socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
     thread::spawn(move || {
         let (mut bytes, mut count) = (vec![0; 70_000], 0);
-        while !over.load(Ordering::Relaxed) {
+        while !is_over.load(Ordering::Relaxed) {
             let Ok((size, from)) = socket.recv_from(&mut bytes) else { continue };
             let Decoded::Message(Envelope { message, .. }, _) = messages::decode(&bytes[..size]) else {
                 continue;
@@ -46,7 +49,7 @@
             match message {
                 Message::Report(report) => {
                     count += 1;
-                    for datagram in script(count, report.number, &say) {
+                    for datagram in script(count, report.number, &encode_grants) {
                         let _ = socket.send_to(&datagram, from);
                     }
                 }
@@ -65,148 +68,150 @@
     })
 }
 
-/// Two workers, a forwarder, the scripted planner, 90 invocations over some three seconds.
-fn survives(name: &str, script: Script) -> Levels {
+/// Two workers, a forwarder and the scripted planner serve 90 requests over about three seconds; all must succeed.
+fn run_script(name: &str, script: Script) -> Levels {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let address: SocketAddr = socket.local_addr().expect("an address");
-    let over = Arc::new(AtomicBool::new(false));
-    let planner = planner(socket, script, over.clone());
+    let is_over = Arc::new(AtomicBool::new(false));
+    let planner = start_planner(socket, script, is_over.clone());
     let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![address], 2);
     levels.forward(1);
     for _ in 0..2 {
-        levels.forwarders[0].as_ref().expect("it is here").logged("takes work");
+        levels.forwarders[0].as_ref().expect("the forwarder is running").logged("takes work");
     }
     let all = trickle(&levels.addresses(), name, 90, Duration::from_millis(35));
-    over.store(true, Ordering::Relaxed);
-    let reports = planner.join().expect("its end");
+    is_over.store(true, Ordering::Relaxed);
+    let reports = planner.join().expect("the planner thread panicked");
     assert!(reports >= 3, "{name}: {reports} reports");
-    let bad: Vec<_> = all.iter().filter(|got| got.how != "succeeded").collect();
-    assert!(bad.is_empty(), "{name}: {bad:?}");
+    let failed: Vec<_> = all.iter().filter(|got| got.how != "succeeded").collect();
+    assert!(failed.is_empty(), "{name}: {failed:?}");
     assert_eq!(ran_twice(&levels.ran()), 0, "{name}");
     levels
 }
 
-fn logged(levels: &Levels, words: &str) -> String {
-    levels.forwarders[0].as_ref().expect("it is here").logged(words)
+fn forwarder_logged(levels: &Levels, words: &str) -> String {
+    levels.forwarders[0].as_ref().expect("the forwarder is running").logged(words)
 }
 
 #[test]
-fn it_dies_before_it_decides() {
-    survives("silent", |_, _, _| vec![]);
+fn a_planner_that_fails_before_it_decides() {
+    run_script("silent", |_, _, _| vec![]);
 }
 
 #[test]
-fn it_dies_after_it_decided_and_before_it_told() {
-    // The first was told, the next decided and never told.
-    let levels = survives("untold", |count, answers, say| match count {
-        1 => vec![say(1 << 16, 1, answers, grants())],
+fn a_planner_that_fails_after_a_decision_and_before_it_sends_grants() {
+    // The first grants are sent; the next are decided and never sent.
+    let levels = run_script("untold", |count, report_number, encode_grants| match count {
+        1 => vec![encode_grants(1 << 16, 1, report_number, grants())],
         _ => vec![],
     });
-    logged(&levels, "by itself: grants of epoch 65536 ended");
+    forwarder_logged(&levels, "by itself: grants of epoch 65536 ended");
 }
 
 #[test]
-fn it_dies_after_it_told_some() {
-    let levels = survives("some", |count, answers, say| match count {
-        1..=3 => vec![say(1 << 16, u64::from(count), answers, grants())],
+fn a_planner_that_fails_after_it_sent_some_grants() {
+    let levels = run_script("some", |count, report_number, encode_grants| match count {
+        1..=3 => vec![encode_grants(1 << 16, u64::from(count), report_number, grants())],
         _ => vec![],
     });
-    logged(&levels, "by itself: grants of epoch 65536 ended");
+    forwarder_logged(&levels, "by itself: grants of epoch 65536 ended");
 }
 
 #[test]
-fn it_dies_while_the_forwarder_goes_over_to_its_grants() {
-    let levels = survives("steps", |count, answers, say| match count {
-        1 | 2 => vec![say(1 << 16, u64::from(count), answers, grants())],
+fn a_planner_that_fails_while_the_forwarder_adopts_its_grants() {
+    let levels = run_script("steps", |count, report_number, encode_grants| match count {
+        1 | 2 => vec![encode_grants(1 << 16, u64::from(count), report_number, grants())],
         _ => vec![],
     });
-    logged(&levels, "planners are back");
-    logged(&levels, "by itself");
+    forwarder_logged(&levels, "planners are back");
+    forwarder_logged(&levels, "by itself");
 }
 
 #[test]
-fn it_stalls_and_then_speaks_with_an_old_epoch() {
-    survives("old", |count, answers, say| match count {
-        1 | 2 => vec![say(2 << 16, u64::from(count), answers, grants())],
+fn a_planner_that_stalls_and_then_sends_an_old_epoch() {
+    run_script("old", |count, report_number, encode_grants| match count {
+        1 | 2 => vec![encode_grants(2 << 16, u64::from(count), report_number, grants())],
         3 | 4 => vec![],
-        _ => vec![say(1 << 16, u64::from(count) + 90, answers, vec![])],
+        _ => vec![encode_grants(1 << 16, u64::from(count) + 90, report_number, vec![])],
     });
 }
 
 #[test]
-fn two_that_both_think_they_lead() {
-    survives("two", |count, answers, say| {
-        let own = |lead: u64| say((3 << 16) + lead, u64::from(count), answers, grants());
+fn two_planners_that_both_act_as_leader() {
+    run_script("two", |count, report_number, encode_grants| {
+        let own = |lead: u64| encode_grants((3 << 16) + lead, u64::from(count), report_number, grants());
         vec![own(u64::from(count % 2)), own(1 - u64::from(count % 2))]
     });
 }
 
 #[test]
-fn messages_doubled_garbled_cut_too_long_and_of_another_version() {
-    survives("garbled", |count, answers, say| {
-        let good = say(1 << 16, u64::from(count), answers, grants());
-        let (mut version, mut garbled) = (good.clone(), good.clone());
+fn duplicated_garbled_truncated_oversized_and_unknown_version_messages() {
+    run_script("garbled", |count, report_number, encode_grants| {
+        let valid = encode_grants(1 << 16, u64::from(count), report_number, grants());
+        let (mut version, mut garbled) = (valid.clone(), valid.clone());
         version[4] = 9;
         let at = 5 + count as usize % (garbled.len() - 5);
         garbled[at] ^= 0xff;
-        let long = vec![0xff; 60_000];
-        vec![version, garbled, good[..good.len() / 2].to_vec(), long, good.clone(), good]
+        let oversized = vec![0xff; 60_000];
+        vec![version, garbled, valid[..valid.len() / 2].to_vec(), oversized, valid.clone(), valid]
     });
 }
 
 #[test]
 fn figures_out_of_all_proportion() {
-    survives("figures", |count, answers, say| {
-        let mad = vec![
+    run_script("figures", |count, report_number, encode_grants| {
+        let invalid_grants = vec![
             Grant { worker: node_id("w0"), slots: u32::MAX },
             Grant { worker: 12345 as NodeId, slots: 7 },
             Grant { worker: node_id("w0"), slots: 0 },
             Grant { worker: node_id("w1"), slots: u32::MAX },
         ];
-        vec![say(1 << 16, u64::from(count), answers, mad)]
+        vec![encode_grants(1 << 16, u64::from(count), report_number, invalid_grants)]
     });
 }
 
-/// Grants of nothing are a planner's word: what comes is turned away at once, and served again without it.
+/// Grants without slots are valid: the forwarder rejects requests at once, and serves again when the planner is gone.
 #[test]
-fn grants_of_nothing_are_heeded_and_end() {
+fn empty_grants_are_followed_until_they_expire() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let address = socket.local_addr().expect("an address");
-    let over = Arc::new(AtomicBool::new(false));
-    let script: Script = |count, answers, say| vec![say(1 << 16, u64::from(count), answers, vec![])];
-    let planner = planner(socket, script, over.clone());
+    let is_over = Arc::new(AtomicBool::new(false));
+    let script: Script = |count, report_number, encode_grants| {
+        vec![encode_grants(1 << 16, u64::from(count), report_number, vec![])]
+    };
+    let planner = start_planner(socket, script, is_over.clone());
     let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![address], 1);
     levels.forward(1);
-    logged(&levels, "by its grants: epoch 65536, 0 places");
+    forwarder_logged(&levels, "by its grants: epoch 65536, 0 places");
     let all = trickle(&levels.addresses(), "none", 5, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "throttled" || got.how == "errored"), "{all:?}");
-    over.store(true, Ordering::Relaxed);
-    planner.join().expect("its end");
-    logged(&levels, "by itself");
+    is_over.store(true, Ordering::Relaxed);
+    planner.join().expect("the planner thread panicked");
+    forwarder_logged(&levels, "by itself");
     let all = trickle(&levels.addresses(), "again", 5, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "succeeded"), "{all:?}");
 }
 
-/// Guards against grants from whoever reaches the forwarder's port: a stranger's empty ones had all requests rejected.
+/// Guards against grants from any sender that reaches the forwarder's port: empty grants of an unknown sender had all requests rejected.
 #[test]
-fn grants_from_a_stranger_are_not_followed() {
-    let nobody = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let planner_at = nobody.local_addr().expect("an address");
+fn grants_from_an_unknown_sender_are_ignored() {
+    let silent_planner = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let planner_at = silent_planner.local_addr().expect("an address");
     let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![planner_at], 1);
     levels.forward(1);
-    let line = logged(&levels, "hears members at ");
+    let line = forwarder_logged(&levels, "hears members at ");
     let address: SocketAddr = line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address");
-    logged(&levels, "takes work");
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    // The report that they answer can be guessed: reports are numbered from 1 on.
+    forwarder_logged(&levels, "takes work");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    // Report numbers can be guessed: they start at 1.
     for number in 1..=40u64 {
         for report in 1..=60 {
-            let _ = stranger.send_to(&say(1 << 16, number, report, vec![]), address);
+            let _ = unknown_sender.send_to(&encode_grants(1 << 16, number, report, vec![]), address);
         }
         thread::sleep(Duration::from_millis(25));
     }
     let all = trickle(&levels.addresses(), "stranger", 20, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "succeeded"), "{all:?}");
-    let forwarder = levels.forwarders[0].as_ref().expect("it is here");
-    assert!(!forwarder.has_logged("by its grants"), "it follows them");
+    let forwarder = levels.forwarders[0].as_ref().expect("the forwarder is running");
+    assert!(!forwarder.has_logged("by its grants"), "the forwarder follows forged grants");
 }
--- a/crates/server/tests/pools.rs
+++ b/crates/server/tests/pools.rs
@@ -1,5 +1,5 @@
-//! Pools through the real server: a flood of the costly against stand-ins, in frames and in SCGI. The cheap ones are answered
-//! in time, all others with one final answer. The kernel stand-in runs what it is asked to on two cores of its own.
+//! Pools in the real server with stand-ins: a flood of expensive requests, in frames and in SCGI. The cheap requests get their responses
+//! in time, all others one final response. The executor stand-in runs requests on two simulated cores.
 
 use cypresscleat_demo::{frame, invocation, run_cores, Gateway, Kernel, Place, Router};
 use serde_json::json;
@@ -26,7 +26,7 @@
     }
 "#;
 const CHEAP: Duration = Duration::from_millis(4);
-const DEAR: Duration = Duration::from_millis(80);
+const EXPENSIVE: Duration = Duration::from_millis(80);
 const FLOOD: usize = 120;
 
 fn start(operator: &str) -> Place {
@@ -35,34 +35,34 @@
         all["settings"]["categories"][1]["aim_ns"] = json!(600_000_000);
         all["stop_ms"] = json!(60_000);
     });
-    let (mut kernel, _) = Kernel::accept(&place.kernel);
-    kernel.boot("WARM");
+    let (mut executor, _) = Kernel::accept(&place.kernel);
+    executor.boot("WARM");
     place.logged("kernel up");
-    let work = |operation: &str| if operation == "lookup" { CHEAP } else { DEAR };
-    run_cores(kernel, 2.0, work, Default::default());
+    let work = |operation: &str| if operation == "lookup" { CHEAP } else { EXPENSIVE };
+    run_cores(executor, 2.0, work, Default::default());
     place
 }
 
-/// How each of the flood was answered, and how long each cheap one took.
+/// Whether each expensive request succeeded, and the outcome and duration of each cheap one.
 fn flood(place: &Place) -> (Vec<bool>, Vec<(bool, Duration)>) {
     let (server, scgi) = (place.server, place.scgi);
-    let dear: Vec<_> = (0..FLOOD)
+    let expensive: Vec<_> = (0..FLOOD)
         .map(|at| {
             thread::spawn(move || match scgi {
                 Some(address) => {
-                    let answer = Gateway::asks(address, "POST", "/report", b"dear").response();
-                    let answer = answer.expect("one final answer");
-                    assert!([200, 502, 503, 504].contains(&answer.status), "{}", answer.status);
-                    answer.status == 200
+                    let response = Gateway::asks(address, "POST", "/report", b"dear").response();
+                    let response = response.expect("one final response");
+                    assert!([200, 502, 503, 504].contains(&response.status), "{}", response.status);
+                    response.status == 200
                 }
                 None => {
                     let mut router = Router::connect(server);
                     router.0.send(invocation(1, &format!("{:016x}", 0x1000 + at), "report", b"dear"));
-                    let (_, how, _) = router.answer();
+                    let (_, outcome, _) = router.answer();
                     router.0.send(frame(16, 2, &[0]));
-                    // The next that comes is the check's: no second answer.
+                    // The next frame is the response to the health check, so there is no second response to the request.
                     assert_eq!(router.frame().kind, 32);
-                    how == "succeeded"
+                    outcome == "succeeded"
                 }
             })
         })
@@ -70,10 +70,10 @@
     let mut cheap = Vec::new();
     for at in 0..40 {
         let began = Instant::now();
-        let good = match scgi {
+        let is_success = match scgi {
             Some(address) => {
-                let answer = Gateway::asks(address, "POST", "/lookup", b"cheap").response();
-                answer.is_some_and(|answer| answer.status == 200)
+                let response = Gateway::asks(address, "POST", "/lookup", b"cheap").response();
+                response.is_some_and(|response| response.status == 200)
             }
             None => {
                 let mut router = Router::connect(server);
@@ -81,27 +81,29 @@
                 router.answer().1 == "succeeded"
             }
         };
-        cheap.push((good, began.elapsed()));
+        cheap.push((is_success, began.elapsed()));
         thread::sleep(Duration::from_millis(10));
     }
-    (dear.into_iter().map(|one| one.join().expect("one final answer")).collect(), cheap)
+    (expensive.into_iter().map(|one| one.join().expect("one final response")).collect(), cheap)
 }
 
 #[test]
-fn a_flood_of_the_dear_leaves_the_cheap_their_time_in_both_protocols() {
+fn a_flood_of_expensive_requests_delays_no_cheap_ones_in_both_protocols() {
     for operator in [POOLS.to_string(), format!("{POOLS}{SCGI}")] {
         let place = start(&operator);
-        let (dear, cheap) = flood(&place);
-        assert_eq!(dear.len(), FLOOD);
-        let served = dear.iter().filter(|served| **served).count();
-        assert!(served > 0 && served < FLOOD, "{served} of the flood were served");
-        let late: Vec<_> =
-            cheap.iter().filter(|(good, took)| !good || *took > Duration::from_millis(600)).collect();
+        let (expensive, cheap) = flood(&place);
+        assert_eq!(expensive.len(), FLOOD);
+        let succeeded = expensive.iter().filter(|succeeded| **succeeded).count();
+        assert!(succeeded > 0 && succeeded < FLOOD, "{succeeded} expensive requests succeeded");
+        let late: Vec<_> = cheap
+            .iter()
+            .filter(|(is_success, took)| !is_success || *took > Duration::from_millis(600))
+            .collect();
         assert!(late.is_empty(), "{late:?}");
     }
 }
 
-/// Pools change while their work goes on, and a faulty file changes nothing.
+/// Pools change while their requests run, and an invalid file changes nothing.
 #[test]
 fn pools_follow_the_operators_file() {
     let place = start(POOLS);
@@ -126,7 +128,7 @@
     place.operates("");
     place.logged("operator's file read again");
     for one in busy {
-        assert!(["succeeded", "throttled"].contains(&one.join().expect("an answer")));
+        assert!(["succeeded", "throttled"].contains(&one.join().expect("a response")));
     }
     let mut router = Router::connect(server);
     router.0.send(invocation(1, "00000000000000aa", "lookup", b"after"));
--- a/crates/server/tests/store_golden.rs
+++ b/crates/server/tests/store_golden.rs
@@ -1,4 +1,4 @@
-//! What the server keeps in its store stays as it is: rows recorded from commit 67fc394 are read, and written again equal. The
+//! The stored data of the server is stable: rows recorded from commit 67fc394 are read and written with equal bytes. The
 //! files under `tests/golden/store` were written by the program of that commit with `recorded_jobs` and `write_recorded_rows`.
 
 use cypresscleat_server::core::persistence::{
@@ -12,7 +12,7 @@
 /// Milliseconds that one span of summed billing rows covers.
 const SPAN: u64 = 3_600_000;
 
-/// Key and value of each row, in order; bytes that are no text stand as `\xNN`.
+/// Key and value of each row, in order; bytes that are not printable ASCII are shown as `\xNN`.
 const ROWS: [(&str, &str); 8] = [
     ("b/0001700000000042/00000000000000a1", "put,acme,2.5,1700000000000,1700000000042,succeeded"),
     ("b/0001700000000043/00000000000000a5", "put,acme,1,1700000000000,1700000000043,succeeded"),
@@ -24,36 +24,36 @@
     ("t/order-18", "\\x12\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\xc07\\xff\\x1ev\\x0f\\x00\\x00\\x00"),
 ];
 
-fn token(fingerprint: u64) -> IdempotencyRecord {
+fn started_record(fingerprint: u64) -> IdempotencyRecord {
     IdempotencyRecord { fingerprint, expires_at: 17_000_000_600_000, state: KeyState::Started }
 }
 
-/// The jobs of two tokens, of which one ends with a result, two billing rows, and two requests that a drain cut off, of which
-/// one is answered after all.
+/// The write batches of two idempotency keys, of which one completes with a result, two billing rows, and two requests cut off by a drain,
+/// of which one still gets its response.
 fn recorded_jobs() -> Vec<WriteBatch> {
     let (to, jobs) = std::sync::mpsc::sync_channel(64);
-    let (mut keeping, _) = Persistence::new(to, true, false, RecoveredState::default());
-    for (name, said) in [("order-17", 0x0102_0304_0506_0708), ("order-18", 18)] {
-        keeping.insert_record(name.into(), token(said));
-        keeping.record_start(name);
+    let (mut persistence, _) = Persistence::new(to, true, false, RecoveredState::default());
+    for (name, fingerprint) in [("order-17", 0x0102_0304_0506_0708), ("order-18", 18)] {
+        persistence.insert_record(name.into(), started_record(fingerprint));
+        persistence.record_start(name);
     }
     let (arrived_at, completed_at) = (17_000_000_000_000, 17_000_000_000_420);
     let (request_id, tenant) = (b"00000000000000a1", "acme");
     let row = BillingRow { request_id, class: "put", tenant, billed: 2.5, arrived_at, completed_at };
-    keeping.record_billing(&row, Some("order-17"), b"done");
+    persistence.record_billing(&row, Some("order-17"), b"done");
     let (request_id, tenant, completed_at) = (b"00000000000000a2", "", 17_000_050_000_000);
     let row = BillingRow { request_id, class: "report", tenant, billed: 0.125, arrived_at, completed_at };
-    keeping.record_billing(&row, None, b"");
+    persistence.record_billing(&row, None, b"");
     let cut_off = [
         (*b"00000000000000a3", "put,acme,1700000000000".to_string()),
         (*b"00000000000000a4", "report,,1700000000001".to_string()),
     ];
-    keeping.record_open_requests(cut_off.into_iter());
-    keeping.clear_open_request(b"00000000000000a3");
+    persistence.record_open_requests(cut_off.into_iter());
+    persistence.clear_open_request(b"00000000000000a3");
     jobs.try_iter().collect()
 }
 
-/// Writes the jobs as the store's thread does, a commit for each, and a billing row that comes late.
+/// Writes the batches as the store thread does, with a commit for each, and a late billing row.
 fn write_recorded_rows(store: &mut Store<impl Disk>) -> HourlyUsage {
     let mut hours = HourlyUsage::load(store, SPAN).expect("no rows yet");
     let mut put = |store: &mut Store<_>, key: &[u8], value: &[u8]| {
@@ -76,7 +76,7 @@
     hours
 }
 
-fn shown(bytes: &[u8]) -> String {
+fn escape_bytes(bytes: &[u8]) -> String {
     bytes
         .iter()
         .flat_map(|byte| {
@@ -89,14 +89,14 @@
         .collect()
 }
 
-fn rows(store: &mut Store<impl Disk>) -> Vec<(String, String)> {
+fn read_rows(store: &mut Store<impl Disk>) -> Vec<(String, String)> {
     let snapshot = store.snapshot();
     let read = |key: &[u8]| store.get_at(&snapshot, key).expect("to be read").expect("a value");
     snapshot
         .keys(b"")
         .map(read)
         .zip(snapshot.keys(b""))
-        .map(|(value, key)| (shown(key), shown(&value)))
+        .map(|(value, key)| (escape_bytes(key), escape_bytes(&value)))
         .collect()
 }
 
@@ -104,20 +104,20 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/store")
 }
 
-/// A folder for one test, with a folder `store` in it where the store goes.
+/// A folder for one test, with an empty folder `store` in it for the store.
 fn empty_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("cypresscleat-kept-golden-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    std::fs::create_dir_all(path.join("store")).expect("a folder");
+    std::fs::create_dir_all(path.join("store")).expect("a directory");
     path
 }
 
 fn open(folder: &Path) -> Store<DiskDirectory> {
-    Store::open(DiskDirectory::open(folder).expect("a folder"), StoreOptions::default()).expect("a store")
+    Store::open(DiskDirectory::open(folder).expect("a directory"), StoreOptions::default()).expect("a store")
 }
 
 fn segments(folder: &Path) -> Vec<(std::ffi::OsString, Vec<u8>)> {
-    let entries = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry"));
+    let entries = std::fs::read_dir(folder).expect("a directory").map(|entry| entry.expect("an entry"));
     let all = entries.map(|entry| (entry.file_name(), std::fs::read(entry.path()).expect("its bytes")));
     let mut all: Vec<_> = all.filter(|(name, _)| name != "LOCK").collect();
     all.sort();
@@ -134,28 +134,33 @@
     let folder = path.join("store");
     let mut store = open(&folder);
     let mut hours = write_recorded_rows(&mut store);
-    assert_eq!(rows(&mut store), expected_rows());
+    assert_eq!(read_rows(&mut store), expected_rows());
     drop(store);
     assert_eq!(segments(&folder), segments(&recorded_folder()));
-    hours.export(&folder).expect("handed out");
+    hours.export(&folder).expect("exported totals");
     let recorded = std::fs::read(hourly_usage::export_path(&recorded_folder())).expect("the recorded hours");
     assert_eq!(std::fs::read(hourly_usage::export_path(&folder)).expect("hours"), recorded);
     std::fs::remove_dir_all(&path).expect("to clean up");
 }
 
 #[test]
-fn rows_of_67fc394_are_read_and_written_on() {
+fn rows_of_67fc394_are_read_and_extended() {
     let path = empty_folder("read");
     let folder = path.join("store");
     for (name, bytes) in segments(&recorded_folder()) {
         std::fs::write(folder.join(name), bytes).expect("to copy");
     }
     let mut store = open(&folder);
-    assert_eq!(rows(&mut store), expected_rows());
+    assert_eq!(read_rows(&mut store), expected_rows());
     let loaded = RecoveredState::load(&mut store).expect("to be read");
-    let done =
-        IdempotencyRecord { state: KeyState::Completed(b"done".to_vec()), ..token(0x0102_0304_0506_0708) };
-    assert_eq!(loaded.records, [("order-17".to_string(), done), ("order-18".to_string(), token(18))]);
+    let done = IdempotencyRecord {
+        state: KeyState::Completed(b"done".to_vec()),
+        ..started_record(0x0102_0304_0506_0708)
+    };
+    assert_eq!(
+        loaded.records,
+        [("order-17".to_string(), done), ("order-18".to_string(), started_record(18))]
+    );
     let cut_off = (b"o/00000000000000a4".to_vec(), "00000000000000a4 report,,1700000000001".to_string());
     assert_eq!(loaded.interrupted, [cut_off]);
     let mut hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
@@ -167,6 +172,6 @@
     }
     store.commit(true).expect("a commit");
     drop(store);
-    assert_eq!(rows(&mut open(&folder)).len(), ROWS.len() + 1);
+    assert_eq!(read_rows(&mut open(&folder)).len(), ROWS.len() + 1);
     std::fs::remove_dir_all(&path).expect("to clean up");
 }
--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -204,7 +204,7 @@
     }
     stage.obey(&Order::Start("k2".into(), Disk::Old));
     assert!(stage.progress(5, TIMEOUT), "{}", stage.logs());
-    // With k1 killed the quorum requires k0 and k2 at its new address. Either of them may lead.
+    // With k1 killed, k0 needs k2 at its new address for a quorum. Either of them may lead then.
     stage.obey(&Order::Kill("k1".into()));
     assert!(stage.progress(50, TIMEOUT), "{}", stage.logs());
     let judged = judge(&stage.ledger.journal());
