--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -426,7 +426,7 @@
         let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
         for number in 0..70 {
             let (key, value) = row(number);
-            store.put(&key, &value.unwrap_or_default()).expect("capacity");
+            store.put(&key, &value.unwrap_or_default()).expect("a write");
             sleep(ms(10));
         }
         store.commit(true).expect("a working disk");
@@ -449,7 +449,7 @@
             for number in 1..=60 {
                 let writes = vec![row(incarnation * 100 + number)];
                 to.send(cypresscleat_server::core::persistence::WriteBatch { number, writes })
-                    .expect("capacity");
+                    .expect("channel capacity");
                 tokio::time::sleep(ms(12)).await;
                 if number == 30 && incarnation == 0 {
                     owners[0].kill();
@@ -491,11 +491,11 @@
     let disk = cypresscleat_store::disk::DiskDirectory::open(folder).expect("a directory");
     let mut store = cypresscleat_store::Store::open(disk, Default::default()).expect("a store");
     for number in 0..count {
-        store.put(format!("o/{number:016x}").as_bytes(), b"report, taken in").expect("capacity");
+        store.put(format!("o/{number:016x}").as_bytes(), b"report, taken in").expect("a write");
     }
     let token = |state: &[u8]| [&7u64.to_le_bytes()[..], &i64::MAX.to_le_bytes(), state].concat();
-    store.put(b"t/begun", &token(&[0])).expect("capacity");
-    store.put(b"t/done", &token(&[1, 65])).expect("capacity");
+    store.put(b"t/begun", &token(&[0])).expect("a write");
+    store.put(b"t/done", &token(&[1, 65])).expect("a write");
     store.commit(true).expect("a working disk");
 }
 
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -376,12 +376,12 @@
                         store.commit(true).expect("a working disk");
                         let closed = hours.close_hours_before_time(now);
                         for (key, value) in closed {
-                            store.put(&key, &value).expect("capacity");
+                            store.put(&key, &value).expect("a write");
                         }
                         store.commit(true).expect("a working disk");
                         hours = HourlyUsage::load(&mut store, SPAN).expect("sums");
                         for (key, value) in hours.closed_hour_writes() {
-                            store.put(&key, &value).expect("capacity");
+                            store.put(&key, &value).expect("a write");
                         }
                     }
                     _ => {
@@ -391,9 +391,9 @@
                         let key = format!("b/{at:016}/{count:016}").into_bytes();
                         let value = format!("op,,{},0,0,succeeded", milli as f64 / 1000.0).into_bytes();
                         for (key, value) in hours.record_row(&key, &value) {
-                            store.put(&key, &value).expect("capacity");
+                            store.put(&key, &value).expect("a write");
                         }
-                        store.put(&key, &value).expect("capacity");
+                        store.put(&key, &value).expect("a write");
                         (all.rows, all.billed_milli) = (all.rows + 1, all.billed_milli + milli);
                     }
                 }
