--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -370,9 +370,9 @@
                 WorkerFleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
             let mut talk =
                 ClusterSocket::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
-            talk.gate = gate.clone();
+            socket.gate = gate.clone();
             *fleet_slot.borrow_mut() = Some(fleet.clone());
-            spawn_local(cluster_socket::run_forwarder(talk, fleet.clone(), tier.clone()));
+            spawn_local(cluster_socket::run_forwarder(socket, fleet.clone(), tier.clone()));
             spawn_local(fleet.clone().watch_health());
             // A forwarder waits for no executor; it detects workers as they start.
             let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
