--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,22 +1,22 @@
-//! Stands between processes on loopback, for tests. Each process is given, for every other party, an address of this rig in place of
-//! the party's own; what goes through is delayed, lost, doubled, cut off. Processes are stopped, woken, killed, started again, with the
-//! disk they had, an older one or an empty one. By hand ([`Net`], [`Process`]) or by a script with times ([`Script`]). Of one seed, the
-//! same packets of a link are lost and doubled each time.
+//! Fault injection between processes on loopback, for tests. Each process is configured with proxy addresses in place of the addresses
+//! of its peers. The proxies delay, drop, duplicate or block what passes. Processes are suspended, resumed, killed and restarted
+//! with their current disk, with a stale copy or with an empty one. Tests call [`Net`] and [`Process`] or run a [`Script`] with times.
+//! With the same seed, the same datagrams of a link are lost and duplicated each time.
 //!
-//! A script has a line for each order; names are those that the links were given:
+//! A script has one command on each line. Names are those given to the links and processes:
 //!
 //! ```text
-//!     at 2s cut k0 k1 | k2 n0        nothing gets through between the two sides
-//!     at 2s oneway k0 n1             nothing from k0 to n1
-//!     at 3s slow k0 k1 20ms          both ways; 0ms ends it
-//!     at 3s lose k0 k1 0.1           one in ten, both ways; 0 ends it
-//!     at 3s double k0 k1 0.1
-//!     at 6s heal                     all links as new
-//!     at 7s stop n1                  SIGSTOP; wake, kill and start follow
-//!     at 9s wake n1
+//!     at 2s cut k0 k1 | k2 n0        nothing passes between the two sides
+//!     at 2s oneway k0 n1             nothing passes from k0 to n1
+//!     at 3s slow k0 k1 20ms          delay in both directions; 0ms ends it
+//!     at 3s lose k0 k1 0.1           drops one datagram in ten in both directions; 0 ends it
+//!     at 3s double k0 k1 0.1         duplicates one datagram in ten
+//!     at 6s heal                     clears the faults of all links
+//!     at 7s stop n1                  SIGSTOP
+//!     at 9s wake n1                  SIGCONT
 //!     at 9s kill k1
-//!     at 10s start k1 old            with the disk it had; `older`: as it was when the script last said `keep k1`; `empty`
-//!     at 8s keep k1
+//!     at 10s start k1 old            with its current disk; `older`: the copy made by the last `keep k1`; `empty`
+//!     at 8s keep k1                  copies the disk of k1
 //!     at 11s end n2                  SIGTERM
 //! ```
 
@@ -29,17 +29,20 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// The disk with which a process comes back.
+/// The disk with which a process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
+    /// Its current disk.
     Old,
+    /// The copy made by the last `keep`.
     Older,
     Empty,
 }
 
+/// One fault or repair of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Nothing between these sides, either way.
+    /// Blocks all traffic between these sides, in both directions.
     Cut(Vec<Vec<String>>),
     OneWay(String, String),
     Slow(String, String, Duration),
@@ -54,12 +57,12 @@
     End(String),
 }
 
-/// Orders and their times, in their order.
+/// Orders with their start times, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script(pub Vec<(Duration, Order)>);
 
 impl Script {
-    /// `Err` names the line.
+    /// Parses a script; an error names the line.
     pub fn parse(text: &str) -> Result<Script, String> {
         let mut orders = Vec::new();
         for (at, line) in text.lines().enumerate() {
@@ -68,7 +71,8 @@
                 continue;
             }
             let words: Vec<&str> = line.split_whitespace().collect();
-            let order = Script::order(&words).map_err(|what| format!("line {}: {what}: {line:?}", at + 1))?;
+            let order =
+                Script::order(&words).map_err(|message| format!("line {}: {message}: {line:?}", at + 1))?;
             orders.push(order);
         }
         orders.sort_by_key(|(at, _)| *at);
@@ -78,14 +82,16 @@
     fn order(words: &[&str]) -> Result<(Duration, Order), String> {
         let name =
             |at: usize| words.get(at).map(|word| word.to_string()).ok_or("a name is missing".to_string());
-        let part = |at: usize| {
-            let part = words.get(at).and_then(|word| word.parse::<f64>().ok());
-            part.filter(|part| (0.0..=1.0).contains(part)).ok_or("a part from 0 to 1 is missing".to_string())
+        let probability = |at: usize| {
+            let probability = words.get(at).and_then(|word| word.parse::<f64>().ok());
+            probability
+                .filter(|probability| (0.0..=1.0).contains(probability))
+                .ok_or("a probability from 0 to 1 is missing".to_string())
         };
         let time =
             |at: usize| words.get(at).and_then(|word| duration(word)).ok_or("a time is missing".to_string());
         if words.first() != Some(&"at") {
-            return Err("a line begins with \"at\" and a time".into());
+            return Err("a line must begin with \"at\" and a time".into());
         }
         let order = match *words.get(2).ok_or("an order is missing")? {
             "cut" => {
@@ -94,14 +100,14 @@
                     .map(|side| side.iter().map(|word| word.to_string()).collect())
                     .collect();
                 if sides.len() < 2 || sides.iter().any(Vec::is_empty) {
-                    return Err("two sides are wanted, with | between them".into());
+                    return Err("two sides separated by | are required".into());
                 }
                 Order::Cut(sides)
             }
             "oneway" => Order::OneWay(name(3)?, name(4)?),
             "slow" => Order::Slow(name(3)?, name(4)?, time(5)?),
-            "lose" => Order::Lose(name(3)?, name(4)?, part(5)?),
-            "double" => Order::Double(name(3)?, name(4)?, part(5)?),
+            "lose" => Order::Lose(name(3)?, name(4)?, probability(5)?),
+            "double" => Order::Double(name(3)?, name(4)?, probability(5)?),
             "heal" => Order::Heal,
             "stop" => Order::Stop(name(3)?),
             "wake" => Order::Wake(name(3)?),
@@ -113,19 +119,19 @@
                     None | Some(&"old") => Disk::Old,
                     Some(&"older") => Disk::Older,
                     Some(&"empty") => Disk::Empty,
-                    Some(_) => return Err("a disk is old, older or empty".into()),
+                    Some(_) => return Err("the disk must be old, older or empty".into()),
                 };
                 Order::Start(name(3)?, disk)
             }
-            _ => return Err("no such order".into()),
+            _ => return Err("unknown order".into()),
         };
         Ok((time(1)?, order))
     }
 
-    /// Takes those that are due.
+    /// Removes and returns the orders that are due at `since` after the start.
     pub fn due(&mut self, since: Duration) -> Vec<Order> {
-        let many = self.0.iter().take_while(|(at, _)| *at <= since).count();
-        self.0.drain(..many).map(|(_, order)| order).collect()
+        let due_count = self.0.iter().take_while(|(at, _)| *at <= since).count();
+        self.0.drain(..due_count).map(|(_, order)| order).collect()
     }
 }
 
@@ -138,7 +144,7 @@
     (0.0..=86_400.0).contains(&seconds).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// Chance from a seed, a name and a counter.
+/// A pseudo-random number from 0 to under 1 that depends only on a seed, a name and a counter.
 pub fn chance(seed: u64, name: &str, count: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, name, count).hash(&mut hasher);
--- a/crates/fault-injection/src/net.rs
+++ b/crates/fault-injection/src/net.rs
@@ -1,4 +1,4 @@
-//! Links between named parties, datagrams and streams, all on one thread of the rig's own.
+//! Proxied links between named processes, for datagrams and streams. All links of a `Net` run on one thread.
 
 use crate::{chance, Order};
 use std::collections::HashMap;
@@ -10,14 +10,16 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// What happens on the way from one party to another.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
     pub cut: bool,
     pub delay: Duration,
-    /// Up to so much more, by chance: with it, datagrams overtake each other.
+    /// Upper bound of a random extra delay, which reorders datagrams.
     pub jitter: Duration,
+    /// Probability that a datagram is lost.
     pub lost: f64,
+    /// Probability that a datagram is duplicated.
     pub doubled: f64,
 }
 
@@ -29,25 +31,26 @@
     Streams(std::net::TcpListener, String, String, SocketAddr),
 }
 
-/// One end of a link between parties that both receive at addresses of their own.
+/// One end of a link between two processes that each receive at a fixed address.
 struct Peer {
     name: String,
-    /// Where it receives.
+    /// The address where this process receives.
     address: SocketAddr,
-    /// Where the other one finds it.
+    /// The proxy socket to which the other process sends.
     socket: std::net::UdpSocket,
 }
 
-/// The net between the parties. Ends with its last handle.
+/// The simulated network between the processes. Ends with its last handle.
 #[derive(Clone)]
 pub struct Net {
     links: Links,
     relays: UnboundedSender<Relay>,
 }
 
-/// Clients of one relay, at the most.
-const CLIENTS: usize = 256;
-const DATAGRAM: usize = 65_536;
+/// Maximum number of clients of one datagram proxy.
+const MAX_CLIENTS: usize = 256;
+/// Size of a receive buffer: the largest UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 impl Net {
     pub fn new(seed: u64) -> Net {
@@ -76,45 +79,48 @@
         Net { links, relays }
     }
 
-    /// The address at which `from` finds `to`, which hears datagrams at `target`.
+    /// Adds a datagram proxy; returns the address at which `from` reaches `to`, which receives datagrams at `target`.
     pub fn datagrams(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
         let (socket, address) = datagram_socket();
         let _ = self.relays.send(Relay::Datagrams(socket, from.into(), to.into(), target));
         address
     }
 
-    /// Links two parties by the names and addresses at which they receive: where the first finds the second, and where the second
-    /// finds the first. What one sends arrives from the address at which the other finds it, as it does on a net without links.
+    /// Links two processes, given by their names and receive addresses. Returns the address at which the first reaches the second, and
+    /// the address at which the second reaches the first. A datagram arrives from the address at which the receiver reaches its
+    /// sender, as on a network without proxies.
     pub fn peers(&self, one: (&str, SocketAddr), other: (&str, SocketAddr)) -> (SocketAddr, SocketAddr) {
         let peer = |(name, address): (&str, SocketAddr)| {
-            let (socket, found_at) = datagram_socket();
-            (Peer { name: name.into(), address, socket }, found_at)
+            let (socket, proxy) = datagram_socket();
+            (Peer { name: name.into(), address, socket }, proxy)
         };
-        let ((one, one_at), (other, other_at)) = (peer(one), peer(other));
+        let ((one, one_proxy), (other, other_proxy)) = (peer(one), peer(other));
         let _ = self.relays.send(Relay::Peers([one, other]));
-        (other_at, one_at)
+        (other_proxy, one_proxy)
     }
 
-    /// The same for connections. A cut holds bytes back, as a net does, and refuses new connections.
+    /// Like `datagrams`, for connections. A cut holds bytes back, as a network partition does, and closes new connections at once.
     pub fn streams(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port of loopback");
-        listener.set_nonblocking(true).expect("a socket");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free loopback port");
+        listener.set_nonblocking(true).expect("to set the socket non-blocking");
         let address = listener.local_addr().expect("an address");
         let _ = self.relays.send(Relay::Streams(listener, from.into(), to.into(), target));
         address
     }
 
+    /// Changes the faults from `from` to `to`.
     pub fn set(&self, from: &str, to: &str, change: impl FnOnce(&mut Link)) {
         let mut links = self.links.lock().expect("the links");
         change(links.entry((from.into(), to.into())).or_default());
     }
 
+    /// Changes the faults in both directions.
     pub fn both(&self, one: &str, other: &str, change: impl Fn(&mut Link)) {
         self.set(one, other, &change);
         self.set(other, one, &change);
     }
 
-    /// Nothing between these sides, either way.
+    /// Blocks all traffic between these sides, in both directions.
     pub fn cut(&self, sides: &[Vec<String>]) {
         for (at, side) in sides.iter().enumerate() {
             for other in sides[at + 1..].iter().flatten() {
@@ -123,18 +129,21 @@
         }
     }
 
+    /// Clears the faults of all links.
     pub fn heal(&self) {
         self.links.lock().expect("the links").clear();
     }
 
-    /// Carries out an order about links; false for one about processes.
+    /// Applies an order that concerns links; false for an order that concerns processes.
     pub fn obey(&self, order: &Order) -> bool {
         match order {
             Order::Cut(sides) => self.cut(sides),
             Order::OneWay(from, to) => self.set(from, to, |link| link.cut = true),
             Order::Slow(one, other, delay) => self.both(one, other, |link| link.delay = *delay),
-            Order::Lose(one, other, part) => self.both(one, other, |link| link.lost = *part),
-            Order::Double(one, other, part) => self.both(one, other, |link| link.doubled = *part),
+            Order::Lose(one, other, probability) => self.both(one, other, |link| link.lost = *probability),
+            Order::Double(one, other, probability) => {
+                self.both(one, other, |link| link.doubled = *probability)
+            }
             Order::Heal => self.heal(),
             _ => return false,
         }
@@ -143,14 +152,14 @@
 }
 
 fn datagram_socket() -> (std::net::UdpSocket, SocketAddr) {
-    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port of loopback");
-    socket.set_nonblocking(true).expect("a socket");
+    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free loopback port");
+    socket.set_nonblocking(true).expect("to set the socket non-blocking");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
 
-/// One direction of a link: counts what goes through, so that chance is that of the seed.
-struct Way {
+/// One direction of a link. Counts its datagrams, so that losses and duplicates depend on the seed only.
+struct Direction {
     seed: u64,
     links: Links,
     key: (String, String),
@@ -158,14 +167,14 @@
     count: u64,
 }
 
-impl Way {
-    fn new(seed: u64, links: Links, from: &str, to: &str) -> Way {
-        Way { seed, links, key: (from.into(), to.into()), name: format!("{from}>{to}"), count: 0 }
+impl Direction {
+    fn new(seed: u64, links: Links, from: &str, to: &str) -> Direction {
+        Direction { seed, links, key: (from.into(), to.into()), name: format!("{from}>{to}"), count: 0 }
     }
     fn link(&self) -> Link {
         self.links.lock().expect("the links").get(&self.key).copied().unwrap_or_default()
     }
-    /// After how long each copy of the next datagram arrives.
+    /// The delay of each copy of the next datagram; empty if the datagram is lost.
     fn copies(&mut self) -> Vec<Duration> {
         let link = self.link();
         self.count += 3;
@@ -173,10 +182,10 @@
         if link.cut || draw(0) < link.lost {
             return Vec::new();
         }
-        let late = link.delay + link.jitter.mul_f64(draw(1));
+        let delay = link.delay + link.jitter.mul_f64(draw(1));
         match draw(2) < link.doubled {
-            true => vec![late, late + link.jitter + Duration::from_millis(1)],
-            false => vec![late],
+            true => vec![delay, delay + link.jitter + Duration::from_millis(1)],
+            false => vec![delay],
         }
     }
 }
@@ -188,30 +197,30 @@
         return;
     };
     let (one_socket, other_socket) = (Arc::new(one_socket), Arc::new(other_socket));
-    let there = Way::new(seed, links.clone(), &one.name, &other.name);
-    let back = Way::new(seed, links, &other.name, &one.name);
+    let forward = Direction::new(seed, links.clone(), &one.name, &other.name);
+    let backward = Direction::new(seed, links, &other.name, &one.name);
     tokio::join!(
-        one_way((other_socket.clone(), one.address), (one_socket.clone(), other.address), there),
-        one_way((one_socket, other.address), (other_socket, one.address), back),
+        forward_datagrams((other_socket.clone(), one.address), (one_socket.clone(), other.address), forward),
+        forward_datagrams((one_socket, other.address), (other_socket, one.address), backward),
     );
 }
 
-/// Carries what the sender sends to `found_at` on to the receiver, out of the socket at which that one finds the sender.
-async fn one_way(
-    (found_at, sender): (Arc<UdpSocket>, SocketAddr),
+/// Forwards datagrams that the sender sends to `proxy` on to the receiver, from the proxy socket at which the receiver reaches the sender.
+async fn forward_datagrams(
+    (proxy, sender): (Arc<UdpSocket>, SocketAddr),
     (out, receiver): (Arc<UdpSocket>, SocketAddr),
-    mut way: Way,
+    mut direction: Direction,
 ) {
-    let mut bytes = vec![0; DATAGRAM];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((size, by)) = found_at.recv_from(&mut bytes).await else { continue };
+        let Ok((size, by)) = proxy.recv_from(&mut bytes).await else { continue };
         if by != sender {
             continue;
         }
-        for late in way.copies() {
+        for delay in direction.copies() {
             let (out, datagram) = (out.clone(), bytes[..size].to_vec());
             tokio::spawn(async move {
-                sleep(late).await;
+                sleep(delay).await;
                 let _ = out.send_to(&datagram, receiver).await;
             });
         }
@@ -228,52 +237,57 @@
 ) {
     let Ok(socket) = UdpSocket::from_std(socket) else { return };
     let socket = Arc::new(socket);
-    let mut there = Way::new(seed, links.clone(), &from, &to);
+    let mut forward = Direction::new(seed, links.clone(), &from, &to);
     let mut clients: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-    let mut bytes = vec![0; DATAGRAM];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((size, client)) = socket.recv_from(&mut bytes).await else { continue };
         let out = match clients.get(&client) {
             Some(out) => out.clone(),
             None => {
                 let Ok(out) = UdpSocket::bind("127.0.0.1:0").await else { continue };
-                if clients.len() >= CLIENTS || out.connect(target).await.is_err() {
+                if clients.len() >= MAX_CLIENTS || out.connect(target).await.is_err() {
                     continue;
                 }
                 let out = Arc::new(out);
                 clients.insert(client, out.clone());
-                let back = Way::new(seed, links.clone(), &to, &from);
-                tokio::spawn(answers(out.clone(), socket.clone(), client, back));
+                let backward = Direction::new(seed, links.clone(), &to, &from);
+                tokio::spawn(return_datagrams(out.clone(), socket.clone(), client, backward));
                 out
             }
         };
-        for late in there.copies() {
+        for delay in forward.copies() {
             let (out, datagram) = (out.clone(), bytes[..size].to_vec());
-            if late.is_zero() {
+            if delay.is_zero() {
                 let _ = out.send(&datagram).await;
                 continue;
             }
             tokio::spawn(async move {
-                sleep(late).await;
+                sleep(delay).await;
                 let _ = out.send(&datagram).await;
             });
         }
     }
 }
 
-/// What comes back to one client.
-async fn answers(from: Arc<UdpSocket>, to: Arc<UdpSocket>, client: SocketAddr, mut way: Way) {
-    let mut bytes = vec![0; DATAGRAM];
+/// Forwards the datagrams from the target back to one client.
+async fn return_datagrams(
+    from: Arc<UdpSocket>,
+    to: Arc<UdpSocket>,
+    client: SocketAddr,
+    mut direction: Direction,
+) {
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(size) = from.recv(&mut bytes).await else {
-            // Nobody hears there just now.
+            // The target does not receive at present.
             sleep(Duration::from_millis(1)).await;
             continue;
         };
-        for late in way.copies() {
+        for delay in direction.copies() {
             let (to, datagram) = (to.clone(), bytes[..size].to_vec());
             tokio::spawn(async move {
-                sleep(late).await;
+                sleep(delay).await;
                 let _ = to.send_to(&datagram, client).await;
             });
         }
@@ -290,8 +304,9 @@
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     loop {
         let Ok((near, _)) = listener.accept().await else { continue };
-        let (there, back) = (Way::new(0, links.clone(), &from, &to), Way::new(0, links.clone(), &to, &from));
-        if there.link().cut || back.link().cut {
+        let (forward, backward) =
+            (Direction::new(0, links.clone(), &from, &to), Direction::new(0, links.clone(), &to, &from));
+        if forward.link().cut || backward.link().cut {
             continue;
         }
         tokio::spawn(async move {
@@ -299,26 +314,30 @@
             let _ = (near.set_nodelay(true), far.set_nodelay(true));
             let (near_in, near_out) = near.into_split();
             let (far_in, far_out) = far.into_split();
-            // One end that goes takes the other with it.
+            // When one end closes, the other is closed too.
             tokio::select! {
-                () = carry(near_in, far_out, there) => {}
-                () = carry(far_in, near_out, back) => {}
+                () = forward_stream(near_in, far_out, forward) => {}
+                () = forward_stream(far_in, near_out, backward) => {}
             }
         });
     }
 }
 
-/// Bytes in their order, each part as late as the link says; while it is cut, nothing.
-async fn carry(mut from: tokio::net::tcp::OwnedReadHalf, mut to: tokio::net::tcp::OwnedWriteHalf, way: Way) {
-    let (parts, mut due) = tokio::sync::mpsc::channel::<(Instant, Vec<u8>)>(64);
-    let links = Way::new(0, way.links.clone(), &way.key.0, &way.key.1);
-    let reads = async move {
+/// Forwards bytes in order, each chunk after the delay of the link; forwards nothing while the link is cut.
+async fn forward_stream(
+    mut from: tokio::net::tcp::OwnedReadHalf,
+    mut to: tokio::net::tcp::OwnedWriteHalf,
+    direction: Direction,
+) {
+    let (chunks, mut due) = tokio::sync::mpsc::channel::<(Instant, Vec<u8>)>(64);
+    let links = Direction::new(0, direction.links.clone(), &direction.key.0, &direction.key.1);
+    let read_chunks = async move {
         let mut bytes = vec![0; 16_384];
         loop {
             match from.read(&mut bytes).await {
                 Ok(many) if many > 0 => {
-                    let at = Instant::now() + way.link().delay;
-                    if parts.send((at, bytes[..many].to_vec())).await.is_err() {
+                    let at = Instant::now() + direction.link().delay;
+                    if chunks.send((at, bytes[..many].to_vec())).await.is_err() {
                         return;
                     }
                 }
@@ -326,7 +345,7 @@
             }
         }
     };
-    let writes = async move {
+    let write_chunks = async move {
         while let Some((at, bytes)) = due.recv().await {
             sleep_until(at).await;
             while links.link().cut {
@@ -337,5 +356,5 @@
             }
         }
     };
-    tokio::join!(reads, writes);
+    tokio::join!(read_chunks, write_chunks);
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program under test: started, stopped, woken, killed, with the folder that is its disk.
+//! A process of the program under test, which can be started, suspended, resumed and killed, with the folder that holds its data.
 
 use crate::Disk;
 use std::io::{BufRead, BufReader};
@@ -8,52 +8,53 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Ports in a block that one process of tests takes for itself.
-const BLOCK: u16 = 100;
+/// Number of ports in a block that one test process reserves.
+const BLOCK_PORTS: u16 = 100;
 
-/// The blocks that this process has taken, by the listener on the first port of each, and the next port of the last one.
-static TAKEN: Mutex<(Vec<TcpListener>, u16)> = Mutex::new((Vec::new(), 0));
+/// The listeners on the first port of each block that this process reserved, and the next port of the last block.
+static RESERVED_PORTS: Mutex<(Vec<TcpListener>, u16)> = Mutex::new((Vec::new(), 0));
 
-/// A port of loopback, for datagrams and connections, that stays free for whoever it is meant for, also while that one is down.
-/// The kernel never draws it for somebody who asks for any port, as it is under those that it draws from; no other call gives it
-/// again, in this process or in another one, as each process takes whole blocks and holds the first port of each.
+/// A loopback port for datagrams and connections that stays reserved for its user, even while that process is down.
+/// The operating system never assigns it as an ephemeral port, because it lies below the ephemeral range. No other call returns it
+/// again, in this process or another, because each process reserves whole blocks and keeps a listener on the first port of each.
 pub fn free_port() -> SocketAddr {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap_or_default();
-    let drawn = range.split_whitespace().next().and_then(|low| low.parse::<u16>().ok()).unwrap_or(32_768);
+    let ephemeral_start =
+        range.split_whitespace().next().and_then(|low| low.parse::<u16>().ok()).unwrap_or(32_768);
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let mut taken = TAKEN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    for first in (10_000..drawn.max(12_000) - BLOCK).step_by(BLOCK as usize) {
-        while !taken.1.is_multiple_of(BLOCK) {
-            let address = at(taken.1);
-            taken.1 += 1;
+    let mut reserved = RESERVED_PORTS.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    for first in (10_000..ephemeral_start.max(12_000) - BLOCK_PORTS).step_by(BLOCK_PORTS as usize) {
+        while !reserved.1.is_multiple_of(BLOCK_PORTS) {
+            let address = at(reserved.1);
+            reserved.1 += 1;
             if UdpSocket::bind(address).is_ok() && TcpListener::bind(address).is_ok() {
                 return address;
             }
         }
         if let Ok(listener) = TcpListener::bind(at(first)) {
-            taken.0.push(listener);
-            taken.1 = first + 1;
+            reserved.0.push(listener);
+            reserved.1 = first + 1;
         }
     }
-    panic!("no block of {BLOCK} ports of loopback is free");
+    panic!("no block of {BLOCK_PORTS} loopback ports is free");
 }
 
-/// How a process is started; kept, so that it can be started again.
+/// A process with its start parameters, which are stored so that it can be restarted.
 pub struct Process {
     pub name: String,
     program: PathBuf,
     words: Vec<String>,
     env: Vec<(String, String)>,
-    /// What counts as its disk.
+    /// The folder that holds its data.
     folder: Option<PathBuf>,
     child: Option<Child>,
     stopped: bool,
-    /// Its log, all lives of it.
+    /// The log lines of all its incarnations, with the time when each was read.
     log: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-/// Lines of its log that are kept.
-const LINES: usize = 20_000;
+/// Maximum number of log lines that are stored.
+const MAX_LOG_LINES: usize = 20_000;
 
 impl Process {
     pub fn new(name: &str, program: &Path, words: &[&str]) -> Process {
@@ -74,17 +75,18 @@
         self
     }
 
-    /// From the next start on without it.
+    /// Removes an environment variable from the next start on.
     pub fn forgets(&mut self, key: &str) {
         self.env.retain(|(known, _)| known != key);
     }
 
-    /// From the next start on with it.
+    /// Sets an environment variable from the next start on.
     pub fn with(&mut self, key: &str, value: &str) {
         self.forgets(key);
         self.env.push((key.into(), value.into()));
     }
 
+    /// Sets the folder that holds its data.
     pub fn disk(mut self, folder: &Path) -> Process {
         self.folder = Some(folder.into());
         self
@@ -100,11 +102,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap_or_else(|error| panic!("{}: {error}", self.program.display()));
-        let (stderr, log) = (child.stderr.take().expect("its log"), self.log.clone());
+        let (stderr, log) =
+            (child.stderr.take().expect("the standard error of the process"), self.log.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let mut log = log.lock().expect("the log");
-                if log.len() < LINES {
+                if log.len() < MAX_LOG_LINES {
                     log.push((Instant::now(), line));
                 }
             }
@@ -112,17 +115,17 @@
         self.child = Some(child);
     }
 
-    /// With the disk it had, the one that was kept, or none.
+    /// Restarts the process with its current disk, with the copy made by `keep`, or with an empty disk.
     pub fn start_with(&mut self, disk: Disk) {
         self.kill();
         if let Some(folder) = &self.folder {
-            let kept = folder.with_extension("kept");
+            let copied = folder.with_extension("kept");
             match disk {
                 Disk::Old => {}
                 Disk::Empty => drop(std::fs::remove_dir_all(folder)),
-                Disk::Older if kept.is_dir() => {
+                Disk::Older if copied.is_dir() => {
                     let _ = std::fs::remove_dir_all(folder);
-                    copy(&kept, folder);
+                    copy_folder(&copied, folder);
                 }
                 Disk::Older => {}
             }
@@ -130,12 +133,12 @@
         self.start();
     }
 
-    /// Keeps its disk as it is now, for `Disk::Older`.
+    /// Copies its current disk for a later start with `Disk::Older`.
     pub fn keep(&self) {
         if let Some(folder) = self.folder.as_ref().filter(|folder| folder.is_dir()) {
-            let kept = folder.with_extension("kept");
-            let _ = std::fs::remove_dir_all(&kept);
-            copy(folder, &kept);
+            let copied = folder.with_extension("kept");
+            let _ = std::fs::remove_dir_all(&copied);
+            copy_folder(folder, &copied);
         }
     }
 
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Its end by itself, within that time.
+    /// Waits up to `within` for the process to exit.
     pub fn ended(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -187,7 +190,7 @@
         None
     }
 
-    /// Waits for a line with these words, past the first `after` lines; the number of lines up to it.
+    /// Waits for a log line that contains `words` after the first `after` lines; returns the number of lines up to and including it.
     pub fn logged(&self, words: &str, after: usize, within: Duration) -> Option<usize> {
         let until = Instant::now() + within;
         loop {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// When each line was read, and the line.
+    /// All log lines, with the time when each was read.
     pub fn log(&self) -> Vec<(Instant, String)> {
         self.log.lock().expect("the log").clone()
     }
@@ -215,13 +218,13 @@
     }
 }
 
-/// A copy, file by file, as a backup would be put back.
-fn copy(from: &Path, to: &Path) {
+/// Copies a folder file by file, as a restored backup would be.
+fn copy_folder(from: &Path, to: &Path) {
     let _ = std::fs::create_dir_all(to);
     for entry in std::fs::read_dir(from).into_iter().flatten().flatten() {
         let (path, target) = (entry.path(), to.join(entry.file_name()));
         match path.is_dir() {
-            true => copy(&path, &target),
+            true => copy_folder(&path, &target),
             false => drop(std::fs::copy(&path, &target)),
         }
     }
