--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for all that an app server talks to, over loopback: kernel, ledger, roster and router. Written from
-//! the protocol alone, with blocking sockets, so that a test or a newcomer plays each party line by line. Whoever
-//! waits here waits for at most `PATIENCE`, then panics with what it waited for.
+//! Stand-ins on loopback for all peers of an app server: executor (`Kernel`), downstream proxy (`Ledger`), service registry and
+//! client (`Router`, `Gateway`). They are written from the protocol alone, with blocking sockets, so that a test drives each
+//! peer line by line. Each wait is bounded by `PATIENCE` and panics with what it waited for.
 
 pub mod owners;
 pub mod rollout;
@@ -20,10 +20,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Ids of invocations, for tests that need one or two.
+/// Request IDs for tests that need one or two.
 pub const ONE: &str = "00000000000000a1";
 pub const TWO: &str = "00000000000000b2";
 
+/// Upper bound of each wait in the stand-ins.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 pub fn unix_ms() -> u128 {
@@ -34,12 +35,12 @@
 pub struct Link {
     stream: TcpStream,
     bytes: Vec<u8>,
-    /// The other side has ended it.
+    /// The peer has closed the connection.
     pub over: bool,
 }
 
-/// A wait with a time-out ends early where the whole machine was held for a moment: it is waited again.
-fn unbroken<T>(mut wait: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
+/// Repeats an interrupted wait: a wait with a timeout ends early with `Interrupted` where the whole machine was suspended.
+fn retry_interrupted<T>(mut wait: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     loop {
         match wait() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -50,30 +51,30 @@
 
 impl Link {
     pub fn new(stream: TcpStream) -> Link {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        stream.set_write_timeout(Some(PATIENCE)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
+        stream.set_read_timeout(Some(PATIENCE)).expect("to set a timeout");
+        stream.set_write_timeout(Some(PATIENCE)).expect("to set a timeout");
+        stream.set_nodelay(true).expect("to set TCP_NODELAY");
         Link { stream, bytes: Vec::new(), over: false }
     }
     pub fn connect(address: SocketAddr) -> Link {
-        Link::new(TcpStream::connect(address).expect("a connection"))
+        Link::new(TcpStream::connect(address).expect("to connect"))
     }
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         self.stream.write_all(bytes.as_ref()).expect("to write");
     }
-    /// This side's address.
+    /// The local address.
     pub fn address(&self) -> SocketAddr {
         self.stream.local_addr().expect("an address")
     }
-    /// Whether it could all be written before a short while was over.
+    /// Whether all bytes were written before a write timed out after 2 s.
     pub fn try_send(&mut self, bytes: &[u8]) -> bool {
-        self.stream.set_write_timeout(Some(Duration::from_secs(2))).expect("a time-out");
+        self.stream.set_write_timeout(Some(Duration::from_secs(2))).expect("to set a timeout");
         self.stream.write_all(bytes).is_ok()
     }
-    /// Reads some more; false at the end of input, reset or not.
-    fn more(&mut self) -> bool {
+    /// Reads more bytes into the buffer; false at the end of input, after a reset too.
+    fn read_more(&mut self) -> bool {
         let mut part = [0; 4096];
-        match unbroken(|| self.stream.read(&mut part)) {
+        match retry_interrupted(|| self.stream.read(&mut part)) {
             Ok(many) => {
                 self.bytes.extend(&part[..many]);
                 self.over = many == 0;
@@ -83,59 +84,60 @@
                 self.over = true;
                 false
             }
-            Err(error) => panic!("waited for more than {:?}: {error}", String::from_utf8_lossy(&self.bytes)),
+            Err(error) => panic!("read failed after {:?}: {error}", String::from_utf8_lossy(&self.bytes)),
         }
     }
-    /// Whether there is something to be read, or comes in that time.
+    /// Whether a line is buffered, or input or the end of input arrives within `time`.
     pub fn waiting(&mut self, time: Duration) -> bool {
         if self.bytes.contains(&b'\n') {
             return true;
         }
-        self.stream.set_read_timeout(Some(time)).expect("a time-out");
-        let comes = unbroken(|| self.stream.peek(&mut [0])).is_ok();
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        comes
+        self.stream.set_read_timeout(Some(time)).expect("to set a timeout");
+        let is_readable = retry_interrupted(|| self.stream.peek(&mut [0])).is_ok();
+        self.stream.set_read_timeout(Some(PATIENCE)).expect("to set a timeout");
+        is_readable
     }
+    /// Reads exactly `many` bytes.
     pub fn exact(&mut self, many: usize) -> Vec<u8> {
         while self.bytes.len() < many {
-            assert!(self.more(), "ended after {:?}", String::from_utf8_lossy(&self.bytes));
+            assert!(self.read_more(), "connection ended after {:?}", String::from_utf8_lossy(&self.bytes));
         }
         self.bytes.drain(..many).collect()
     }
-    /// A line without its end; `None` where the connection ended instead.
+    /// The next line without its line end; `None` where the connection ended first.
     pub fn line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.bytes.drain(..=end).collect();
                 return Some(String::from_utf8_lossy(&line).trim_end().to_string());
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
-    /// Whether the other side ended it, with nothing more to be read.
+    /// Waits until the peer closes the connection; whether no bytes were left to read.
     pub fn ended(&mut self) -> bool {
-        while self.more() {}
+        while self.read_more() {}
         self.bytes.is_empty()
     }
-    /// No more will be written; what comes is still read.
+    /// Closes the connection for writing; it can still be read.
     pub fn close_writing(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
     pub fn close(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
-    /// Closes it so that the other side gets a reset: what was sent to it stays unread.
+    /// Closes the connection with a reset (RST); bytes not yet received are discarded.
     pub fn reset(&mut self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         let nothing =
             TcpListener::bind("127.0.0.1:0").and_then(|listener| TcpStream::connect(listener.local_addr()?));
-        self.stream = nothing.expect("a connection in its place");
+        self.stream = nothing.expect("a replacement connection");
     }
 }
 
-// ---- a router ----
+// ---- client of the binary frame protocol ----
 
 #[derive(Debug, PartialEq)]
 pub struct Frame {
@@ -154,7 +156,7 @@
     out
 }
 
-/// An invocation that came to the machine now.
+/// A request frame whose arrival time is now.
 pub fn invocation(stream: u32, txn: &str, operation: &str, body: &[u8]) -> Vec<u8> {
     let door = unix_ms().to_string();
     let fields = [
@@ -170,7 +172,7 @@
     request(stream, &fields, body)
 }
 
-/// A request as the protocol lists its fields, in the order given, on a stream.
+/// A request frame on `stream` with `fields` in the given order.
 pub fn request(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
@@ -193,12 +195,12 @@
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
         Frame { kind: head[4], stream, payload: self.0.exact(length - 5) }
     }
-    /// The same where the other end may go at any time: what breaks is no answer.
+    /// Like `try_answer`, for a server that may be killed at any time: any read error ends it with `None`.
     pub fn quiet_answer(&mut self) -> Option<&'static str> {
         let mut bytes = Vec::new();
         loop {
             let mut part = [0; 1024];
-            let many = unbroken(|| self.0.stream.read(&mut part)).unwrap_or(0);
+            let many = retry_interrupted(|| self.0.stream.read(&mut part)).unwrap_or(0);
             bytes.extend(&part[..many]);
             while bytes.len() >= 10 {
                 let length = u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize + 4;
@@ -219,11 +221,11 @@
             }
         }
     }
-    /// The next frame, whole; `None` where the connection ended before, or was reset.
+    /// The next complete frame; `None` where the connection ended or was reset first.
     pub fn try_frame(&mut self) -> Option<Frame> {
         let mut wanted = 9;
         while self.0.bytes.len() < wanted {
-            if !self.0.more() {
+            if !self.0.read_more() {
                 return None;
             }
             if let Some(head) = self.0.bytes.get(..4) {
@@ -232,18 +234,18 @@
         }
         Some(self.frame())
     }
-    /// How the one invocation on stream 1 was answered; `None` where the connection ended before.
+    /// The outcome of the single request on stream 1; `None` where the connection ended first.
     pub fn try_answer(&mut self) -> Option<&'static str> {
         loop {
             while self.0.bytes.len() < 10 {
-                if !self.0.more() {
+                if !self.0.read_more() {
                     return None;
                 }
             }
             let length =
                 u32::from_be_bytes([self.0.bytes[0], self.0.bytes[1], self.0.bytes[2], self.0.bytes[3]]);
             while self.0.bytes.len() < length as usize + 4 {
-                if !self.0.more() {
+                if !self.0.read_more() {
                     return None;
                 }
             }
@@ -257,7 +259,7 @@
             }
         }
     }
-    /// The next answer, as its stream, its code and the bytes behind its fields.
+    /// The next response: its stream, its code and the body after its fields.
     pub fn answer(&mut self) -> (u32, &'static str, Vec<u8>) {
         let frame = self.frame();
         assert_eq!(frame.kind, 4, "{frame:?}");
@@ -276,34 +278,34 @@
     }
 }
 
-// ---- the kernel ----
+// ---- executor ----
 
-/// A link to the kernel, with the number of the last notice told on it.
+/// The executor's end of a link, with the serial number of the last notice that it sent.
 pub struct Kernel {
     pub link: Link,
     pub serial: u64,
-    /// Connections, as the gauges tell.
+    /// Number of connections that the gauges report.
     pub links: u32,
-    /// The operation of the last run that was asked for.
+    /// The request class of the last run that was requested.
     pub service: String,
 }
 
 impl Kernel {
-    /// Takes the next link and its `OPEN`; returns the serial told there too.
+    /// Accepts the next link and reads its `OPEN`; also returns the serial number in that `OPEN`.
     pub fn accept(listener: &TcpListener) -> (Kernel, u64) {
-        let mut link = Link::new(listener.accept().expect("a link").0);
+        let mut link = Link::new(listener.accept().expect("to accept a link").0);
         let open: Value = serde_json::from_str(&link.line().expect("OPEN")).expect("JSON");
         assert_eq!(open["msg"], "OPEN");
-        let serial = open["serial"].as_u64().expect("a serial");
+        let serial = open["serial"].as_u64().expect("a serial number");
         (Kernel { link, serial, links: 2, service: String::new() }, serial)
     }
-    /// The next link of a process that may be killed at any time: `None` where it was gone again before it was up.
+    /// Accepts the next link of a process that may be killed at any time; `None` where the process ended before the link was up.
     pub fn try_accept(listener: &TcpListener, how: &str) -> Option<Kernel> {
         let mut stream = listener.accept().ok()?.0;
         let _ = stream.set_read_timeout(Some(PATIENCE));
         let (mut open, mut byte) = (Vec::new(), [0]);
         while byte[0] != b'\n' {
-            if unbroken(|| stream.read(&mut byte)).unwrap_or(0) == 0 {
+            if retry_interrupted(|| stream.read(&mut byte)).unwrap_or(0) == 0 {
                 return None;
             }
             open.push(byte[0]);
@@ -314,13 +316,14 @@
         link.try_send(format!("{booted}\n").as_bytes()).then_some(())?;
         Some(Kernel { link, serial: open["serial"].as_u64()?, links: 2, service: String::new() })
     }
+    /// Sends a notice.
     pub fn say(&mut self, notice: Value) {
         self.link.send(format!("{notice}\n"));
     }
     pub fn boot(&mut self, how: &str) {
         self.say(json!({"msg": "BOOTED", "how": how, "duration": 0}));
     }
-    /// A numbered notice.
+    /// Sends a notice with the next serial number.
     pub fn tell(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) {
         self.serial += 1;
         let blob = STANDARD.encode(body);
@@ -328,7 +331,7 @@
             json!({"msg": msg, "serial": self.serial, "call": call, "how": how, "duration": 5, "blob": blob}),
         );
     }
-    /// The same to one that may be gone: false where it is.
+    /// Like `tell`, for a process that may have ended; false if the notice could not be sent.
     pub fn try_tell(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) -> bool {
         self.serial += 1;
         let blob = STANDARD.encode(body);
@@ -336,18 +339,18 @@
             json!({"msg": msg, "serial": self.serial, "call": call, "how": how, "duration": 5, "blob": blob});
         self.link.try_send(format!("{notice}\n").as_bytes())
     }
-    /// The next command as its name, its call and its body; gauges asked for before are told.
+    /// The next command: its name, its call and its body. Answers requests for the gauges that come before it.
     pub fn hear(&mut self) -> Option<(String, String, Vec<u8>)> {
         let until = Instant::now() + PATIENCE;
         loop {
-            assert!(Instant::now() < until, "only questions for the gauges came");
+            assert!(Instant::now() < until, "only requests for the gauges arrived");
             let command: Value = serde_json::from_str(&self.link.line()?).expect("JSON");
-            if let Some(heard) = self.understand(&command) {
-                return Some(heard);
+            if let Some(received) = self.handle_command(&command) {
+                return Some(received);
             }
         }
     }
-    /// The next command, if one comes in that time; gauges are told meanwhile.
+    /// The next command if one arrives within `time`. Answers requests for the gauges meanwhile.
     pub fn hear_within(&mut self, time: Duration) -> Option<(String, String, Vec<u8>)> {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -355,15 +358,15 @@
                 continue;
             }
             let command: Value = serde_json::from_str(&self.link.line()?).expect("JSON");
-            match self.understand(&command) {
+            match self.handle_command(&command) {
                 None => {}
-                heard => return heard,
+                received => return received,
             }
         }
         None
     }
-    /// A command; `None` for a question for the gauges, which is answered.
-    fn understand(&mut self, command: &Value) -> Option<(String, String, Vec<u8>)> {
+    /// Parses a command; `None` for a request for the gauges, to which it responds.
+    fn handle_command(&mut self, command: &Value) -> Option<(String, String, Vec<u8>)> {
         let word = |key: &str| command[key].as_str().unwrap_or("").to_string();
         if word("msg") == "SYSINFO" {
             self.say(json!({"msg": "INFO", "cookie": word("cookie"), "stats": [0.5, 1, 0.1, self.links]}));
@@ -372,7 +375,7 @@
         self.service = word("service");
         Some((word("msg"), word("call"), STANDARD.decode(word("blob")).expect("base64")))
     }
-    /// Whether the link ended without a further command. Questions for the gauges are no command and may stand in it.
+    /// Whether the link ended without a further command. Requests for the gauges don't count as commands.
     pub fn ended_without_command(&mut self) -> bool {
         while let Some(line) = self.link.line() {
             let command: Value = serde_json::from_str(&line).expect("JSON");
@@ -382,15 +385,16 @@
         }
         self.link.ended()
     }
+    /// Waits for the next command, which must be `msg` for `call`; returns its body.
     pub fn expect(&mut self, msg: &str, call: &str) -> Vec<u8> {
-        let (heard, about, body) = self.hear().expect("a command");
-        assert_eq!((heard.as_str(), about.as_str()), (msg, call));
+        let (received, received_call, body) = self.hear().expect("a command");
+        assert_eq!((received.as_str(), received_call.as_str()), (msg, call));
         body
     }
 }
 
-/// Runs whatever a kernel is asked to, on so many cores shared by all that runs; `work` by operation. Each run is noted, by
-/// the body that it brought. Ends with the link.
+/// Executes all runs that the app server requests, on `cores` cores shared evenly among the active runs. `work` gives the CPU time
+/// of a run by request class. Adds the body of each run to `ran`. Ends with the link.
 pub fn run_cores(
     mut kernel: Kernel,
     cores: f64,
@@ -429,15 +433,15 @@
     })
 }
 
-// ---- the ledger ----
+// ---- downstream proxy ----
 
 pub struct Ledger(pub Link);
 
 impl Ledger {
     pub fn accept(listener: &TcpListener) -> Ledger {
-        Ledger(Link::new(listener.accept().expect("a connection").0))
+        Ledger(Link::new(listener.accept().expect("to accept a connection").0))
     }
-    /// The next command: the words of its line, and for `post` the body.
+    /// The next command: the words of its line, and the body of a `post`.
     pub fn hear(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
         let words: Vec<String> = self.0.line()?.split(' ').map(str::to_string).collect();
         let mut body = Vec::new();
@@ -455,9 +459,9 @@
     }
 }
 
-// ---- a gateway and a backend, in SCGI ----
+// ---- SCGI gateway and SCGI backend ----
 
-/// A request as a gateway writes it, on a connection of its own.
+/// An SCGI request as a gateway sends it, one on each connection.
 pub fn scgi_request(method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let length = body.len().to_string();
     let own = [("CONTENT_LENGTH", &length[..]), ("SCGI", "1"), ("REQUEST_METHOD", method)];
@@ -468,7 +472,7 @@
     out
 }
 
-/// An answer to a gateway: its status, its header lines as they came, its body.
+/// A response to a gateway: its status, its header lines as received, and its body.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
@@ -478,10 +482,10 @@
 
 impl Response {
     pub fn field(&self, name: &str) -> Option<&str> {
-        let begins = |line: &&String| {
+        let matches_name = |line: &&String| {
             line.to_ascii_lowercase().starts_with(&format!("{}: ", name.to_ascii_lowercase()))
         };
-        self.header.iter().find(begins).map(|line| &line[name.len() + 2..])
+        self.header.iter().find(matches_name).map(|line| &line[name.len() + 2..])
     }
 }
 
@@ -496,9 +500,9 @@
         gateway.0.send(scgi_request(method, path, &[], body));
         gateway
     }
-    /// The one answer up to the end of the connection; `None` where it ended without one.
+    /// The response, read to the end of the connection; `None` where the connection ended without one.
     pub fn response(&mut self) -> Option<Response> {
-        while self.0.more() {}
+        while self.0.read_more() {}
         let bytes = std::mem::take(&mut self.0.bytes);
         let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")?;
         let head = String::from_utf8(bytes[..end].to_vec()).expect("text");
@@ -516,14 +520,14 @@
     }
 }
 
-/// A backend's end of one call.
+/// The backend's end of the connection of one call.
 pub struct Backend(pub Link);
 
 impl Backend {
     pub fn accept(listener: &TcpListener) -> Backend {
-        Backend(Link::new(listener.accept().expect("a connection").0))
+        Backend(Link::new(listener.accept().expect("to accept a connection").0))
     }
-    /// The header's fields by name, and the body.
+    /// The header fields with their names, and the body.
     pub fn hear(&mut self) -> (Vec<(String, String)>, Vec<u8>) {
         let mut digits = String::new();
         loop {
@@ -535,7 +539,8 @@
         let header = self.0.exact(digits.parse().expect("a length"));
         assert_eq!(self.0.exact(1), b",");
         let text = String::from_utf8(header).expect("text");
-        let words: Vec<&str> = text.strip_suffix('\0').expect("its end").split('\0').collect();
+        let words: Vec<&str> =
+            text.strip_suffix('\0').expect("a NUL at the end of the header").split('\0').collect();
         let fields: Vec<(String, String)> =
             words.chunks(2).map(|two| (two[0].to_string(), two[1].to_string())).collect();
         assert_eq!((fields[0].0.as_str(), fields[1].0.as_str()), ("CONTENT_LENGTH", "SCGI"));
@@ -549,9 +554,9 @@
     }
 }
 
-// ---- the roster ----
+// ---- service registry ----
 
-/// Takes one report, answers it with `status`; returns its path and body.
+/// Reads one load report and responds with `status`; returns its request line and body.
 pub fn report(link: &mut Link, status: &str) -> Option<(String, String)> {
     let first = link.line()?;
     let mut length = 0;
@@ -569,35 +574,35 @@
     Some((first, body))
 }
 
-// ---- the app server ----
+// ---- app server ----
 
-/// The listeners of all parties, and one app server started between them.
+/// The listeners of all stand-ins, and one app server process that is configured with their addresses.
 pub struct Place {
     pub kernel: TcpListener,
     pub ledger: TcpListener,
     pub roster: TcpListener,
     pub server: SocketAddr,
-    /// Where gateways connect, if the operator's file says so.
+    /// The address for gateways, if the operator's file has an `scgi` section.
     pub scgi: Option<SocketAddr>,
     process: std::cell::RefCell<Child>,
     log: Receiver<String>,
-    /// Lines that were passed over, with those that were waited for.
-    passed: std::cell::RefCell<Vec<String>>,
+    /// All log lines read until now.
+    seen_lines: std::cell::RefCell<Vec<String>>,
     config: PathBuf,
     operator: PathBuf,
-    all: Value,
+    configuration: Value,
 }
 
 fn listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a port of loopback")
+    TcpListener::bind("127.0.0.1:0").expect("a free loopback port")
 }
 
 impl Place {
-    /// Starts `program` with the configuration `config`, changed by `change`, and addresses of its own.
+    /// Starts `program` with the configuration `config`, modified by `change`. All addresses are assigned here.
     pub fn start(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> Place {
         Place::start_with(program, config, "", change)
     }
-    /// The same with its kernel up, warm, on its first link.
+    /// Like `start`, and accepts the first link to the executor and reports a warm start on it.
     pub fn up(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> (Place, Kernel) {
         let place = Place::start(program, config, change);
         let (mut kernel, serial) = Kernel::accept(&place.kernel);
@@ -606,7 +611,7 @@
         place.logged("kernel up");
         (place, kernel)
     }
-    /// The same as `start` with an operator's file, in which `LEDGER` is the address of the ledger's listener.
+    /// Like `start`, with the text of an operator's file, in which `LEDGER` stands for the address of the downstream proxy.
     pub fn start_with(
         program: &Path,
         config: &str,
@@ -615,7 +620,7 @@
     ) -> Place {
         Place::start_as(program, "serve", config, operator, change)
     }
-    /// The same in another role: `forward` or `plan`. A planner listens to no router.
+    /// Like `start_with`, in the role `role`, such as `forward` or `plan`. A planner has no listener for requests.
     pub fn start_as(
         program: &Path,
         role: &str,
@@ -625,17 +630,17 @@
     ) -> Place {
         let (kernel, ledger, roster) = (listener(), listener(), listener());
         let address = |listener: &TcpListener| json!(listener.local_addr().expect("an address").to_string());
-        let mut all: Value = serde_json::from_str(config).expect("JSON");
-        all["listen"] = json!("127.0.0.1:0");
-        all["kernel"] = address(&kernel);
-        all["ledger"] = address(&ledger);
-        all["roster"] = address(&roster);
-        change(&mut all);
+        let mut configuration: Value = serde_json::from_str(config).expect("JSON");
+        configuration["listen"] = json!("127.0.0.1:0");
+        configuration["kernel"] = address(&kernel);
+        configuration["ledger"] = address(&ledger);
+        configuration["roster"] = address(&roster);
+        change(&mut configuration);
         let port = kernel.local_addr().expect("an address").port();
         let config = std::env::temp_dir().join(format!("cypresscleat-{}-{port}.json", std::process::id()));
-        std::fs::write(&config, all.to_string()).expect("to write the configuration");
+        std::fs::write(&config, configuration.to_string()).expect("to write the configuration");
         let path = config.with_extension("cue");
-        let operator = operator.replace("LEDGER", all["ledger"].as_str().unwrap_or(""));
+        let operator = operator.replace("LEDGER", configuration["ledger"].as_str().unwrap_or(""));
         std::fs::write(&path, &operator).expect("to write the operator's file");
         let words = [std::ffi::OsStr::new(role), std::ffi::OsStr::new("--operator"), path.as_os_str()];
         let mut process = Command::new(program)
@@ -645,18 +650,29 @@
             .spawn()
             .unwrap_or_else(|error| panic!("{}: {error}", program.display()));
         let (tell, log) = channel();
-        let stderr = process.stderr.take().expect("its log");
+        let stderr = process.stderr.take().expect("the standard error of the process");
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let _ = tell.send(line);
             }
         });
         let server = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (scgi, path, passed) = (None, path, Default::default());
+        let (scgi, path, seen_lines) = (None, path, Default::default());
         let process = std::cell::RefCell::new(process);
-        let mut place =
-            Place { kernel, ledger, roster, server, scgi, process, log, passed, config, operator: path, all };
-        let listens = |place: &Place, words| {
+        let mut place = Place {
+            kernel,
+            ledger,
+            roster,
+            server,
+            scgi,
+            process,
+            log,
+            seen_lines,
+            config,
+            operator: path,
+            configuration,
+        };
+        let listen_address = |place: &Place, words| {
             let line = place.logged(words);
             line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
         };
@@ -664,50 +680,51 @@
             place.logged("hears members at ");
             return place;
         }
-        place.server = listens(&place, "listens on ");
+        place.server = listen_address(&place, "listens on ");
         if operator.contains("scgi: {") {
-            place.scgi = Some(listens(&place, "scgi listens on "));
+            place.scgi = Some(listen_address(&place, "scgi listens on "));
         }
         place
     }
-    /// The next log line with these words.
+    /// Waits for the next log line that contains `words`.
     pub fn logged(&self, words: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left).unwrap_or_else(|error| {
                 let end = match self.process.borrow_mut().try_wait() {
-                    Ok(Some(status)) => format!("it ended with {status}"),
-                    _ if error == RecvTimeoutError::Disconnected => "it closed its log".to_string(),
-                    _ => "it goes on".to_string(),
+                    Ok(Some(status)) => format!("the process ended with {status}"),
+                    _ if error == RecvTimeoutError::Disconnected => "the process closed its log".to_string(),
+                    _ => "the process is still running".to_string(),
                 };
-                panic!("no line with {words:?}; {end}; it said {:#?}", self.passed.borrow())
+                panic!("no log line contains {words:?}; {end}; log: {:#?}", self.seen_lines.borrow())
             });
-            self.passed.borrow_mut().push(line.clone());
+            self.seen_lines.borrow_mut().push(line.clone());
             if line.contains(words) {
                 return line;
             }
         }
     }
-    /// Whether a line with these words was among those written until now.
+    /// Whether a log line written until now contains `words`.
     pub fn has_logged(&self, words: &str) -> bool {
-        self.passed.borrow_mut().extend(self.log.try_iter());
-        self.passed.borrow().iter().any(|line| line.contains(words))
+        self.seen_lines.borrow_mut().extend(self.log.try_iter());
+        self.seen_lines.borrow().iter().any(|line| line.contains(words))
     }
-    /// Replaces the configuration, as an operator would; returns the listeners of the parties' new addresses.
+    /// Moves all stand-ins to new addresses and reloads the configuration; returns the new listeners.
     pub fn moves(&mut self) -> [TcpListener; 3] {
         let new = [listener(), listener(), listener()];
         for (listener, key) in new.iter().zip(["kernel", "ledger", "roster"]) {
-            self.all[key] = json!(listener.local_addr().expect("an address").to_string());
+            self.configuration[key] = json!(listener.local_addr().expect("an address").to_string());
         }
-        self.configure(&self.all.to_string());
+        self.configure(&self.configuration.to_string());
         new
     }
+    /// Replaces the configuration file and has the process reload it.
     pub fn configure(&self, text: &str) {
         std::fs::write(&self.config, text).expect("to write the configuration");
         self.signal("HUP");
     }
-    /// Replaces the operator's file, and says so.
+    /// Replaces the operator's file and has the process reload it.
     pub fn operates(&self, text: &str) {
         std::fs::write(&self.operator, text).expect("to write the operator's file");
         self.signal("HUP");
@@ -720,19 +737,19 @@
         let sent = Command::new("kill").args(["-s", name, &id]).status();
         assert!(sent.is_ok_and(|status| status.success()), "to send {name}");
     }
-    /// Its end, by itself.
+    /// Waits until the process exits without a further signal.
     pub fn exit(&mut self) -> ExitStatus {
         let until = Instant::now() + PATIENCE;
         while Instant::now() < until {
-            if let Some(status) = self.process.get_mut().try_wait().expect("its state") {
+            if let Some(status) = self.process.get_mut().try_wait().expect("the process state") {
                 return status;
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        panic!("it goes on");
+        panic!("the process is still running");
     }
     pub fn runs(&mut self) -> bool {
-        self.process.get_mut().try_wait().expect("its state").is_none()
+        self.process.get_mut().try_wait().expect("the process state").is_none()
     }
 }
 
