--- a/crates/demo/src/owners.rs
+++ b/crates/demo/src/owners.rs
@@ -1,5 +1,6 @@
-//! Keepers, instances that own parts of a tally, and the ledger that they act on, each the real program but for the ledger, with
-//! faults between them. The ledger's journal is the evidence: who acted, under which token, whether it was taken, on one clock.
+//! Deployment for partition ownership on loopback: control replicas and instances that own partitions of a tally, all running the real
+//! program, and a simulated ledger on which the owners act, with faults between them. The ledger's journal records each operation on one
+//! clock: who sent it, under which fencing token, and whether it took effect.
 
 use cypresscleat_fault_injection::{chance, free_port, Disk, Net, Order, Process};
 use serde_json::{json, Value};
@@ -11,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An act that reached the ledger.
+/// An operation that reached the ledger.
 #[derive(Clone, Debug)]
 pub struct Act {
     pub at: Instant,
@@ -19,35 +20,35 @@
     pub item: u64,
     pub token: u64,
     pub by: String,
-    /// Whether it had an effect: its token was no older than any seen, and the item was not done yet.
+    /// Whether it took effect: its fencing token was not older than the highest seen, and the item was not done yet.
     pub taken: bool,
-    /// The item had been done, under this or an earlier token.
+    /// Whether the item was already done, under this or an earlier fencing token.
     pub before: bool,
-    /// Its token was older than one that had been seen: refused, whether or not the item had been done.
+    /// Whether its fencing token was older than the highest seen: rejected, whether or not the item was done.
     pub older: bool,
-    /// All that it said.
+    /// The whole message.
     pub said: Value,
 }
 
 #[derive(Default)]
-struct Books {
+struct LedgerState {
     highest: BTreeMap<u64, u64>,
     done: BTreeSet<(u64, u64)>,
     acts: Vec<Act>,
 }
 
-/// The ledger that is acted upon: a conditional write by token, and a number for each item.
+/// The simulated ledger: a write conditional on the fencing token, and a number for each item.
 #[derive(Clone)]
 pub struct Ledger {
     pub address: SocketAddr,
-    books: Arc<Mutex<Books>>,
+    state: Arc<Mutex<LedgerState>>,
 }
 
 impl Ledger {
     pub fn start() -> Ledger {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port of loopback");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port");
         let address = listener.local_addr().expect("an address");
-        let ledger = Ledger { address, books: Arc::default() };
+        let ledger = Ledger { address, state: Arc::default() };
         let own = ledger.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -62,25 +63,25 @@
         let Ok(reader) = stream.try_clone() else { return };
         for line in BufReader::new(reader).lines().map_while(Result::ok) {
             let Ok(act) = serde_json::from_str::<Value>(&line) else { return };
-            let answer = self.acts(&act);
-            if stream.write_all(format!("{answer}\n").as_bytes()).is_err() {
+            let response = self.apply(&act);
+            if stream.write_all(format!("{response}\n").as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    fn acts(&self, act: &Value) -> Value {
+    fn apply(&self, act: &Value) -> Value {
         let number = |key: &str| act[key].as_u64().unwrap_or(0);
         let (part, item, token) = (number("part"), number("item"), number("token"));
-        let mut books = self.books.lock().expect("the books");
-        let highest = books.highest.entry(part).or_default();
+        let mut state = self.state.lock().expect("the state of the ledger");
+        let highest = state.highest.entry(part).or_default();
         let current = token >= *highest;
         *highest = token.max(*highest);
         let highest = *highest;
-        let before = books.done.contains(&(part, item));
-        let taken = current && books.done.insert((part, item));
+        let before = state.done.contains(&(part, item));
+        let taken = current && state.done.insert((part, item));
         let by = act["by"].as_str().unwrap_or("").to_string();
-        books.acts.push(Act {
+        state.acts.push(Act {
             at: Instant::now(),
             part,
             item,
@@ -95,18 +96,18 @@
     }
 
     pub fn journal(&self) -> Vec<Act> {
-        self.books.lock().expect("the books").acts.clone()
+        self.state.lock().expect("the state of the ledger").acts.clone()
     }
 }
 
-/// What the journal shows.
+/// Results of the check of a journal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Judged {
     pub acts: usize,
     pub refused: usize,
     pub done_twice: usize,
     pub done_never: usize,
-    /// Acts that had an effect under a token lower than one that had one before.
+    /// Operations that took effect under a fencing token lower than that of an earlier effective operation.
     pub fell: usize,
 }
 
@@ -131,7 +132,8 @@
     judged
 }
 
-/// Links between the control replicas `k0`, `k1` and so on, which receive at `own`: where each finds each, itself at its own address.
+/// Links the control replicas `k0`, `k1` and so on, which receive at `own`. Returns the addresses at which each reaches all, including
+/// its own address for itself.
 pub fn replica_links(net: &Net, own: &[SocketAddr]) -> BTreeMap<String, Vec<SocketAddr>> {
     let names: Vec<String> = (0..own.len()).map(|at| format!("k{at}")).collect();
     let mut found = vec![own.to_vec(); own.len()];
@@ -144,19 +146,20 @@
     names.into_iter().zip(found).collect()
 }
 
-/// All of them, each with an address of its own for every other.
+/// A running test deployment, with a proxy address for each pair of processes.
 pub struct Stage {
     pub net: Net,
     pub ledger: Ledger,
     pub keepers: Vec<Process>,
     pub instances: Vec<Process>,
     pub began: Instant,
-    /// When, and what.
+    /// Times and descriptions of the injected faults.
     pub faults: Vec<(Instant, String)>,
     program: PathBuf,
     folder: PathBuf,
 }
 
+/// Parameters of a test deployment.
 pub struct Setup<'a> {
     pub program: &'a Path,
     pub keepers: usize,
@@ -165,7 +168,7 @@
     pub lease: Duration,
     pub every: Duration,
     pub seed: u64,
-    /// Parts in a thousand by which an instance's clock may be off.
+    /// Maximum clock drift of an instance, in parts per thousand.
     pub drift: i64,
 }
 
@@ -178,14 +181,14 @@
             std::process::id(),
             free_port().port()
         ));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("to create a folder");
         let own: Vec<SocketAddr> = (0..setup.keepers).map(|_| free_port()).collect();
-        let between = replica_links(&net, &own);
+        let replica_addresses = replica_links(&net, &own);
         let file = |name: &str, rest: &str| {
-            let at = |keeper: usize| match between.get(name) {
-                Some(found) => found[keeper],
-                None if name == "operator" => own[keeper],
-                None => net.datagrams(name, &format!("k{keeper}"), own[keeper]),
+            let at = |replica: usize| match replica_addresses.get(name) {
+                Some(found) => found[replica],
+                None if name == "operator" => own[replica],
+                None => net.datagrams(name, &format!("k{replica}"), own[replica]),
             };
             let all: Vec<String> = (0..setup.keepers)
                 .map(|one| format!("{{name: \"k{one}\", address: \"{}\"}}", at(one)))
@@ -229,12 +232,12 @@
         stage
     }
 
-    /// The operator's file of one of them.
+    /// The path of the operator's file of a process.
     pub fn operator(&self, name: &str) -> String {
         self.folder.join(format!("{name}.cue")).display().to_string()
     }
 
-    /// Another keeper, not started yet, which some of the others do not know: the net between them is as it is.
+    /// Adds a control replica, not started yet, that some of the others may not know. Links are not added; returns its receive address.
     pub fn keeper(&mut self, name: &str) -> SocketAddr {
         let address = free_port();
         let path = self.operator(name);
@@ -243,7 +246,7 @@
         address
     }
 
-    /// The operator's file of one of them, changed.
+    /// Changes the operator's file of a process.
     pub fn rewrite(&self, name: &str, change: impl Fn(String) -> String) {
         let path = self.operator(name);
         let text = std::fs::read_to_string(&path).unwrap_or_default();
@@ -254,7 +257,7 @@
         &self.folder
     }
 
-    /// Another instance, in that role, not started yet; it finds the keepers at their own addresses.
+    /// Creates another instance in the role `role`, not started yet. It reaches the control replicas directly, without proxies.
     pub fn also(&self, role: &str, name: &str, rest: &str) -> Process {
         let path = self.folder.join(format!("{name}.cue"));
         let keepers = std::fs::read_to_string(self.folder.join("operator.cue")).expect("the operator's file");
@@ -267,9 +270,10 @@
     }
 
     pub fn process(&mut self, name: &str) -> &mut Process {
-        self.all().find(|one| one.name == name).unwrap_or_else(|| panic!("no {name}"))
+        self.all().find(|one| one.name == name).unwrap_or_else(|| panic!("no process {name}"))
     }
 
+    /// Applies an order to a link or a process.
     pub fn obey(&mut self, order: &Order) {
         self.faults.push((Instant::now(), format!("{order:?}")));
         if self.net.obey(order) {
@@ -286,7 +290,7 @@
         }
     }
 
-    /// The last lines of each process, for the message of a test that failed.
+    /// The last log lines of each process, for the message of a failed test.
     pub fn logs(&self) -> String {
         let mut text = String::new();
         for process in self.keepers.iter().chain(&self.instances) {
@@ -299,26 +303,26 @@
         text
     }
 
-    /// What `owners --json` says, and its exit code.
+    /// The output of `owners --json`, and its exit code.
     pub fn owners(&self) -> (Vec<Value>, i32) {
         self.command(&["--json"])
     }
 
     pub fn command(&self, words: &[&str]) -> (Vec<Value>, i32) {
         let path = self.folder.join("operator.cue").display().to_string();
-        let ran = std::process::Command::new(&self.program)
+        let output = std::process::Command::new(&self.program)
             .args(["owners", "--operator", &path])
             .args(words)
             .output();
-        let ran = ran.expect("to run the program");
-        let text = String::from_utf8_lossy(&ran.stdout).into_owned();
+        let output = output.expect("to run the program");
+        let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (
             text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect(),
-            ran.status.code().unwrap_or(-1),
+            output.status.code().unwrap_or(-1),
         )
     }
 
-    /// The owner of a part by its number, as the keepers have it.
+    /// The owner of a partition according to the control replicas.
     pub fn owner(&self, part: usize) -> Option<String> {
         let number: BTreeMap<String, String> =
             self.instances.iter().map(|one| (number(&one.name), one.name.clone())).collect();
@@ -327,7 +331,7 @@
         number.get(&owner).cloned()
     }
 
-    /// Waits until so many more acts have had an effect.
+    /// Waits until at least `more` further operations took effect.
     pub fn progress(&self, more: usize, within: Duration) -> bool {
         let taken = || self.ledger.journal().iter().filter(|act| act.taken).count();
         let (before, until) = (taken(), Instant::now() + within);
@@ -340,7 +344,7 @@
         false
     }
 
-    /// All links as new, all processes there and awake.
+    /// Clears all link faults, resumes suspended processes and restarts ended ones.
     pub fn peace(&mut self) {
         self.obey(&Order::Heal);
         for process in self.all() {
@@ -353,52 +357,52 @@
         }
     }
 
-    /// Faults drawn from the seed for so long.
+    /// Injects faults drawn from the seed for `time`.
     pub fn faults(&mut self, seed: u64, time: Duration) {
         let (until, mut count) = (Instant::now() + time, 0);
-        let mut later: Vec<(Instant, Order)> = Vec::new();
-        let mut disks = Instant::now();
+        let mut scheduled: Vec<(Instant, Order)> = Vec::new();
+        let mut last_disk_change = Instant::now();
         while Instant::now() < until {
             count += 1;
             let draw = |at: u64| chance(seed, "faults", count * 16 + at);
             let below = |at: u64, many: usize| ((draw(at) * many as f64) as usize).min(many - 1);
             let instance = self.instances[below(1, self.instances.len())].name.clone();
-            let keeper = self.keepers[below(2, self.keepers.len())].name.clone();
+            let replica = self.keepers[below(2, self.keepers.len())].name.clone();
             let after = |seconds: f64| Instant::now() + Duration::from_secs_f64(seconds);
-            let busy = |name: &str, later: &[(Instant, Order)]| {
-                later
+            let has_scheduled_recovery = |name: &str, scheduled: &[(Instant, Order)]| {
+                scheduled
                     .iter()
                     .any(|(_, order)| matches!(order, Order::Wake(one) | Order::Start(one, _) if one == name))
             };
-            let calm = later.iter().all(|(_, order)| !matches!(order, Order::Start(name, _) | Order::Wake(name) if name.starts_with('k')));
+            let all_replicas_up = scheduled.iter().all(|(_, order)| !matches!(order, Order::Start(name, _) | Order::Wake(name) if name.starts_with('k')));
             let order = match below(0, 12) {
-                0 | 1 if !busy(&instance, &later) => {
-                    later.push((after(0.5 + 5.0 * draw(3)), Order::Wake(instance.clone())));
+                0 | 1 if !has_scheduled_recovery(&instance, &scheduled) => {
+                    scheduled.push((after(0.5 + 5.0 * draw(3)), Order::Wake(instance.clone())));
                     Some(Order::Stop(instance))
                 }
-                2 if !busy(&instance, &later) => {
-                    later.push((after(0.2 + 2.0 * draw(3)), Order::Start(instance.clone(), Disk::Old)));
+                2 if !has_scheduled_recovery(&instance, &scheduled) => {
+                    scheduled.push((after(0.2 + 2.0 * draw(3)), Order::Start(instance.clone(), Disk::Old)));
                     Some(Order::Kill(instance))
                 }
-                3 if !busy(&instance, &later) => {
-                    later.push((after(1.5 + 2.0 * draw(3)), Order::Start(instance.clone(), Disk::Old)));
+                3 if !has_scheduled_recovery(&instance, &scheduled) => {
+                    scheduled.push((after(1.5 + 2.0 * draw(3)), Order::Start(instance.clone(), Disk::Old)));
                     Some(Order::End(instance))
                 }
-                4 if !busy(&keeper, &later) => {
-                    later.push((after(0.2 + 2.0 * draw(3)), Order::Start(keeper.clone(), Disk::Old)));
-                    Some(Order::Kill(keeper))
+                4 if !has_scheduled_recovery(&replica, &scheduled) => {
+                    scheduled.push((after(0.2 + 2.0 * draw(3)), Order::Start(replica.clone(), Disk::Old)));
+                    Some(Order::Kill(replica))
                 }
-                5 if !busy(&keeper, &later) => {
-                    later.push((after(0.2 + 2.0 * draw(3)), Order::Wake(keeper.clone())));
-                    Some(Order::Stop(keeper))
+                5 if !has_scheduled_recovery(&replica, &scheduled) => {
+                    scheduled.push((after(0.2 + 2.0 * draw(3)), Order::Wake(replica.clone())));
+                    Some(Order::Stop(replica))
                 }
-                // One disk at a time, and time between them for the others to take it in.
-                6 if calm && disks.elapsed() > Duration::from_secs(6) => {
+                // One replaced disk at a time, at least 6 s apart so that the other replicas can readmit the replica.
+                6 if all_replicas_up && last_disk_change.elapsed() > Duration::from_secs(6) => {
                     self.obey(&Order::Heal);
-                    disks = Instant::now();
-                    Some(Order::Start(keeper, if draw(3) < 0.5 { Disk::Empty } else { Disk::Older }))
+                    last_disk_change = Instant::now();
+                    Some(Order::Start(replica, if draw(3) < 0.5 { Disk::Empty } else { Disk::Older }))
                 }
-                7 => Some(Order::Keep(keeper)),
+                7 => Some(Order::Keep(replica)),
                 8 => {
                     let names = self
                         .keepers
@@ -410,12 +414,12 @@
                         names.enumerate().partition::<Vec<_>, _>(|(at, _)| draw(4 + *at as u64) < 0.5);
                     let side =
                         |side: Vec<(usize, String)>| side.into_iter().map(|one| one.1).collect::<Vec<_>>();
-                    later.push((after(0.5 + 3.0 * draw(3)), Order::Heal));
+                    scheduled.push((after(0.5 + 3.0 * draw(3)), Order::Heal));
                     Some(Order::Cut(vec![side(one), side(other)]))
                 }
-                9 => Some(Order::OneWay(keeper, instance)),
-                10 => Some(Order::Slow(keeper, instance, Duration::from_millis((200.0 * draw(3)) as u64))),
-                _ => Some(Order::Lose(keeper, instance, draw(3))),
+                9 => Some(Order::OneWay(replica, instance)),
+                10 => Some(Order::Slow(replica, instance, Duration::from_millis((200.0 * draw(3)) as u64))),
+                _ => Some(Order::Lose(replica, instance, draw(3))),
             };
             if let Some(order) = order {
                 self.obey(&order);
@@ -423,8 +427,8 @@
             let next = Instant::now() + Duration::from_secs_f64(0.2 + draw(15));
             while Instant::now() < next {
                 let (due, rest): (Vec<_>, Vec<_>) =
-                    later.into_iter().partition(|(at, _)| *at <= Instant::now());
-                later = rest;
+                    scheduled.into_iter().partition(|(at, _)| *at <= Instant::now());
+                scheduled = rest;
                 due.iter().for_each(|(_, order)| self.obey(order));
                 thread::sleep(Duration::from_millis(5));
             }
@@ -432,7 +436,7 @@
         self.peace();
     }
 
-    /// Changes of ownership as the instances' logs tell them: when, who, part, token, what.
+    /// Changes of ownership from the logs of the instances: time, instance, partition, fencing token and event.
     pub fn changes(&self) -> Vec<(Instant, String, u64, u64, &'static str)> {
         let mut all = Vec::new();
         for process in &self.instances {
@@ -459,7 +463,7 @@
         all
     }
 
-    /// The longest time in which nobody that was awake owned a part.
+    /// Maximum time during which no running instance owned a partition.
     pub fn longest_without_owner(&self) -> Duration {
         let mut events: Vec<(Instant, String, Option<u64>, bool)> = self
             .changes()
@@ -475,31 +479,31 @@
             }
         }
         events.sort_by_key(|one| one.0);
-        let (mut owns, mut awake) =
+        let (mut owners_by_partition, mut is_running) =
             (BTreeMap::<u64, BTreeSet<String>>::new(), BTreeMap::<String, bool>::new());
-        let (mut since, mut longest) = (BTreeMap::<u64, Instant>::new(), Duration::ZERO);
+        let (mut unowned_since, mut longest) = (BTreeMap::<u64, Instant>::new(), Duration::ZERO);
         for (at, who, part, on) in events {
             match part {
                 Some(part) => {
-                    let own = owns.entry(part).or_default();
+                    let owners = owners_by_partition.entry(part).or_default();
                     if on {
-                        own.insert(who.clone())
+                        owners.insert(who.clone())
                     } else {
-                        own.remove(&who)
+                        owners.remove(&who)
                     };
                     if on {
-                        awake.insert(who, true);
+                        is_running.insert(who, true);
                     }
                 }
-                None => drop(awake.insert(who, on)),
+                None => drop(is_running.insert(who, on)),
             }
-            for (part, own) in &owns {
-                let owned = own.iter().any(|one| awake.get(one).copied().unwrap_or(true));
-                match (owned, since.get(part)) {
-                    (false, None) => drop(since.insert(*part, at)),
+            for (part, owners) in &owners_by_partition {
+                let is_owned = owners.iter().any(|one| is_running.get(one).copied().unwrap_or(true));
+                match (is_owned, unowned_since.get(part)) {
+                    (false, None) => drop(unowned_since.insert(*part, at)),
                     (true, Some(from)) => {
                         longest = longest.max(at.duration_since(*from));
-                        since.remove(part);
+                        unowned_since.remove(part);
                     }
                     _ => {}
                 }
@@ -508,7 +512,7 @@
         longest
     }
 
-    /// The journal as lines of JSON, in the order of one clock.
+    /// Writes the journal to `path` as JSON lines, sorted by time.
     pub fn write(&self, path: &Path) -> std::io::Result<()> {
         let at = |at: Instant| at.duration_since(self.began).as_nanos() as u64;
         let mut lines: Vec<(u64, Value)> = Vec::new();
@@ -538,7 +542,7 @@
     }
 }
 
-/// The number of a name, as the program prints it where its file does not know the name.
+/// The ID of a name, as the program prints it where its operator's file does not contain the name.
 pub fn number(name: &str) -> String {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/crates/demo/src/tier.rs
+++ b/crates/demo/src/tier.rs
@@ -1,4 +1,4 @@
-//! Two levels on loopback: planners, forwarders and workers, each the real program, each worker with a kernel stand-in.
+//! Two-tier deployment on loopback: planners, forwarders and workers, all running the real program, each worker with an executor stand-in.
 
 use crate::{invocation, run_cores, Kernel, Place, Router};
 use cypresscleat_fault_injection::free_port;
@@ -9,16 +9,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Cores of a worker, and what runs take there.
+/// Number of cores of a worker.
 pub const CORES: u32 = 2;
 
-pub fn work(operation: &str) -> Duration {
-    Duration::from_millis(if operation == "lookup" { 8 } else { 30 })
+/// CPU time of a run by request class.
+pub fn work(request_class: &str) -> Duration {
+    Duration::from_millis(if request_class == "lookup" { 8 } else { 30 })
 }
 
-/// Billed value by operation, as in the example's configuration.
-pub fn value(operation: &str) -> f64 {
-    if operation == "lookup" {
+/// Billed value by request class, as in the example's configuration.
+pub fn value(request_class: &str) -> f64 {
+    if request_class == "lookup" {
         3.0
     } else {
         1.0
@@ -27,10 +28,11 @@
 
 pub struct Worker {
     pub place: Place,
-    /// Bodies of all that it ran.
+    /// Bodies of all its runs.
     pub ran: Arc<Mutex<Vec<String>>>,
 }
 
+/// A running two-tier deployment.
 pub struct Levels {
     program: PathBuf,
     config: String,
@@ -41,7 +43,7 @@
     worker_at: Vec<SocketAddr>,
 }
 
-/// `how` its kernel comes up, `WARM` or `COLD`; a cold one has a quarter of its speed.
+/// Starts a worker whose executor reports the start type `how`, `WARM` or `COLD`; a cold executor runs at a quarter of its speed.
 pub fn worker(program: &Path, config: &str, name: &str, listen: Option<SocketAddr>, how: &str) -> Worker {
     let place = Place::start_with(program, config, "", |all| {
         all["name"] = json!(name);
@@ -50,7 +52,7 @@
         all["settings"]["specifics"]["cores"] = json!(CORES);
         all["settings"]["specifics"]["class_calls"] = json!([false, false]);
         all["stop_ms"] = json!(20_000);
-        // Its own for good: it may be started again there.
+        // A fixed address, so that the worker can be restarted there.
         all["listen"] = json!(listen.unwrap_or_else(free_port).to_string());
     });
     let (mut kernel, _) = Kernel::accept(&place.kernel);
@@ -73,7 +75,7 @@
         levels
     }
 
-    /// Workers only, and planners that somebody else plays.
+    /// Starts workers only, for a test that simulates the planners.
     pub fn workers(program: &Path, config: &str, planner_at: Vec<SocketAddr>, workers: usize) -> Levels {
         let all: Vec<Worker> =
             (0..workers).map(|at| worker(program, config, &format!("w{at}"), None, "WARM")).collect();
@@ -88,6 +90,7 @@
         }
     }
 
+    /// Starts `forwarders` forwarders.
     pub fn forward(&mut self, forwarders: usize) {
         for at in 0..forwarders {
             let forwarder = self.member("forward", &format!("f{at}"), free_port());
@@ -96,13 +99,13 @@
     }
 
     fn operator(&self, listen: SocketAddr) -> String {
-        let list = |all: &[SocketAddr], letter: &str, rest: &str| {
+        let list = |all: &[SocketAddr], prefix: &str, rest: &str| {
             let one = |(at, address): (usize, &SocketAddr)| {
-                format!("{{name: \"{letter}{at}\", address: \"{address}\"{rest}}}")
+                format!("{{name: \"{prefix}{at}\", address: \"{address}\"{rest}}}")
             };
             all.iter().enumerate().map(one).collect::<Vec<_>>().join(", ")
         };
-        // Room for what runs and for what its line may hold.
+        // Slots for active runs and for queued requests.
         let places = format!(", places: {}", CORES * 2);
         let (planners, workers) = (list(&self.planner_at, "p", ""), list(&self.worker_at, "w", &places));
         format!("tier: {{listen: \"{listen}\", planners: [{planners}], workers: [{workers}]}}")
@@ -116,7 +119,7 @@
         })
     }
 
-    /// It is there again, under its old address.
+    /// Starts a planner again at its previous address.
     pub fn restart_planner(&mut self, at: usize) {
         let planner = self.member("plan", &format!("p{at}"), self.planner_at[at]);
         self.planners[at] = Some(planner);
@@ -135,14 +138,14 @@
         self.forwarders.iter().flatten().map(|place| place.server).collect()
     }
 
-    /// Bodies of all that was run anywhere.
+    /// Bodies of the runs of all workers.
     pub fn ran(&self) -> Vec<String> {
         let lists = self.workers.iter().flatten().map(|worker| worker.ran.lock().expect("the list").clone());
         lists.flatten().collect()
     }
 }
 
-/// What one that asked got.
+/// The outcome of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Got {
     pub operation: &'static str,
@@ -150,11 +153,11 @@
     pub took: Duration,
 }
 
-/// Sends invocations at set times, whatever became of those before, each to the next of `to`; the operation by its number.
-/// Waits for all. One that got no answer counts as lost.
+/// Sends `many` requests at fixed times, independent of the outcomes of earlier requests, to the servers in `to` in turn. The position
+/// of a request determines its request class. Waits for all outcomes; a request without a response counts as lost.
 pub fn trickle(to: &[SocketAddr], name: &str, many: usize, gap: Duration) -> Vec<Got> {
     let began = Instant::now();
-    let callers: Vec<_> = (0..many)
+    let clients: Vec<_> = (0..many)
         .map(|at| {
             let (address, due) = (to[at % to.len()], began + gap * at as u32);
             let (operation, body) = (if at % 3 == 2 { "report" } else { "lookup" }, format!("{name}-{at}"));
@@ -164,7 +167,7 @@
             );
             thread::Builder::new().stack_size(128 * 1024).spawn(move || {
                 thread::sleep(due.saturating_duration_since(Instant::now()));
-                let asked = Instant::now();
+                let sent_at = Instant::now();
                 let how = match std::net::TcpStream::connect(address) {
                     Err(_) => "refused",
                     Ok(stream) => {
@@ -173,11 +176,14 @@
                         router.try_answer().unwrap_or("lost")
                     }
                 };
-                Got { operation, how, took: asked.elapsed() }
+                Got { operation, how, took: sent_at.elapsed() }
             })
         })
         .collect();
-    callers.into_iter().map(|caller| caller.expect("a thread").join().expect("its end")).collect()
+    clients
+        .into_iter()
+        .map(|client| client.expect("to start a thread").join().expect("the client thread to end"))
+        .collect()
 }
 
 pub fn served_value(all: &[Got]) -> f64 {
@@ -185,7 +191,7 @@
 }
 
 pub fn ran_twice(ran: &[String]) -> usize {
-    let mut sorted = ran.to_vec();
-    sorted.sort_unstable();
-    sorted.windows(2).filter(|two| two[0] == two[1]).count()
+    let mut sorted_bodies = ran.to_vec();
+    sorted_bodies.sort_unstable();
+    sorted_bodies.windows(2).filter(|two| two[0] == two[1]).count()
 }
