--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -1,14 +1,19 @@
-//! A toy deployment: starts one app server between stand-ins, sends it a few invocations, prints what each party
-//! sees, and ends it as an operator would.
+//! A demo deployment: starts one app server between stand-ins, sends it a few requests, prints what each peer receives, and
+//! stops it as an operator would.
 //!
 //!     cargo build --release && cargo run --release -p cypresscleat-demo --bin demo
 //!
-//! Another program, or another configuration, may be named: `demo PROGRAM CONFIG`. With an address for gateways it serves
-//! them, for so many seconds: `demo --scgi 127.0.0.1:4000 --hold 60`. `demo --tier --hold 20 [--kill planners]` starts two
-//! planners, two forwarders and three workers, and beside them three workers that stand alone; the same steady trickle goes to
-//! both. Its last line is JSON. `demo --owners --seconds 30 --seed 7 --journal FILE` starts keepers, instances that own parts of a
-//! tally and the ledger that they act on, under faults drawn from the seed; its last line is JSON too. `demo --rollout` with the same words: app servers
-//! under load, changes of policy every few seconds, faults between all; with `--relays` five of the six ask two relays in place of the keepers.
+//! `demo PROGRAM CONFIG` runs another program or configuration. `demo --scgi 127.0.0.1:4000 --hold 60` accepts SCGI gateways at that
+//! address for 60 seconds.
+//!
+//! `demo --tier --hold 20 [--kill planners]` starts two planners, two forwarders and three workers, and beside them three standalone
+//! workers. Both deployments get the same steady load. The last line of output is JSON.
+//!
+//! `demo --owners --seconds 30 --seed 7 --journal FILE` starts control replicas, instances that own partitions of a tally, and the ledger
+//! on which they act, with faults drawn from the seed. The last line of output is JSON.
+//!
+//! `demo --rollout` with the same flags runs app servers under load with a policy change every few seconds and faults on all links and
+//! processes. With `--relays` five of the six app servers poll two relays in place of the control replicas.
 
 use clap::{value_parser, Arg, Command};
 use cypresscleat_demo::owners::{judge, Setup, Stage};
@@ -21,11 +26,11 @@
 use std::thread;
 use std::time::Duration;
 
-const INVOCATIONS: u32 = 6;
+const REQUESTS: u32 = 6;
 
 fn main() -> ExitCode {
-    let words = Command::new("demo")
-        .about("One app server between stand-ins of all that it talks to, on loopback")
+    let matches = Command::new("demo")
+        .about("One app server between stand-ins for all of its peers, on loopback")
         .arg(Arg::new("program").default_value("target/release/cypresscleat-server"))
         .arg(Arg::new("config").default_value("crates/demo/config.json"))
         .arg(Arg::new("scgi").long("scgi").value_name("ADDRESS").value_parser(value_parser!(SocketAddr)))
@@ -49,7 +54,7 @@
                 .long("relays")
                 .action(clap::ArgAction::SetTrue)
                 .requires("rollout")
-                .help("Two relays between the keepers and five of the six app servers"),
+                .help("Two relays between the control replicas and five of the six app servers"),
         )
         .arg(
             Arg::new("owners")
@@ -83,39 +88,43 @@
         )
         .arg(Arg::new("journal").long("journal").value_name("FILE"))
         .get_matches();
-    let word = |name: &str| words.get_one::<String>(name).cloned().unwrap_or_default();
-    let (program, config) = (word("program"), word("config"));
+    let text_argument = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
+    let (program, config) = (text_argument("program"), text_argument("config"));
     let text = std::fs::read_to_string(&config).unwrap_or_else(|error| panic!("{config}: {error}"));
-    let hold = words.get_one::<u64>("hold").copied().unwrap_or_default();
-    if words.get_flag("rollout") {
-        let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or_default();
-        let journal = words.get_one::<String>("journal").map(Path::new);
-        return rollouts(
+    let hold_seconds = matches.get_one::<u64>("hold").copied().unwrap_or_default();
+    if matches.get_flag("rollout") {
+        let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
+        let journal = matches.get_one::<String>("journal").map(Path::new);
+        return run_rollout(
             Path::new(&program),
             &text,
             number("keepers"),
             number("seconds"),
             number("seed"),
-            words.get_flag("relays"),
+            matches.get_flag("relays"),
             journal,
         );
     }
-    if words.get_flag("owners") {
-        let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or_default();
-        if let Some(many) = words.get_one::<u64>("handovers") {
-            return handovers(Path::new(&program), number("keepers") as usize, *many as usize);
+    if matches.get_flag("owners") {
+        let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
+        if let Some(handover_count) = matches.get_one::<u64>("handovers") {
+            return measure_handovers(
+                Path::new(&program),
+                number("keepers") as usize,
+                *handover_count as usize,
+            );
         }
-        let journal = words.get_one::<String>("journal").map(Path::new);
+        let journal = matches.get_one::<String>("journal").map(Path::new);
         return owners(Path::new(&program), number("keepers"), number("seconds"), number("seed"), journal);
     }
-    if words.get_flag("cut") {
-        let rate = words.get_one::<u64>("rate").copied().unwrap_or(150);
-        return cut(Path::new(&program), &text, hold.max(1), rate);
+    if matches.get_flag("cut") {
+        let rate = matches.get_one::<u64>("rate").copied().unwrap_or(150);
+        return cut(Path::new(&program), &text, hold_seconds.max(1), rate);
     }
-    if words.get_flag("tier") {
-        return two_levels(Path::new(&program), &text, hold.max(1), words.contains_id("kill"));
+    if matches.get_flag("tier") {
+        return run_tier(Path::new(&program), &text, hold_seconds.max(1), matches.contains_id("kill"));
     }
-    let scgi = words.get_one::<SocketAddr>("scgi").copied();
+    let scgi = matches.get_one::<SocketAddr>("scgi").copied();
     let operator = scgi.map_or(String::new(), operator);
     let mut place = Place::start_with(Path::new(&program), &text, &operator, |_| {});
     println!("the app server listens on {}", place.server);
@@ -124,13 +133,13 @@
     thread::spawn(move || run_kernel(&kernel));
     let ledger = place.ledger.try_clone().expect("a listener");
     thread::spawn(move || loop {
-        // The app server opens a connection for each call that is out.
+        // The app server opens a connection for each pending call.
         let ledger = Ledger::accept(&ledger);
         thread::spawn(move || run_ledger(ledger));
     });
     let roster = place.roster.try_clone().expect("a listener");
     thread::spawn(move || {
-        let mut link = Link::new(roster.accept().expect("a report").0);
+        let mut link = Link::new(roster.accept().expect("to accept a report connection").0);
         while let Some((first, body)) = report(&mut link, "204 No Content") {
             println!("roster: {first} {body}");
         }
@@ -139,17 +148,17 @@
     println!("{}", place.logged("kernel up"));
     if scgi.is_some() {
         println!("ready");
-        thread::sleep(Duration::from_secs(hold));
+        thread::sleep(Duration::from_secs(hold_seconds));
         place.signal("TERM");
     } else {
         let mut router = Router::connect(place.server);
         router.0.send(frame(16, 1, &[0]));
-        println!("router: health check answered with {}", router.frame().payload[0]);
-        for stream in 1..=INVOCATIONS {
+        println!("router: health check response {}", router.frame().payload[0]);
+        for stream in 1..=REQUESTS {
             let operation = if stream % 2 == 0 { "lookup" } else { "report" };
             router.0.send(invocation(stream, &format!("{stream:016x}"), operation, b"tell me"));
         }
-        for _ in 0..INVOCATIONS {
+        for _ in 0..REQUESTS {
             let (stream, code, body) = router.answer();
             println!("router: stream {stream} {code} {:?}", String::from_utf8_lossy(&body));
         }
@@ -171,24 +180,24 @@
     Arg::new(name).long(name).value_name("N").value_parser(value_parser!(u64)).default_value(default)
 }
 
-/// The lease of all versions there, and with it the stated bound: from the first member that goes over to the last admission under an
-/// older version.
-const BOUND_MS: u64 = 1000;
+/// The lease of all policy versions in this demo. It bounds the time from the first activation of a version to the last admission under
+/// an older version.
+const MAX_MIXED_VERSIONS_MS: u64 = 1000;
 
-/// A policy of the toy: pools by the draw; one in four can't be carried out by anybody, a third stops all first.
+/// A random policy document. One in four is rejected by all members; one in three has a barrier that stops all members first.
 fn policy(count: u64) -> String {
     let draw = |at: u64| cypresscleat_fault_injection::chance(count, "policy", at);
-    let operation = if draw(0) < 0.25 { "nosuch" } else { "lookup" };
+    let request_class = if draw(0) < 0.25 { "nosuch" } else { "lookup" };
     format!(
-        "lease: 1s\nwithin: 6s\ntogether: {}\npools: {{limiter: \"fixed\", pools: {{quick: {{operations: [\"{operation}\"], \
+        "lease: 1s\nwithin: 6s\ntogether: {}\npools: {{limiter: \"fixed\", pools: {{quick: {{operations: [\"{request_class}\"], \
          least: 0.{}, reserve: 0.1}}}}}}\n",
         draw(1) < 0.33,
         2 + (draw(2) * 7.0) as u64
     )
 }
 
-/// App servers under load, changes proposed every few seconds, faults drawn from the seed.
-fn rollouts(
+/// Runs app servers under load, with policy changes every few seconds and faults drawn from the seed.
+fn run_rollout(
     program: &Path,
     config: &str,
     keepers: u64,
@@ -206,7 +215,7 @@
         own: &|_, _| {},
         seed,
     };
-    // With relays one member goes on asking the keepers, who count it and the relays.
+    // With relays, one member still polls the control replicas; they count this member and the two relays.
     let (relays, count) = if relays { (2, 3) } else { (0, 6) };
     let behind = |at: usize| if at < 5 { (0..relays).collect() } else { Vec::new() };
     let mut stage = rollout::Stage::start_behind(&setup, relays, &behind);
@@ -215,20 +224,20 @@
         stage.all_have(version, count, within) && stage.serve_under(version, &[0, 1, 2, 3, 4, 5], within)
     };
     if !all_have(&stage, 0) {
-        println!("they never began");
+        println!("the app servers did not start");
         return ExitCode::FAILURE;
     }
-    // In peace: the bound is the lease of the version that is left, and that of each instance's own file is longer.
+    // Before any faults: the bound is the lease of the replaced version, and the lease in each instance's own file is longer.
     if stage.propose("lease: 1s\nwithin: 6s\n", 20).1 != 0 || !all_have(&stage, 1) {
-        println!("they never took the first version");
+        println!("the app servers did not activate the first version");
         return ExitCode::FAILURE;
     }
     println!("ready");
     stage.load(2, Duration::from_millis(20));
     let texts = |count: u64| policy(seed.wrapping_mul(1_000_003) + count);
     let proposed = stage.faults(seed, Duration::from_secs(seconds.min(3600)), &texts);
-    // In peace: what is under way ends, and one more change reaches all.
-    let (lines, mut code) = stage.propose("lease: 1s\n", 10);
+    // After the faults: pending changes end, and one more change reaches all members.
+    let (decision, mut code) = stage.propose("lease: 1s\n", 10);
     for _ in 0..5 {
         if code != 0 {
             thread::sleep(Duration::from_secs(1));
@@ -238,19 +247,21 @@
     let last = stage.policy(&["status"]).0.first().and_then(|one| one["in_force"].as_u64()).unwrap_or(0);
     let settled = code == 0 && all_have(&stage, last);
     let books = stage.rests();
-    let all = stage.journal();
-    let together = |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
-    let judged = rollout::judge(&all, BOUND_MS as f64, &together);
+    let events = stage.journal();
+    let has_barrier =
+        |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
+    let judged = rollout::judge(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
     if let Some(path) = journal {
-        let text: Vec<String> = std::iter::once(serde_json::json!({"bound_ms": BOUND_MS}).to_string())
-            .chain(all.iter().map(|line| line.to_string()))
-            .collect();
+        let text: Vec<String> =
+            std::iter::once(serde_json::json!({"bound_ms": MAX_MIXED_VERSIONS_MS}).to_string())
+                .chain(events.iter().map(|line| line.to_string()))
+                .collect();
         if let Err(error) = std::fs::write(path, text.join("\n") + "\n") {
             println!("the journal: {error}");
             return ExitCode::FAILURE;
         }
     }
-    let done = rollout::ran_twice(&stage.ran);
+    let ran_twice = rollout::ran_twice(&stage.ran);
     println!(
         "{}",
         serde_json::json!({
@@ -264,15 +275,15 @@
             "admitted": judged.admitted,
             "succeeded": books.succeeded,
             "throttled": books.throttled,
-            "ran_twice": done,
+            "ran_twice": ran_twice,
             "faults": stage.faults.len(),
             "settled": settled,
         })
     );
     if !settled {
-        eprintln!("{lines:?} {:?}", stage.policy(&["status"]));
+        eprintln!("{decision:?} {:?}", stage.policy(&["status"]));
     }
-    match settled && judged.wrong == 0 && books.asked == books.answered && done == 0 {
+    match settled && judged.wrong == 0 && books.asked == books.answered && ran_twice == 0 {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
@@ -284,7 +295,7 @@
     let mut stage =
         Stage::start(&Setup { program, keepers, instances: 4, parts: 3, lease, every, seed, drift: 12 });
     if !stage.progress(3, Duration::from_secs(20)) {
-        println!("nobody began");
+        println!("no instance started");
         return ExitCode::FAILURE;
     }
     println!("ready");
@@ -313,25 +324,25 @@
     }
 }
 
-/// From the notice to leave, or the death, of an owner to the first act of the next one, as the ledger saw it; and what a keeper of
-/// 10,000 parts holds. Real processes, a lease of a second.
-fn handovers(program: &Path, keepers: usize, many: usize) -> ExitCode {
+/// Measures the time from the termination notice or the kill of an owner to the first effective operation of the next owner in the
+/// ledger journal, and the peak memory of a control replica with 10,000 partitions. Uses real processes and a lease of 1 s.
+fn measure_handovers(program: &Path, keepers: usize, handover_count: usize) -> ExitCode {
     let lease = Duration::from_secs(1);
     let every = Duration::from_millis(5);
     let setup = Setup { program, keepers, instances: 3, parts: 1, lease, every, seed: 1, drift: 0 };
-    let mut spreads = Vec::new();
-    for told in [true, false] {
+    let mut summaries = Vec::new();
+    for is_notified in [true, false] {
         let mut stage = Stage::start(&setup);
         let mut all = Vec::new();
-        while all.len() < many {
+        while all.len() < handover_count {
             if !stage.progress(5, Duration::from_secs(20)) {
                 return ExitCode::FAILURE;
             }
             let Some(owner) = stage.ledger.journal().last().map(|act| act.by.clone()) else { continue };
-            // Not always at the same point of its renewals.
+            // Varies the delay so that handovers start at different points of the lease renewal.
             thread::sleep(Duration::from_millis(37 * (all.len() as u64 % 7)));
             let began = std::time::Instant::now();
-            if told {
+            if is_notified {
                 stage.process(&owner).end();
             } else {
                 stage.process(&owner).kill();
@@ -352,31 +363,31 @@
         }
         all.sort_by(f64::total_cmp);
         let at = |part: f64| all[((all.len() - 1) as f64 * part).round() as usize];
-        let how = if told { "told" } else { "killed" };
-        spreads.push(serde_json::json!({"how": how, "of": many, "p50_ms": at(0.5), "p99_ms": at(0.99), "most_ms": at(1.0)}));
+        let how = if is_notified { "told" } else { "killed" };
+        summaries.push(serde_json::json!({"how": how, "of": handover_count, "p50_ms": at(0.5), "p99_ms": at(0.99), "most_ms": at(1.0)}));
     }
     let parts = Setup { parts: 10_000, every: Duration::from_secs(3600), ..setup };
     let mut stage = Stage::start(&parts);
     if !stage.progress(10_000, Duration::from_secs(120)) {
         return ExitCode::FAILURE;
     }
-    let held = |id: Option<u32>| {
+    let peak_memory_kb = |id: Option<u32>| {
         let status = std::fs::read_to_string(format!("/proc/{}/status", id.unwrap_or(0))).unwrap_or_default();
         let line =
             status.lines().find(|line| line.starts_with("VmHWM")).map(str::to_string).unwrap_or_default();
         line.split_whitespace().nth(1).and_then(|word| word.parse::<u64>().ok()).unwrap_or(0)
     };
-    let keepers: Vec<u64> = stage.keepers.iter().map(|one| held(one.id())).collect();
-    let owners: Vec<u64> = stage.instances.iter().map(|one| held(one.id())).collect();
+    let keepers: Vec<u64> = stage.keepers.iter().map(|one| peak_memory_kb(one.id())).collect();
+    let owners: Vec<u64> = stage.instances.iter().map(|one| peak_memory_kb(one.id())).collect();
     stage.peace();
-    println!("{}", serde_json::json!({"handovers": spreads, "keeper_kb": keepers, "owner_kb": owners}));
+    println!("{}", serde_json::json!({"handovers": summaries, "keeper_kb": keepers, "owner_kb": owners}));
     ExitCode::SUCCESS
 }
 
-/// Invocations a second, to each of the two.
-const TRICKLE: u64 = 40;
+/// Requests per second to each of the two deployments.
+const REQUESTS_PER_SECOND: u64 = 40;
 
-fn two_levels(program: &Path, config: &str, seconds: u64, kill: bool) -> ExitCode {
+fn run_tier(program: &Path, config: &str, seconds: u64, kill: bool) -> ExitCode {
     let mut levels = Levels::start(program, config, 2, 2, 3);
     let alone: Vec<Worker> =
         (0..3).map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM")).collect();
@@ -388,14 +399,15 @@
         levels.forwarders[0].as_ref().map_or(String::new(), |one| one.logged("planners are back"))
     );
     println!("ready");
-    let (many, gap) = ((seconds * TRICKLE) as usize, Duration::from_micros(1_000_000 / TRICKLE));
+    let (many, gap) =
+        ((seconds * REQUESTS_PER_SECOND) as usize, Duration::from_micros(1_000_000 / REQUESTS_PER_SECOND));
     let (two, one) = (levels.addresses(), alone.iter().map(|worker| worker.place.server).collect::<Vec<_>>());
     let tiered = thread::spawn(move || tier::trickle(&two, "tier", many, gap));
     let standalone = thread::spawn(move || tier::trickle(&one, "alone", many, gap));
     if kill {
         thread::sleep(Duration::from_secs(seconds) / 2);
         levels.planners.iter_mut().for_each(|planner| *planner = None);
-        println!("the planners are gone");
+        println!("the planners were killed");
     }
     let (Ok(tiered), Ok(standalone)) = (tiered.join(), standalone.join()) else { return ExitCode::FAILURE };
     let answered =
@@ -418,8 +430,8 @@
     }
 }
 
-/// The net between two planners is cut for all that time: what is served and what is given out, without keepers, with them, and by as
-/// many workers that stand alone, one after the other under the same arrivals, half to each side.
+/// Runs with a network partition between two planners throughout. Prints outcomes and granted slots without control replicas, with
+/// control replicas, and for the same number of standalone workers. The three run in turn with the same arrivals, half to each side.
 fn cut(program: &Path, config: &str, seconds: u64, rate: u64) -> ExitCode {
     let (many, gap) = ((seconds * rate) as usize, Duration::from_micros(1_000_000 / rate));
     let mut rows = Vec::new();
@@ -430,20 +442,21 @@
             "value": tier::served_value(all), "granted": granted, "places": PLACES, "ran_twice": tier::ran_twice(ran)}));
         answered == all.len()
     };
-    let mut good = true;
-    for kept in [false, true] {
-        let split = Split::start(program, config, kept);
-        let sides = if kept { 1 } else { 2 };
+    let mut all_answered = true;
+    for with_replicas in [false, true] {
+        let split = Split::start(program, config, with_replicas);
+        let sides = if with_replicas { 1 } else { 2 };
         let granted = split
             .forwarders
             .iter()
             .take(sides)
             .map(|side| places(&side.logged("by its grants: epoch")))
             .sum();
-        let all = tier::trickle(&split.addresses(), if kept { "kept" } else { "lead" }, many, gap);
+        let all = tier::trickle(&split.addresses(), if with_replicas { "kept" } else { "lead" }, many, gap);
         let ran: Vec<String> =
             split.workers.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
-        good &= row(if kept { "keepers" } else { "each by itself" }, Some(granted), &all, &ran);
+        all_answered &=
+            row(if with_replicas { "keepers" } else { "each by itself" }, Some(granted), &all, &ran);
     }
     let alone: Vec<Worker> = (0..split::WORKERS)
         .map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM"))
@@ -452,9 +465,9 @@
     let all = tier::trickle(&to, "alone", many, gap);
     let ran: Vec<String> =
         alone.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
-    good &= row("workers alone", None, &all, &ran);
+    all_answered &= row("workers alone", None, &all, &ran);
     println!("{}", serde_json::Value::from(rows));
-    if good {
+    if all_answered {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -474,15 +487,15 @@
 }
 
 fn run_ledger(mut ledger: Ledger) {
-    while let Some((words, body)) = ledger.hear() {
-        println!("ledger: {} {:?}", words.join(" "), String::from_utf8_lossy(&body));
-        if words[0] == "post" {
-            ledger.posted(&words[1], b"noted");
+    while let Some((command, body)) = ledger.hear() {
+        println!("ledger: {} {:?}", command.join(" "), String::from_utf8_lossy(&body));
+        if command[0] == "post" {
+            ledger.posted(&command[1], b"noted");
         }
     }
 }
 
-/// Runs each invocation for a moment; a `report` calls below once.
+/// Runs each request for 20 ms; a `report` makes one downstream call first.
 fn run_kernel(listener: &std::net::TcpListener) {
     let (mut kernel, _) = Kernel::accept(listener);
     kernel.boot("WARM");
--- a/crates/demo/src/measure.rs
+++ b/crates/demo/src/measure.rs
@@ -1,10 +1,10 @@
-//! What an invocation and an open connection cost, by program and protocol, in one run: CPU time of the process for
-//! each invocation, memory for each connection held open, and the SCGI codec's speed.
+//! Measures the cost of a request and of an open connection by program and protocol in one run: CPU time of the process per
+//! request, memory per open connection, and the throughput of the SCGI codec.
 //!
 //!     cargo run --release -p cypresscleat-demo --bin measure -- [--rounds 5] [--many 20000] PROGRAM...
 //!
-//! Each program is measured in frames, and the last one in SCGI too, in rounds that take turns, so that what the machine
-//! does meanwhile falls on all alike. Printed: the median of the rounds, the least and the most.
+//! Each program is measured with frames, and the last one also with SCGI. The rounds alternate between programs and protocols, so that
+//! other load on the machine affects all of them alike. Prints the median, minimum and maximum of the rounds.
 
 use clap::{value_parser, Arg, Command};
 use cypresscleat_demo::{frame, invocation, scgi_request, Gateway, Kernel, Place, Router};
@@ -20,38 +20,39 @@
     routes: [{path: "/lookup", operation: "lookup", customer: default: "acme", hint: default: 20500us}]
 }"#;
 const BODY: [u8; 200] = [b'x'; 200];
-/// Connections that carry the load, and those held open for their memory.
-const CALLERS: usize = 4;
-const HELD: usize = 250;
+/// Number of connections that carry the load.
+const LOAD_CONNECTIONS: usize = 4;
+/// Number of connections held open to measure their memory.
+const OPEN_CONNECTIONS: usize = 250;
 
 /// User and system time of a process, in seconds.
-fn cpu(id: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("its figures");
-    let after = stat.rsplit(')').next().expect("figures");
-    let words: Vec<&str> = after.split_whitespace().collect();
-    let ticks = |at: usize| words[at].parse::<f64>().expect("ticks");
+fn cpu_seconds(id: u32) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("the process statistics");
+    let after = stat.rsplit(')').next().expect("fields after the name");
+    let fields: Vec<&str> = after.split_whitespace().collect();
+    let ticks = |at: usize| fields[at].parse::<f64>().expect("ticks");
     (ticks(11) + ticks(12)) / 100.0
 }
 
 /// Resident memory of a process, in bytes.
-fn memory(id: u32) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("its figures");
+fn resident_bytes(id: u32) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("the process statistics");
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("VmRSS");
     let kb = line.split_whitespace().nth(1).and_then(|word| word.parse::<f64>().ok());
     kb.expect("a number") * 1024.0
 }
 
-/// What is measured: frames, SCGI, or SCGI with a store of this durability behind it.
+/// The protocol under test: frames, SCGI, or SCGI with a store of the given durability.
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
     Frames,
     Scgi,
     Store(&'static str),
-    /// Frames through a forwarder to one worker; the CPU is the forwarder's.
+    /// Frames through a forwarder to one worker. CPU time and memory are those of the forwarder.
     Forward,
 }
 
-/// The place that callers ask, and where it is a forwarder the worker behind it.
+/// Starts the server that clients connect to, and its worker if the server is a forwarder.
 fn start(program: &str, kind: Kind) -> (Place, Option<Place>) {
     let change = |all: &mut serde_json::Value| {
         all["settings"]["specifics"]["cores"] = json!(16);
@@ -94,34 +95,34 @@
     (place, None)
 }
 
-/// Microseconds of CPU for each invocation, invocations a second, and the median and 99th percentile of their latency.
-fn load(program: &str, kind: Kind, many: usize) -> [f64; 4] {
+/// CPU microseconds per request, requests per second, and the median and 99th percentile of the latency in microseconds.
+fn measure_load(program: &str, kind: Kind, many: usize) -> [f64; 4] {
     let (place, _worker) = start(program, kind);
     let (server, gateway) = (place.server, place.scgi);
-    let each = many / CALLERS;
-    let (before, began) = (cpu(place.id()), Instant::now());
-    let callers: Vec<_> = (0..CALLERS)
-        .map(|caller| {
+    let requests_per_client = many / LOAD_CONNECTIONS;
+    let (before, began) = (cpu_seconds(place.id()), Instant::now());
+    let clients: Vec<_> = (0..LOAD_CONNECTIONS)
+        .map(|client| {
             thread::spawn(move || match gateway {
                 Some(address) => {
-                    let mut times = Vec::with_capacity(each);
-                    for _ in 0..each {
-                        let one = Instant::now();
-                        let answer = Gateway::asks(address, "POST", "/lookup", &BODY).response();
-                        assert_eq!(answer.expect("an answer").status, 200);
-                        times.push(one.elapsed().as_secs_f64() * 1e6);
+                    let mut times = Vec::with_capacity(requests_per_client);
+                    for _ in 0..requests_per_client {
+                        let sent_at = Instant::now();
+                        let response = Gateway::asks(address, "POST", "/lookup", &BODY).response();
+                        assert_eq!(response.expect("a response").status, 200);
+                        times.push(sent_at.elapsed().as_secs_f64() * 1e6);
                     }
                     times
                 }
                 None => {
                     let mut router = Router::connect(server);
-                    let mut times = Vec::with_capacity(each);
-                    for stream in 1..=each as u32 {
-                        let one = Instant::now();
-                        let txn = format!("{:016x}", (caller << 32) + stream as usize);
+                    let mut times = Vec::with_capacity(requests_per_client);
+                    for stream in 1..=requests_per_client as u32 {
+                        let sent_at = Instant::now();
+                        let txn = format!("{:016x}", (client << 32) + stream as usize);
                         router.0.send(invocation(stream, &txn, "lookup", &BODY));
                         assert_eq!(router.answer().1, "succeeded");
-                        times.push(one.elapsed().as_secs_f64() * 1e6);
+                        times.push(sent_at.elapsed().as_secs_f64() * 1e6);
                     }
                     times
                 }
@@ -129,20 +130,20 @@
         })
         .collect();
     let mut times: Vec<f64> =
-        callers.into_iter().flat_map(|caller| caller.join().expect("its end")).collect();
+        clients.into_iter().flat_map(|client| client.join().expect("the client thread to end")).collect();
     times.sort_by(f64::total_cmp);
-    let (spent, took) = (cpu(place.id()) - before, began.elapsed().as_secs_f64());
-    let all = (each * CALLERS) as f64;
+    let (cpu_spent, elapsed_seconds) = (cpu_seconds(place.id()) - before, began.elapsed().as_secs_f64());
+    let total_requests = (requests_per_client * LOAD_CONNECTIONS) as f64;
     let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
-    [spent * 1e6 / all, all / took, at(0.5), at(0.99)]
+    [cpu_spent * 1e6 / total_requests, total_requests / elapsed_seconds, at(0.5), at(0.99)]
 }
 
-/// Bytes of memory for each connection held open: one that spoke and idles in frames, one with half a request in SCGI.
-fn held(program: &str, kind: Kind) -> f64 {
+/// Bytes of memory per open connection: an idle connection after a health check for frames, an incomplete request for SCGI.
+fn bytes_per_connection(program: &str, kind: Kind) -> f64 {
     let (place, _worker) = start(program, kind);
-    let before = memory(place.id());
+    let before = resident_bytes(place.id());
     let (mut routers, mut gateways) = (Vec::new(), Vec::new());
-    for _ in 0..HELD {
+    for _ in 0..OPEN_CONNECTIONS {
         match place.scgi {
             Some(address) => {
                 let mut gateway = Gateway::connect(address);
@@ -158,11 +159,11 @@
         }
     }
     thread::sleep(Duration::from_millis(100));
-    (memory(place.id()) - before) / HELD as f64
+    (resident_bytes(place.id()) - before) / OPEN_CONNECTIONS as f64
 }
 
-/// Megabytes of requests read in a second, in pieces of so many bytes.
-fn codec(piece: usize) -> f64 {
+/// Megabytes of requests parsed per second, read in pieces of `piece` bytes.
+fn codec_mb_per_s(piece: usize) -> f64 {
     let wire = scgi_request(
         "POST",
         "/lookup",
@@ -182,13 +183,13 @@
     bytes as f64 / 1e6 / began.elapsed().as_secs_f64()
 }
 
-fn spread(mut all: Vec<f64>) -> String {
+fn format_spread(mut all: Vec<f64>) -> String {
     all.sort_by(f64::total_cmp);
     format!("{:.1} ({:.1} to {:.1})", all[all.len() / 2], all[0], all[all.len() - 1])
 }
 
 fn main() {
-    let words = Command::new("measure")
+    let matches = Command::new("measure")
         .arg(
             Arg::new("rounds")
                 .long("rounds")
@@ -203,8 +204,8 @@
         )
         .arg(Arg::new("program").num_args(1..).default_value("target/release/cypresscleat-server"))
         .get_matches();
-    let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or_default() as usize;
-    let programs: Vec<&String> = words.get_many("program").into_iter().flatten().collect();
+    let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default() as usize;
+    let programs: Vec<&String> = matches.get_many("program").into_iter().flatten().collect();
     let mut kinds: Vec<(&str, Kind)> =
         programs.iter().map(|program| (program.as_str(), Kind::Frames)).collect();
     if let Some(last) = programs.last() {
@@ -212,30 +213,30 @@
             [Kind::Scgi, Kind::Store("none"), Kind::Store("group"), Kind::Store("each"), Kind::Forward];
         kinds.extend(more.map(|kind| (last.as_str(), kind)));
     }
-    let mut figures: Vec<[Vec<f64>; 5]> = kinds.iter().map(|_| Default::default()).collect();
+    let mut results: Vec<[Vec<f64>; 5]> = kinds.iter().map(|_| Default::default()).collect();
     for round in 0..number("rounds") {
-        for ((program, kind), own) in kinds.iter().zip(&mut figures) {
-            // A sync each takes its time: fewer do.
+        for ((program, kind), own) in kinds.iter().zip(&mut results) {
+            // With a sync for each request or group the measurement is slower, so it sends a tenth of the requests.
             let many = number("many") / if matches!(kind, Kind::Store("group" | "each")) { 10 } else { 1 };
-            let all = load(program, *kind, many.max(CALLERS));
+            let all = measure_load(program, *kind, many.max(LOAD_CONNECTIONS));
             own.iter_mut().zip(all).for_each(|(list, value)| list.push(value));
-            own[4].push(held(program, *kind));
+            own[4].push(bytes_per_connection(program, *kind));
         }
         eprintln!("round {} of {}", round + 1, number("rounds"));
     }
-    println!("| program | protocol | CPU us an invocation | invocations a second | latency us p50 | p99 | bytes a connection held |");
+    println!("| program | protocol | CPU us per request | requests per second | latency us p50 | p99 | bytes per open connection |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for ((program, kind), all) in kinds.iter().zip(figures) {
+    for ((program, kind), all) in kinds.iter().zip(results) {
         let protocol = match kind {
             Kind::Frames => "frames".to_string(),
             Kind::Scgi => "SCGI".to_string(),
             Kind::Forward => "frames through a forwarder".to_string(),
             Kind::Store(durability) => format!("SCGI, store: {durability}"),
         };
-        let cells: Vec<String> = all.map(spread).into_iter().collect();
+        let cells: Vec<String> = all.map(format_spread).into_iter().collect();
         println!("| {program} | {protocol} | {} |", cells.join(" | "));
     }
-    for (piece, words) in [(usize::MAX / 2, "whole"), (64, "64 bytes at a time"), (1, "a byte at a time")] {
-        println!("codec, requests {words}: {:.0} MB/s", codec(piece));
+    for (piece, pieces) in [(usize::MAX / 2, "whole"), (64, "64 bytes at a time"), (1, "a byte at a time")] {
+        println!("codec, requests {pieces}: {:.0} MB/s", codec_mb_per_s(piece));
     }
 }
--- a/crates/demo/src/soak.rs
+++ b/crates/demo/src/soak.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that go on through all that happens to an app server: an executor whose links break, and callers that keep their
-//! connections open until the process is gone. Each writes into one journal, which alone says afterwards what became of each request.
+//! Stand-ins that keep running through all faults of an app server: an executor whose links break, and clients that keep their
+//! connections open until the process ends. All record into one journal, from which a test checks the outcome of each request.
 
 use crate::{frame, invocation, request, unix_ms, Kernel, Link, Router};
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests that may be open on a connection.
-const MAX_OPEN: usize = 32;
-/// Pause before a connection that was refused is tried again.
+/// Maximum number of open requests on a connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Pause before a refused connection is retried.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// Draws of one party, from the seed and its name.
+/// Pseudo-random numbers of one stand-in, derived from the seed and its name.
 pub struct Draws {
     seed: u64,
     name: String,
@@ -28,12 +28,12 @@
     pub fn new(seed: u64, name: &str) -> Draws {
         Draws { seed, name: name.to_string(), count: 0 }
     }
-    /// From 0 to under 1.
+    /// A number from 0 to under 1.
     pub fn part(&mut self) -> f64 {
         self.count += 1;
         chance(self.seed, &self.name, self.count)
     }
-    /// From 0 to under `most`.
+    /// A number from 0 to under `most`.
     pub fn below(&mut self, most: u64) -> u64 {
         (self.part() * most as f64) as u64
     }
@@ -48,53 +48,53 @@
     }
 }
 
-/// What is known of one request.
+/// The recorded history of one request.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Right before its last byte was handed over, and right after.
+    /// Times right before and right after its last byte was written.
     pub written: (Instant, Instant),
     pub class: &'static str,
-    /// Its caller reads late, so that the time of its answer says nothing.
+    /// Its client reads responses late, so that the read time of the response is not meaningful.
     pub is_read_late: bool,
-    /// Its answers on the connection on which it was written: their codes, and when they were read.
+    /// Its responses on the connection on which it was written: their codes, and when they were read.
     pub answers: Vec<(u8, Instant)>,
-    /// When its connection was seen to end without an answer to it.
+    /// When its connection was seen to end without a response.
     pub unanswered: Option<Instant>,
-    /// Its caller withdrew it: no answer is owed.
+    /// Its client canceled it: no response is required.
     pub withdrawn: bool,
-    /// How it went when it was sent once more on a new connection.
+    /// The outcome of its retry on a new connection.
     pub resent: Option<Resent>,
 }
 
-/// What became of a request that was sent once more.
+/// The outcome of a retried request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resent {
-    /// Nobody received any more: it did not run.
+    /// The connection was refused: the retry did not run.
     Refused,
-    /// Answered with this code.
+    /// The response had this code.
     Answered(u8),
-    /// This connection ended too, so long after the request was written there.
+    /// This connection ended too, this long after the request was written.
     Ended(Duration),
 }
 
-/// What all parties saw.
+/// Events of all stand-ins.
 #[derive(Default)]
 pub struct Journal {
     pub asked: Mutex<BTreeMap<String, Asked>>,
-    /// Runs by request, and when the first began.
+    /// Number of runs by request, and when the first began.
     pub ran: Mutex<BTreeMap<String, (u32, Instant)>>,
-    /// Answers that no request of theirs explains, or whose body no run made.
+    /// Protocol violations, such as a response with the body of another run.
     pub wrong: Mutex<Vec<String>>,
-    /// Callers stop.
+    /// Tells clients to stop.
     pub quiet: AtomicBool,
-    /// Executors stop.
+    /// Tells executors to stop.
     pub over: AtomicBool,
-    /// The longest that a thread of this process overslept, in microseconds: how late the machine is.
+    /// Maximum delay of a thread wakeup in this process, in microseconds: the scheduling delay of the machine.
     pub lag_us: AtomicUsize,
 }
 
 impl Journal {
-    /// Measures how late the machine is until the journal is over.
+    /// Measures the scheduling delay of the machine until `over` is set.
     pub fn watch_lag(self: &Arc<Journal>) {
         let journal = self.clone();
         thread::spawn(move || {
@@ -109,7 +109,8 @@
     pub fn lag(&self) -> Duration {
         Duration::from_micros(self.lag_us.load(Ordering::SeqCst) as u64)
     }
-    fn blames(&self, what: String) {
+    /// Records a protocol violation.
+    fn report(&self, what: String) {
         self.wrong.lock().expect("the journal").push(what);
     }
 }
@@ -123,17 +124,17 @@
 
 #[derive(Default)]
 struct Runs {
-    /// All notices, in their order.
+    /// All notices in the order sent.
     notices: Vec<String>,
     /// When each run ends.
     running: BTreeMap<String, Instant>,
-    /// Runs that wait for a call.
-    calling: BTreeSet<String>,
-    over: BTreeSet<String>,
+    /// Runs that wait for the response to a downstream call.
+    waiting_for_call: BTreeSet<String>,
+    ended: BTreeSet<String>,
 }
 
 impl Runs {
-    fn tell(&mut self, msg: &str, call: &str, how: &str) {
+    fn add_notice(&mut self, msg: &str, call: &str, how: &str) {
         let serial = self.notices.len() + 1;
         let body = STANDARD.encode(result(call));
         let notice =
@@ -142,21 +143,21 @@
     }
 }
 
-/// The executor of one life of an app server: runs go on through any number of links, which break by chance.
+/// The executor of one incarnation of an app server. Runs continue across links, which break at random.
 pub struct Executor {
     runs: Mutex<Runs>,
     journal: Arc<Journal>,
     seed: u64,
-    /// The part of the links that break.
-    breaks: f64,
+    /// The probability that a link breaks.
+    break_probability: f64,
 }
 
 impl Executor {
-    pub fn new(seed: u64, breaks: f64, journal: &Arc<Journal>) -> Arc<Executor> {
-        Arc::new(Executor { runs: Mutex::default(), journal: journal.clone(), seed, breaks })
+    pub fn new(seed: u64, break_probability: f64, journal: &Arc<Journal>) -> Arc<Executor> {
+        Arc::new(Executor { runs: Mutex::default(), journal: journal.clone(), seed, break_probability })
     }
 
-    /// Takes links there until the journal is over.
+    /// Accepts links from `listener` until the journal's `over` is set.
     pub fn serve(self: &Arc<Executor>, listener: &TcpListener, name: &str) {
         let listener = listener.try_clone().expect("a listener");
         listener.set_nonblocking(true).expect("a listener");
@@ -176,28 +177,28 @@
         let mut kernel = Kernel { link: Link::new(stream), serial: 0, links: 2, service: String::new() };
         let Some(open) = kernel.link.line() else { return };
         let Ok(open) = serde_json::from_str::<Value>(&open) else { return };
-        let mut told = open["serial"].as_u64().unwrap_or(0) as usize;
+        let mut notices_sent = open["serial"].as_u64().unwrap_or(0) as usize;
         if !kernel.link.try_send(b"{\"msg\":\"BOOTED\",\"how\":\"WARM\",\"duration\":0}\n") {
             return;
         }
-        let life = if draws.is(self.breaks) { 50 + draws.below(900) } else { 60_000 };
+        let life = if draws.is(self.break_probability) { 50 + draws.below(900) } else { 60_000 };
         let breaks_at = Instant::now() + Duration::from_millis(life);
         while !kernel.link.over && Instant::now() < breaks_at && !self.journal.over.load(Ordering::SeqCst) {
             let command = kernel.hear_within(Duration::from_millis(1));
             let mut runs = self.runs.lock().expect("the runs");
             if let Some((msg, call, body)) = command {
-                self.carries_out(&mut runs, (&msg, &call, &body), &kernel.service, draws);
+                self.handle_command(&mut runs, (&msg, &call, &body), &kernel.service, draws);
             }
             let now = Instant::now();
             let ended: Vec<String> =
                 runs.running.iter().filter(|(_, at)| **at <= now).map(|(call, _)| call.clone()).collect();
             for call in ended {
                 runs.running.remove(&call);
-                runs.over.insert(call.clone());
-                runs.tell("REAP", &call, "OK");
+                runs.ended.insert(call.clone());
+                runs.add_notice("REAP", &call, "OK");
             }
-            let new: String = runs.notices[told.min(runs.notices.len())..].concat();
-            told = runs.notices.len();
+            let new: String = runs.notices[notices_sent.min(runs.notices.len())..].concat();
+            notices_sent = runs.notices.len();
             drop(runs);
             if !new.is_empty() && !kernel.link.try_send(new.as_bytes()) {
                 break;
@@ -206,7 +207,7 @@
         kernel.link.close();
     }
 
-    fn carries_out(
+    fn handle_command(
         &self,
         runs: &mut Runs,
         (msg, call, body): (&str, &str, &[u8]),
@@ -215,28 +216,28 @@
     ) {
         let call = call.to_string();
         match msg {
-            // A command that is told again on a new link starts nothing: its run goes on, or is over.
-            "SCHED" if runs.over.contains(&call) => runs.tell("REAP", &call, "MOOT"),
-            "SCHED" if !runs.running.contains_key(&call) && !runs.calling.contains(&call) => {
+            // A command that is resent on a new link starts no run: the run of the first command continues or is over.
+            "SCHED" if runs.ended.contains(&call) => runs.add_notice("REAP", &call, "MOOT"),
+            "SCHED" if !runs.running.contains_key(&call) && !runs.waiting_for_call.contains(&call) => {
                 if body != call.as_bytes() {
-                    self.journal.blames(format!("{call} came with another body"));
+                    self.journal.report(format!("{call} arrived with a different body"));
                 }
                 let mut ran = self.journal.ran.lock().expect("the journal");
                 ran.entry(call.clone()).or_insert((0, Instant::now())).0 += 1;
                 drop(ran);
                 if service == "report" {
-                    runs.calling.insert(call.clone());
-                    runs.tell("IOREQ", &call, "");
+                    runs.waiting_for_call.insert(call.clone());
+                    runs.add_notice("IOREQ", &call, "");
                 } else {
                     runs.running.insert(call, Instant::now() + draws.ms(20));
                 }
             }
-            "IODONE" if runs.calling.remove(&call) => {
+            "IODONE" if runs.waiting_for_call.remove(&call) => {
                 runs.running.insert(call, Instant::now() + draws.ms(20));
             }
-            "PREEMPT" if runs.running.remove(&call).is_some() | runs.calling.remove(&call) => {
-                runs.over.insert(call.clone());
-                runs.tell("REAP", &call, "STOPPED");
+            "PREEMPT" if runs.running.remove(&call).is_some() | runs.waiting_for_call.remove(&call) => {
+                runs.ended.insert(call.clone());
+                runs.add_notice("REAP", &call, "STOPPED");
             }
             _ => {}
         }
@@ -245,19 +246,20 @@
 
 // ---- downstream proxy and service registry ----
 
-/// What a stand-in below does with whoever connects.
+/// How the stand-ins for the downstream proxy and the service registry respond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
+    /// Responds at once.
     Answers,
-    /// Each answer takes so many milliseconds.
+    /// Responds after this number of milliseconds.
     Late(u64),
-    /// Reads, and never answers.
+    /// Reads and never responds.
     Silent,
 }
 
 impl Behaviour {
-    /// Whether an answer is due, after its delay.
-    fn waits(self) -> bool {
+    /// Waits for the configured delay; returns whether to send a response.
+    fn should_respond(self) -> bool {
         if let Behaviour::Late(ms) = self {
             thread::sleep(Duration::from_millis(ms));
         }
@@ -265,7 +267,7 @@
     }
 }
 
-/// Replies to calls.
+/// Serves downstream calls on `listener`.
 pub fn serve_downstream(listener: &TcpListener, behaviour: Behaviour) {
     let listener = listener.try_clone().expect("a listener");
     thread::spawn(move || {
@@ -274,7 +276,8 @@
                 let mut proxy = crate::Ledger(Link::new(stream));
                 while let Some((words, _)) = proxy.hear() {
                     let reply = format!("{} posted 2\r\nok\r\n", words.get(1).map_or("", String::as_str));
-                    if words[0] == "post" && behaviour.waits() && !proxy.0.try_send(reply.as_bytes()) {
+                    if words[0] == "post" && behaviour.should_respond() && !proxy.0.try_send(reply.as_bytes())
+                    {
                         return;
                     }
                 }
@@ -283,7 +286,7 @@
     });
 }
 
-/// Takes load reports.
+/// Serves load reports on `listener`.
 pub fn serve_registry(listener: &TcpListener, behaviour: Behaviour) {
     let listener = listener.try_clone().expect("a listener");
     thread::spawn(move || {
@@ -302,7 +305,7 @@
                     }
                     link.exact(length);
                     let reply = b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
-                    if behaviour.waits() && !link.try_send(reply) {
+                    if behaviour.should_respond() && !link.try_send(reply) {
                         return;
                     }
                 }
@@ -311,64 +314,64 @@
     });
 }
 
-// ---- callers ----
+// ---- clients ----
 
-/// How a caller uses its connections.
+/// How a client uses its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Habit {
     /// One request after another, with pauses of up to 600 ms.
     Paced,
-    /// As many as may be open, in one write.
+    /// Up to the maximum number of open requests in one write.
     Pipelined,
-    /// Each request in two parts, some time apart.
-    Halves,
-    /// One request, and then another when the process is about to be killed.
-    RestsUntilTheEnd,
-    /// Reads its answers late.
+    /// Each request in two writes with a pause between them.
+    SplitWrites,
+    /// One request, and another when the process is about to be killed.
+    IdleUntilKill,
+    /// Reads its responses late.
     SlowReader,
-    /// Its requests have next to no time left.
-    InHaste,
+    /// Its requests have under 30 ms left until their deadline.
+    ShortDeadline,
 }
 
 pub const HABITS: [Habit; 6] = [
     Habit::Paced,
     Habit::Pipelined,
-    Habit::Halves,
-    Habit::RestsUntilTheEnd,
+    Habit::SplitWrites,
+    Habit::IdleUntilKill,
     Habit::SlowReader,
-    Habit::InHaste,
+    Habit::ShortDeadline,
 ];
 
-/// A caller that keeps its connection for as long as the other side does, and then opens another.
+/// A client that uses a connection until the server closes it, and then opens another.
 pub struct Caller {
     pub number: u64,
     pub habit: Habit,
-    /// It sends nothing more on a connection after it was told so.
-    pub heeds_notice: bool,
+    /// Whether it stops sending on a connection after the server announced that it drains.
+    pub stops_on_drain: bool,
     pub draws: Draws,
     pub journal: Arc<Journal>,
-    /// Request classes that it asks for.
+    /// Request classes of its requests.
     pub classes: [&'static str; 2],
-    /// Milliseconds that a request of these classes has.
+    /// Time limit of a request of these classes, in milliseconds.
     pub deadline_ms: u64,
-    /// When the process is killed, once that is known.
+    /// When the process is to be killed, once that time is set.
     pub killed_at: Arc<Mutex<Option<Instant>>>,
     count: u64,
 }
 
-/// What its reader and its writer share of a connection.
+/// State of a connection that is shared by its reader and its writer.
 #[derive(Default)]
 struct Shared {
     /// Open requests by stream.
     open: Mutex<BTreeMap<u32, String>>,
-    told: AtomicBool,
-    /// When the other side was seen to have ended it.
+    drain_announced: AtomicBool,
+    /// When the server was seen to have closed it.
     ended_at: Mutex<Option<Instant>>,
 }
 
 impl Shared {
     fn ended_at(&self) -> Option<Instant> {
-        *self.ended_at.lock().expect("the end")
+        *self.ended_at.lock().expect("the end time")
     }
     fn has_ended(&self) -> bool {
         self.ended_at().is_some()
@@ -386,7 +389,7 @@
         Caller {
             number,
             habit: draws.one_of(&HABITS),
-            heeds_notice: draws.is(0.3),
+            stops_on_drain: draws.is(0.3),
             draws,
             journal: journal.clone(),
             classes: ["lookup", "report"],
@@ -396,7 +399,7 @@
         }
     }
 
-    /// Calls until the journal is quiet. Whoever is refused tries again.
+    /// Sends requests until the journal's `quiet` is set. Reconnects after a refused connection.
     pub fn run(mut self, server: SocketAddr) {
         while !self.is_quiet() {
             match TcpStream::connect(server) {
@@ -419,13 +422,13 @@
         let mut link = Link::new(stream);
         let mut next_stream = 1;
         while !shared.has_ended() && !self.is_quiet() {
-            let stops = self.heeds_notice && shared.told.load(Ordering::SeqCst);
-            if !stops && !self.asks(&mut link, &shared, &mut next_stream) {
+            let stops_sending = self.stops_on_drain && shared.drain_announced.load(Ordering::SeqCst);
+            if !stops_sending && !self.send_requests(&mut link, &shared, &mut next_stream) {
                 break;
             }
-            self.pauses(&shared);
+            self.pause_between_requests(&shared);
         }
-        // Where callers stop the connection stays until all is answered or the other side ends it.
+        // When clients stop, the connection stays open until all requests have responses, the server closes it, or 1 s has passed.
         let until = Instant::now() + Duration::from_secs(1);
         while !shared.has_ended() && Instant::now() < until {
             if shared.open.lock().expect("the open requests").is_empty() {
@@ -438,40 +441,40 @@
         link.close();
         let _ = reader.join();
         for txn in open.into_values() {
-            self.ends_open(&txn, ended_at, server);
+            self.retry_unanswered(&txn, ended_at, server);
         }
     }
 
-    /// A request whose connection ended: where that is within the protocol's time it is sent once more.
-    fn ends_open(&mut self, txn: &str, ended_at: Option<Instant>, server: SocketAddr) {
+    /// Handles an open request whose connection ended. Retries it if the server closed the connection.
+    fn retry_unanswered(&mut self, txn: &str, ended_at: Option<Instant>, server: SocketAddr) {
         let mut asked = self.journal.asked.lock().expect("the journal");
         let Some(one) = asked.get_mut(txn).filter(|one| one.answers.is_empty()) else { return };
-        // Where it stands nothing came for a second after this caller's last request.
+        // If the connection is still open, no response arrived for 1 s after this client stopped.
         one.unanswered = Some(ended_at.unwrap_or_else(Instant::now));
         if ended_at.is_none() {
             return;
         }
         let class = one.class;
         drop(asked);
-        let resent = sends_again(txn, class, server);
+        let resent = retry(txn, class, server);
         let mut asked = self.journal.asked.lock().expect("the journal");
         if let Some(one) = asked.get_mut(txn) {
             one.resent = Some(resent);
         }
     }
 
-    fn pauses(&mut self, shared: &Shared) {
+    fn pause_between_requests(&mut self, shared: &Shared) {
         let pause = match self.habit {
             Habit::Paced | Habit::SlowReader => self.draws.ms(600),
             Habit::Pipelined => self.draws.ms(400),
-            Habit::Halves | Habit::InHaste => self.draws.ms(100),
-            Habit::RestsUntilTheEnd => Duration::from_secs(60),
+            Habit::SplitWrites | Habit::ShortDeadline => self.draws.ms(100),
+            Habit::IdleUntilKill => Duration::from_secs(60),
         };
         let until = Instant::now() + pause;
         while Instant::now() < until && !shared.has_ended() && !self.is_quiet() {
-            let killed_at = *self.killed_at.lock().expect("the time");
+            let killed_at = *self.killed_at.lock().expect("the kill time");
             let last_moment = killed_at.is_some_and(|at| at <= Instant::now() + Duration::from_millis(100));
-            if self.habit == Habit::RestsUntilTheEnd && last_moment {
+            if self.habit == Habit::IdleUntilKill && last_moment {
                 thread::sleep(self.draws.ms(100));
                 return;
             }
@@ -479,16 +482,16 @@
         }
     }
 
-    /// Writes what its habit has it write; false where the connection is broken.
-    fn asks(&mut self, link: &mut Link, shared: &Shared, next_stream: &mut u32) -> bool {
-        let room = MAX_OPEN - shared.open.lock().expect("the open requests").len();
+    /// Sends requests according to `habit`; false if the connection is broken.
+    fn send_requests(&mut self, link: &mut Link, shared: &Shared, next_stream: &mut u32) -> bool {
+        let free_slots = MAX_OPEN_REQUESTS - shared.open.lock().expect("the open requests").len();
         let many = match self.habit {
-            Habit::Pipelined => 1 + self.draws.below(MAX_OPEN as u64) as usize,
+            Habit::Pipelined => 1 + self.draws.below(MAX_OPEN_REQUESTS as u64) as usize,
             _ => 1,
         };
         let mut bytes = Vec::new();
         let mut txns = Vec::new();
-        for _ in 0..many.min(room) {
+        for _ in 0..many.min(free_slots) {
             self.count += 1;
             let txn = format!("{:08x}{:08x}", self.number + 1, self.count);
             let class = self.classes[usize::from(self.draws.is(0.3))];
@@ -500,7 +503,7 @@
         if bytes.is_empty() {
             return true;
         }
-        if self.habit == Habit::Halves {
+        if self.habit == Habit::SplitWrites {
             let cut = self.draws.below(bytes.len() as u64) as usize;
             let rest = bytes.split_off(cut);
             if !link.try_send(&bytes) {
@@ -510,11 +513,11 @@
             bytes = rest;
         }
         let before = Instant::now();
-        self.notes(&txns, (before, before));
+        self.record_written(&txns, (before, before));
         let sent = link.try_send(&bytes);
-        self.notes(&txns, (before, Instant::now()));
-        let withdraws = txns.len() == 1 && self.draws.is(0.05);
-        if withdraws && sent {
+        self.record_written(&txns, (before, Instant::now()));
+        let cancels = txns.len() == 1 && self.draws.is(0.05);
+        if cancels && sent {
             let withdrawn = frame(8, *next_stream - 1, b"");
             shared.open.lock().expect("the open requests").remove(&(*next_stream - 1));
             if let Some(one) = self.journal.asked.lock().expect("the journal").get_mut(&txns[0].0) {
@@ -526,15 +529,15 @@
     }
 
     fn request(&mut self, stream: u32, txn: &str, class: &str) -> Vec<u8> {
-        if self.habit != Habit::InHaste {
+        if self.habit != Habit::ShortDeadline {
             return invocation(stream, txn, class, txn.as_bytes());
         }
-        let left = self.draws.below(30);
-        let door = (unix_ms() as u64 + left).saturating_sub(self.deadline_ms).to_string();
+        let time_left_ms = self.draws.below(30);
+        let arrived_at = (unix_ms() as u64 + time_left_ms).saturating_sub(self.deadline_ms).to_string();
         let fields = [
             ("verb", class),
             ("txn", txn),
-            ("door", &door),
+            ("door", &arrived_at),
             ("lb", "1"),
             ("team", "acme"),
             ("cpu", "20.5"),
@@ -544,7 +547,7 @@
         request(stream, &fields, txn.as_bytes())
     }
 
-    fn notes(&self, txns: &[(String, &'static str)], written: (Instant, Instant)) {
+    fn record_written(&self, txns: &[(String, &'static str)], written: (Instant, Instant)) {
         let mut asked = self.journal.asked.lock().expect("the journal");
         for (txn, class) in txns {
             asked
@@ -563,44 +566,44 @@
     }
 }
 
-/// Reads answers until the connection ends.
+/// Reads responses until the connection ends.
 fn read(stream: TcpStream, shared: &Shared, journal: &Journal, delay: Duration) {
     let mut router = Router(Link::new(stream));
-    let mut known: BTreeMap<u32, String> = BTreeMap::new();
+    let mut known_requests: BTreeMap<u32, String> = BTreeMap::new();
     while let Some(frame) = router.try_frame() {
         thread::sleep(delay);
         match frame.kind {
-            64 => shared.told.store(true, Ordering::SeqCst),
+            64 => shared.drain_announced.store(true, Ordering::SeqCst),
             4 => {
-                known.extend(shared.open.lock().expect("the open requests").clone());
-                reads_answer(&frame.payload, known.get(&frame.stream), frame.stream, journal);
+                known_requests.extend(shared.open.lock().expect("the open requests").clone());
+                record_response(&frame.payload, known_requests.get(&frame.stream), frame.stream, journal);
                 shared.open.lock().expect("the open requests").remove(&frame.stream);
             }
-            _ => journal.blames(format!("a frame of type {}", frame.kind)),
+            _ => journal.report(format!("a frame of type {}", frame.kind)),
         }
     }
-    *shared.ended_at.lock().expect("the end") = Some(Instant::now());
+    *shared.ended_at.lock().expect("the end time") = Some(Instant::now());
 }
 
-fn reads_answer(payload: &[u8], txn: Option<&String>, stream: u32, journal: &Journal) {
+fn record_response(payload: &[u8], txn: Option<&String>, stream: u32, journal: &Journal) {
     let Some(txn) = txn else {
-        // An answer may cross the word that a request is withdrawn.
+        // A response may cross the cancellation of its request.
         if stream == 0 {
-            journal.blames("something was not understood".into());
+            journal.report("the server did not understand a frame".into());
         }
         return;
     };
-    let Some(code) = payload.first().copied() else { return journal.blames("an empty answer".into()) };
+    let Some(code) = payload.first().copied() else { return journal.report("an empty response".into()) };
     if code == 79 && !payload.ends_with(result(txn).as_bytes()) {
-        journal.blames(format!("{txn} has the result of another run"));
+        journal.report(format!("{txn} has the result of another run"));
     }
     if let Some(one) = journal.asked.lock().expect("the journal").get_mut(txn) {
         one.answers.push((code, Instant::now()));
     }
 }
 
-/// Sends a request once more on a new connection.
-fn sends_again(txn: &str, class: &str, server: SocketAddr) -> Resent {
+/// Retries a request on a new connection.
+fn retry(txn: &str, class: &str, server: SocketAddr) -> Resent {
     let Ok(stream) = TcpStream::connect(server) else { return Resent::Refused };
     let mut router = Router(Link::new(stream));
     let sent_at = Instant::now();
