--- a/crates/scgi/src/request.rs
+++ b/crates/scgi/src/request.rs
@@ -4,6 +4,7 @@
 use std::fmt;
 
 /// Why bytes are not a request. After an error nothing further on the connection can be parsed.
+// The texts of `Display` must not change: they go to gateways as the body of a 400, 411, 413 or 431 response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// The length of the netstring is not a decimal number followed by a colon.
@@ -36,21 +37,21 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Error::InvalidHeaderLength => {
-                write!(f, "the length of the header is not a decimal number followed by a colon")
+                write!(f, "the header's length is no plain number followed by a colon")
             }
             Error::HeaderTooLarge(bytes) => write!(f, "a header of more than {bytes} bytes"),
             Error::TooManyFields(bound) => write!(f, "more than {bound} header fields"),
-            Error::MissingComma => write!(f, "no comma follows the header"),
+            Error::MissingComma => write!(f, "no comma behind the header"),
             Error::MalformedFields => {
-                write!(f, "the header is not a sequence of names and values terminated by zero bytes")
+                write!(f, "the header is no row of names and values ended by zero bytes")
             }
-            Error::EmptyFieldName => write!(f, "a header field has an empty name"),
-            Error::DuplicateField => write!(f, "a header field occurs twice"),
+            Error::EmptyFieldName => write!(f, "a header field without a name"),
+            Error::DuplicateField => write!(f, "a header field that stands twice"),
             Error::MissingContentLength => write!(f, "no CONTENT_LENGTH"),
             Error::ContentLengthNotFirst => write!(f, "CONTENT_LENGTH is not the first field"),
-            Error::InvalidContentLength => write!(f, "CONTENT_LENGTH is not a decimal number"),
+            Error::InvalidContentLength => write!(f, "CONTENT_LENGTH is no plain number"),
             Error::UnsupportedVersion => write!(f, "no SCGI field with the value 1"),
-            Error::BodyTooLarge(bytes) => write!(f, "a body of {bytes} bytes is too large"),
+            Error::BodyTooLarge(bytes) => write!(f, "a body of {bytes} bytes"),
         }
     }
 }
