--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -98,8 +98,8 @@
             Event::Bootstrapped { members } => write!(f, "{members} keepers with empty disks begin"),
             Event::StaleDisk { disk, last, acknowledged } => write!(
                 f,
-                "disk {disk:016x} is stale: its log ends at term {}, index {}, \
-                 and it had acknowledged term {}, index {}",
+                "disk {disk:016x} has forgotten: it stands at Mark {{ term: {}, index: {} }}, \
+                 and Mark {{ term: {}, index: {} }} was acknowledged from it",
                 last.term, last.index, acknowledged.term, acknowledged.index
             ),
         }
--- a/crates/consensus/tests/events_and_config.rs
+++ b/crates/consensus/tests/events_and_config.rs
@@ -21,8 +21,8 @@
         (Event::Bootstrapped { members: 3 }, "3 keepers with empty disks begin"),
         (
             stale,
-            "disk 000000000000002b is stale: its log ends at term 1, index 2, \
-             and it had acknowledged term 3, index 4",
+            "disk 000000000000002b has forgotten: it stands at Mark { term: 1, index: 2 }, and \
+             Mark { term: 3, index: 4 } was acknowledged from it",
         ),
     ];
     for (event, text) in rendered {
