--- a/crates/server/src/rollout/policy_command.rs
+++ b/crates/server/src/rollout/policy_command.rs
@@ -422,7 +422,10 @@
             )));
         }
         Some(Outcome::Busy { number }) => {
-            return Ok(Err((EXIT_ABORTED, format!("change {number} is pending: retry once it is decided"))))
+            return Ok(Err((
+                EXIT_ABORTED,
+                format!("change {number} is under way: try again once it is decided"),
+            )))
         }
         Some(_) => {
             return Ok(Err((
