--- a/crates/rollout-relay/tests/properties.rs
+++ b/crates/rollout-relay/tests/properties.rs
@@ -476,11 +476,8 @@
                     }
                 }
                 for version in output.persist {
-                    let result = if has_failed {
-                        Ok(())
-                    } else {
-                        Err("too many writes wait for the disk".to_string())
-                    };
+                    let result =
+                        if has_failed { Ok(()) } else { Err("the disk's write queue is full".to_string()) };
                     has_failed = true;
                     outputs.push(relay.record_persisted(now, version.number, result));
                 }
--- a/crates/server/src/relay/mod.rs
+++ b/crates/server/src/relay/mod.rs
@@ -228,7 +228,7 @@
             let number = version.number;
             if !self.disk.write_version(version, None) {
                 self.rejected_writes
-                    .push_back(Written { number, result: Err("too many writes wait for the disk".into()) });
+                    .push_back(Written { number, result: Err("the disk's write queue is full".into()) });
             }
         }
     }
