--- a/crates/store/src/tool/arguments.rs
+++ b/crates/store/src/tool/arguments.rs
@@ -9,7 +9,10 @@
         .version(env!("CARGO_PKG_VERSION"))
         .about("Inspects and maintains a store. Exit codes: 0 success, 3 damage, 2 any other error")
         .subcommand_required(true)
-        .subcommand(command("verify", "Read the value of every key and report all damage"))
+        .subcommand(command(
+            "verify",
+            "Read the current value of each key and report each damaged or unreadable one",
+        ))
         .subcommand(command("stats", "Print the number of keys, segments and bytes"))
         .subcommand(
             command("dump", "Print a line KEY<TAB>VALUE for each key, in order; bytes that are not text as \\xNN")
@@ -20,7 +23,10 @@
                         .help("Print the readable part of a damaged store"),
                 ),
         )
-        .subcommand(command("compact", "Compact all segments"))
+        .subcommand(command(
+            "compact",
+            "Seal the active segment, then merge the live records of all sealed segments into one",
+        ))
         .subcommand(
             command("export", "Print the billing rows, oldest first; safe to repeat, as rows have ids")
                 .arg(number("since", "0").help("First time, in Unix milliseconds")),
