--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -1,5 +1,5 @@
-//! Detects a change that did harm. Members report the requests they admitted, the successes in time and the billed value. The coordinator
-//! compares the averages per request before and after the change, so a decrease in load does not count as harm.
+//! Detects a change that did harm. Members report the requests that passed their admission gate, the successes in time and the billed
+//! value. The coordinator compares the averages per request before and after the change, so a decrease in load does not count as harm.
 
 use crate::state::{Version, WatchRules};
 use crate::{MemberKey, Time, SECOND};
@@ -14,7 +14,9 @@
 /// Totals since a member's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServiceTotals {
-    /// Requests that were admitted.
+    /// Requests that passed the member's admission gate, also those that the scheduler then rejected and retries that get an earlier result.
+    /// Not counted: requests that the gate held and never admitted or that it rejected, requests rejected before the gate (invalid ones,
+    /// failing store, full table of idempotency keys, executor not up), and a request sent again while it is open or after its response.
     pub requests: u64,
     /// Requests that succeeded in time.
     pub succeeded_in_time: u64,
--- a/crates/server/src/rollout/admission_gate.rs
+++ b/crates/server/src/rollout/admission_gate.rs
@@ -111,7 +111,7 @@
         self.record_event("out_of_service", number);
     }
 
-    /// Counts an admitted request.
+    /// Counts a request that the gate admitted. The scheduler may still reject it.
     pub fn count_request(&self) {
         let totals = self.totals.get();
         self.totals.set(ServiceTotals { requests: totals.requests + 1, ..totals });
