--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -253,15 +253,15 @@
 /// Applies the parts of a policy outside the core: the timeout for receiving an SCGI request, and the retry ratio.
 fn activation_hook(
     scgi: Option<Rc<ScgiContext>>,
-    fleet: Rc<RefCell<Option<Rc<WorkerFleet>>>>,
+    worker_fleet: Rc<RefCell<Option<Rc<WorkerFleet>>>>,
     request_timeout: Option<Time>,
 ) -> member::ActivationHook {
     Box::new(move |policy: &Policy| {
         if let (Some(scgi), Some(request_timeout)) = (&scgi, policy.patience.or(request_timeout)) {
             scgi.set_request_timeout(request_timeout);
         }
-        if let Some(fleet) = fleet.borrow().as_ref() {
-            fleet.set_retry_ratio(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
+        if let Some(worker_fleet) = worker_fleet.borrow().as_ref() {
+            worker_fleet.set_retry_ratio(policy.retries.unwrap_or(retry_budget::RETRY_RATIO));
         }
     })
 }
@@ -339,7 +339,7 @@
     let mut settings = Settings { pools: operator.pools.clone(), ..config.settings };
     settings.validate().map_err(io::Error::other)?;
     // Set once the fleet exists; a policy sets its retry ratio.
-    let fleet_slot: Rc<RefCell<Option<Rc<WorkerFleet>>>> = Rc::default();
+    let worker_fleet_slot: Rc<RefCell<Option<Rc<WorkerFleet>>>> = Rc::default();
     let targets = operator
         .rollout
         .as_ref()
@@ -348,7 +348,7 @@
         (Some(settings), Some(targets)) => {
             let hook = activation_hook(
                 scgi_context.clone(),
-                fleet_slot.clone(),
+                worker_fleet_slot.clone(),
                 operator.scgi.as_ref().map(|scgi| scgi.request_timeout),
             );
             let queue = Some(queue.clone());
@@ -361,22 +361,22 @@
         }
         _ => None,
     };
-    let fleet = match &tier {
+    let worker_fleet = match &tier {
         None => None,
         Some(tier) => {
             settings = forwarder_settings(settings, tier);
             let weights = settings.classes.iter().map(|class| class.priority_weight).collect();
-            let fleet =
+            let worker_fleet =
                 WorkerFleet::new((&config.name, tier), &shared, queue.clone(), clock, weights, settings.seed);
-            let mut talk =
+            let mut forwarder_socket =
                 ClusterSocket::new(&config.name, Role::Forwarder, tier, clock, settings.seed).await?;
-            talk.gate = gate.clone();
-            *fleet_slot.borrow_mut() = Some(fleet.clone());
-            spawn_local(cluster_socket::run_forwarder(talk, fleet.clone(), tier.clone()));
-            spawn_local(fleet.clone().watch_health());
+            forwarder_socket.gate = gate.clone();
+            *worker_fleet_slot.borrow_mut() = Some(worker_fleet.clone());
+            spawn_local(cluster_socket::run_forwarder(forwarder_socket, worker_fleet.clone(), tier.clone()));
+            spawn_local(worker_fleet.clone().watch_health());
             // A forwarder waits for no executor; it detects workers as they start.
             let _ = queue.send(CoreEvent::ExecutorNotice(Notice::Booted { cold: false, age_ms: 0.0 })).await;
-            Some(fleet)
+            Some(worker_fleet)
         }
     };
     let mut kernel = match &tier {
@@ -404,8 +404,8 @@
     shared.readiness.mark_listening(config.roster.is_some());
     spawn_local(shared.readiness.clone().watch());
     let mut core = Core::new(settings, names, &shared);
-    if let Some(fleet) = fleet {
-        core.set_dispatcher(fleet);
+    if let Some(worker_fleet) = worker_fleet {
+        core.set_dispatcher(worker_fleet);
     }
     if let Some(gate) = &gate {
         core.set_gate(gate.clone());
