--- a/crates/experiments/src/drive.rs
+++ b/crates/experiments/src/drive.rs
@@ -1,196 +1,205 @@
-//! Plays arrivals against a worker with a real `Scheduler` between them, in simulated time. Whole-run checks as it goes: each
-//! arrival gets one final answer, by its time-out and a tick; nothing is answered twice.
+//! Runs a workload against a simulated worker, with a real `Scheduler` between them, in simulated time. Each run checks that every
+//! request gets exactly one final response, no later than its timeout plus a scheduler tick.
 
-use crate::arrivals::{Coming, Day, Trouble, SECOND};
-use crate::worker::{Done, Machine, Worker};
+use crate::arrivals::{Fault, SimulatedRequest, Workload, SECOND};
+use crate::worker::{Completion, Machine, Worker};
 use cypresscleat_concurrency::{PoolSnapshot, PoolsConfig};
 use cypresscleat_scheduler::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Part of the billed value that is left past a customer's share.
-pub const OVER_SHARE: f64 = 0.1;
+/// Share of the billed value that a request retains when its tenant is over quota.
+pub const OVER_QUOTA_SHARE: f64 = 0.1;
 
-/// How an invocation was answered.
+/// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Succeeded,
-    Throttled,
-    Errored,
+    Rejected,
+    Failed,
 }
 
-/// What became of an arrival, and when.
+/// The final response to a request, with its times.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct CompletedRequest {
     pub class: usize,
-    pub in_share: bool,
-    pub came: Time,
+    pub within_quota: bool,
+    pub arrived_at: Time,
     pub at: Time,
-    pub how: Answer,
-    /// Longest wait for a place.
-    pub started: Option<Time>,
+    pub response: Response,
+    /// When the request first got a slot, if it did.
+    pub started_at: Option<Time>,
 }
 
-/// What a second showed of each pool.
+/// State of each pool, sampled once a second.
 #[derive(Clone, Debug)]
-pub struct Moment {
+pub struct PoolSample {
     pub at: Time,
     pub pools: Vec<PoolSnapshot>,
     pub running: usize,
 }
 
+/// The result of one simulation run.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
-    pub ended: Vec<Ended>,
-    pub moments: Vec<Moment>,
-    /// Longest time that a pool with work waited for a place, by pool; and the longest time a place was held.
-    pub waited: Vec<Time>,
-    pub placed: Time,
-    /// Core time used, of what there was.
+pub struct SimulationRun {
+    pub completed: Vec<CompletedRequest>,
+    pub samples: Vec<PoolSample>,
+    /// Longest time that each pool with queued work waited for a slot.
+    pub pool_waits: Vec<Time>,
+    /// Longest time that a request held a slot.
+    pub longest_slot_hold: Time,
+    /// Share of the available core time that was used.
     pub busy: f64,
-    /// Of all that the module asked for, in order, with its times.
+    /// Hash of all commands of the scheduler, in order, with their times.
     pub digest: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Speed(u64),
-    Called(RequestSlot, u64),
+    CallDone(RequestSlot, u64),
     Arrives(usize),
     Tick,
 }
 
-/// Where an invocation is, as far as the machine knows.
+/// State of a request on the simulated worker.
 #[derive(Clone, Debug)]
 struct Job {
-    coming: usize,
-    /// Work still to be done before its call, and after it.
-    left: f64,
-    behind: Option<(f64, f64)>,
+    request: usize,
+    /// Work left before the downstream call, then duration of the call and work after the call.
+    remaining_work: f64,
+    after_call: Option<(f64, f64)>,
     on_core: bool,
-    started: Option<Time>,
-    answered: bool,
+    started_at: Option<Time>,
+    has_response: bool,
     call: u64,
 }
 
-struct Side<'a> {
+struct SimulatedHost<'a> {
     now: Time,
     worker: Worker,
-    comings: &'a [Coming],
+    requests: &'a [SimulatedRequest],
     jobs: HashMap<RequestSlot, Job>,
-    free: Vec<RequestSlot>,
-    many: usize,
+    free_slots: Vec<RequestSlot>,
+    slot_count: usize,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     number: u64,
-    wake: Time,
-    /// What the module has to be told once its present call is over.
-    told: Vec<(RequestSlot, Outcome)>,
-    ended: Vec<Ended>,
-    asked: DefaultHasher,
+    next_tick: Time,
+    /// Outcomes to report to the scheduler after its present call returns.
+    pending_outcomes: Vec<(RequestSlot, Outcome)>,
+    completed: Vec<CompletedRequest>,
+    command_digest: DefaultHasher,
 }
 
-impl Side<'_> {
+impl SimulatedHost<'_> {
     fn push(&mut self, at: Time, event: Event) {
         self.number += 1;
         self.events.push(Reverse((at, self.number, event)));
     }
-    fn asks(&mut self, what: &str, inv: RequestSlot, with: i64) {
-        (what, self.now, inv, with).hash(&mut self.asked);
+    fn record_command(&mut self, what: &str, inv: RequestSlot, with: i64) {
+        (what, self.now, inv, with).hash(&mut self.command_digest);
     }
-    fn answer(&mut self, inv: RequestSlot, how: Answer) {
+    fn record_response(&mut self, inv: RequestSlot, response: Response) {
         let Some(job) = self.jobs.get_mut(&inv) else { return };
-        assert!(!std::mem::replace(&mut job.answered, true), "answered twice");
-        let coming = &self.comings[job.coming];
-        let (class, in_share, came) = (coming.class, coming.in_share, coming.at);
-        self.ended.push(Ended { class, in_share, came, at: self.now, how, started: job.started });
+        assert!(!std::mem::replace(&mut job.has_response, true), "a second response to one request");
+        let request = &self.requests[job.request];
+        let (class, within_quota, arrived_at) = (request.class, request.within_quota, request.at);
+        self.completed.push(CompletedRequest {
+            class,
+            within_quota,
+            arrived_at,
+            at: self.now,
+            response,
+            started_at: job.started_at,
+        });
     }
 }
 
-impl Host for Side<'_> {
+impl Host for SimulatedHost<'_> {
     fn run(&mut self, inv: RequestSlot) {
-        self.asks("run", inv, 0);
+        self.record_command("run", inv, 0);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&inv) else { return };
-        (job.on_core, job.started) = (true, job.started.or(Some(now)));
-        let left = job.left;
-        self.worker.start(inv, left);
+        (job.on_core, job.started_at) = (true, job.started_at.or(Some(now)));
+        let remaining_work = job.remaining_work;
+        self.worker.start(inv, remaining_work);
     }
     fn reject(&mut self, inv: RequestSlot, rejection: Rejection) {
-        let told = rejection.retry_after * 2 + i64::from(rejection.no_retry_elsewhere);
-        self.asks("throttle", inv, told);
-        self.answer(inv, Answer::Throttled);
+        let detail = rejection.retry_after * 2 + i64::from(rejection.no_retry_elsewhere);
+        self.record_command("throttle", inv, detail);
+        self.record_response(inv, Response::Rejected);
     }
     fn fail(&mut self, inv: RequestSlot, _: FailReason) {
-        self.asks("error", inv, 0);
-        self.answer(inv, Answer::Errored);
-        // One that waits for its call is ended by whoever runs it, as nobody waits any more.
-        if self.jobs.get(&inv).is_some_and(|job| job.started.is_some() && !job.on_core) {
-            self.told.push((inv, Outcome::Cancelled));
+        self.record_command("error", inv, 0);
+        self.record_response(inv, Response::Failed);
+        // A request that waits for its downstream call is cancelled here, as no client waits for its result.
+        if self.jobs.get(&inv).is_some_and(|job| job.started_at.is_some() && !job.on_core) {
+            self.pending_outcomes.push((inv, Outcome::Cancelled));
         }
     }
     fn stop(&mut self, inv: RequestSlot) {
-        self.asks("stop", inv, 0);
+        self.record_command("stop", inv, 0);
         if self.worker.stop(inv).is_some() {
-            self.told.push((inv, Outcome::Cancelled));
+            self.pending_outcomes.push((inv, Outcome::Cancelled));
         }
     }
     fn call(&mut self, inv: RequestSlot, within: Time) {
-        self.asks("call", inv, within);
+        self.record_command("call", inv, within);
         self.number += 1;
         let (number, now) = (self.number, self.now);
         let Some(job) = self.jobs.get_mut(&inv) else { return };
         job.call = number;
-        let took = self.comings[job.coming].call.map_or(0.0, |(took, _)| took);
+        let took = self.requests[job.request].call.map_or(0.0, |(took, _)| took);
         let at = now + (took.min(within as f64) as Time).max(1);
-        self.push(at, Event::Called(inv, number));
+        self.push(at, Event::CallDone(inv, number));
     }
     fn skip_call(&mut self, _: RequestSlot) {}
     fn retain_for_retries(&mut self, _: RequestSlot, _: Time) {}
     fn replay_result(&mut self, _: RequestSlot) {}
     fn set_health(&mut self, _: bool, _: bool) {}
     fn send_load_feedback(&mut self, value: f64) {
-        self.asks("advertise", 0, value.to_bits() as i64);
+        self.record_command("advertise", 0, value.to_bits() as i64);
     }
     fn close_idle_connections(&mut self, after: Time) {
-        self.asks("close_idle", 0, after);
+        self.record_command("close_idle", 0, after);
     }
     fn set_timer(&mut self, after: Time) {
-        self.asks("wake", 0, after);
-        self.wake = self.now + after;
+        self.record_command("wake", 0, after);
+        self.next_tick = self.now + after;
     }
     fn log(&mut self, _: &SchedulerEvent) {}
     fn release(&mut self, inv: RequestSlot) {
-        self.asks("release", inv, 0);
+        self.record_command("release", inv, 0);
         if let Some(job) = self.jobs.remove(&inv) {
-            assert!(job.answered, "released without an answer");
+            assert!(job.has_response, "released without a response");
             self.worker.stop(inv);
-            self.free.push(inv);
+            self.free_slots.push(inv);
         }
     }
 }
 
-/// What the module is told of the day: its classes as operations, two customers with their shares.
-pub fn settings(day: &Day, machine: &Machine, pools: &PoolsConfig) -> Settings {
-    let operations = day.classes.iter().map(|class| RequestClass {
+/// Scheduler settings for a workload: its request classes, and two tenants with their request rates.
+pub fn settings(workload: &Workload, machine: &Machine, pools: &PoolsConfig) -> Settings {
+    let classes = workload.classes.iter().map(|class| RequestClass {
         latency_objective: class.objective,
         timeout: class.timeout,
         priority_weight: class.billed,
         calls_downstream: class.call.is_some(),
         ..RequestClass::default()
     });
-    // The usual customer may have half as much again as comes in the mean; the other one, floods come from, little.
-    let customers = vec![day.rate * 1.5, day.rate * 0.05];
+    // The regular tenant has a quota of 1.5 times the mean rate. The second tenant, which sends the floods, has a small quota.
+    let rates = vec![workload.rate * 1.5, workload.rate * 0.05];
     Settings {
-        classes: operations.collect(),
-        tenant_rates: customers,
-        over_quota_share: OVER_SHARE,
+        classes: classes.collect(),
+        tenant_rates: rates,
+        over_quota_share: OVER_QUOTA_SHARE,
         fleet_size: 1.0,
         client_count: 8.0,
         cores: machine.cores,
-        slow_start: machine.cold_for > 0,
-        slow_start_initial: machine.cold_from,
-        slow_start_duration: machine.cold_for,
+        slow_start: machine.warmup > 0,
+        slow_start_initial: machine.initial_speed,
+        slow_start_duration: machine.warmup,
         memory_kb: 60_000.0,
         running_memory_factor: 8.0,
         stop_mode: StopMode::Discard,
@@ -200,186 +209,198 @@
         abandoned_call_duration: 2_000,
         answer_slack: 600,
         drain_grace: 10_000,
-        overload_multiple: machine.crowd,
+        overload_multiple: machine.overload_multiple,
         max_retry_after: 10_000,
-        seed: day.seed,
+        seed: workload.seed,
         pools: pools.clone(),
         ..Settings::default()
     }
 }
 
-/// Plays the day to its end. With `look` a moment is kept for each second.
-pub fn play(day: &Day, comings: &[Coming], machine: &Machine, pools: &PoolsConfig, look: bool) -> Played {
-    let mut side = Side {
+/// Runs the workload to its end. With `sample_pools` the result has a sample of the pools for each second.
+pub fn simulate(
+    workload: &Workload,
+    requests: &[SimulatedRequest],
+    machine: &Machine,
+    pools: &PoolsConfig,
+    sample_pools: bool,
+) -> SimulationRun {
+    let mut host = SimulatedHost {
         now: 0,
         worker: Worker::new(machine.clone()),
-        comings,
+        requests,
         jobs: HashMap::new(),
-        free: Vec::new(),
-        many: 0,
+        free_slots: Vec::new(),
+        slot_count: 0,
         events: BinaryHeap::new(),
         number: 0,
-        wake: 0,
-        told: Vec::new(),
-        ended: Vec::with_capacity(comings.len()),
-        asked: DefaultHasher::new(),
+        next_tick: 0,
+        pending_outcomes: Vec::new(),
+        completed: Vec::with_capacity(requests.len()),
+        command_digest: DefaultHasher::new(),
     };
-    let mut scheduler = Scheduler::start(0, settings(day, machine, pools), &mut side);
-    for trouble in &day.troubles {
-        if let Trouble::Slow { speed, from, to } = *trouble {
-            side.push(from, Event::Speed(speed.to_bits()));
-            side.push(to, Event::Speed(1f64.to_bits()));
+    let mut scheduler = Scheduler::start(0, settings(workload, machine, pools), &mut host);
+    for fault in &workload.faults {
+        if let Fault::SlowWorker { speed, from, to } = *fault {
+            host.push(from, Event::Speed(speed.to_bits()));
+            host.push(to, Event::Speed(1f64.to_bits()));
         }
     }
-    let first = side.wake;
-    side.push(first, Event::Tick);
-    if let Some(coming) = comings.first() {
-        side.push(coming.at, Event::Arrives(0));
+    let first = host.next_tick;
+    host.push(first, Event::Tick);
+    if let Some(request) = requests.first() {
+        host.push(request.at, Event::Arrives(0));
     }
-    let mut played = Played::default();
-    let (mut done, mut next_look) = (Vec::new(), 0);
+    let mut result = SimulationRun::default();
+    let (mut done, mut next_sample_at) = (Vec::new(), 0);
     let mut waits: Vec<Option<Time>> = Vec::new();
-    let longest = day.classes.iter().map(|class| class.timeout).max().unwrap_or(0);
-    let last = day.length + longest + SECOND;
+    let longest = workload.classes.iter().map(|class| class.timeout).max().unwrap_or(0);
+    let last = workload.length + longest + SECOND;
     loop {
-        let event = side.events.peek().map(|Reverse((at, ..))| *at);
-        let at = [event, side.worker.next()].into_iter().flatten().min().unwrap_or(last);
-        if at > last || comings.len() == side.ended.len() && side.now >= day.length {
+        let event = host.events.peek().map(|Reverse((at, ..))| *at);
+        let at = [event, host.worker.next()].into_iter().flatten().min().unwrap_or(last);
+        if at > last || requests.len() == host.completed.len() && host.now >= workload.length {
             break;
         }
-        side.now = at;
-        side.worker.advance(at, &mut done);
+        host.now = at;
+        host.worker.advance(at, &mut done);
         for what in done.drain(..) {
             match what {
-                Done::Job(inv) => job_done(&mut scheduler, &mut side, inv),
-                Done::Read(coming) => read(&mut scheduler, &mut side, coming),
+                Completion::Job(inv) => handle_job_done(&mut scheduler, &mut host, inv),
+                Completion::Read(request) => handle_read(&mut scheduler, &mut host, request),
             }
-            settle(&mut scheduler, &mut side);
+            deliver_outcomes(&mut scheduler, &mut host);
         }
         while let Some(Reverse((_, _, event))) =
-            side.events.peek().copied().filter(|Reverse((due, ..))| *due <= at)
+            host.events.peek().copied().filter(|Reverse((due, ..))| *due <= at)
         {
-            side.events.pop();
+            host.events.pop();
             match event {
-                Event::Speed(bits) => side.worker.set_speed(f64::from_bits(bits)),
-                Event::Arrives(coming) => {
-                    side.worker.arrive(coming);
-                    if let Some(next) = comings.get(coming + 1) {
-                        side.push(next.at, Event::Arrives(coming + 1));
+                Event::Speed(bits) => host.worker.set_speed(f64::from_bits(bits)),
+                Event::Arrives(request) => {
+                    host.worker.arrive(request);
+                    if let Some(next) = requests.get(request + 1) {
+                        host.push(next.at, Event::Arrives(request + 1));
                     }
                 }
-                Event::Called(inv, number) => called(&mut scheduler, &mut side, inv, number),
+                Event::CallDone(inv, number) => handle_call_done(&mut scheduler, &mut host, inv, number),
                 Event::Tick => {
-                    let wanting = side.worker.wanting() as f64;
+                    let runnable = host.worker.runnable() as f64;
                     let gauges = Gauges {
-                        core_utilization: Some(side.worker.in_use()),
-                        runnable_tasks: Some(wanting),
+                        core_utilization: Some(host.worker.utilization()),
+                        runnable_tasks: Some(runnable),
                         memory_share: None,
                         connections: None,
                     };
-                    scheduler.tick(at, gauges, &mut side);
-                    let wake = side.wake;
-                    side.push(wake, Event::Tick);
-                    if look && at >= next_look {
-                        let running = side.worker.wanting();
-                        played.moments.push(Moment { at, pools: scheduler.pools().snapshots(), running });
-                        next_look = at + SECOND;
+                    scheduler.tick(at, gauges, &mut host);
+                    let next_tick = host.next_tick;
+                    host.push(next_tick, Event::Tick);
+                    if sample_pools && at >= next_sample_at {
+                        let running = host.worker.runnable();
+                        result.samples.push(PoolSample { at, pools: scheduler.pools().snapshots(), running });
+                        next_sample_at = at + SECOND;
                     }
                 }
             }
-            settle(&mut scheduler, &mut side);
+            deliver_outcomes(&mut scheduler, &mut host);
         }
-        watch(&scheduler, at, &mut waits, &mut played.waited);
+        record_pool_waits(&scheduler, at, &mut waits, &mut result.pool_waits);
     }
-    assert_eq!(side.ended.len(), comings.len(), "each arrival has one final answer");
-    played.busy = side.worker.busy() / (day.length as f64 * machine.cores);
-    for ended in &side.ended {
-        let late = ended.at - ended.came - day.classes[ended.class].timeout;
-        assert!(late <= 700, "answered {late} late");
-        if let (Some(started), Answer::Succeeded) = (ended.started, ended.how) {
-            played.placed = played.placed.max(ended.at - started);
+    assert_eq!(host.completed.len(), requests.len(), "each request has one final response");
+    result.busy = host.worker.busy() / (workload.length as f64 * machine.cores);
+    for completed in &host.completed {
+        let late = completed.at - completed.arrived_at - workload.classes[completed.class].timeout;
+        assert!(late <= 700, "responded {late} late");
+        if let (Some(started_at), Response::Succeeded) = (completed.started_at, completed.response) {
+            result.longest_slot_hold = result.longest_slot_hold.max(completed.at - started_at);
         }
     }
-    played.ended = side.ended;
-    played.digest = side.asked.finish();
-    played
+    result.completed = host.completed;
+    result.digest = host.command_digest.finish();
+    result
 }
 
-/// How long each pool with work and no place has waited for one.
-fn watch(scheduler: &Scheduler, now: Time, waits: &mut Vec<Option<Time>>, waited: &mut Vec<Time>) {
+/// Records how long each pool with queued work and no slot has waited for a slot.
+fn record_pool_waits(
+    scheduler: &Scheduler,
+    now: Time,
+    waits: &mut Vec<Option<Time>>,
+    pool_waits: &mut Vec<Time>,
+) {
     if scheduler.pools().is_disabled() {
         return;
     }
     scheduler.pools().visit_starvation(|at, waiting| {
         if waits.len() <= at {
             waits.resize(at + 1, None);
-            waited.resize(at + 1, 0);
+            pool_waits.resize(at + 1, 0);
         }
         match (waiting, waits[at]) {
             (true, None) => waits[at] = Some(now),
-            (true, Some(from)) => waited[at] = waited[at].max(now - from),
+            (true, Some(from)) => pool_waits[at] = pool_waits[at].max(now - from),
             (false, _) => waits[at] = None,
         }
     });
 }
 
-/// What the module's own wishes brought about, told to it after its call.
-fn settle(scheduler: &mut Scheduler, side: &mut Side) {
-    while let Some((inv, how)) = side.told.pop() {
-        if side.jobs.contains_key(&inv) {
-            let now = side.now;
-            scheduler.handle_run_completed(now, inv, how, side);
+/// Reports the outcomes of the scheduler's own commands to the scheduler, after its call has returned.
+fn deliver_outcomes(scheduler: &mut Scheduler, host: &mut SimulatedHost) {
+    while let Some((inv, outcome)) = host.pending_outcomes.pop() {
+        if host.jobs.contains_key(&inv) {
+            let now = host.now;
+            scheduler.handle_run_completed(now, inv, outcome, host);
         }
     }
 }
 
-fn read(scheduler: &mut Scheduler, side: &mut Side, coming: usize) {
-    let what = &side.comings[coming];
-    let inv = side.free.pop().unwrap_or(side.many);
-    side.many = side.many.max(inv + 1);
-    let (left, behind) = match what.call {
+fn handle_read(scheduler: &mut Scheduler, host: &mut SimulatedHost, request: usize) {
+    let what = &host.requests[request];
+    let inv = host.free_slots.pop().unwrap_or(host.slot_count);
+    host.slot_count = host.slot_count.max(inv + 1);
+    let (remaining_work, after_call) = match what.call {
         Some((took, part)) => (what.work * part, Some((took, what.work * (1.0 - part)))),
         None => (what.work, None),
     };
-    let (on_core, started, answered, call) = (false, None, false, 0);
-    side.jobs.insert(inv, Job { coming, left, behind, on_core, started, answered, call });
+    let (on_core, started_at, has_response, call) = (false, None, false, 0);
+    host.jobs
+        .insert(inv, Job { request, remaining_work, after_call, on_core, started_at, has_response, call });
     let arrival = Arrival {
         slot: inv,
         class: what.class,
-        tenant: Some(usize::from(!what.in_share)),
-        time_unread: side.now - what.at,
+        tenant: Some(usize::from(!what.within_quota)),
+        time_unread: host.now - what.at,
         expected_work: Some(what.hint),
         memory_kb: what.kb,
         ..Arrival::default()
     };
-    let now = side.now;
-    scheduler.handle_arrival(now, arrival, side);
+    let now = host.now;
+    scheduler.handle_arrival(now, arrival, host);
 }
 
-fn job_done(scheduler: &mut Scheduler, side: &mut Side, inv: RequestSlot) {
-    let now = side.now;
-    let Some(job) = side.jobs.get_mut(&inv) else { return };
+fn handle_job_done(scheduler: &mut Scheduler, host: &mut SimulatedHost, inv: RequestSlot) {
+    let now = host.now;
+    let Some(job) = host.jobs.get_mut(&inv) else { return };
     job.on_core = false;
-    if let Some((_, behind)) = job.behind {
-        job.left = behind;
-        scheduler.handle_call_needed(now, inv, side);
+    if let Some((_, after_call)) = job.after_call {
+        job.remaining_work = after_call;
+        scheduler.handle_call_needed(now, inv, host);
         return;
     }
-    if !job.answered {
-        side.answer(inv, Answer::Succeeded);
+    if !job.has_response {
+        host.record_response(inv, Response::Succeeded);
     }
-    scheduler.handle_run_completed(now, inv, Outcome::Succeeded, side);
+    scheduler.handle_run_completed(now, inv, Outcome::Succeeded, host);
 }
 
-fn called(scheduler: &mut Scheduler, side: &mut Side, inv: RequestSlot, number: u64) {
-    let now = side.now;
-    let Some(job) = side.jobs.get_mut(&inv).filter(|job| job.call == number && !job.on_core) else { return };
-    let took = job.behind.take().map_or(0.0, |(took, _)| took) as Time;
-    if job.answered {
+fn handle_call_done(scheduler: &mut Scheduler, host: &mut SimulatedHost, inv: RequestSlot, number: u64) {
+    let now = host.now;
+    let Some(job) = host.jobs.get_mut(&inv).filter(|job| job.call == number && !job.on_core) else { return };
+    let took = job.after_call.take().map_or(0.0, |(took, _)| took) as Time;
+    if job.has_response {
         return;
     }
     job.on_core = true;
-    let left = job.left;
-    side.worker.start(inv, left);
-    scheduler.handle_call_completed(now, inv, Outcome::Succeeded, took, side);
+    let remaining_work = job.remaining_work;
+    host.worker.start(inv, remaining_work);
+    scheduler.handle_call_completed(now, inv, Outcome::Succeeded, took, host);
 }
--- a/crates/experiments/src/pools.rs
+++ b/crates/experiments/src/pools.rs
@@ -1,8 +1,8 @@
-//! The experiment on pools: a worker at 110% of its capacity, and on days on which something goes wrong; no pools, pools
-//! under each limiter, the best fixed split found by search on the same day, and one tuned on another.
+//! The experiment on pools: a worker at 110% of its capacity, without and with faults. Compares no pools, pools under each limiter,
+//! the best fixed split found by search on the same workload, and a fixed split tuned on another workload.
 
-use crate::arrivals::{Class, Coming, Day, Trouble, SECOND};
-use crate::drive::{play, Answer, Played, OVER_SHARE};
+use crate::arrivals::{Class, Fault, SimulatedRequest, Workload, SECOND};
+use crate::drive::{simulate, Response, SimulationRun, OVER_QUOTA_SHARE};
 use crate::worker::Machine;
 use cypresscleat_concurrency::limit::Limiter;
 use cypresscleat_concurrency::{PoolConfig, PoolsConfig};
@@ -13,11 +13,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Cores of the machine, and the load as a part of what they do.
+/// Cores of the machine, and the load as a multiple of their capacity.
 const CORES: f64 = 8.0;
 const LOAD: f64 = 1.10;
-/// Fixed splits are searched in steps of this part of the places.
-const STEPS: usize = 8;
+/// Fixed splits are searched in steps of 1/`SPLIT_STEPS` of the slots.
+const SPLIT_STEPS: usize = 8;
 
 pub const STATUS: usize = 0;
 pub const TALLY: usize = 3;
@@ -46,15 +46,15 @@
     ]
 }
 
-/// A day at so much of the capacity; reading counts as work.
-pub fn day(seed: u64, seconds: u64, load: f64, troubles: Vec<Trouble>) -> Day {
+/// A workload at `load` times the capacity; reading counts as work.
+pub fn workload(seed: u64, seconds: u64, load: f64, faults: Vec<Fault>) -> Workload {
     let classes = classes();
     let work: f64 = classes.iter().map(|class| class.part * class.work).sum();
     let rate = load * CORES * SECOND as f64 / (work + machine().reading);
-    Day { classes, rate, length: seconds as i64 * SECOND, troubles, seed }
+    Workload { classes, rate, length: seconds as i64 * SECOND, faults, seed }
 }
 
-/// The pools of the experiment: one for each class; the cheapest has a reserve.
+/// The pools of the experiment: one for each request class; the pool of the cheapest class has a reserve.
 pub fn setup(limiter: Limiter) -> PoolsConfig {
     let names = ["status", "position", "report", "billing-tally"];
     let least = [0.25, 0.125, 0.2, 0.25];
@@ -69,17 +69,17 @@
     PoolsConfig { pools: pools.collect(), limiter }
 }
 
-/// Each pool has its part, no more and no less; nothing is lent.
+/// Each pool has a fixed share of the slots and lends none.
 fn fixed(parts: &[usize]) -> PoolsConfig {
     let mut setup = setup(Limiter::Fixed);
     for (pool, part) in setup.pools.iter_mut().zip(parts) {
-        let part = *part as f64 / STEPS as f64;
+        let part = *part as f64 / SPLIT_STEPS as f64;
         (pool.min_share, pool.max_share, pool.reserve) = (part, part, 0.0);
     }
     setup
 }
 
-/// All ways to give each of so many pools at least one step.
+/// All ways to split `steps` among `pools`, with at least one step for each pool.
 fn splits(pools: usize, steps: usize) -> Vec<Vec<usize>> {
     if pools == 1 {
         return vec![vec![steps]];
@@ -101,32 +101,33 @@
     ("lending, Vegas", Limiter::Vegas),
     ("lending, PID", Limiter::Pid { target_drop_ratio: 0.1 }),
 ];
-/// The one that was chosen, by the figures.
-pub const CHOSEN: usize = 2;
+/// Index of the limiter that was chosen by the results of this experiment.
+pub const CHOSEN_LIMITER: usize = 2;
 
-/// What a play came to.
+/// Score of a simulation run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Worth {
-    /// Part of the status calls within their share that were answered within the objective.
+pub struct Score {
+    /// Share of the status requests within quota that succeeded within their latency objective.
     pub status_met: f64,
-    /// Billed value of all that succeeded within its objective.
+    /// Billed value of all requests that succeeded within their latency objective.
     pub billed: f64,
 }
 
-pub fn worth(day: &Day, played: &Played) -> Worth {
+pub fn score(workload: &Workload, result: &SimulationRun) -> Score {
     let (mut status, mut met, mut billed) = (0.0, 0.0, 0.0);
-    for ended in &played.ended {
-        let class = &day.classes[ended.class];
-        let in_time = ended.how == Answer::Succeeded && ended.at - ended.came <= class.objective;
-        // What is past its customer's share is billed as the module is told.
-        let part = if ended.in_share { 1.0 } else { OVER_SHARE };
+    for completed in &result.completed {
+        let class = &workload.classes[completed.class];
+        let in_time = completed.response == Response::Succeeded
+            && completed.at - completed.arrived_at <= class.objective;
+        // A request over its tenant's quota is billed at the share that the scheduler's settings have.
+        let part = if completed.within_quota { 1.0 } else { OVER_QUOTA_SHARE };
         billed += if in_time { class.billed * part } else { 0.0 };
-        if ended.class == STATUS && ended.in_share {
+        if completed.class == STATUS && completed.within_quota {
             status += 1.0;
             met += if in_time { 1.0 } else { 0.0 };
         }
     }
-    Worth { status_met: if status > 0.0 { met / status } else { 1.0 }, billed }
+    Score { status_met: if status > 0.0 { met / status } else { 1.0 }, billed }
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -166,73 +167,75 @@
     pub load: f64,
     pub cores: f64,
     pub chosen: String,
-    /// At 110% of capacity, nothing else wrong.
+    /// At 110% of capacity, without faults.
     pub policies: Vec<Policy>,
-    /// Days on which something goes wrong, over a quarter of the seeds.
+    /// With faults, over a quarter of the seeds.
     pub cases: Vec<Case>,
 }
 
-/// What goes wrong in the hard cases; from a third of the day on.
-pub fn troubles(seconds: u64) -> Vec<(String, Vec<Trouble>)> {
+/// The faults of each case, from a third of the workload's length on.
+pub fn faults(seconds: u64) -> Vec<(String, Vec<Fault>)> {
     let length = seconds as i64 * SECOND;
     let (from, to) = (length / 3, length / 3 + (30 * SECOND).min(length / 3));
     let mut all = Vec::new();
     for (class, name) in [(STATUS, "status"), (TALLY, "billing-tally")] {
-        for times in [2.0, 5.0, 20.0] {
+        for factor in [2.0, 5.0, 20.0] {
             all.push((
-                format!("{name} floods {times:.0} times"),
-                vec![Trouble::Flood { class, times, from, to }],
+                format!("{name} floods {factor:.0} times"),
+                vec![Fault::Flood { class, factor, from, to }],
             ));
         }
     }
-    all.push(("the worker at 40%".into(), vec![Trouble::Slow { speed: 0.4, from, to }]));
+    all.push(("the worker at 40%".into(), vec![Fault::SlowWorker { speed: 0.4, from, to }]));
     all.push((
         "a report costs 4 times".into(),
-        vec![Trouble::Costs { class: 2, times: 4.0, from, to: length }],
+        vec![Fault::HigherCost { class: 2, factor: 4.0, from, to: length }],
     ));
-    all.push(("calls below take 5 times".into(), vec![Trouble::Below { times: 5.0, from, to }]));
-    all.push(("no tally, then again".into(), vec![Trouble::Silent { class: TALLY, from: 0, to }]));
+    all.push(("calls below take 5 times".into(), vec![Fault::SlowDownstream { factor: 5.0, from, to }]));
+    all.push(("no tally, then again".into(), vec![Fault::NoTraffic { class: TALLY, from: 0, to }]));
     all
 }
 
-/// All policies on one day: in the order of `names`.
-fn on_day(seed: u64, seconds: u64, troubles: &[Trouble]) -> Vec<Worth> {
-    let day = day(seed, seconds, LOAD, troubles.to_vec());
-    let comings = day.all();
-    let run = |setup: &PoolsConfig| worth(&day, &play(&day, &comings, &machine(), setup, false));
+/// Scores of all policies on one workload, in the order of `policy_names`.
+fn score_policies(seed: u64, seconds: u64, faults: &[Fault]) -> Vec<Score> {
+    let workload = workload(seed, seconds, LOAD, faults.to_vec());
+    let requests = workload.all();
+    let run =
+        |setup: &PoolsConfig| score(&workload, &simulate(&workload, &requests, &machine(), setup, false));
     let mut all = vec![run(&PoolsConfig::default())];
     all.extend(LIMITERS.iter().map(|(_, limiter)| run(&setup(*limiter))));
-    let (best, parts) = search(&day, &comings);
+    let (best, parts) = search(&workload, &requests);
     all.push(best);
-    // Tuned on the day of the next seed, calm.
-    let other = self::day(seed + 1_000_003, seconds, LOAD, Vec::new());
+    // Tuned on a workload of another seed, without faults.
+    let other = self::workload(seed + 1_000_003, seconds, LOAD, Vec::new());
     let (_, tuned) = search(&other, &other.all());
     all.push(run(&fixed(&tuned)));
     let _ = parts;
     all
 }
 
-/// The fixed split that bills most on a day.
-fn search(day: &Day, comings: &[Coming]) -> (Worth, Vec<usize>) {
-    let all = splits(4, STEPS)
-        .into_iter()
-        .map(|parts| (worth(day, &play(day, comings, &machine(), &fixed(&parts), false)), parts));
+/// The fixed split with the highest billed value on a workload.
+fn search(workload: &Workload, requests: &[SimulatedRequest]) -> (Score, Vec<usize>) {
+    let all = splits(4, SPLIT_STEPS).into_iter().map(|parts| {
+        (score(workload, &simulate(workload, requests, &machine(), &fixed(&parts), false)), parts)
+    });
     all.max_by(|a, b| a.0.billed.total_cmp(&b.0.billed)).unwrap_or_default()
 }
 
-fn names() -> Vec<String> {
+fn policy_names() -> Vec<String> {
     let mut all = vec!["no pools".to_string()];
     all.extend(LIMITERS.iter().map(|(name, _)| name.to_string()));
     all.extend(["best fixed split".to_string(), "fixed split of another day".to_string()]);
     all
 }
 
-fn policies(days: &[Vec<Worth>]) -> Vec<Policy> {
-    let names = names();
+fn policies(workloads: &[Vec<Score>]) -> Vec<Policy> {
+    let names = policy_names();
     let best = names.len() - 2;
     let each = names.iter().enumerate().map(|(at, name)| {
-        let met: Vec<f64> = days.iter().map(|day| day[at].status_met).collect();
-        let share: Vec<f64> = days.iter().map(|day| day[at].billed / day[best].billed.max(1e-9)).collect();
+        let met: Vec<f64> = workloads.iter().map(|workload| workload[at].status_met).collect();
+        let share: Vec<f64> =
+            workloads.iter().map(|workload| workload[at].billed / workload[best].billed.max(1e-9)).collect();
         Policy {
             policy: name.clone(),
             status_met: Spread::of(&met),
@@ -242,15 +245,15 @@
     each.collect()
 }
 
-/// Runs `many` jobs over the cores there are; results in order.
-pub fn spread_out<T: Send>(many: usize, job: impl Fn(usize) -> T + Sync) -> Vec<T> {
+/// Runs `job_count` jobs in parallel on all cores; returns the results in order.
+pub fn run_parallel<T: Send>(job_count: usize, job: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let (next, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(many.max(1));
+    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(job_count.max(1));
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
-                if at >= many {
+                if at >= job_count {
                     return;
                 }
                 let result = job(at);
@@ -266,23 +269,25 @@
 }
 
 pub fn compare(seeds: u64, seconds: u64) -> Report {
-    let cases = troubles(seconds);
-    let few = (seeds / 4).max(1) as usize;
+    let cases = faults(seconds);
+    let case_seeds = (seeds / 4).max(1) as usize;
     let (seeds, calm) = (seeds as usize, Vec::new());
-    let all = spread_out(seeds + cases.len() * few, |at| match at.checked_sub(seeds) {
-        None => on_day(at as u64 + 1, seconds, &calm),
-        Some(at) => on_day((at % few) as u64 + 1, seconds, &cases[at / few].1),
+    let all = run_parallel(seeds + cases.len() * case_seeds, |at| match at.checked_sub(seeds) {
+        None => score_policies(at as u64 + 1, seconds, &calm),
+        Some(at) => score_policies((at % case_seeds) as u64 + 1, seconds, &cases[at / case_seeds].1),
     });
     let (plain, rest) = all.split_at(seeds);
-    let cases = cases.iter().zip(rest.chunks(few));
+    let cases = cases.iter().zip(rest.chunks(case_seeds));
     Report {
         seeds: seeds as u64,
         seconds,
         load: LOAD,
         cores: CORES,
-        chosen: LIMITERS[CHOSEN].0.into(),
+        chosen: LIMITERS[CHOSEN_LIMITER].0.into(),
         policies: policies(plain),
-        cases: cases.map(|((case, _), days)| Case { case: case.clone(), policies: policies(days) }).collect(),
+        cases: cases
+            .map(|((case, _), workloads)| Case { case: case.clone(), policies: policies(workloads) })
+            .collect(),
     }
 }
 
@@ -296,7 +301,7 @@
         report.chosen
     );
     let mut part = |title: &str, policies: &[Policy]| {
-        out += &format!("\n{title}\n| policy | status met: mean (least) | billed, of the best fixed split: mean (least to greatest) |\n| --- | --- | --- |\n");
+        out += &format!("\n{title}\n| policy | status met: mean (minimum) | billed, relative to the best fixed split: mean (minimum to maximum) |\n| --- | --- | --- |\n");
         for policy in policies {
             let (met, share) = (&policy.status_met, &policy.billed_share_of_best_fixed);
             out += &format!(
@@ -312,65 +317,69 @@
     out
 }
 
-/// Limits, places in use and latencies over a day on which the worker falls to 40% for 30 s, under the chosen limiter.
+/// Plots limits, slots in use and latencies under the chosen limiter, while the worker falls to 40% of its speed for 30 s.
 pub fn plot(path: &Path, seconds: u64) -> Result<(), String> {
-    let (_, slow) = troubles(seconds).remove(6);
-    let day = day(1, seconds, LOAD, slow);
-    let comings = day.all();
-    let played = play(&day, &comings, &machine(), &setup(LIMITERS[CHOSEN].1), true);
-    draw(path, &day, &played).map_err(|error| error.to_string())
+    let (_, slow) = faults(seconds).remove(6);
+    let workload = workload(1, seconds, LOAD, slow);
+    let requests = workload.all();
+    let result = simulate(&workload, &requests, &machine(), &setup(LIMITERS[CHOSEN_LIMITER].1), true);
+    draw(path, &workload, &result).map_err(|error| error.to_string())
 }
 
 /// The 99th percentile of latency for each second and class, in milliseconds.
-fn latencies(day: &Day, played: &Played, class: usize) -> Vec<(f64, f64)> {
+fn latencies(workload: &Workload, result: &SimulationRun, class: usize) -> Vec<(f64, f64)> {
     let mut seconds: Vec<Histogram<u64>> = Vec::new();
-    for ended in played.ended.iter().filter(|ended| ended.class == class && ended.how == Answer::Succeeded) {
-        let at = (ended.came / SECOND) as usize;
-        while seconds.len() <= at && seconds.len() < (day.length / SECOND) as usize + 1 {
+    for completed in result
+        .completed
+        .iter()
+        .filter(|completed| completed.class == class && completed.response == Response::Succeeded)
+    {
+        let at = (completed.arrived_at / SECOND) as usize;
+        while seconds.len() <= at && seconds.len() < (workload.length / SECOND) as usize + 1 {
             let Ok(histogram) = Histogram::new(3) else { return Vec::new() };
             seconds.push(histogram);
         }
         if let Some(second) = seconds.get_mut(at) {
-            let _ = second.record((ended.at - ended.came).max(1) as u64);
+            let _ = second.record((completed.at - completed.arrived_at).max(1) as u64);
         }
     }
     let known = seconds.iter().enumerate().filter(|(_, second)| !second.is_empty());
     known.map(|(at, second)| (at as f64, second.value_at_quantile(0.99) as f64 / 10.0)).collect()
 }
 
-fn draw(path: &Path, day: &Day, played: &Played) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(path: &Path, workload: &Workload, result: &SimulationRun) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, (1000, 900)).into_drawing_area();
     root.fill(&WHITE)?;
     let parts = root.split_evenly((3, 1));
     let colours = [RED, BLUE, GREEN, MAGENTA, BLACK];
-    let seconds = day.length as f64 / SECOND as f64;
+    let seconds = workload.length as f64 / SECOND as f64;
     let series =
         |value: fn(&cypresscleat_concurrency::PoolSnapshot) -> f64, pool: usize| -> Vec<(f64, f64)> {
-            let at = |moment: &crate::drive::Moment| moment.at as f64 / SECOND as f64;
-            played.moments.iter().filter_map(|m| Some((at(m), value(m.pools.get(pool)?)))).collect()
+            let at = |sample: &crate::drive::PoolSample| sample.at as f64 / SECOND as f64;
+            result.samples.iter().filter_map(|m| Some((at(m), value(m.pools.get(pool)?)))).collect()
         };
     type Line = Vec<(f64, f64)>;
     let charts: [(&str, Vec<Line>); 3] = [
-        ("limit of each pool, places", (0..4).map(|pool| series(|view| view.limit, pool)).collect()),
-        ("places in use", (0..4).map(|pool| series(|view| view.running as f64, pool)).collect()),
+        ("limit of each pool, slots", (0..4).map(|pool| series(|view| view.limit, pool)).collect()),
+        ("slots in use", (0..4).map(|pool| series(|view| view.running as f64, pool)).collect()),
         (
             "99th percentile of latency, ms, by second of arrival",
-            (0..4).map(|class| latencies(day, played, class)).collect(),
+            (0..4).map(|class| latencies(workload, result, class)).collect(),
         ),
     ];
     for (area, (title, lines)) in parts.iter().zip(charts) {
-        let most = lines.iter().flatten().map(|point| point.1).fold(1.0, f64::max) * 1.05;
+        let max_value = lines.iter().flatten().map(|point| point.1).fold(1.0, f64::max) * 1.05;
         let mut chart = ChartBuilder::on(area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..seconds, 0.0..most)?;
+            .build_cartesian_2d(0.0..seconds, 0.0..max_value)?;
         chart.configure_mesh().x_desc("s").draw()?;
         for (at, line) in lines.into_iter().enumerate() {
             let colour = colours[at % colours.len()];
             let drawn = chart.draw_series(LineSeries::new(line, colour.stroke_width(2)))?;
-            let name = day.classes[at].name;
+            let name = workload.classes[at].name;
             drawn.label(name).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
         }
         chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
