--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,7 +1,7 @@
-//! The lab: a deterministic model of a deployment in simulated time, hosting the real decisions, and experiments on it.
-//! `worker` is the machine (cores shared by all that runs), `arrivals` the load, `drive` plays one against the other with a
-//! `Scheduler` between them, `pools` the experiment on pools. Models and drivers know nothing of each other's insides, so a
-//! larger model can take the worker's place. All times are tenths of a millisecond; the same seed gives the same run.
+//! A deterministic model of a deployment in simulated time, which runs the real decision code, and experiments on the model.
+//! `worker` is the machine (cores shared by all running jobs), `arrivals` the workload, `drive` runs the workload on the worker with
+//! a `Scheduler` between them, and `pools` is the experiment on pools. Models and drivers don't depend on each other's internals, so
+//! a larger model can replace the worker. All times are tenths of a millisecond; the same seed gives the same run.
 
 pub mod arrivals;
 pub mod drive;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line.
+//! Command line of the experiments.
 
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
 use cypresscleat_experiments::{index, owners, pools, relays, rollout, scale, tier};
@@ -9,39 +9,39 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Counts bytes, so that `scale` can tell what a table takes.
+/// Counts allocated bytes, so that `scale` can measure the memory of a table.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Plays and times what was asked for; the progress goes to stderr, so that tables can be piped on.
-fn scales(words: &ArgMatches) -> Result<(), String> {
-    let sizes = words.get_many::<u64>("sizes").map(|sizes| sizes.copied().collect());
+/// Runs the `scale` experiment. Progress goes to stderr, so that the tables on stdout can be piped.
+fn run_scale(args: &ArgMatches) -> Result<(), String> {
+    let sizes = args.get_many::<u64>("sizes").map(|sizes| sizes.copied().collect());
     let asked = scale::Asked {
-        role: words.get_one::<String>("role").cloned(),
+        role: args.get_one::<String>("role").cloned(),
         sizes,
-        seed: words.get_one::<u64>("seed").copied().unwrap_or(1),
+        seed: args.get_one::<u64>("seed").copied().unwrap_or(1),
     };
     let bar = ProgressBar::new_spinner();
     if let Ok(style) = ProgressStyle::with_template("{spinner} {elapsed} {wide_msg}") {
         bar.set_style(style);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let report = scale::run(&asked, &mut |what| {
         bar.set_message(what.to_string());
         bar.tick();
-        // Where nobody watches a bar, each step is a line.
+        // Without a terminal for the progress bar, each step is printed as a line.
         if bar.is_hidden() {
-            eprintln!("{:6.1} s  {what}", began.elapsed().as_secs_f64());
+            eprintln!("{:6.1} s  {what}", started_at.elapsed().as_secs_f64());
         }
     });
     bar.finish_and_clear();
     let report = report?;
-    let file = words.get_one::<PathBuf>("json");
+    let file = args.get_one::<PathBuf>("json");
     if let Some(path) = file {
         let text = serde_json::to_string_pretty(&report).map_err(|error| error.to_string())?;
         std::fs::write(path, text + "\n").map_err(|error| format!("{}: {error}", path.display()))?;
     }
-    if words.get_flag("table") || file.is_none() {
+    if args.get_flag("table") || file.is_none() {
         print!("{}", scale::table::table(&report));
     }
     Ok(())
@@ -54,47 +54,47 @@
     let path = |name: &'static str| {
         Arg::new(name).long(name).value_name("FILE").value_parser(value_parser!(PathBuf))
     };
-    let words = Command::new("cypresscleat-experiments")
+    let args = Command::new("cypresscleat-experiments")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Designs tried on a model of the deployment, in simulated time")
+        .about("Experiments with designs on a model of the deployment, in simulated time")
         .subcommand_required(true)
         .subcommand(
             Command::new("pools")
-                .about("Pools of operations at overload: each limiter, fixed splits, and no pools")
+                .about("Pools of request classes under overload: each limiter, fixed splits, and no pools")
                 .arg(number("seeds", "20"))
-                .arg(number("seconds", "120").help("Length of a day, simulated"))
-                .arg(path("json").help("Write the figures there; a table without"))
-                .arg(path("plot").help("Draw limits and latencies over one day there, as SVG")),
+                .arg(number("seconds", "120").help("Length of the simulated workload"))
+                .arg(path("json").help("Write the results as JSON to FILE; prints a table without this option"))
+                .arg(path("plot").help("Plot limits and latencies over one workload to FILE, as SVG")),
         )
         .subcommand(
             Command::new("index")
-                .about("The draw's index beside a copied vector, at 10 to 10,000 held; real times here"),
+                .about("The rank index compared with a copied vector, at 10 to 10,000 queued; real times on this machine"),
         )
         .subcommand(
             Command::new("tier")
-                .about("Ways to know who is here, simulated; a forwarder's table beside a plain scan, real times here")
-                .arg(number("most", "1000").help("Members at the most")),
+                .about("Ways to track membership, simulated; a forwarder's load balancer compared with a plain scan, real times on this machine")
+                .arg(number("most", "1000").help("Maximum number of members")),
         )
         .subcommand(
             Command::new("owners")
-                .about("Duties with one owner: time without one, messages and writes at rest, simulated")
+                .about("Tasks with one owner: time without an owner, messages and writes at rest, simulated")
                 .arg(number("seeds", "100")),
         )
         .subcommand(
             Command::new("rollout")
-                .about("A change of policy at size, beside two plain ways to make one, simulated")
+                .about("A policy change by fleet size, compared with two plain ways to make a change, simulated")
                 .arg(number("seeds", "20"))
-                .arg(number("most", "10000").help("Members at the most")),
+                .arg(number("most", "10000").help("Maximum number of members")),
         )
         .subcommand(
             Command::new("scale")
-                .about("What each role costs at which size, lines through it, and whether the size to design for fits")
+                .about("The cost of each role by size, fitted lines, and whether the cost at the target size is within budget")
                 .arg(
                     Arg::new("role")
                         .long("role")
                         .value_name("R")
                         .value_parser(scale::ROLES)
-                        .help("Its figures alone; all without"),
+                        .help("Only measure this role; all roles without this option"),
                 )
                 .arg(
                     Arg::new("sizes")
@@ -102,49 +102,49 @@
                         .value_name("A,B,C")
                         .value_delimiter(',')
                         .value_parser(value_parser!(u64).range(1..=10_000_000))
-                        .help("In place of each part's own; a line needs four over a factor of 30"),
+                        .help("Sizes in place of each part's defaults; a line needs four over a factor of 30"),
                 )
                 .arg(Arg::new("seed").long("seed").value_parser(value_parser!(u64)).default_value("1"))
-                .arg(path("json").help("Write rows and fits there"))
+                .arg(path("json").help("Write rows and fits as JSON to FILE"))
                 .arg(
                     Arg::new("table")
                         .long("table")
                         .action(ArgAction::SetTrue)
-                        .help("Print the tables of docs/CAPACITY.md; the default without --json"),
+                        .help("Print the tables of docs/CAPACITY.md; this is the default without --json"),
                 ),
         )
         .subcommand(
             Command::new("relays")
-                .about("A change of policy through relays by zone, beside all members at the keepers, simulated")
+                .about("A policy change through relays by zone, compared with all members at the control replicas, simulated")
                 .arg(number("seeds", "3"))
-                .arg(number("most", "5800").help("Members at the most")),
+                .arg(number("most", "5800").help("Maximum number of members")),
         )
         .get_matches();
-    let words = match words.subcommand() {
-        Some(("pools", words)) => words,
-        Some(("owners", words)) => {
-            print!("{}", owners::table(words.get_one::<u64>("seeds").copied().unwrap_or(1)));
+    let args = match args.subcommand() {
+        Some(("pools", args)) => args,
+        Some(("owners", args)) => {
+            print!("{}", owners::table(args.get_one::<u64>("seeds").copied().unwrap_or(1)));
             return ExitCode::SUCCESS;
         }
-        Some(("rollout", words)) => {
-            let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or(1);
+        Some(("rollout", args)) => {
+            let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
             print!("{}", rollout::table(number("seeds"), number("most") as usize));
             return ExitCode::SUCCESS;
         }
-        Some(("scale", words)) => {
-            if let Err(error) = scales(words) {
+        Some(("scale", args)) => {
+            if let Err(error) = run_scale(args) {
                 eprintln!("cypresscleat-experiments: {error}");
                 return ExitCode::FAILURE;
             }
             return ExitCode::SUCCESS;
         }
-        Some(("relays", words)) => {
-            let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or(1);
+        Some(("relays", args)) => {
+            let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
             relays::table(number("seeds"), number("most") as usize);
             return ExitCode::SUCCESS;
         }
-        Some(("tier", words)) => {
-            print!("{}", tier::table(words.get_one::<u64>("most").copied().unwrap_or(10) as usize));
+        Some(("tier", args)) => {
+            print!("{}", tier::table(args.get_one::<u64>("most").copied().unwrap_or(10) as usize));
             return ExitCode::SUCCESS;
         }
         _ => {
@@ -152,9 +152,9 @@
             return ExitCode::SUCCESS;
         }
     };
-    let number = |name: &str| words.get_one::<u64>(name).copied().unwrap_or(1);
+    let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
     let report = pools::compare(number("seeds"), number("seconds"));
-    let written = match words.get_one::<PathBuf>("json") {
+    let written = match args.get_one::<PathBuf>("json") {
         Some(path) => serde_json::to_string_pretty(&report)
             .map_err(std::io::Error::from)
             .and_then(|text| std::fs::write(path, text + "\n")),
@@ -163,8 +163,8 @@
             Ok(())
         }
     };
-    let drawn = words.get_one::<PathBuf>("plot").map_or(Ok(()), |path| pools::plot(path, number("seconds")));
-    if let Err(error) = written.map_err(|error| error.to_string()).and(drawn) {
+    let plotted = args.get_one::<PathBuf>("plot").map_or(Ok(()), |path| pools::plot(path, number("seconds")));
+    if let Err(error) = written.map_err(|error| error.to_string()).and(plotted) {
         eprintln!("cypresscleat-experiments: {error}");
         return ExitCode::FAILURE;
     }
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -1,5 +1,5 @@
-//! A change of policy at size: how long until it is decided and in force everywhere, what it costs, how long two versions mix; beside
-//! two plain ways to make one. Simulated time and nets, real decisions; the plain ways are models of a few lines.
+//! Policy changes at scale: how long until a change is decided and active everywhere, what it costs, and how long two versions are
+//! mixed; compared with two plain ways to make a change. Simulated time and networks, real decisions; the plain ways are short models.
 
 use cypresscleat_consensus::SeededRng;
 use cypresscleat_rollout::member::AdmissionPermit;
@@ -9,7 +9,7 @@
 /// Tenths of the members that are down while the change is made.
 const DOWN: usize = 3;
 
-/// Ms, as p50, p99 and the most.
+/// Milliseconds, as p50, p99 and maximum.
 fn spread(all: &mut [Time]) -> String {
     all.sort_unstable();
     let at = |part: f64| {
@@ -22,138 +22,153 @@
 #[derive(Default)]
 struct Figures {
     decided: Vec<Time>,
-    everywhere: Vec<Time>,
+    active_everywhere: Vec<Time>,
     mixed: Vec<Time>,
     messages: f64,
     bytes: f64,
-    /// When the last had gone over once; members that were out of service at once meanwhile, at the most.
-    gone_over: Vec<Time>,
-    out: usize,
-    /// Of the busiest keeper, with members: at rest before the change, a second; during it, in all.
+    /// When the last member had first activated the change; then the maximum of members that were out of service at once meanwhile.
+    activated_once: Vec<Time>,
+    out_count: usize,
+    /// Traffic of the busiest control replica with members: in a second at rest before the change; in all during the change.
     rest: Load,
     during: Load,
-    /// Seconds of the changes, and bytes that keepers sent each other in them.
+    /// Seconds that the changes took, and bytes that control replicas sent each other meanwhile.
     seconds: f64,
     between: f64,
-    wrong: usize,
+    violations: usize,
 }
 
-/// Letters and bytes that a keeper heard, and said.
+/// Messages and bytes that a control replica received, then messages and bytes that it sent.
 #[derive(Clone, Copy, Default)]
 struct Load([f64; 4]);
 
 impl Load {
-    fn of(play: &Simulation) -> Vec<Load> {
+    fn of(simulation: &Simulation) -> Vec<Load> {
         let load = |one: &Traffic| {
             Load([one.received, one.received_bytes, one.sent, one.sent_bytes].map(|n| n as f64))
         };
-        play.traffic.iter().map(load).collect()
+        simulation.traffic.iter().map(load).collect()
     }
-    /// Of the keeper with the most letters since.
-    fn busiest(play: &Simulation, before: &[Load]) -> Load {
+    /// Load since `before` of the control replica with the most messages.
+    fn busiest(simulation: &Simulation, before: &[Load]) -> Load {
         let since = |(now, before): (Load, &Load)| Load([0, 1, 2, 3].map(|at| now.0[at] - before.0[at]));
-        let all = Load::of(play).into_iter().zip(before).map(since);
+        let all = Load::of(simulation).into_iter().zip(before).map(since);
         all.max_by(|a, b| (a.0[0] + a.0[2]).total_cmp(&(b.0[0] + b.0[2]))).unwrap_or_default()
     }
     fn add(&mut self, other: Load) {
         (0..4).for_each(|at| self.0[at] += other.0[at]);
     }
-    fn shown(&self, by: f64) -> String {
+    fn format_per(&self, by: f64) -> String {
         self.0.map(|sum| format!("{:.0}", sum / by)).join(" | ")
     }
 }
 
-/// One change: members that live are all to have it; those that were down come back after it and have to have it too.
-fn change(seed: u64, members: usize, lost: u64, down: bool, together: bool, figures: &mut Figures) {
-    let rules = Rules { lease: 2 * SECOND, barrier: together, ..Rules::default() };
-    let mut play = Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
-    play.run(3 * SECOND);
-    let before = Load::of(&play);
-    play.run(4 * SECOND);
-    figures.rest.add(Load::busiest(&play, &before));
-    let gone = if down { members * DOWN / 10 } else { 0 };
-    // Just before it: their leases have to end first.
-    (0..gone).for_each(|at| play.kill(at));
-    play.consensus.network.loss_one_in = lost;
-    let (asks, bytes, began) = (play.messages_sent, play.message_bytes, play.consensus.now);
-    let (before, between) = (Load::of(&play), play.consensus.bytes_sent);
-    play.propose(0, rules, "first");
-    let end = began + 60 * SECOND;
-    // All at one moment, which is more than that each has gone over: one that is out of service for a moment counts as not there.
-    let (mut over, mut had) = (None, vec![false; members]);
+/// One change: all live members have to activate the change; members that were down restart after it and have to activate it too.
+fn simulate_change(
+    seed: u64,
+    members: usize,
+    lost: u64,
+    down: bool,
+    use_barrier: bool,
+    figures: &mut Figures,
+) {
+    let rules = Rules { lease: 2 * SECOND, barrier: use_barrier, ..Rules::default() };
+    let mut simulation =
+        Simulation::new(SimulationConfig { members, rules, ..SimulationConfig::default() }, seed);
+    simulation.run(3 * SECOND);
+    let before = Load::of(&simulation);
+    simulation.run(4 * SECOND);
+    figures.rest.add(Load::busiest(&simulation, &before));
+    let down_count = if down { members * DOWN / 10 } else { 0 };
+    // Killed just before the change: the leases of these members have to expire first.
+    (0..down_count).for_each(|at| simulation.kill(at));
+    simulation.consensus.network.loss_one_in = lost;
+    let (messages_before, bytes, started_at) =
+        (simulation.messages_sent, simulation.message_bytes, simulation.consensus.now);
+    let (before, between) = (Load::of(&simulation), simulation.consensus.bytes_sent);
+    simulation.propose(0, rules, "first");
+    let end = started_at + 60 * SECOND;
+    // All members admit under the change at one moment. This is stricter than that each has activated the change once: a member that is
+    // out of service at the moment doesn't count.
+    let (mut activated_once_at, mut has_activated) = (None, vec![false; members]);
     loop {
-        let (mut have, mut out) = (0, 0);
-        for (at, had) in had.iter_mut().enumerate().skip(gone) {
-            match play.permit(at) {
-                AdmissionPermit::Admit(1) => (*had, have) = (true, have + 1),
-                AdmissionPermit::Deny => out += 1,
+        let (mut active_count, mut out_count) = (0, 0);
+        for (at, has_activated) in has_activated.iter_mut().enumerate().skip(down_count) {
+            match simulation.permit(at) {
+                AdmissionPermit::Admit(1) => (*has_activated, active_count) = (true, active_count + 1),
+                AdmissionPermit::Deny => out_count += 1,
                 _ => {}
             }
         }
-        figures.out = figures.out.max(out);
-        if over.is_none() && had[gone..].iter().all(|had| *had) {
-            over = Some(play.consensus.now);
+        figures.out_count = figures.out_count.max(out_count);
+        if activated_once_at.is_none()
+            && has_activated[down_count..].iter().all(|has_activated| *has_activated)
+        {
+            activated_once_at = Some(simulation.consensus.now);
         }
-        if have == members - gone || play.consensus.now >= end {
+        if active_count == members - down_count || simulation.consensus.now >= end {
             break;
         }
-        let until = play.consensus.now + 5 * MS;
-        play.run(until);
+        let until = simulation.consensus.now + 5 * MS;
+        simulation.run(until);
     }
-    figures.gone_over.push(over.map_or(60 * SECOND, |at| at - began));
-    figures.during.add(Load::busiest(&play, &before));
-    figures.seconds += (play.consensus.now - began) as f64 / SECOND as f64;
-    figures.between += (play.consensus.bytes_sent - between) as f64;
-    figures.decided.push(play.decided.get(&1).map_or(60 * SECOND, |one| one.0 - began));
-    figures.everywhere.push(play.consensus.now - began);
-    let first = play.first_active.get(&1).copied().unwrap_or(began);
-    figures.mixed.push(play.mixed_until.get(&1).map_or(0, |until| until - first));
-    let live = (members - gone).max(1) as f64;
-    figures.messages += (play.messages_sent - asks) as f64 / live;
-    figures.bytes += (play.message_bytes - bytes) as f64 / live;
-    (0..gone).for_each(|at| play.start(at));
-    let until = play.consensus.now + 6 * SECOND;
-    play.run(until);
-    // Some may be out of service for a moment where letters are lost; none may serve under another version.
-    let others =
-        (0..members).any(|at| !matches!(play.permit(at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
-    figures.wrong += usize::from(play.violation.is_some() || others);
+    figures.activated_once.push(activated_once_at.map_or(60 * SECOND, |at| at - started_at));
+    figures.during.add(Load::busiest(&simulation, &before));
+    figures.seconds += (simulation.consensus.now - started_at) as f64 / SECOND as f64;
+    figures.between += (simulation.consensus.bytes_sent - between) as f64;
+    figures.decided.push(simulation.decided.get(&1).map_or(60 * SECOND, |one| one.0 - started_at));
+    figures.active_everywhere.push(simulation.consensus.now - started_at);
+    let first = simulation.first_active.get(&1).copied().unwrap_or(started_at);
+    figures.mixed.push(simulation.mixed_until.get(&1).map_or(0, |until| until - first));
+    let live = (members - down_count).max(1) as f64;
+    figures.messages += (simulation.messages_sent - messages_before) as f64 / live;
+    figures.bytes += (simulation.message_bytes - bytes) as f64 / live;
+    (0..down_count).for_each(|at| simulation.start(at));
+    let until = simulation.consensus.now + 6 * SECOND;
+    simulation.run(until);
+    // Members may be out of service for a moment where messages are lost; none may admit requests under another version.
+    let has_other_version = (0..members)
+        .any(|at| !matches!(simulation.permit(at), AdmissionPermit::Admit(1) | AdmissionPermit::Deny));
+    figures.violations += usize::from(simulation.violation.is_some() || has_other_version);
 }
 
-/// Whether a fleet ends mixed where each member is told by itself, so many times, and nobody agrees on anything. A member can't carry the
-/// text out in one run of five; whoever tells dies in the middle in one of ten.
-fn plain(seed: u64, members: usize, lost: u64, down: bool, tries: u32) -> bool {
+/// Whether a fleet ends under two versions where the change is sent to each member `attempts` times, without agreement. In one run of five
+/// a member can't apply the document; in one run of ten the sender dies midway.
+fn is_mixed_without_agreement(seed: u64, members: usize, lost: u64, down: bool, attempts: u32) -> bool {
     let mut rng = SeededRng::new(seed ^ 0x91a1);
-    let refuses = rng.one_in(5).then(|| rng.below(members as u64));
-    let dies = if rng.one_in(10) { rng.below(members as u64) } else { u64::MAX };
+    let rejecting_member = rng.one_in(5).then(|| rng.below(members as u64));
+    let sender_dies_at = if rng.one_in(10) { rng.below(members as u64) } else { u64::MAX };
     let (mut old, mut new) = (0u64, 0u64);
     for at in 0..members as u64 {
         let is_down = down && at < (members * DOWN / 10) as u64;
-        let heard = (0..tries).any(|_| lost == 0 || !rng.one_in(lost));
-        let goes = at < dies && heard && !is_down && refuses != Some(at);
-        (old, new) = (old + u64::from(!goes), new + u64::from(goes));
+        let received = (0..attempts).any(|_| lost == 0 || !rng.one_in(lost));
+        let activates = at < sender_dies_at && received && !is_down && rejecting_member != Some(at);
+        (old, new) = (old + u64::from(!activates), new + u64::from(activates));
     }
     old > 0 && new > 0
 }
 
-pub fn table(seeds: u64, most: usize) -> String {
+/// Durations and costs of a policy change by fleet size, as Markdown tables.
+pub fn table(seeds: u64, max_members: usize) -> String {
     let mut out = format!(
-        "Simulated, {seeds} seeds each up to 300 members, fewer above; three keepers, 1 to 2 ms a letter, a check takes 5 ms, lease 2 s. \
-         Ms as p50, p99, most; messages and bytes with the renewals of that time; in force everywhere is at one moment, gone over is once, \
-         by the last; out is how many that live were out of service at once:\n\n\
-         | members | lost | down | together | decided | | | in force everywhere | | | gone over, most | out, most | mixed, most | \
-         messages a member | bytes a member | rule broken, or mixed at the end |\n\
+        "Simulated, {seeds} seeds each up to 300 members, fewer above; three control replicas, 1 to 2 ms delay for each message, a check takes 5 ms, lease 2 s. \
+         Ms as p50, p99, maximum; messages and bytes include the renewals of that time; active everywhere is at one moment, activated once is \
+         the first activation by the last member; out is the count of live members that were out of service at once:\n\n\
+         | members | lost | down | barrier | decided | | | active everywhere | | | activated once, maximum | out, maximum | mixed, maximum | \
+         messages a member | bytes a member | invariant violated, or mixed at the end |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     );
     let mut loads = String::from(
-        "\nThe busiest keeper, letters and bytes between it and members, in and out: a second at rest before the change, where nothing is \
-         lost; and in one change, in all. Then a second of the change, with all keepers' bytes among themselves, and for each member that lives:\n\n\
-         | members | lost | down | together | rest: in | bytes | out | bytes | change: in | bytes | out | bytes | ms | a second: in | bytes | \
-         out | bytes | between keepers, bytes | a member, messages | bytes |\n\
+        "\nThe busiest control replica, messages and bytes between it and members, in and out: a second at rest before the change, without \
+         loss; and in one change, in all. Then a second of the change, with the bytes between all control replicas, and for each live member:\n\n\
+         | members | lost | down | barrier | rest: in | bytes | out | bytes | change: in | bytes | out | bytes | ms | a second: in | bytes | \
+         out | bytes | between control replicas, bytes | a member, messages | bytes |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for members in [10, 300, 1_000, 3_000, 5_800, 10_000].into_iter().filter(|members| *members <= most) {
-        for (lost, down, together) in [
+    for members in
+        [10, 300, 1_000, 3_000, 5_800, 10_000].into_iter().filter(|members| *members <= max_members)
+    {
+        for (lost, down, use_barrier) in [
             (0, false, false),
             (0, false, true),
             (100, false, false),
@@ -161,47 +176,51 @@
             (10, true, false),
             (10, true, true),
         ] {
-            let many = if members > 300 { (seeds / 10).max(2) } else { seeds };
+            let seed_count = if members > 300 { (seeds / 10).max(2) } else { seeds };
             let mut figures = Figures::default();
-            (1..=many).for_each(|seed| change(seed, members, lost, down, together, &mut figures));
+            (1..=seed_count)
+                .for_each(|seed| simulate_change(seed, members, lost, down, use_barrier, &mut figures));
             let share = if lost == 0 { 0.0 } else { 100.0 / lost as f64 };
             let mixed = figures.mixed.iter().max().copied().unwrap_or(0) as f64 / MS as f64;
-            let over = figures.gone_over.iter().max().copied().unwrap_or(0) as f64 / MS as f64;
-            let how = format!(
+            let max_activated_once =
+                figures.activated_once.iter().max().copied().unwrap_or(0) as f64 / MS as f64;
+            let label = format!(
                 "| {members} | {share:.0}% | {} | {}",
                 if down { "30%" } else { "0" },
-                if together { "yes" } else { "no" }
+                if use_barrier { "yes" } else { "no" }
             );
-            let (each, seconds) = (many as f64, figures.seconds);
+            let (each, seconds) = (seed_count as f64, figures.seconds);
             loads += &format!(
-                "{how} | {} | {} | {:.0} | {} | {:.0} | {:.1} | {:.0} |\n",
-                figures.rest.shown(each),
-                figures.during.shown(each),
+                "{label} | {} | {} | {:.0} | {} | {:.0} | {:.1} | {:.0} |\n",
+                figures.rest.format_per(each),
+                figures.during.format_per(each),
                 1000.0 * seconds / each,
-                figures.during.shown(seconds),
+                figures.during.format_per(seconds),
                 figures.between / seconds,
                 figures.messages / seconds,
                 figures.bytes / seconds
             );
             out += &format!(
-                "{how} | {} | {} | {over:.0} | {} | {mixed:.0} | {:.1} | {:.0} | {} of {many} |\n",
+                "{label} | {} | {} | {max_activated_once:.0} | {} | {mixed:.0} | {:.1} | {:.0} | {} of {seed_count} |\n",
                 spread(&mut figures.decided),
-                spread(&mut figures.everywhere),
-                figures.out,
-                figures.messages / many as f64,
-                figures.bytes / many as f64,
-                figures.wrong
+                spread(&mut figures.active_everywhere),
+                figures.out_count,
+                figures.messages / seed_count as f64,
+                figures.bytes / seed_count as f64,
+                figures.violations
             );
         }
     }
     out += &loads;
-    out += "\nHow often a fleet of 300 ends under two policies, of 1,000 seeds (a member refuses the text in one of five; whoever tells \
-            dies in the middle in one of ten; those that are down come back under what they had):\n\n\
+    out += "\nHow often a fleet of 300 ends under two policies, of 1,000 seeds (a member rejects the document in one of five; the sender \
+            dies midway in one of ten; members that are down restart under the policy that they had):\n\n\
             | way | lost 0, none down | lost 10%, none down | lost 10%, 30% down |\n| --- | --- | --- | --- |\n";
-    for (name, tries) in
-        [("each reads its file on a signal, sent once", 1), ("a push without agreement, three tries", 3)]
+    for (name, attempts) in
+        [("each reads its file on a signal, sent once", 1), ("a push without agreement, three attempts", 3)]
     {
-        let mixed = |lost, down| (0..1000).filter(|seed| plain(*seed, 300, lost, down, tries)).count();
+        let mixed = |lost, down| {
+            (0..1000).filter(|seed| is_mixed_without_agreement(*seed, 300, lost, down, attempts)).count()
+        };
         out += &format!("| {name} | {} | {} | {} |\n", mixed(0, false), mixed(10, false), mixed(10, true));
     }
     out
