--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -16,7 +16,7 @@
 /// Runs the `scale` experiment. Progress goes to stderr, so that the tables on stdout can be piped.
 fn run_scale(args: &ArgMatches) -> Result<(), String> {
     let sizes = args.get_many::<u64>("sizes").map(|sizes| sizes.copied().collect());
-    let asked = scale::Asked {
+    let options = scale::ScaleOptions {
         role: args.get_one::<String>("role").cloned(),
         sizes,
         seed: args.get_one::<u64>("seed").copied().unwrap_or(1),
@@ -26,7 +26,7 @@
         bar.set_style(style);
     }
     let started_at = Instant::now();
-    let report = scale::run(&asked, &mut |what| {
+    let report = scale::run(&options, &mut |what| {
         bar.set_message(what.to_string());
         bar.tick();
         // Without a terminal for the progress bar, each step is printed as a line.
--- a/crates/experiments/src/scale/events.rs
+++ b/crates/experiments/src/scale/events.rs
@@ -1,7 +1,7 @@
-//! What goes wrong at once, played on the gossip: one death, a rack, a zone that is lost and comes back.
+//! Gossip under simultaneous failures, simulated: one death, a rack, and a fifth of the members that is lost and restarts.
 
-use super::gossip::settled;
-use super::row::{How, Row};
+use super::gossip::start_settled;
+use super::row::{Measurement, MeasurementKind};
 use super::targets::TARGETS;
 use cypresscleat_forwarding::messages::MemberState;
 use cypresscleat_forwarding::simulation::Simulation;
@@ -10,91 +10,108 @@
 const ROLE: &str = "app-server";
 const LOSS: f64 = 0.01;
 
-/// Bytes in a second out of and into the busiest, while it lasts.
+/// Bytes that the busiest member sent and received in one second, over a period.
 #[derive(Default)]
 struct Peak {
     sent: Vec<u64>,
-    heard: Vec<u64>,
-    /// Of members that are no seeds.
-    most: (u64, u64),
-    /// Of the three seeds, which are asked for all that is known more than others are.
+    received: Vec<u64>,
+    /// Peak of members other than seeds.
+    members: (u64, u64),
+    /// Peak of the three seeds, which get more requests for the full member list than others.
     seeds: (u64, u64),
 }
 
-/// The net's first members are its seeds.
+/// The first members of the simulation are its seeds.
 const SEEDS: usize = 3;
 
 impl Peak {
-    fn of(world: &Simulation) -> Peak {
-        Peak { sent: world.sent.clone(), heard: world.received.clone(), ..Peak::default() }
+    fn start(simulation: &Simulation) -> Peak {
+        Peak { sent: simulation.sent.clone(), received: simulation.received.clone(), ..Peak::default() }
     }
-    /// A second has passed.
-    fn second(&mut self, world: &Simulation) {
-        let most = |now: &[u64], then: &[u64]| now.iter().zip(then).map(|(a, b)| a - b).max().unwrap_or(0);
-        let ((sent, heard), (had_sent, had_heard)) =
-            ((&world.sent, &world.received), (&self.sent, &self.heard));
-        self.seeds.0 = self.seeds.0.max(most(&sent[..SEEDS], &had_sent[..SEEDS]));
-        self.seeds.1 = self.seeds.1.max(most(&heard[..SEEDS], &had_heard[..SEEDS]));
-        self.most.0 = self.most.0.max(most(&sent[SEEDS..], &had_sent[SEEDS..]));
-        self.most.1 = self.most.1.max(most(&heard[SEEDS..], &had_heard[SEEDS..]));
-        self.sent.clone_from(&world.sent);
-        self.heard.clone_from(&world.received);
+    /// Records that a second has passed.
+    fn record_second(&mut self, simulation: &Simulation) {
+        let max_diff =
+            |now: &[u64], previous: &[u64]| now.iter().zip(previous).map(|(a, b)| a - b).max().unwrap_or(0);
+        let ((sent, received), (previous_sent, previous_received)) =
+            ((&simulation.sent, &simulation.received), (&self.sent, &self.received));
+        self.seeds.0 = self.seeds.0.max(max_diff(&sent[..SEEDS], &previous_sent[..SEEDS]));
+        self.seeds.1 = self.seeds.1.max(max_diff(&received[..SEEDS], &previous_received[..SEEDS]));
+        self.members.0 = self.members.0.max(max_diff(&sent[SEEDS..], &previous_sent[SEEDS..]));
+        self.members.1 = self.members.1.max(max_diff(&received[SEEDS..], &previous_received[SEEDS..]));
+        self.sent.clone_from(&simulation.sent);
+        self.received.clone_from(&simulation.received);
     }
 }
 
-/// Until all know, with the busiest member's seconds on the way; NaN after two minutes.
-fn plays(world: &mut Simulation, whom: &[usize], state: MemberState) -> (f64, Peak) {
-    let began = world.now;
-    let mut peak = Peak::of(world);
-    let mut all = f64::NAN;
-    while all.is_nan() && world.now < began + 120 * SECOND {
-        // One second in five looks; what is known in it is known at its end at the latest.
+/// Runs until all members agree on the state of `subjects`. Returns the time in milliseconds (NaN after two minutes) and the peak
+/// traffic meanwhile.
+fn run_until_all_agree(simulation: &mut Simulation, subjects: &[usize], state: MemberState) -> (f64, Peak) {
+    let started_at = simulation.now;
+    let mut peak = Peak::start(simulation);
+    let mut agreed_after_ms = f64::NAN;
+    while agreed_after_ms.is_nan() && simulation.now < started_at + 120 * SECOND {
+        // Checks five times a second; an agreement is observed at the next check at the latest.
         for _ in 0..5 {
-            let next = world.now + SECOND / 5;
-            world.run(next);
-            let others = world.alive_count() - usize::from(state == MemberState::Alive);
-            if all.is_nan() && whom.iter().all(|at| world.count_agreeing(*at, state) >= others) {
-                all = (world.now - began) as f64 / (SECOND as f64 / 1e3);
+            let next = simulation.now + SECOND / 5;
+            simulation.run(next);
+            let expected = simulation.alive_count() - usize::from(state == MemberState::Alive);
+            if agreed_after_ms.is_nan()
+                && subjects.iter().all(|at| simulation.count_agreeing(*at, state) >= expected)
+            {
+                agreed_after_ms = (simulation.now - started_at) as f64 / (SECOND as f64 / 1e3);
             }
         }
-        peak.second(world);
+        peak.record_second(simulation);
     }
-    (all, peak)
+    (agreed_after_ms, peak)
 }
 
-pub fn rows(sizes: &[u64], seed: u64, tell: &mut dyn FnMut(&str)) -> Vec<Row> {
+pub fn rows(sizes: &[u64], seed: u64, progress: &mut dyn FnMut(&str)) -> Vec<Measurement> {
     let mut rows = Vec::new();
     for &size in sizes {
-        let many = size as usize;
-        let events = [("one death", 1), ("a rack of 40", TARGETS.rack as usize), ("a fifth", many / 5)];
-        for (name, gone) in events.into_iter().filter(|(_, gone)| *gone > 0 && gone * 2 < many) {
-            tell(&format!("{name} of {size} members"));
+        let member_count = size as usize;
+        let events =
+            [("one death", 1), ("a rack of 40", TARGETS.rack as usize), ("a fifth", member_count / 5)];
+        for (name, failed_count) in events
+            .into_iter()
+            .filter(|(_, failed_count)| *failed_count > 0 && failed_count * 2 < member_count)
+        {
+            progress(&format!("{name} of {size} members"));
             let mut add = |metric: &str, value: f64, unit: &str| {
                 let metric = format!("gossip, {name}: {metric} by members, loss 1%");
-                rows.push(Row::new(ROLE, size, &metric, value, unit, How::Simulated));
+                rows.push(Measurement::new(ROLE, size, &metric, value, unit, MeasurementKind::Simulated));
             };
-            let (mut world, _) = settled(many, LOSS, seed);
-            let rest = plays_at_rest(&mut world);
+            let (mut simulation, _) = start_settled(member_count, LOSS, seed);
+            let rest = peak_at_rest(&mut simulation);
             let peaks = |peak: &Peak, when: &str, add: &mut dyn FnMut(&str, f64, &str)| {
-                add(&format!("busiest second of any but seeds, bytes out{when}"), peak.most.0 as f64, "B/s");
-                add(&format!("busiest second of any but seeds, bytes in{when}"), peak.most.1 as f64, "B/s");
+                add(
+                    &format!("busiest second of any but seeds, bytes out{when}"),
+                    peak.members.0 as f64,
+                    "B/s",
+                );
+                add(
+                    &format!("busiest second of any but seeds, bytes in{when}"),
+                    peak.members.1 as f64,
+                    "B/s",
+                );
                 add(&format!("busiest second of a seed, bytes out{when}"), peak.seeds.0 as f64, "B/s");
                 add(&format!("busiest second of a seed, bytes in{when}"), peak.seeds.1 as f64, "B/s");
             };
             if name == "one death" {
                 peaks(&rest, " before it", &mut add);
             }
-            // Seeds stay, or who comes back knows nobody to ask.
-            let whom: Vec<usize> = (many - gone..many).collect();
-            whom.iter().for_each(|at| world.kill(*at));
-            let (all, peak) = plays(&mut world, &whom, MemberState::Dead);
-            add("until all know", all, "ms");
+            // Seeds stay alive, so that restarted members have a seed to join through.
+            let subjects: Vec<usize> = (member_count - failed_count..member_count).collect();
+            subjects.iter().for_each(|at| simulation.kill(*at));
+            let (agreed_after_ms, peak) = run_until_all_agree(&mut simulation, &subjects, MemberState::Dead);
+            add("until all know", agreed_after_ms, "ms");
             peaks(&peak, "", &mut add);
             if name == "a fifth" {
-                let now = world.now;
-                whom.iter().for_each(|at| world.start(*at, now, 2));
-                let (all, peak) = plays(&mut world, &whom, MemberState::Alive);
-                add("until all know that it is back", all, "ms");
+                let now = simulation.now;
+                subjects.iter().for_each(|at| simulation.start(*at, now, 2));
+                let (agreed_after_ms, peak) =
+                    run_until_all_agree(&mut simulation, &subjects, MemberState::Alive);
+                add("until all know that it is back", agreed_after_ms, "ms");
                 peaks(&peak, " as it comes back", &mut add);
             }
         }
@@ -102,13 +119,13 @@
     rows
 }
 
-/// The busiest member's busiest of five seconds, with nothing going on.
-fn plays_at_rest(world: &mut Simulation) -> Peak {
-    let mut peak = Peak::of(world);
+/// Peak traffic over five seconds at rest.
+fn peak_at_rest(simulation: &mut Simulation) -> Peak {
+    let mut peak = Peak::start(simulation);
     for _ in 0..5 {
-        let next = world.now + SECOND;
-        world.run(next);
-        peak.second(world);
+        let next = simulation.now + SECOND;
+        simulation.run(next);
+        peak.record_second(simulation);
     }
     peak
 }
--- a/crates/experiments/src/scale/fits.rs
+++ b/crates/experiments/src/scale/fits.rs
@@ -1,18 +1,18 @@
-//! Slopes: a line through what was measured, by least squares of the distances as parts of what was measured (sizes span factors of
-//! 30 to 1,000: by plain distances the largest size alone would count), and what it says of the size to design for. Where the line
-//! fits badly other shapes are tried and named. Nothing is rounded in our favour.
+//! Fits: a line through the measurements, by least squares of relative distances (sizes span factors of 30 to 1,000, so with absolute
+//! distances only the largest size would count), and its extrapolation to the target size. Where the line fits badly, other shapes are
+//! tried and named. Rounding never understates a cost.
 
-use super::row::{How, Row};
+use super::row::{Measurement, MeasurementKind};
 use super::targets::Targets;
 use serde::Serialize;
 
-/// Sizes at the least, and how many times the smallest the largest is.
-pub const SIZES: usize = 4;
-pub const SPAN: f64 = 30.0;
-/// A line whose worst residual is past this part of what was measured there fits badly.
-pub const BAD: f64 = 0.25;
+/// Minimum number of sizes, and minimum ratio of the largest to the smallest size.
+pub const MIN_SIZES: usize = 4;
+pub const MIN_SPAN: f64 = 30.0;
+/// A line whose worst relative residual is past this bound fits badly.
+pub const MAX_GOOD_RESIDUAL: f64 = 0.25;
 
-/// What the value is drawn against.
+/// The function of the size that the value is fitted against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
@@ -42,45 +42,45 @@
 pub struct Fit {
     pub role: String,
     pub metric: String,
-    /// Of the shape that is named below: value = intercept + slope × size, log2(size) or size².
+    /// Coefficients of `shape`: value = intercept + slope × size, log2(size) or size².
     pub slope: f64,
     pub intercept: f64,
-    /// The largest distance from what was measured, as a part of it.
+    /// The largest distance from a measurement, relative to the measurement.
     pub worst_residual: f64,
     pub largest_measured: u64,
-    /// At the size to design for: the shape there, lifted by what the largest measured size lay over it.
+    /// Value at the target size: the shape's value, raised by the ratio of the largest measurement to the shape.
     pub at_size: f64,
     pub budget: Option<f64>,
     pub fits: Option<bool>,
-    /// The size to design for.
+    /// The target size.
     pub size: u64,
-    /// Value at the size against the budget, rounded up: over 1 it does not fit.
+    /// Value at the target size divided by the budget, rounded up: a factor over 1 does not fit.
     pub factor: Option<f64>,
-    /// The size to design for against the largest measured.
+    /// The target size divided by the largest measured size.
     pub beyond: f64,
-    /// Of the line.
+    /// Verdict and worst residual of the line.
     pub fit: Verdict,
     pub line_residual: f64,
     pub shape: Shape,
     pub unit: String,
-    pub how: How,
-    /// Size and value, by size.
+    pub how: MeasurementKind,
+    /// Pairs of size and value, sorted by size.
     pub measured: Vec<(u64, f64)>,
 }
 
-/// A metric for which there are too few sizes, or over too small a span.
+/// A metric with too few sizes, or sizes over too small a span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unfitted {
     pub role: String,
     pub metric: String,
     pub unit: String,
-    pub how: How,
+    pub how: MeasurementKind,
     pub measured: Vec<(u64, f64)>,
 }
 
 /// Slope, intercept and worst residual by least squares of relative distances.
 pub fn least_squares(points: &[(f64, f64)]) -> (f64, f64, f64) {
-    // Against a measured 0 there is no part: the mean stands in for it.
+    // No distance is relative to a measured 0: the mean replaces it.
     let mean = points.iter().map(|(_, y)| y.abs()).sum::<f64>() / points.len().max(1) as f64;
     if mean == 0.0 {
         return (0.0, 0.0, 0.0);
@@ -100,7 +100,7 @@
     (slope, intercept, points.iter().map(residual).fold(0.0, f64::max))
 }
 
-/// How many times the budget, rounded up to hundredths: never in our favour.
+/// Value divided by budget, rounded up to hundredths so that a cost is never understated.
 pub fn factor(value: f64, budget: f64) -> f64 {
     let exact = value / budget;
     let rounded = (exact * 100.0).ceil() / 100.0;
@@ -111,25 +111,25 @@
     }
 }
 
-/// Where the largest measured size that is not past the size to design for lay over the shape, the size to design for is taken to
-/// lie over it by the same part; and it is never under what was measured there: a falling shape would at last promise less than
-/// nothing.
-fn lifted(
-    drawn: f64,
+/// Raises the extrapolated value. If the measurement at the largest size up to the target size is above the shape, the value at the
+/// target size is raised by the same ratio. The result is never below that measurement, as a falling shape would extrapolate to less
+/// than 0.
+fn raise_to_measured(
+    extrapolated: f64,
     (slope, intercept, shape): (f64, f64, Shape),
     size: u64,
     measured: &[(u64, f64)],
 ) -> f64 {
-    let Some((last, value)) = measured.iter().rev().find(|(at, _)| *at <= size) else { return drawn };
+    let Some((last, value)) = measured.iter().rev().find(|(at, _)| *at <= size) else { return extrapolated };
     let there = intercept + slope * shape.of(*last as f64);
     let over = if there > 0.0 && *value > there { value / there } else { 1.0 };
-    // A distance that is nothing but the rounding of the sums lifts nothing.
+    // A ratio that comes only from rounding raises nothing.
     let over = if over < 1.0 + 1e-9 { 1.0 } else { over };
-    (drawn * over).max(*value)
+    (extrapolated * over).max(*value)
 }
 
-/// What was measured of each role and metric in the order in which they came; of one size the mean.
-fn grouped(rows: &[Row]) -> Vec<Unfitted> {
+/// Groups the measurements by role and metric, in order of first appearance; several values at one size become their mean.
+fn group_by_metric(rows: &[Measurement]) -> Vec<Unfitted> {
     let mut out: Vec<Unfitted> = Vec::new();
     for row in rows {
         let same = |known: &&mut Unfitted| {
@@ -157,16 +157,16 @@
     out
 }
 
-/// A fit for each role and metric with sizes enough, and those without.
-pub fn fits(rows: &[Row], targets: &Targets) -> (Vec<Fit>, Vec<Unfitted>) {
+/// Fits each role and metric with enough sizes; the second list has the metrics that can't be fitted.
+pub fn fits(rows: &[Measurement], targets: &Targets) -> (Vec<Fit>, Vec<Unfitted>) {
     let (mut fitted, mut others) = (Vec::new(), Vec::new());
-    for one in grouped(rows) {
+    for one in group_by_metric(rows) {
         let (first, last) = match (one.measured.first(), one.measured.last()) {
             (Some(first), Some(last)) => (first.0.max(1) as f64, *last),
             _ => continue,
         };
         let finite = one.measured.iter().all(|(_, value)| value.is_finite());
-        if one.measured.len() < SIZES || (last.0 as f64) < first * SPAN || !finite {
+        if one.measured.len() < MIN_SIZES || (last.0 as f64) < first * MIN_SPAN || !finite {
             others.push(one);
             continue;
         }
@@ -177,7 +177,7 @@
         };
         let line = by(Shape::Line);
         let line_residual = line.1 .2;
-        let fit = if line_residual > BAD { Verdict::Bad } else { Verdict::Good };
+        let fit = if line_residual > MAX_GOOD_RESIDUAL { Verdict::Bad } else { Verdict::Good };
         let best = match fit {
             Verdict::Good => line,
             Verdict::Bad => [by(Shape::Log2), by(Shape::Square)].into_iter().fold(line, |best, next| {
@@ -190,9 +190,9 @@
         };
         let (shape, (slope, intercept, worst_residual)) = best;
         let size = targets.size(&one.metric);
-        let drawn = intercept + slope * shape.of(size as f64);
-        let at_size = lifted(drawn, (slope, intercept, shape), size, &one.measured);
-        let row = Row::new(&one.role, size, &one.metric, at_size, &one.unit, one.how);
+        let extrapolated = intercept + slope * shape.of(size as f64);
+        let at_size = raise_to_measured(extrapolated, (slope, intercept, shape), size, &one.measured);
+        let row = Measurement::new(&one.role, size, &one.metric, at_size, &one.unit, one.how);
         let budget = targets.budget(&row);
         fitted.push(Fit {
             slope,
--- a/crates/experiments/src/scale/heap.rs
+++ b/crates/experiments/src/scale/heap.rs
@@ -1,17 +1,17 @@
-//! Bytes on the heap, counted where the program's allocator counts; elsewhere nothing is told.
+//! Heap bytes, if the program uses the counting allocator; 0 otherwise.
 
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Bytes that are held now; 0 for ever where another allocator serves the program.
-pub fn held() -> u64 {
+/// Bytes allocated now; always 0 if the program uses another allocator.
+pub fn allocated_bytes() -> u64 {
     let all = INSTRUMENTED_SYSTEM.stats();
-    // What is reallocated counts among both already.
+    // Both counters include reallocated bytes.
     all.bytes_allocated.saturating_sub(all.bytes_deallocated) as u64
 }
 
-/// What `make` makes, and the bytes that it holds.
-pub fn of<T>(make: impl FnOnce() -> T) -> (T, f64) {
-    let before = held();
+/// Calls `make`; returns its result and the heap bytes that the result holds.
+pub fn measure<T>(make: impl FnOnce() -> T) -> (T, f64) {
+    let before = allocated_bytes();
     let made = make();
-    (made, held().saturating_sub(before) as f64)
+    (made, allocated_bytes().saturating_sub(before) as f64)
 }
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 pub mod rig;
 pub mod tier;
 
-use super::row::Row;
+use super::row::Measurement;
 use rig::{Limits, Program};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,7 +22,7 @@
 pub const CONFIG: &str = include_str!("../../../demo/config.json");
 
 /// What one part gives: its rows, a line for whoever waits.
-type Part = fn(&Program, &Limits, &[u64], &mut dyn FnMut(&str)) -> Result<Vec<Row>, String>;
+type Part = fn(&Program, &Limits, &[u64], &mut dyn FnMut(&str)) -> Result<Vec<Measurement>, String>;
 
 /// The parts, by the role whose process they measure.
 const PARTS: [(&str, Part); 6] = [
@@ -37,7 +37,11 @@
 /// Measures one role, or all of them, at these sizes. `tell` is given a line for each step.
 ///
 /// The program is `CYPRESSCLEAT_SERVER`, or `cypresscleat-server` beside this one's own file.
-pub fn rows(role: Option<&str>, sizes: &[u64], tell: &mut dyn FnMut(&str)) -> Result<Vec<Row>, String> {
+pub fn rows(
+    role: Option<&str>,
+    sizes: &[u64],
+    tell: &mut dyn FnMut(&str),
+) -> Result<Vec<Measurement>, String> {
     let (program, limits) = (Program::find()?, Limits::read()?);
     tell(&format!("hollow: {} with {limits}", program.path.display()));
     let mut all = Vec::new();
--- a/crates/experiments/src/scale/hollow/keeper.rs
+++ b/crates/experiments/src/scale/hollow/keeper.rs
@@ -4,7 +4,7 @@
 use super::members::{Crowd, What};
 use super::rig::{Limits, Program, Quorum, Spent};
 use super::{told, Count, HEADERS};
-use crate::scale::row::{How, Row};
+use crate::scale::row::{Measurement, MeasurementKind};
 use hdrhistogram::Histogram;
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -29,7 +29,7 @@
     limits: &Limits,
     sizes: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in sizes.iter().copied() {
         if !limits.allow(size, 1, EACH) {
@@ -61,11 +61,11 @@
 }
 
 /// Rows of what went between a crowd and the keeper that leads, in a time: in all at the keeper, and for each instance.
-fn traffic(rows: &mut Vec<Row>, size: u64, of: &str, by: &str, count: Count, span: Duration) {
+fn traffic(rows: &mut Vec<Measurement>, size: u64, of: &str, by: &str, count: Count, span: Duration) {
     let (span, each) = (span.as_secs_f64(), size.max(1) as f64);
     let mut put = |role: &str, metric: &str, many: f64, unit: &str| {
         let metric = format!("{of} {metric} by {by}");
-        rows.push(Row::new(role, size, &metric, many / span, unit, How::Hollow));
+        rows.push(Measurement::new(role, size, &metric, many / span, unit, MeasurementKind::Hollow));
     };
     // What goes out of the instances comes in at the keeper.
     for (keeper, own, messages, bytes) in
@@ -94,7 +94,7 @@
     crowd: &Crowd,
     (size, of, by): (u64, &str, &str),
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
 ) -> Result<(), String> {
     for _ in 0..AGAIN {
         let leader = crowd.books.leader().ok_or("no keeper has answered")?;
@@ -107,7 +107,7 @@
         }
         let mut put = |what: &str, value: f64, unit: &str| {
             let metric = format!("{of} {what} at rest by {by}");
-            rows.push(Row::new("keeper", size, &metric, value, unit, How::Hollow));
+            rows.push(Measurement::new("keeper", size, &metric, value, unit, MeasurementKind::Hollow));
         };
         put("cores", now.seconds_since(&spent) / span.as_secs_f64(), "cores");
         put("memory", now.resident as f64, "B");
@@ -140,11 +140,11 @@
 }
 
 impl Changed {
-    pub fn rows(&self, rows: &mut Vec<Row>, size: u64, change: &str) {
+    pub fn rows(&self, rows: &mut Vec<Measurement>, size: u64, change: &str) {
         let ms = |micros: u64| micros as f64 / 1e3;
         let mut put = |name: &str, value: f64, unit: &str| {
             let metric = format!("{change}: {name} by members");
-            rows.push(Row::new("app-server", size, &metric, value, unit, How::Hollow));
+            rows.push(Measurement::new("app-server", size, &metric, value, unit, MeasurementKind::Hollow));
         };
         put("time to in force p50", ms(self.times.value_at_quantile(0.5)), "ms");
         put("time to in force p99", ms(self.times.value_at_quantile(0.99)), "ms");
@@ -179,7 +179,7 @@
     quorum: &Quorum,
     what: What,
     (size, rest): (u64, Duration),
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<Crowd, String> {
     let crowd = Crowd::start(what, size, &quorum.set)?;
@@ -197,7 +197,14 @@
     };
     tell(&format!("hollow: {size} {by} have begun after {} ms", took.as_millis()));
     let metric = format!("{of}: time until all that start at once have begun by {by}");
-    rows.push(Row::new("keeper", size, &metric, took.as_secs_f64() * 1e3, "ms", How::Hollow));
+    rows.push(Measurement::new(
+        "keeper",
+        size,
+        &metric,
+        took.as_secs_f64() * 1e3,
+        "ms",
+        MeasurementKind::Hollow,
+    ));
     // What comes with the beginning is over, but for rests that only count messages.
     sleep(rest.min(Duration::from_secs(2)));
     Ok(crowd)
@@ -208,7 +215,7 @@
     program: &Program,
     size: u64,
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
@@ -227,7 +234,14 @@
         let count = crowd.books.count(None).since(&before);
         changed.rows(rows, size, name);
         let mut put = |role: &str, what: &str, value: f64, unit: &str| {
-            rows.push(Row::new(role, size, &format!("{name}: {what} by members"), value, unit, How::Hollow));
+            rows.push(Measurement::new(
+                role,
+                size,
+                &format!("{name}: {what} by members"),
+                value,
+                unit,
+                MeasurementKind::Hollow,
+            ));
         };
         // The busiest of the three, by each: the one that leads, unless another does from the middle on.
         let most = |of: &dyn Fn(&Spent, &Spent, SocketAddr) -> f64| {
@@ -256,13 +270,13 @@
         ));
     }
     let out = crowd.books.out() as f64;
-    rows.push(Row::new(
+    rows.push(Measurement::new(
         "app-server",
         size,
         "rollout: times out of service by members",
         out,
         "times",
-        How::Hollow,
+        MeasurementKind::Hollow,
     ));
     crowd.end()
 }
@@ -272,7 +286,7 @@
     program: &Program,
     size: u64,
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
@@ -285,7 +299,7 @@
 pub fn killed(
     program: &Program,
     size: u64,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
@@ -299,10 +313,17 @@
     changed.rows(rows, size, "change of 0.1 KiB, the keeper that leads killed in it");
     let metric =
         "change of 0.1 KiB, the keeper that leads killed in it: in force before it was killed by members";
-    rows.push(Row::new("app-server", size, metric, changed.had as f64, "members", How::Hollow));
+    rows.push(Measurement::new(
+        "app-server",
+        size,
+        metric,
+        changed.had as f64,
+        "members",
+        MeasurementKind::Hollow,
+    ));
     let out = crowd.books.out() as f64;
     let metric = "change of 0.1 KiB, the keeper that leads killed in it: times out of service by members";
-    rows.push(Row::new("app-server", size, metric, out, "times", How::Hollow));
+    rows.push(Measurement::new("app-server", size, metric, out, "times", MeasurementKind::Hollow));
     tell(&format!("hollow: keeper killed at {size} members: {} ms", changed.span.as_millis()));
     crowd.end()
 }
--- a/crates/experiments/src/scale/hollow/load.rs
+++ b/crates/experiments/src/scale/hollow/load.rs
@@ -3,7 +3,7 @@
 
 use super::rig::{Limits, Program, Quorum, Spent};
 use super::{guarded, told, CONFIG};
-use crate::scale::row::{How, Row};
+use crate::scale::row::{Measurement, MeasurementKind};
 use cypresscleat_demo::{request, unix_ms, Kernel, Place, Router};
 use hdrhistogram::Histogram;
 use serde_json::json;
@@ -165,7 +165,7 @@
     _: &Limits,
     _: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     let done = guarded(|| forwards(program, &RATES, SPAN, &mut rows, tell));
     told(done, "a forwarder under load", tell);
@@ -176,7 +176,7 @@
     program: &Program,
     rates: &[u64],
     span: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let worker = worker(program, "w", "", 1024);
@@ -201,13 +201,13 @@
         let through = run(place.server)?;
         let now = Spent::of(place.id());
         let mut put = |what: &str, value: f64, unit: &str| {
-            rows.push(Row::new(
+            rows.push(Measurement::new(
                 "forwarder",
                 rate,
                 &format!("{what} by invocations a second"),
                 value,
                 unit,
-                How::Real,
+                MeasurementKind::Real,
             ));
         };
         let ms = |found: &Found, part: f64| found.took.value_at_quantile(part) as f64 / 1e3;
@@ -256,7 +256,7 @@
     limits: &Limits,
     sizes: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     let done = guarded(|| control(program, 2 * REST, &mut rows, tell));
     told(done, "an app server's share for control", tell);
@@ -275,7 +275,7 @@
 fn control(
     program: &Program,
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     for (name, on) in [("off", false), ("on", true)] {
@@ -295,7 +295,7 @@
         let cores = now.seconds_since(&spent) / span;
         let mut put = |what: &str, value: f64, unit: &str| {
             let metric = format!("{what} at rest without callers, rollout {name}, by app servers");
-            rows.push(Row::new("app-server", 1, &metric, value, unit, How::Real));
+            rows.push(Measurement::new("app-server", 1, &metric, value, unit, MeasurementKind::Real));
         };
         put("cores", cores, "cores");
         put("memory", now.resident as f64, "B");
@@ -309,7 +309,7 @@
 fn callers(
     program: &Program,
     size: u64,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let place = worker(program, "callers", "", (size * 3).max(1024));
@@ -332,7 +332,14 @@
     let (span, now) = (began.elapsed().as_secs_f64(), Spent::of(place.id()));
     let cores = now.seconds_since(&spent) / span;
     let mut put = |what: &str, value: f64, unit: &str| {
-        rows.push(Row::new("app-server", size, &format!("{what} by idle callers"), value, unit, How::Real));
+        rows.push(Measurement::new(
+            "app-server",
+            size,
+            &format!("{what} by idle callers"),
+            value,
+            unit,
+            MeasurementKind::Real,
+        ));
     };
     put("cores", cores, "cores");
     put("memory", now.resident as f64, "B");
--- a/crates/experiments/src/scale/hollow/relays.rs
+++ b/crates/experiments/src/scale/hollow/relays.rs
@@ -5,7 +5,7 @@
 use super::members::{Crowd, What};
 use super::rig::{Limits, Program, Quorum, Spent};
 use super::{told, Count, HEADERS};
-use crate::scale::row::{How, Row};
+use crate::scale::row::{Measurement, MeasurementKind};
 use crate::scale::targets::TARGETS;
 use cypresscleat_fault_injection::{free_port, Process};
 use cypresscleat_server::leases::ControlReplicas;
@@ -20,7 +20,7 @@
     limits: &Limits,
     sizes: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in sizes.iter().copied() {
         if !limits.allow(size, 1, EACH) {
@@ -52,7 +52,7 @@
 }
 
 impl Fleet {
-    fn start(program: &Program, size: u64, rows: &mut Vec<Row>) -> Result<Fleet, String> {
+    fn start(program: &Program, size: u64, rows: &mut Vec<Measurement>) -> Result<Fleet, String> {
         let quorum = Quorum::start(program)?;
         let in_zone = TARGETS.app_servers / TARGETS.zones;
         let many = (size / in_zone).clamp(1, TARGETS.zones);
@@ -123,9 +123,9 @@
     }
 }
 
-fn put(rows: &mut Vec<Row>, role: &str, size: u64, what: &str, value: f64, unit: &str) {
+fn put(rows: &mut Vec<Measurement>, role: &str, size: u64, what: &str, value: f64, unit: &str) {
     let metric = format!("rollout through relays: {what} by members");
-    rows.push(Row::new(role, size, &metric, value, unit, How::Hollow));
+    rows.push(Measurement::new(role, size, &metric, value, unit, MeasurementKind::Hollow));
 }
 
 /// The most that any process spent of its processor between two looks, in cores.
@@ -139,7 +139,7 @@
     program: &Program,
     size: u64,
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut fleet = Fleet::start(program, size, rows)?;
@@ -210,7 +210,7 @@
 fn killed(
     program: &Program,
     size: u64,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut fleet = Fleet::start(program, size, &mut Vec::new())?;
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -6,7 +6,7 @@
 
 use super::rig::{Limits, Program, Spent};
 use super::{guarded, told, Flow, CONFIG};
-use crate::scale::row::{How, Row};
+use crate::scale::row::{Measurement, MeasurementKind};
 use cypresscleat_demo::Place;
 use cypresscleat_fault_injection::free_port;
 use cypresscleat_forwarding::grants::{GrantHeader, GrantTable, GRANT_RENEWAL_INTERVAL};
@@ -44,7 +44,7 @@
     limits: &Limits,
     sizes: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in fits(limits, sizes, tell) {
         let done = guarded(|| plans(program, (size, WORKERS), REST, &mut rows, tell));
@@ -63,7 +63,7 @@
     limits: &Limits,
     sizes: &[u64],
     tell: &mut dyn FnMut(&str),
-) -> Result<Vec<Row>, String> {
+) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in fits(limits, sizes, tell) {
         let done = guarded(|| gossips(program, size, REST, &mut rows, tell));
@@ -374,7 +374,7 @@
     program: &Program,
     (forwarders, workers): (u64, u64),
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let real = free_port();
@@ -415,7 +415,14 @@
         tell(&format!("hollow: planner, {forwarders} forwarders and {workers} workers: {what}"));
     }
     let mut put = |role: &str, what: &str, value: f64, unit: &str| {
-        rows.push(Row::new(role, size, &format!("{what} {by}"), value, unit, How::Hollow));
+        rows.push(Measurement::new(
+            role,
+            size,
+            &format!("{what} {by}"),
+            value,
+            unit,
+            MeasurementKind::Hollow,
+        ));
     };
     let cores = now.seconds_since(&spent) / span;
     put("planner", "cores", cores, "cores");
@@ -454,7 +461,7 @@
     program: &Program,
     size: u64,
     rest: Duration,
-    rows: &mut Vec<Row>,
+    rows: &mut Vec<Measurement>,
     tell: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let real = free_port();
@@ -474,7 +481,7 @@
         let count = crowd.books.gossip.count().since(&before);
         let mut put = |what: &str, value: f64, unit: &str| {
             let metric = format!("gossip {when}: {what} by members");
-            rows.push(Row::new("forwarder", size, &metric, value, unit, How::Hollow));
+            rows.push(Measurement::new("forwarder", size, &metric, value, unit, MeasurementKind::Hollow));
         };
         let cores = now.seconds_since(&spent) / span;
         put("cores, without traffic", cores, "cores");
--- a/crates/experiments/src/scale/limits.rs
+++ b/crates/experiments/src/scale/limits.rs
@@ -1,12 +1,13 @@
-//! The machine's limits as they are: read and told, not worked round.
+//! The machine's limits: read and reported, never raised.
 
 use std::fs;
 
+/// Limits that apply to this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
     pub descriptors: Option<u64>,
     pub processes: Option<u64>,
-    /// Bytes, all and those that can be had.
+    /// Memory in bytes: total, and available.
     pub memory: Option<u64>,
     pub available: Option<u64>,
 }
@@ -31,19 +32,20 @@
         }
     }
 
-    /// Bytes that a run may take: half of what there is, and no more than can be had.
+    /// Bytes that a run may use: half of the total memory, and at most the available memory.
     pub fn bytes(&self) -> u64 {
         let half = self.memory.map_or(u64::MAX, |bytes| bytes / 2);
         half.min(self.available.unwrap_or(u64::MAX))
     }
 
-    pub fn told(&self) -> String {
-        let told = |value: Option<u64>| value.map_or("unknown".to_string(), |value| value.to_string());
-        let mib = |value: Option<u64>| told(value.map(|value| value >> 20));
+    pub fn describe(&self) -> String {
+        let format_value =
+            |value: Option<u64>| value.map_or("unknown".to_string(), |value| value.to_string());
+        let mib = |value: Option<u64>| format_value(value.map(|value| value >> 20));
         format!(
-            "descriptors {}, processes {}, memory {} MiB, of which {} MiB can be had",
-            told(self.descriptors),
-            told(self.processes),
+            "descriptors {}, processes {}, memory {} MiB, of which {} MiB available",
+            format_value(self.descriptors),
+            format_value(self.processes),
             mib(self.memory),
             mib(self.available)
         )
--- a/crates/experiments/src/scale/row.rs
+++ b/crates/experiments/src/scale/row.rs
@@ -1,36 +1,43 @@
-//! What was measured at which size: the one shape in which every part of `scale` gives its figures.
+//! A measured value at a size: the common format for the results of all parts of `scale`.
 
 use serde::Serialize;
 
-/// How a figure came about.
+/// How a value was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum How {
+pub enum MeasurementKind {
     /// Real processes of the program, on loopback.
     Real,
-    /// Many instances in one process: real deciders, real messages over real sockets, no work below.
+    /// Simulated instances, many in one process: real decision code, real messages over real sockets, no work behind them.
     Hollow,
-    /// Real deciders in simulated time, or a decider alone with its own time measured.
+    /// Real decision code in simulated time, or the processor time of the decision code alone.
     Simulated,
 }
 
-/// One measured figure.
+/// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
-    /// Whose figure it is: `app-server`, `forwarder`, `planner`, `keeper`, `relay`, ...
+pub struct Measurement {
+    /// The measured role: `app-server`, `forwarder`, `planner`, `keeper`, `relay`, ...
     pub role: String,
-    /// How many of what the metric grows with were there.
+    /// Count of what the metric is measured against.
     pub size: u64,
-    /// Its name says what it is of and what the size counts, as `gossip bytes out by members`.
+    /// Name of the metric and of what the size counts, such as `gossip bytes out by members`.
     pub metric: String,
     pub value: f64,
     /// `B/s`, `messages/s`, `us`, `ms`, `B`, `cores`.
     pub unit: String,
-    pub how: How,
+    pub how: MeasurementKind,
 }
 
-impl Row {
-    pub fn new(role: &str, size: u64, metric: &str, value: f64, unit: &str, how: How) -> Row {
-        Row { role: role.into(), size, metric: metric.into(), value, unit: unit.into(), how }
+impl Measurement {
+    pub fn new(
+        role: &str,
+        size: u64,
+        metric: &str,
+        value: f64,
+        unit: &str,
+        how: MeasurementKind,
+    ) -> Measurement {
+        Measurement { role: role.into(), size, metric: metric.into(), value, unit: unit.into(), how }
     }
 }
--- a/crates/experiments/src/scale/table.rs
+++ b/crates/experiments/src/scale/table.rs
@@ -1,21 +1,21 @@
 //! The tables of docs/CAPACITY.md.
 
 use super::fits::{Fit, Shape, Unfitted, Verdict};
-use super::row::How;
+use super::row::MeasurementKind;
 use super::Report;
 
-fn how(how: How) -> &'static str {
-    match how {
-        How::Real => "real",
-        How::Hollow => "hollow",
-        How::Simulated => "simulated",
+fn kind_name(kind: MeasurementKind) -> &'static str {
+    match kind {
+        MeasurementKind::Real => "real",
+        MeasurementKind::Hollow => "hollow",
+        MeasurementKind::Simulated => "simulated",
     }
 }
 
-/// Three figures that count.
+/// Formats a value to three significant digits.
 pub fn figure(value: f64) -> String {
     if !value.is_finite() {
-        return "not within the play".into();
+        return "not within the simulation".into();
     }
     if value == 0.0 {
         return "0".into();
@@ -37,7 +37,7 @@
     all.join("; ")
 }
 
-/// A factor is shown as it is, hundredths rounded up already.
+/// Formats the verdict. The factor was already rounded up to hundredths.
 fn verdict(fit: &Fit) -> String {
     match (fit.fits, fit.factor) {
         (Some(true), Some(factor)) => format!("fits, {factor:.2} of it"),
@@ -77,7 +77,7 @@
         fit.size,
         fit.budget.map_or("-".into(), figure),
         verdict(fit),
-        how(fit.how),
+        kind_name(fit.how),
         fit.beyond
     )
 }
@@ -89,11 +89,11 @@
         one.metric,
         one.unit,
         measured(&one.measured),
-        how(one.how)
+        kind_name(one.how)
     )
 }
 
-/// Per role a table of what has a slope, then what has none.
+/// A table of the fitted metrics for each role, then a table of the metrics without a fit.
 pub fn table(report: &Report) -> String {
     let mut out = format!(
         "Made by `cypresscleat-experiments scale --table`, seed {}. Residual: the worst distance of the shape from what was measured, as a \
@@ -114,7 +114,7 @@
         report.fits.iter().filter(|fit| fit.role == role).map(row).for_each(|row| out += &row);
     }
     if !report.unfitted.is_empty() {
-        out += "\n### Measured, without a slope\n\nFewer than four sizes, a span under a factor of 30, or no end within the play.\n\n\
+        out += "\n### Measured, without a slope\n\nFewer than four sizes, a span under a factor of 30, or no end within the simulation.\n\n\
                 | role | metric | unit | measured, by size | how |\n| --- | --- | --- | --- | --- |\n";
         report.unfitted.iter().map(plain).for_each(|row| out += &row);
     }
--- a/crates/experiments/src/scale/targets.rs
+++ b/crates/experiments/src/scale/targets.rs
@@ -1,31 +1,31 @@
-//! The size to design for, as the users stated it, and what a figure may cost at it.
+//! The target size, as stated by the users, and the budgets at that size.
 
-use super::row::Row;
+use super::row::Measurement;
 
-/// The users' figures, and the sizes that follow from them.
+/// The users' requirements, and the sizes that follow from them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Targets {
     pub app_servers: u64,
-    /// Machines set aside for control; they are members as the app servers are.
+    /// Machines reserved for control; these are members, as are the app servers.
     pub control_machines: u64,
     pub callers: u64,
     pub services: u64,
     pub requests_a_second: f64,
     pub routes: u64,
     pub tenants: u64,
-    /// Added to a request for 99 in 100.
+    /// Latency added to a request, at the 99th percentile.
     pub added_ms: f64,
     pub regions: u64,
     pub zones: u64,
     pub changes_a_day: f64,
     pub in_force_ms: f64,
-    /// What an app server may spend on control: part of a core, bytes, bytes a second.
+    /// Budget of an app server for control: share of a core, bytes of memory, bytes a second.
     pub cores: f64,
     pub memory: f64,
     pub bytes_a_second: f64,
     pub failures_a_day: f64,
     pub restarts_a_day: f64,
-    /// Machines of a rack, and of a zone.
+    /// Machines in a rack, and in a zone.
     pub rack: u64,
     pub zone: u64,
 }
@@ -58,7 +58,7 @@
         86_400.0 / self.changes_a_day
     }
 
-    /// What a metric's size counts, by its name (`... by members, ...`), and how many of it there are to be. Other names are of app
+    /// The target size of a metric, by what its name counts (`... by members, ...`). Metrics that name nothing known count app
     /// servers.
     pub fn size(&self, metric: &str) -> u64 {
         let counted = metric.rsplit(" by ").next().unwrap_or("");
@@ -74,11 +74,12 @@
         }
     }
 
-    /// What a figure may be: the users' budgets; of an answer in one datagram what one carries; of a keeper, a planner and a
-    /// forwarder, each on one thread, one core. Times of a single decision are held against the whole time that may be added to a
-    /// request. `None` where nobody stated any.
-    pub fn budget(&self, row: &Row) -> Option<f64> {
-        // Of all that are played at once, no role's own; and of seeds, which the operator may set on machines for control.
+    /// The budget of a value: the users' budgets; for a response in one datagram the maximum datagram size; for a control replica, a
+    /// planner and a forwarder, which are single-threaded, one core. The time of a single decision is compared with the whole latency
+    /// that may be added to a request. `None` if there is no budget.
+    pub fn budget(&self, row: &Measurement) -> Option<f64> {
+        // No budget for the wall time of a whole simulation, which isn't one role's own cost, and for seeds, which operators may place on
+        // machines for control.
         if row.metric.contains("wall of the whole play") || row.metric.contains("of a seed") {
             return None;
         }
@@ -91,8 +92,8 @@
             "B/s" if own && control => Some(self.bytes_a_second),
             "cores" if own => Some(self.cores),
             "cores" => Some(1.0),
-            "B" if row.metric.contains("one datagram") => Some(DATAGRAM),
-            "entries" if row.metric.contains("one datagram") => Some(ENTRIES),
+            "B" if row.metric.contains("one datagram") => Some(MAX_DATAGRAM_BYTES),
+            "entries" if row.metric.contains("one datagram") => Some(MAX_ENTRIES),
             "B" if own && row.metric.contains("in all") => Some(self.memory),
             "ms" if row.metric.contains("in force") => Some(self.in_force_ms),
             "ms" if row.metric.contains("added") => Some(self.added_ms),
@@ -102,7 +103,7 @@
     }
 }
 
-/// Bytes of a UDP datagram over IPv4 at the most: less than the 64 KiB of [`cypresscleat_forwarding::messages::MAX_MESSAGE_BYTES`].
-pub const DATAGRAM: f64 = 65_507.0;
-/// Grants in one answer, sights in one report.
-pub const ENTRIES: f64 = cypresscleat_forwarding::messages::MAX_GRANTS as f64;
+/// Maximum payload bytes of a UDP datagram over IPv4: less than the 64 KiB of [`cypresscleat_forwarding::messages::MAX_MESSAGE_BYTES`].
+pub const MAX_DATAGRAM_BYTES: f64 = 65_507.0;
+/// Maximum grants in one response, and observations in one report.
+pub const MAX_ENTRIES: f64 = cypresscleat_forwarding::messages::MAX_GRANTS as f64;
--- a/crates/experiments/src/scale/tenants.rs
+++ b/crates/experiments/src/scale/tenants.rs
@@ -1,6 +1,6 @@
-//! What a route and a tenant cost an app server: bytes, and time of a decision.
+//! The cost of routes and tenants for an app server: bytes, and time of a decision.
 
-use super::row::{How, Row};
+use super::row::{Measurement, MeasurementKind};
 use super::{heap, timed};
 use cypresscleat_scgi::request::{self, Reader};
 use cypresscleat_scheduler::*;
@@ -10,14 +10,14 @@
 
 const ROLE: &str = "app-server";
 
-/// Takes what the module asks for: what is to run, and when it wants to look up again.
+/// Records the scheduler's commands: the request to run, and the delay until the next tick.
 #[derive(Default)]
-struct Taken {
+struct RecordingHost {
     run: Option<RequestSlot>,
-    wake: Time,
+    next_tick: Time,
 }
 
-impl Host for Taken {
+impl Host for RecordingHost {
     fn run(&mut self, inv: RequestSlot) {
         self.run = Some(inv);
     }
@@ -32,7 +32,7 @@
     fn send_load_feedback(&mut self, _: f64) {}
     fn close_idle_connections(&mut self, _: Time) {}
     fn set_timer(&mut self, after: Time) {
-        self.wake = after;
+        self.next_tick = after;
     }
     fn log(&mut self, _: &SchedulerEvent) {}
     fn release(&mut self, _: RequestSlot) {}
@@ -69,21 +69,28 @@
     format!("tenant-{at:06}")
 }
 
-pub fn tenants(sizes: &[u64], seed: u64, tell: &mut dyn FnMut(&str)) -> Vec<Row> {
+pub fn tenants(sizes: &[u64], seed: u64, progress: &mut dyn FnMut(&str)) -> Vec<Measurement> {
     let mut rows = Vec::new();
     for &size in sizes {
-        tell(&format!("tenants, {size}"));
+        progress(&format!("tenants, {size}"));
         let mut add = |metric: &str, value: f64, unit: &str| {
-            rows.push(Row::new(ROLE, size, &format!("{metric} by tenants"), value, unit, How::Simulated));
+            rows.push(Measurement::new(
+                ROLE,
+                size,
+                &format!("{metric} by tenants"),
+                value,
+                unit,
+                MeasurementKind::Simulated,
+            ));
         };
-        let mut host = Taken::default();
+        let mut host = RecordingHost::default();
         let set = settings(size, seed);
-        let began = Instant::now();
-        let (mut scheduler, held) = heap::of(|| Scheduler::start(0, set, &mut host));
-        add("tenants, start of the decisions", began.elapsed().as_secs_f64() * 1e3, "ms");
-        let (names, named) = heap::of(|| (0..size).map(name).collect::<Vec<String>>());
-        if held > 0.0 {
-            add("tenants, shares and names, bytes in all", held + named, "B");
+        let started_at = Instant::now();
+        let (mut scheduler, heap_bytes) = heap::measure(|| Scheduler::start(0, set, &mut host));
+        add("tenants, start of the decisions", started_at.elapsed().as_secs_f64() * 1e3, "ms");
+        let (names, name_bytes) = heap::measure(|| (0..size).map(name).collect::<Vec<String>>());
+        if heap_bytes > 0.0 {
+            add("tenants, shares and names, bytes in all", heap_bytes + name_bytes, "B");
         }
         let (mut now, mut turn) = (0, 0u64);
         let cycle = timed(|| {
@@ -104,13 +111,13 @@
         });
         add("tenants, a decision with its part of the ticks", cycle, "us");
         let tick = timed(|| {
-            now += host.wake.max(1);
+            now += host.next_tick.max(1);
             scheduler.tick(now, Gauges::default(), &mut host);
         });
         add("tenants, the periodic look", tick, "us");
-        let span = host.wake.max(1) as f64 * 100.0;
+        let span = host.next_tick.max(1) as f64 * 100.0;
         add("tenants, the periodic look, processor time", tick / span, "cores");
-        let found = named_last(size, &names);
+        let found = time_last_tenant(size, &names);
         add("tenants, a decision's tenant found by its name, the last one", found, "us");
     }
     rows
@@ -131,8 +138,8 @@
     }
 }
 
-/// Microseconds of reading a gateway's request that names the last of all tenants.
-fn named_last(tenants: u64, names: &[String]) -> f64 {
+/// Microseconds to read a gateway's request that names the last tenant in the table.
+fn time_last_tenant(tenants: u64, names: &[String]) -> f64 {
     let customer = HeaderOr { header: Some("HTTP_X_TENANT".into()), default_value: None };
     let routes = Routes::new(vec![route("/".into(), customer)], names);
     let tenant = name(tenants.saturating_sub(1));
@@ -155,25 +162,32 @@
     })
 }
 
-pub fn routes(sizes: &[u64], tell: &mut dyn FnMut(&str)) -> Vec<Row> {
+pub fn routes(sizes: &[u64], progress: &mut dyn FnMut(&str)) -> Vec<Measurement> {
     let mut rows = Vec::new();
     for &size in sizes {
-        tell(&format!("routes, {size}"));
+        progress(&format!("routes, {size}"));
         let mut add = |metric: &str, value: f64, unit: &str| {
-            rows.push(Row::new(ROLE, size, &format!("{metric} by routes"), value, unit, How::Simulated));
+            rows.push(Measurement::new(
+                ROLE,
+                size,
+                &format!("{metric} by routes"),
+                value,
+                unit,
+                MeasurementKind::Simulated,
+            ));
         };
         let path = |at: u64| format!("/service-{:04}/operation-{at:05}", at % 5_200);
-        let began = Instant::now();
-        let (routes, held) = heap::of(|| {
+        let started_at = Instant::now();
+        let (routes, heap_bytes) = heap::measure(|| {
             let all = (0..size).map(|at| route(path(at), HeaderOr { header: None, default_value: None }));
             Routes::new(all.collect(), &[])
         });
-        add("routes, table made", began.elapsed().as_secs_f64() * 1e3, "ms");
-        if held > 0.0 {
-            add("routes, bytes in all", held, "B");
+        add("routes, table made", started_at.elapsed().as_secs_f64() * 1e3, "ms");
+        if heap_bytes > 0.0 {
+            add("routes, bytes in all", heap_bytes, "B");
         }
         let mut turn = 0u64;
-        let asked: Vec<String> = (0..64)
+        let paths: Vec<String> = (0..64)
             .map(|_| {
                 turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
                 path(turn % size.max(1)) + "/item"
@@ -181,8 +195,8 @@
             .collect();
         let mut at = 0;
         let mean = timed(|| {
-            at = (at + 1) % asked.len();
-            std::hint::black_box(routes.find(&asked[at], "GET").is_ok());
+            at = (at + 1) % paths.len();
+            std::hint::black_box(routes.find(&paths[at], "GET").is_ok());
         });
         add("routes, a decision's route found, any of them", mean, "us");
         let none = timed(|| {
--- a/crates/experiments/src/scale/tier.rs
+++ b/crates/experiments/src/scale/tier.rs
@@ -1,7 +1,7 @@
-//! What forwarders and planners say to each other and hold, by workers: the real messages as they are written, the real tables.
+//! Messages and tables of forwarders and planners, by workers: the real messages as encoded, and the real tables.
 
-use super::row::{How, Row};
-use super::targets::DATAGRAM;
+use super::row::{Measurement, MeasurementKind};
+use super::targets::MAX_DATAGRAM_BYTES;
 use super::{heap, timed};
 use cypresscleat_forwarding::capacity_plan::CapacityPlan;
 use cypresscleat_forwarding::load_balancer::{AttemptOutcome, LoadBalancer};
@@ -11,12 +11,12 @@
 use cypresscleat_forwarding::node_id;
 use std::time::Instant;
 
-/// Operations in a report.
-const OPERATIONS: u16 = 8;
+/// Request classes in a report.
+const CLASSES: u16 = 8;
 /// Forwarders that report to a planner while it plans.
 const FORWARDERS: u64 = 20;
-/// Reports and grants in a second.
-const TIMES: f64 = 2.0;
+/// Reports and grants a second.
+const RATE_PER_SECOND: f64 = 2.0;
 
 fn worker(at: u64) -> u64 {
     node_id(&format!("worker-{at}"))
@@ -24,7 +24,7 @@
 
 fn report(workers: u64) -> LoadReport {
     let demand = |class| Demand { class, rate: 123.4, queued: 17, weight: 1.5 };
-    let sight = |at| WorkerObservation {
+    let observation = |at| WorkerObservation {
         worker: worker(at),
         in_flight: 40,
         ended: 345.6,
@@ -33,8 +33,8 @@
     };
     LoadReport {
         number: 100_000,
-        demands: (0..OPERATIONS).map(demand).collect(),
-        observations: (0..workers).map(sight).collect(),
+        demands: (0..CLASSES).map(demand).collect(),
+        observations: (0..workers).map(observation).collect(),
         epoch: 1 << 20,
     }
 }
@@ -45,24 +45,24 @@
     Message::Grants { epoch: 1 << 20, number: 100_000, report: 100_000, duration: 20_000, grants }
 }
 
-/// Bytes of a message on its way; `None` where it is too long to be written.
+/// Encoded bytes of a message; `None` if the message is too long to encode.
 fn bytes(message: Message) -> Option<f64> {
     let envelope = Envelope { from: worker(1_000_000), incarnation: 1, updates: Vec::new(), message };
     let mut out = Vec::new();
     encode(&mut out, &envelope).then_some(out.len() as f64)
 }
 
-/// Bytes of a report with a sight of each of so many workers, and of grants on each.
-pub fn written(workers: u64) -> (Option<f64>, Option<f64>) {
+/// Encoded bytes of a report with an observation of each of `workers`, and of grants for each.
+pub fn encoded_sizes(workers: u64) -> (Option<f64>, Option<f64>) {
     (bytes(Message::Report(report(workers))), bytes(grants(workers)))
 }
 
-/// The most workers for which it is written and goes into one datagram.
-pub fn most(of: impl Fn(u64) -> Option<f64>) -> u64 {
+/// The maximum number of workers for which the message fits in one datagram.
+pub fn max_workers(of: impl Fn(u64) -> Option<f64>) -> u64 {
     let (mut fits, mut fails) = (0, 1 << 20);
     while fits + 1 < fails {
         let middle = (fits + fails) / 2;
-        match of(middle).is_some_and(|bytes| bytes <= DATAGRAM) {
+        match of(middle).is_some_and(|bytes| bytes <= MAX_DATAGRAM_BYTES) {
             true => fits = middle,
             false => fails = middle,
         }
@@ -70,21 +70,33 @@
     fits
 }
 
-pub fn messages(sizes: &[u64], tell: &mut dyn FnMut(&str)) -> Vec<Row> {
+pub fn messages(sizes: &[u64], progress: &mut dyn FnMut(&str)) -> Vec<Measurement> {
     let mut rows = Vec::new();
     let mut add = |role: &str, size: u64, metric: &str, value: f64, unit: &str| {
-        rows.push(Row::new(role, size, metric, value, unit, How::Simulated));
+        rows.push(Measurement::new(role, size, metric, value, unit, MeasurementKind::Simulated));
     };
     for &size in sizes {
-        tell(&format!("messages, {size} workers"));
-        let (report, grants) = written(size);
+        progress(&format!("messages, {size} workers"));
+        let (report, grants) = encoded_sizes(size);
         if let Some(bytes) = report {
             add("forwarder", size, "report, bytes in one datagram by workers", bytes, "B");
-            add("forwarder", size, "report, bytes out to a planner by workers", TIMES * bytes, "B/s");
+            add(
+                "forwarder",
+                size,
+                "report, bytes out to a planner by workers",
+                RATE_PER_SECOND * bytes,
+                "B/s",
+            );
         }
         if let Some(bytes) = grants {
             add("planner", size, "grants, bytes in one datagram by workers", bytes, "B");
-            add("planner", size, "grants, bytes out to a forwarder by workers", TIMES * bytes, "B/s");
+            add(
+                "planner",
+                size,
+                "grants, bytes out to a forwarder by workers",
+                RATE_PER_SECOND * bytes,
+                "B/s",
+            );
         }
         add("planner", size, "grants, entries in one datagram by workers", size as f64, "entries");
         add("forwarder", size, "report, entries in one datagram by workers", size as f64, "entries");
@@ -92,8 +104,9 @@
     if sizes.is_empty() {
         return rows;
     }
-    tell("messages, the bounds");
-    let (report, grants) = (most(|many| written(many).0), most(|many| written(many).1));
+    progress("messages, maximum sizes");
+    let (report, grants) =
+        (max_workers(|workers| encoded_sizes(workers).0), max_workers(|workers| encoded_sizes(workers).1));
     add("forwarder", report, "report, workers at which a datagram is full", report as f64, "workers");
     add("planner", grants, "grants, workers at which a datagram is full", grants as f64, "workers");
     add(
@@ -106,24 +119,31 @@
     rows
 }
 
-pub fn tables(sizes: &[u64], seed: u64, tell: &mut dyn FnMut(&str)) -> Vec<Row> {
+pub fn tables(sizes: &[u64], seed: u64, progress: &mut dyn FnMut(&str)) -> Vec<Measurement> {
     let mut rows = Vec::new();
     for &size in sizes {
-        tell(&format!("tables, {size} workers"));
+        progress(&format!("tables, {size} workers"));
         let mut add = |role: &str, metric: &str, value: f64, unit: &str| {
-            rows.push(Row::new(role, size, &format!("{metric} by workers"), value, unit, How::Simulated));
+            rows.push(Measurement::new(
+                role,
+                size,
+                &format!("{metric} by workers"),
+                value,
+                unit,
+                MeasurementKind::Simulated,
+            ));
         };
-        let began = Instant::now();
-        let (mut routes, held) = heap::of(|| {
+        let started_at = Instant::now();
+        let (mut routes, heap_bytes) = heap::measure(|| {
             let mut routes = LoadBalancer::new(seed);
             (0..size).for_each(|at| routes.set_worker(0, worker(at), 50.0, true));
             routes
         });
-        add("forwarder", "table, made of none", began.elapsed().as_secs_f64() * 1e3, "ms");
-        if held > 0.0 {
-            add("forwarder", "table, bytes in all", held, "B");
+        add("forwarder", "table, made of none", started_at.elapsed().as_secs_f64() * 1e3, "ms");
+        if heap_bytes > 0.0 {
+            add("forwarder", "table, bytes in all", heap_bytes, "B");
         }
-        let mut ends = |subject: fn(u64) -> Option<u64>| {
+        let mut time_decision = |subject: fn(u64) -> Option<u64>| {
             let mut turn = 0u64;
             timed(|| {
                 turn = turn.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -133,19 +153,24 @@
                 }
             })
         };
-        let (drawn, home) = (ends(|_| None), ends(Some));
+        let (drawn, home) = (time_decision(|_| None), time_decision(Some));
         add("forwarder", "table, a decision without a subject", drawn, "us");
         add("forwarder", "table, a decision with a subject", home, "us");
-        let looks = timed(|| routes.tick(20));
-        add("forwarder", "table, a look at all", looks, "us");
+        let tick_us = timed(|| routes.tick(20));
+        add("forwarder", "table, a look at all", tick_us, "us");
 
         let mut plan = CapacityPlan::default();
         (0..size).for_each(|at| plan.set_worker(worker(at), 50.0));
         (0..FORWARDERS)
             .for_each(|from| plan.record_report(0, node_id(&format!("forwarder-{from}")), report(size)));
-        let gives = timed(|| drop(std::hint::black_box(plan.grants())));
-        add("planner", "plan for 20 forwarders, processor time of grants", gives, "us");
-        add("planner", "plan for 20 forwarders, processor time twice a second", gives * TIMES / 1e6, "cores");
+        let grants_us = timed(|| drop(std::hint::black_box(plan.grants())));
+        add("planner", "plan for 20 forwarders, processor time of grants", grants_us, "us");
+        add(
+            "planner",
+            "plan for 20 forwarders, processor time twice a second",
+            grants_us * RATE_PER_SECOND / 1e6,
+            "cores",
+        );
     }
     rows
 }
--- a/crates/experiments/tests/hollow.rs
+++ b/crates/experiments/tests/hollow.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_experiments::scale::hollow::rig::{Limits, Program};
 use cypresscleat_experiments::scale::hollow::{keeper, tier};
-use cypresscleat_experiments::scale::row::{How, Row};
+use cypresscleat_experiments::scale::row::{Measurement, MeasurementKind};
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
@@ -34,13 +34,15 @@
     Program { path }
 }
 
-fn value(rows: &[Row], role: &str, size: u64, metric: &str) -> f64 {
+fn value(rows: &[Measurement], role: &str, size: u64, metric: &str) -> f64 {
     let found = rows.iter().find(|row| row.role == role && row.size == size && row.metric == metric);
     found.unwrap_or_else(|| panic!("no {metric:?} of {role} at {size} in {rows:#?}")).value
 }
 
 /// All sizes at once.
-fn at_all_sizes(measure: impl Fn(&Program, u64, &mut Vec<Row>) -> Result<(), String> + Sync) -> Vec<Row> {
+fn at_all_sizes(
+    measure: impl Fn(&Program, u64, &mut Vec<Measurement>) -> Result<(), String> + Sync,
+) -> Vec<Measurement> {
     let (program, measure) = (program(), &measure);
     std::thread::scope(|scope| {
         let run = |size: u64| {
@@ -57,7 +59,7 @@
 }
 
 /// Measures until what is judged is good, so many times at the most; the last word counts.
-fn holds(measure: impl Fn() -> Vec<Row>, judge: impl Fn(&[Row]) -> Result<(), String>) {
+fn holds(measure: impl Fn() -> Vec<Measurement>, judge: impl Fn(&[Measurement]) -> Result<(), String>) {
     for left in (0..TRIES).rev() {
         match judge(&measure()) {
             Ok(()) => return,
@@ -68,7 +70,12 @@
 }
 
 /// The size of a message does not grow with the instances, nor do the messages of one of them, by the role's rows of both.
-fn stays(rows: &[Row], role: &str, (messages, bytes): (&str, &str), each: bool) -> Result<(), String> {
+fn stays(
+    rows: &[Measurement],
+    role: &str,
+    (messages, bytes): (&str, &str),
+    each: bool,
+) -> Result<(), String> {
     let size_of = |size| value(rows, role, size, bytes) / value(rows, role, size, messages);
     let (least, sizes) = (size_of(SIZES[0]), SIZES.map(size_of));
     if !least.is_finite() || sizes.iter().any(|one| *one > least * MORE) {
@@ -111,7 +118,7 @@
                 }
             }
         }
-        assert!(rows.iter().all(|row| row.how == How::Hollow && row.value.is_finite()));
+        assert!(rows.iter().all(|row| row.how == MeasurementKind::Hollow && row.value.is_finite()));
         Ok(())
     });
 }
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -1,25 +1,27 @@
-//! What grows with size, counted: messages, bytes and entries at three sizes, each slope held against the one on record; nothing is
-//! judged by time. And the lines themselves: what they give back, when they are called bad, how factors are rounded.
-
-use cypresscleat_experiments::scale::fits::{factor, fits, least_squares, Fit, Shape, Verdict, BAD};
-use cypresscleat_experiments::scale::row::{How, Row};
-use cypresscleat_experiments::scale::targets::{Targets, DATAGRAM, TARGETS};
+//! Costs that grow with size: messages, bytes and entries are counted at three sizes, and each slope is compared with its recorded
+//! bound; no check depends on time. Also tests the fits: recovered coefficients, bad fits, rounding of factors.
+
+use cypresscleat_experiments::scale::fits::{
+    factor, fits, least_squares, Fit, Shape, Verdict, MAX_GOOD_RESIDUAL,
+};
+use cypresscleat_experiments::scale::row::{Measurement, MeasurementKind};
+use cypresscleat_experiments::scale::targets::{Targets, MAX_DATAGRAM_BYTES, TARGETS};
 use cypresscleat_experiments::scale::{gossip, keepers, table, tier, Report};
 use proptest::prelude::*;
 
-/// Slope and intercept of what `figure` counts at three sizes.
-fn slope(sizes: [usize; 3], figure: impl Fn(usize) -> f64) -> f64 {
-    let points: Vec<(f64, f64)> = sizes.iter().map(|size| (*size as f64, figure(*size))).collect();
+/// Slope of the values that `measure` returns at three sizes.
+fn slope(sizes: [usize; 3], measure: impl Fn(usize) -> f64) -> f64 {
+    let points: Vec<(f64, f64)> = sizes.iter().map(|size| (*size as f64, measure(*size))).collect();
     least_squares(&points).0
 }
 
-fn holds(name: &str, slope: f64, bound: f64) {
+fn check_slope(name: &str, slope: f64, bound: f64) {
     println!("{name}: {slope:.4} for each more");
-    assert!(slope <= bound, "{name} grows by {slope:.4} with each more; {bound} is on record");
+    assert!(slope <= bound, "{name} grows by {slope:.4} with each more; the recorded bound is {bound}");
 }
 
 #[test]
-fn what_gossip_costs_grows_no_faster_than_on_record() {
+fn gossip_cost_grows_no_faster_than_recorded() {
     let sizes = [10, 30, 90];
     let all = sizes.map(|many| gossip::at_rest(many, 0.01, 1).1);
     let of = |at: usize| {
@@ -27,55 +29,57 @@
             sizes.iter().zip(&all).map(|(size, figures)| (*size as f64, figures[at])).collect();
         least_squares(&points).0
     };
-    holds("messages a second", of(0), 0.01);
-    holds("bytes a second", of(1), 2.6);
-    holds("entries", of(2), 1.000_001);
-    holds("bytes a second after all have started", of(3), 10.0);
+    check_slope("messages a second", of(0), 0.01);
+    check_slope("bytes a second", of(1), 2.6);
+    check_slope("entries", of(2), 1.000_001);
+    check_slope("bytes a second after all have started", of(3), 10.0);
 }
 
 #[test]
-fn what_a_change_costs_the_keepers_grows_no_faster_than_on_record() {
+fn the_cost_of_a_change_at_control_replicas_grows_no_faster_than_recorded() {
     let all: Vec<keepers::Change> =
         [10, 30, 90].iter().map(|many| keepers::change(*many, 0, 1024, 1)).collect();
     let of = |of: &dyn Fn(&keepers::Change) -> f64| {
         let points: Vec<(f64, f64)> = [10.0, 30.0, 90.0].into_iter().zip(all.iter().map(of)).collect();
         least_squares(&points).0
     };
-    holds("messages a second at rest", of(&|done| done.rest[0] + done.rest[2]), 4.1);
-    holds("bytes a second at rest", of(&|done| done.rest[1] + done.rest[3]), 88.0);
-    holds("messages of a change's first second", of(&|done| done.first[0] + done.first[2]), 12.5);
-    holds("bytes of a change's first second", of(&|done| done.first[1] + done.first[3]), 1_300.0);
-    assert!(all.iter().all(|done| done.all), "a change was not in force everywhere");
+    check_slope("messages a second at rest", of(&|done| done.rest[0] + done.rest[2]), 4.1);
+    check_slope("bytes a second at rest", of(&|done| done.rest[1] + done.rest[3]), 88.0);
+    check_slope("messages of a change's first second", of(&|done| done.first[0] + done.first[2]), 12.5);
+    check_slope("bytes of a change's first second", of(&|done| done.first[1] + done.first[3]), 1_300.0);
+    assert!(all.iter().all(|done| done.all), "a change was not active everywhere");
 }
 
 #[test]
-fn what_sessions_cost_the_keepers_grows_no_faster_than_on_record() {
+fn the_cost_of_sessions_at_control_replicas_grows_no_faster_than_recorded() {
     let of = |at: usize| {
         slope([10, 30, 90], |many| {
             let all = keepers::sessions(many, 1);
             all[at] + all[at + 2]
         })
     };
-    holds("messages a second", of(0), 4.1);
-    holds("bytes a second", of(1), 70.0);
+    check_slope("messages a second", of(0), 4.1);
+    check_slope("bytes a second", of(1), 70.0);
 }
 
 #[test]
-fn what_forwarders_and_planners_write_grows_no_faster_than_on_record() {
-    let report = slope([30, 300, 2_000], |many| tier::written(many as u64).0.unwrap_or(f64::INFINITY));
-    let grants = slope([30, 300, 2_000], |many| tier::written(many as u64).1.unwrap_or(f64::INFINITY));
-    holds("a report's bytes", report, 23.0);
-    holds("grants' bytes", grants, 11.0);
-    // The bounds that they run into, as they are.
-    let most = tier::most(|many| tier::written(many).0);
-    assert!(tier::written(most).0.is_some_and(|bytes| bytes <= DATAGRAM));
-    assert!(tier::written(most + 1).0.is_none_or(|bytes| bytes > DATAGRAM));
+fn encoded_reports_and_grants_grow_no_faster_than_recorded() {
+    let report = slope([30, 300, 2_000], |many| tier::encoded_sizes(many as u64).0.unwrap_or(f64::INFINITY));
+    let grants = slope([30, 300, 2_000], |many| tier::encoded_sizes(many as u64).1.unwrap_or(f64::INFINITY));
+    check_slope("a report's bytes", report, 23.0);
+    check_slope("grants' bytes", grants, 11.0);
+    // The maximum sizes that fit in a datagram.
+    let max_workers = tier::max_workers(|many| tier::encoded_sizes(many).0);
+    assert!(tier::encoded_sizes(max_workers).0.is_some_and(|bytes| bytes <= MAX_DATAGRAM_BYTES));
+    assert!(tier::encoded_sizes(max_workers + 1).0.is_none_or(|bytes| bytes > MAX_DATAGRAM_BYTES));
 }
 
-fn rows(metric: &str, points: &[(u64, f64)]) -> Vec<Row> {
+fn rows(metric: &str, points: &[(u64, f64)]) -> Vec<Measurement> {
     points
         .iter()
-        .map(|(size, value)| Row::new("app-server", *size, metric, *value, "B/s", How::Simulated))
+        .map(|(size, value)| {
+            Measurement::new("app-server", *size, metric, *value, "B/s", MeasurementKind::Simulated)
+        })
         .collect()
 }
 
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn a_figure_that_never_came_gives_no_fit() {
+fn a_value_that_is_not_finite_gives_no_fit() {
     let points = [(30, 1.0), (100, 2.0), (300, 3.0), (1_000, f64::NAN)];
     assert!(fits(&rows("gossip bytes by members", &points), &TARGETS).0.is_empty());
 }
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn the_size_to_design_for_goes_by_what_the_metric_counts() {
+fn the_target_size_depends_on_what_the_metric_counts() {
     let size = |metric: &str| TARGETS.size(metric);
     assert_eq!(size("a tenant found by its name by tenants"), 660_000);
     assert_eq!(size("bytes by routes"), 67_000);
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn json_and_tables_say_the_same() {
+fn json_and_tables_have_the_same_results() {
     let rows =
         rows("gossip bytes by members", &[(30, 150.0), (100, 500.0), (300, 1_500.0), (1_000, 5_000.0)]);
     let (fits, unfitted) = fits(&rows, &TARGETS);
@@ -154,7 +158,7 @@
 
 proptest! {
     #[test]
-    fn a_lines_own_points_give_back_its_slope_and_intercept(
+    fn points_on_a_line_give_its_slope_and_intercept(
         slope in 0.01f64..1e4, intercept in 0.0f64..1e4, first in 1u64..1_000, step in 2u64..6,
     ) {
         let points: Vec<(u64, f64)> =
@@ -166,7 +170,7 @@
         prop_assert!(fit.worst_residual < 1e-6 && fit.fit == Verdict::Good && fit.shape == Shape::Line);
     }
 
-    /// Flat to a point, then a hundred times and more at the next: no line comes near all of it.
+    /// Constant up to a size, then at least a hundred times as much at the next size: no line fits all points.
     #[test]
     fn a_broken_line_is_called_bad(low in 1.0f64..100.0, times in 100f64..1e4, broken in 2usize..4) {
         let sizes = [30, 100, 300, 1_000, 3_000];
@@ -176,25 +180,25 @@
             .map(|(at, size)| (*size, if at < broken { low } else { low * times }))
             .collect();
         let fit = only(&points);
-        prop_assert!(fit.fit == Verdict::Bad && fit.line_residual > BAD, "{fit:?}");
+        prop_assert!(fit.fit == Verdict::Bad && fit.line_residual > MAX_GOOD_RESIDUAL, "{fit:?}");
         prop_assert!(fit.worst_residual <= fit.line_residual);
     }
 
     #[test]
-    fn a_factor_is_never_rounded_in_our_favour(value in 1e-6f64..1e12, budget in 1e-3f64..1e9) {
-        let told = factor(value, budget);
-        prop_assert!(told >= value / budget && told <= value / budget + 0.0201 + 1e-9 * value / budget);
-        prop_assert!(value <= budget || told > 1.0);
+    fn a_factor_is_never_rounded_down(value in 1e-6f64..1e12, budget in 1e-3f64..1e9) {
+        let rounded = factor(value, budget);
+        prop_assert!(rounded >= value / budget && rounded <= value / budget + 0.0201 + 1e-9 * value / budget);
+        prop_assert!(value <= budget || rounded > 1.0);
     }
 
     #[test]
-    fn a_factor_just_over_is_told_as_over(budget in 1e-3f64..1e9) {
+    fn a_factor_just_over_the_budget_stays_over(budget in 1e-3f64..1e9) {
         prop_assert!(factor(budget * (1.0 + 1e-12), budget) > 1.0);
     }
 
-    /// What lay over the shape at the largest size is not lost at the size to design for.
+    /// A measurement above the shape at the largest size raises the value at the target size.
     #[test]
-    fn the_size_to_design_for_is_never_under_what_was_measured(
+    fn the_value_at_the_target_size_is_never_below_the_measured_one(
         values in proptest::collection::vec(0.1f64..1e6, 4..6),
     ) {
         let sizes = [30u64, 100, 300, 1_000, 3_000];
