--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -1,7 +1,8 @@
-//! Hollow instances: many in one process, each with the real deciders and the real messages over real sockets of loopback, against real
-//! processes of the program, without work below. What is measured is the real process's own, or is counted at the hollow side.
+//! Simulated instances: many in one process, each with the real decision code and real messages over loopback sockets, against real
+//! server processes, without work behind them. Costs are measured at the real process or counted at the simulated instances.
 //!
-//! Bytes are those of the datagrams; headers of IP and UDP are counted beside them, as `header bytes`. Between keepers nothing is counted.
+//! Byte counts are those of datagrams; IP and UDP headers are counted separately, as `header bytes`. Traffic between control replicas is not
+//! counted.
 
 pub mod keeper;
 pub mod load;
@@ -21,10 +22,10 @@
 /// The configuration that app servers and forwarders start from.
 pub const CONFIG: &str = include_str!("../../../demo/config.json");
 
-/// What one part gives: its rows, a line for whoever waits.
+/// Measures one part; reports progress line by line.
 type Part = fn(&Program, &Limits, &[u64], &mut dyn FnMut(&str)) -> Result<Vec<Measurement>, String>;
 
-/// The parts, by the role whose process they measure.
+/// The parts, each with the role whose process it measures.
 const PARTS: [(&str, Part); 6] = [
     ("keeper", keeper::rows),
     ("relay", relays::rows),
@@ -34,39 +35,39 @@
     ("app-server", load::app_server),
 ];
 
-/// Measures one role, or all of them, at these sizes. `tell` is given a line for each step.
+/// Measures one role, or all roles, at these sizes. Calls `progress` with a line for each step.
 ///
-/// The program is `CYPRESSCLEAT_SERVER`, or `cypresscleat-server` beside this one's own file.
+/// The program is `CYPRESSCLEAT_SERVER`, or `cypresscleat-server` in the folder of this program.
 pub fn rows(
     role: Option<&str>,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let (program, limits) = (Program::find()?, Limits::read()?);
-    tell(&format!("hollow: {} with {limits}", program.path.display()));
+    progress(&format!("hollow: {} with {limits}", program.path.display()));
     let mut all = Vec::new();
     for (_, part) in PARTS.iter().filter(|(name, _)| role.is_none_or(|role| role == *name)) {
-        all.extend(part(&program, &limits, sizes, tell)?);
+        all.extend(part(&program, &limits, sizes, progress)?);
     }
     Ok(all)
 }
 
-/// What could not be measured is told; other sizes go on.
-fn told(done: Result<(), String>, what: &str, tell: &mut dyn FnMut(&str)) {
-    if let Err(error) = done {
-        tell(&format!("hollow: NOT MEASURED in full: {what}: {error}"));
+/// Reports a failed measurement; other sizes are still measured.
+fn report_failure(result: Result<(), String>, what: &str, progress: &mut dyn FnMut(&str)) {
+    if let Err(error) = result {
+        progress(&format!("hollow: NOT MEASURED in full: {what}: {error}"));
     }
 }
 
-/// Stand-ins give up by a panic, with what they waited for.
+/// Converts a panic into an error: the test doubles panic when a wait fails.
 fn guarded(measure: impl FnOnce() -> Result<(), String>) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(measure)).unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
-        Err(text.unwrap_or_else(|| "a stand-in gave up".into()))
+        Err(text.unwrap_or_else(|| "a test double panicked".into()))
     })
 }
 
-/// What went out of the hollow instances and came in, seen from them.
+/// Messages and bytes that simulated instances sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     pub messages_out: u64,
@@ -95,7 +96,7 @@
     }
 }
 
-/// The same, counted by several threads.
+/// The same counts, updated by several threads.
 #[derive(Debug, Default)]
 pub struct Flow {
     messages_out: AtomicU64,
@@ -105,7 +106,7 @@
 }
 
 impl Flow {
-    pub fn notes(&self, size: usize, goes_out: bool) {
+    pub fn record(&self, size: usize, goes_out: bool) {
         let (messages, bytes) = match goes_out {
             true => (&self.messages_out, &self.bytes_out),
             false => (&self.messages_in, &self.bytes_in),
--- a/crates/experiments/src/scale/hollow/keeper.rs
+++ b/crates/experiments/src/scale/hollow/keeper.rs
@@ -1,26 +1,26 @@
-//! A keeper that leads, before hollow members of a rollout and before hollow owners: at rest, in a change, and where it is killed in the
-//! middle of one.
+//! A leading control replica with simulated rollout members and simulated lease owners: at rest, during a change, and where the leader
+//! is killed during a change.
 
-use super::members::{Crowd, What};
+use super::members::{InstanceGroup, InstanceKind};
 use super::rig::{Limits, Program, Quorum, Spent};
-use super::{told, Count, HEADERS};
+use super::{report_failure, Count, HEADERS};
 use crate::scale::row::{Measurement, MeasurementKind};
 use hdrhistogram::Histogram;
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Length of what is measured at rest.
+/// Duration of the measurement at rest.
 pub const REST: Duration = Duration::from_secs(6);
-/// Instances that have not begun by then are told, and nothing is measured with them.
+/// Maximum time until all instances have joined; afterwards the size is reported and not measured.
 pub const JOIN: Duration = Duration::from_secs(30);
-/// A change is followed for so long.
+/// Maximum time to wait for a change.
 const CHANGE: Duration = Duration::from_secs(20);
-/// Members among which a keeper is killed in a change.
+/// Number of members for the test that kills the leader during a change.
 const KILLED_AT: u64 = 300;
-/// Bytes of memory that are reckoned for one hollow instance.
+/// Estimated bytes of memory for one simulated instance.
 pub const EACH: u64 = 16 * 1024;
-/// Longest time that is told apart, in microseconds.
+/// Maximum recorded time, in microseconds.
 const MICROS: u64 = 60_000_000;
 const TICK: Duration = Duration::from_millis(5);
 
@@ -28,27 +28,27 @@
     program: &Program,
     limits: &Limits,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in sizes.iter().copied() {
         if !limits.allow(size, 1, EACH) {
-            tell(&format!("hollow: {size} members are left out: past {limits}"));
+            progress(&format!("hollow: {size} members are left out: past {limits}"));
             continue;
         }
-        let done = members(program, size, REST, &mut rows, tell);
-        told(done, &format!("{size} members"), tell);
-        let done = owners(program, size, REST, &mut rows, tell);
-        told(done, &format!("{size} sessions"), tell);
+        let done = members(program, size, REST, &mut rows, progress);
+        report_failure(done, &format!("{size} members"), progress);
+        let done = owners(program, size, REST, &mut rows, progress);
+        report_failure(done, &format!("{size} sessions"), progress);
     }
     if sizes.contains(&KILLED_AT) {
-        let done = killed(program, KILLED_AT, &mut rows, tell);
-        told(done, &format!("a keeper killed at {KILLED_AT} members"), tell);
+        let done = killed(program, KILLED_AT, &mut rows, progress);
+        report_failure(done, &format!("control replica killed at {KILLED_AT} members"), progress);
     }
     Ok(rows)
 }
 
-/// Waits until `done`, or for so long; what it took, if it came.
+/// Waits until `done` returns true, at most `within`. Returns the time it took, or `None`.
 pub fn wait(within: Duration, mut done: impl FnMut() -> bool) -> Option<Duration> {
     let began = Instant::now();
     while began.elapsed() < within {
@@ -60,14 +60,14 @@
     None
 }
 
-/// Rows of what went between a crowd and the keeper that leads, in a time: in all at the keeper, and for each instance.
+/// Adds the traffic between the instances and the leader: totals at the leader, and for each instance.
 fn traffic(rows: &mut Vec<Measurement>, size: u64, of: &str, by: &str, count: Count, span: Duration) {
     let (span, each) = (span.as_secs_f64(), size.max(1) as f64);
     let mut put = |role: &str, metric: &str, many: f64, unit: &str| {
         let metric = format!("{of} {metric} by {by}");
         rows.push(Measurement::new(role, size, &metric, many / span, unit, MeasurementKind::Hollow));
     };
-    // What goes out of the instances comes in at the keeper.
+    // Messages sent by the instances are received by the leader.
     for (keeper, own, messages, bytes) in
         [("in", "out", count.messages_out, count.bytes_out), ("out", "in", count.messages_in, count.bytes_in)]
     {
@@ -82,27 +82,28 @@
 }
 
 fn process(quorum: &mut Quorum, address: SocketAddr) -> Result<u32, String> {
-    quorum.keeper(address).and_then(|keeper| keeper.id()).ok_or("the keeper that leads is not known".into())
+    quorum.keeper(address).and_then(|keeper| keeper.id()).ok_or("the process of the leader is unknown".into())
 }
 
-/// How often a measurement at rest begins anew where another keeper leads in the middle of it.
-const AGAIN: usize = 3;
+/// Maximum attempts of a measurement at rest; an attempt in which the leader changes is repeated.
+const MAX_ATTEMPTS: usize = 3;
 
-/// At rest for so long, at the keeper that leads all the while.
-fn rests(
+/// Measures the leader at rest for `rest`, without a change of leader.
+fn measure_rest(
     quorum: &mut Quorum,
-    crowd: &Crowd,
+    instances: &InstanceGroup,
     (size, of, by): (u64, &str, &str),
     rest: Duration,
     rows: &mut Vec<Measurement>,
 ) -> Result<(), String> {
-    for _ in 0..AGAIN {
-        let leader = crowd.books.leader().ok_or("no keeper has answered")?;
+    for _ in 0..MAX_ATTEMPTS {
+        let leader = instances.counters.leader().ok_or("no control replica has responded")?;
         let leads = process(quorum, leader)?;
-        let (began, before, spent) = (Instant::now(), crowd.books.count(Some(leader)), Spent::of(leads));
+        let (began, before, spent) =
+            (Instant::now(), instances.counters.count(Some(leader)), Spent::of(leads));
         sleep(rest);
-        let (span, after, now) = (began.elapsed(), crowd.books.count(Some(leader)), Spent::of(leads));
-        if crowd.books.leader() != Some(leader) {
+        let (span, after, now) = (began.elapsed(), instances.counters.count(Some(leader)), Spent::of(leads));
+        if instances.counters.leader() != Some(leader) {
             continue;
         }
         let mut put = |what: &str, value: f64, unit: &str| {
@@ -116,10 +117,10 @@
         traffic(rows, size, &format!("{of} at rest"), by, after.since(&before), span);
         return Ok(());
     }
-    Err(format!("each time another keeper led before the measurement at rest of {size} {by} was over"))
+    Err(format!("the leader changed during each measurement at rest of {size} {by}"))
 }
 
-/// A text of a policy that differs by `part`, of so many bytes at least.
+/// A policy document that differs by `part`, with at least `least` bytes.
 pub fn text(part: u32, least: usize) -> String {
     let mut text = format!(
         "lease: 2s\nwithin: 30s\npools: {{limiter: \"fixed\", pools: {{quick: {{operations: [\"lookup\"], least: 0.{part}}}}}}}\n"
@@ -130,11 +131,11 @@
     text
 }
 
-/// What a change took: ms to in force at each member that has it, from the moment at which the command was begun.
+/// Times of a change: time until active at each member that activated it, from the start of the command.
 pub struct Changed {
     times: Histogram<u64>,
     pub missing: u64,
-    /// Members that had it once `meanwhile` was over.
+    /// Members that had activated the change when `meanwhile` returned.
     had: u64,
     pub span: Duration,
 }
@@ -153,7 +154,7 @@
     }
 }
 
-/// Makes a change; `have` tells when each member had a version, `meanwhile` is called once, right after the command came back.
+/// Makes a change. `have` returns when each member activated a version; `meanwhile` is called once, right after the command returned.
 pub fn change(
     quorum: &mut Quorum,
     have: &dyn Fn(u64) -> Vec<Instant>,
@@ -174,28 +175,28 @@
     Ok(Changed { times, missing: size - all.len() as u64, had, span })
 }
 
-/// A crowd that has begun.
+/// Starts instances and waits until all have joined.
 fn begin(
     quorum: &Quorum,
-    what: What,
+    what: InstanceKind,
     (size, rest): (u64, Duration),
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
-) -> Result<Crowd, String> {
-    let crowd = Crowd::start(what, size, &quorum.set)?;
-    let here = |crowd: &Crowd| match what {
-        What::Members => crowd.books.in_force(0).len() as u64,
-        What::Owners => crowd.books.sessions(),
+    progress: &mut dyn FnMut(&str),
+) -> Result<InstanceGroup, String> {
+    let instances = InstanceGroup::start(what, size, &quorum.set)?;
+    let here = |instances: &InstanceGroup| match what {
+        InstanceKind::Members => instances.counters.in_force(0).len() as u64,
+        InstanceKind::Owners => instances.counters.sessions(),
     };
-    let took = wait(JOIN, || here(&crowd) >= size);
+    let took = wait(JOIN, || here(&instances) >= size);
     let (of, by) = match what {
-        What::Members => ("rollout", "members"),
-        What::Owners => ("owners", "sessions"),
+        InstanceKind::Members => ("rollout", "members"),
+        InstanceKind::Owners => ("owners", "sessions"),
     };
     let Some(took) = took else {
-        return Err(format!("{} of {size} {by} have begun after {} s", here(&crowd), JOIN.as_secs()));
+        return Err(format!("{} of {size} {by} have joined after {} s", here(&instances), JOIN.as_secs()));
     };
-    tell(&format!("hollow: {size} {by} have begun after {} ms", took.as_millis()));
+    progress(&format!("hollow: {size} {by} have joined after {} ms", took.as_millis()));
     let metric = format!("{of}: time until all that start at once have begun by {by}");
     rows.push(Measurement::new(
         "keeper",
@@ -205,33 +206,33 @@
         "ms",
         MeasurementKind::Hollow,
     ));
-    // What comes with the beginning is over, but for rests that only count messages.
+    // Lets the traffic of the start end; measurements that only count messages use a shorter wait.
     sleep(rest.min(Duration::from_secs(2)));
-    Ok(crowd)
+    Ok(instances)
 }
 
-/// Hollow members of a rollout: at rest, then a change by a short text and one by the longest.
+/// Simulated rollout members: at rest, then a change with a short document and one with a document of maximum size.
 pub fn members(
     program: &Program,
     size: u64,
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
-    let crowd = begin(&quorum, What::Members, (size, rest), rows, tell)?;
-    rests(&mut quorum, &crowd, (size, "rollout", "members"), rest, rows)?;
+    let instances = begin(&quorum, InstanceKind::Members, (size, rest), rows, progress)?;
+    measure_rest(&mut quorum, &instances, (size, "rollout", "members"), rest, rows)?;
     let all = quorum.processes();
     for (name, text) in [
         ("change of 0.1 KiB", text(2, 0)),
         ("change of 16 KiB", text(3, cypresscleat_rollout::MAX_DOCUMENT_BYTES)),
     ] {
         let spent: Vec<Spent> = all.iter().map(|one| Spent::of(one.1)).collect();
-        let (began, before) = (Instant::now(), crowd.books.count(None));
-        let changed = change(&mut quorum, &|version| crowd.books.had(version), size, &text, |_| {})?;
-        // Whole seconds, so that the peak of a second and the writes of all that follows are in.
+        let (began, before) = (Instant::now(), instances.counters.count(None));
+        let changed = change(&mut quorum, &|version| instances.counters.had(version), size, &text, |_| {})?;
+        // Waits a full second more, so that the peak second and all writes that follow the change are included.
         sleep(Duration::from_secs(1));
-        let count = crowd.books.count(None).since(&before);
+        let count = instances.counters.count(None).since(&before);
         changed.rows(rows, size, name);
         let mut put = |role: &str, what: &str, value: f64, unit: &str| {
             rows.push(Measurement::new(
@@ -243,12 +244,12 @@
                 MeasurementKind::Hollow,
             ));
         };
-        // The busiest of the three, by each: the one that leads, unless another does from the middle on.
+        // The busiest of the three by each value: the leader, unless the leader changes meanwhile.
         let most = |of: &dyn Fn(&Spent, &Spent, SocketAddr) -> f64| {
             let each = all.iter().zip(&spent);
             each.map(|(one, before)| of(&Spent::of(one.1), before, one.0)).fold(0.0, f64::max)
         };
-        let peak = most(&|_, _, address| crowd.books.peak(address, began) as f64);
+        let peak = most(&|_, _, address| instances.counters.peak(address, began) as f64);
         put("keeper", "peak payload and header bytes in one second", peak, "B/s");
         put("keeper", "processor time", most(&|now, before, _| now.seconds_since(before) * 1e3), "ms");
         put(
@@ -263,13 +264,13 @@
         let bytes = (count.bytes_out + count.bytes_in) as f64;
         put("app-server", "messages out and in, renewals among them", messages / each, "messages");
         put("app-server", "payload bytes out and in, renewals among them", bytes / each, "B");
-        tell(&format!(
-            "hollow: {name} at {size} members: {} have it, after {} ms",
+        progress(&format!(
+            "hollow: {name} at {size} members: {} activated it, after {} ms",
             size - changed.missing,
             changed.span.as_millis()
         ));
     }
-    let out = crowd.books.out() as f64;
+    let out = instances.counters.out() as f64;
     rows.push(Measurement::new(
         "app-server",
         size,
@@ -278,38 +279,39 @@
         "times",
         MeasurementKind::Hollow,
     ));
-    crowd.end()
+    instances.end()
 }
 
-/// Hollow owners, of one duty with one part: their sessions at rest.
+/// Simulated lease owners of one task with one partition: their sessions at rest.
 pub fn owners(
     program: &Program,
     size: u64,
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
-    let crowd = begin(&quorum, What::Owners, (size, rest), rows, tell)?;
-    rests(&mut quorum, &crowd, (size, "owners", "sessions"), rest, rows)?;
-    crowd.end()
+    let instances = begin(&quorum, InstanceKind::Owners, (size, rest), rows, progress)?;
+    measure_rest(&mut quorum, &instances, (size, "owners", "sessions"), rest, rows)?;
+    instances.end()
 }
 
-/// The keeper that leads is killed in the middle of a change.
+/// The leader is killed during a change.
 pub fn killed(
     program: &Program,
     size: u64,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut quorum = Quorum::start(program)?;
-    let crowd = begin(&quorum, What::Members, (size, REST), &mut Vec::new(), tell)?;
-    let leader = crowd.books.leader().ok_or("no keeper has answered")?;
-    let changed = change(&mut quorum, &|version| crowd.books.had(version), size, &text(2, 0), |quorum| {
-        if let Some(keeper) = quorum.keeper(leader) {
-            keeper.kill();
-        }
-    })?;
+    let instances = begin(&quorum, InstanceKind::Members, (size, REST), &mut Vec::new(), progress)?;
+    let leader = instances.counters.leader().ok_or("no control replica has responded")?;
+    let changed =
+        change(&mut quorum, &|version| instances.counters.had(version), size, &text(2, 0), |quorum| {
+            if let Some(keeper) = quorum.keeper(leader) {
+                keeper.kill();
+            }
+        })?;
     changed.rows(rows, size, "change of 0.1 KiB, the keeper that leads killed in it");
     let metric =
         "change of 0.1 KiB, the keeper that leads killed in it: in force before it was killed by members";
@@ -321,9 +323,9 @@
         "members",
         MeasurementKind::Hollow,
     ));
-    let out = crowd.books.out() as f64;
+    let out = instances.counters.out() as f64;
     let metric = "change of 0.1 KiB, the keeper that leads killed in it: times out of service by members";
     rows.push(Measurement::new("app-server", size, metric, out, "times", MeasurementKind::Hollow));
-    tell(&format!("hollow: keeper killed at {size} members: {} ms", changed.span.as_millis()));
-    crowd.end()
+    progress(&format!("hollow: control replica killed at {size} members: {} ms", changed.span.as_millis()));
+    instances.end()
 }
--- a/crates/experiments/src/scale/hollow/load.rs
+++ b/crates/experiments/src/scale/hollow/load.rs
@@ -1,8 +1,8 @@
-//! Real processes under callers: what a forwarder adds to an invocation at a load held open-loop, and what idle callers and control
-//! cost an app server. Behind each worker stands a kernel that answers at once.
+//! Real processes with clients: the latency that a forwarder adds to a request under open-loop load, and the cost of idle clients and of
+//! control for an app server. Each worker has an executor that responds at once.
 
 use super::rig::{Limits, Program, Quorum, Spent};
-use super::{guarded, told, CONFIG};
+use super::{guarded, report_failure, CONFIG};
 use crate::scale::row::{Measurement, MeasurementKind};
 use cypresscleat_demo::{request, unix_ms, Kernel, Place, Router};
 use hdrhistogram::Histogram;
@@ -14,21 +14,21 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Invocations a second. They are the sizes here: those that are asked for count members.
+/// Requests a second. These are the sizes of this part; the sizes of the options count members.
 pub const RATES: [u64; 4] = [500, 1_000, 2_000, 4_000];
 const SPAN: Duration = Duration::from_secs(4);
-/// Answers are waited for so long after the last invocation.
+/// Maximum wait for responses after the last request.
 const LAST: Duration = Duration::from_secs(2);
 const REST: Duration = Duration::from_secs(5);
 /// Connections that carry the load.
 const CALLERS: usize = 8;
 const BODY: [u8; 200] = [b'x'; 200];
-/// Longest time that is told apart, in microseconds.
+/// Maximum recorded time, in microseconds.
 const MICROS: u64 = 60_000_000;
-/// Bytes of memory that are reckoned for a caller's connection, both ends.
+/// Estimated bytes of memory for a client's connection, both ends.
 const EACH: u64 = 64 * 1024;
 
-/// A worker, with a kernel that answers at once.
+/// Starts a worker with an executor that responds at once.
 fn worker(program: &Program, name: &str, operator: &str, sockets: u64) -> Place {
     let place = Place::start_with(&program.path, CONFIG, operator, |all| {
         all["name"] = json!(name);
@@ -51,7 +51,7 @@
     place
 }
 
-/// An invocation of little work, so that none is turned away for what it was said to take.
+/// A request with little expected work, so that none is rejected for its expected work.
 fn invocation(stream: u32, txn: &str) -> Vec<u8> {
     let door = unix_ms().to_string();
     let fields = [
@@ -67,20 +67,20 @@
     request(stream, &fields, &BODY)
 }
 
-/// What callers found.
+/// Results of the load generator.
 struct Found {
-    /// Microseconds from when each should have been sent, of those that succeeded.
+    /// Latency in microseconds of successful requests, from the time at which each was due.
     took: Histogram<u64>,
-    /// How late each was sent.
+    /// How late each request was sent.
     late: Histogram<u64>,
     sent: u64,
     succeeded: u64,
     turned_away: u64,
-    /// Connections that the other end closed; another took the place of each.
+    /// Connections that the server closed; each was replaced.
     closed: u64,
 }
 
-/// Reads frames until the connection ends; answers by stream.
+/// Reads response frames until the connection ends.
 fn reads(
     mut stream: TcpStream,
     due: impl Fn(u32) -> Instant,
@@ -112,7 +112,7 @@
     }
 }
 
-/// So many a second, sent at set times whatever became of those before.
+/// Sends `rate` requests a second at fixed times, independent of earlier responses.
 fn load(to: SocketAddr, rate: u64, span: Duration, name: u64) -> Result<Found, String> {
     let wrong = |error: std::io::Error| error.to_string();
     let new = || Histogram::new_with_max(MICROS, 3).map_err(|error| error.to_string());
@@ -121,7 +121,7 @@
     let gap = Duration::from_secs(1) / rate as u32;
     let many = (span.as_secs_f64() * rate as f64) as u32;
     let began = Instant::now() + Duration::from_millis(50);
-    // Streams of all connections are of one count, so that each names its time.
+    // Stream numbers are unique over all connections, so that each identifies its due time.
     let due = move |stream: u32| began + gap * stream;
     let mut readers = Vec::new();
     let mut connect = || {
@@ -159,16 +159,16 @@
     Ok(Found { took, late, sent: many.into(), succeeded: count(0), turned_away: count(1), closed })
 }
 
-/// A worker asked directly, and the same through a forwarder.
+/// Compares requests sent directly to a worker with requests through a forwarder.
 pub fn forwarder(
     program: &Program,
     _: &Limits,
     _: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
-    let done = guarded(|| forwards(program, &RATES, SPAN, &mut rows, tell));
-    told(done, "a forwarder under load", tell);
+    let done = guarded(|| forwards(program, &RATES, SPAN, &mut rows, progress));
+    report_failure(done, "a forwarder under load", progress);
     Ok(rows)
 }
 
@@ -177,7 +177,7 @@
     rates: &[u64],
     span: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let worker = worker(program, "w", "", 1024);
     let operator = format!(
@@ -237,7 +237,7 @@
         put("processor time of the forwarder an invocation", each, "us");
         put("descriptors of the forwarder", now.descriptors as f64, "descriptors");
         put("memory of the forwarder", now.resident as f64, "B");
-        tell(&format!(
+        progress(&format!(
             "hollow: forwarder at {rate}/s: p50 {:.2} and p99 {:.2} ms, direct {:.2} and {:.2} ms; {} of {} succeeded",
             ms(&through, 0.5),
             ms(&through, 0.99),
@@ -250,24 +250,24 @@
     Ok(())
 }
 
-/// An app server with idle callers, and with rollout and keepers on and off.
+/// Measures an app server with idle clients, and with rollout and control replicas on and off.
 pub fn app_server(
     program: &Program,
     limits: &Limits,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
-    let done = guarded(|| control(program, 2 * REST, &mut rows, tell));
-    told(done, "an app server's share for control", tell);
+    let done = guarded(|| control(program, 2 * REST, &mut rows, progress));
+    report_failure(done, "an app server's share for control", progress);
     for size in sizes.iter().copied() {
-        // Descriptors of the app server's own beside the callers'; it holds idle callers in a part of its room.
+        // Covers the app server's descriptors and the clients'; the app server admits idle clients only up to a share of its sockets.
         if !limits.allow(size, 3, EACH) {
-            tell(&format!("hollow: {size} idle callers are left out: past {limits}"));
+            progress(&format!("hollow: {size} idle clients are skipped: past {limits}"));
             continue;
         }
-        let done = guarded(|| callers(program, size, &mut rows, tell));
-        told(done, &format!("{size} idle callers"), tell);
+        let done = guarded(|| callers(program, size, &mut rows, progress));
+        report_failure(done, &format!("{size} idle clients"), progress);
     }
     Ok(rows)
 }
@@ -276,7 +276,7 @@
     program: &Program,
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     for (name, on) in [("off", false), ("on", true)] {
         let quorum = if on { Some(Quorum::start(program)?) } else { None };
@@ -300,20 +300,20 @@
         put("cores", cores, "cores");
         put("memory", now.resident as f64, "B");
         put("descriptors", now.descriptors as f64, "descriptors");
-        tell(&format!("hollow: app server at rest, rollout {name}: {cores:.4} cores"));
+        progress(&format!("hollow: app server at rest, rollout {name}: {cores:.4} cores"));
     }
     Ok(())
 }
 
-/// Callers that asked once and then hold their connections.
+/// Clients that send one request and then stay connected.
 fn callers(
     program: &Program,
     size: u64,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let place = worker(program, "callers", "", (size * 3).max(1024));
-    // Its own connections, to the parties beside it, stand first.
+    // Waits until the app server has made its own connections.
     sleep(Duration::from_secs(1));
     let before = Spent::of(place.id());
     let mut held = Vec::new();
@@ -322,7 +322,7 @@
         router.0.send(invocation(1, &format!("{at:016x}")));
         let (_, how, _) = router.answer();
         if how != "succeeded" {
-            return Err(format!("caller {at} was {how}"));
+            return Err(format!("client {at}: {how}"));
         }
         held.push(router);
     }
@@ -347,6 +347,6 @@
     put("descriptors", now.descriptors as f64, "descriptors");
     let open = now.descriptors.saturating_sub(before.descriptors);
     put("connections held", open as f64, "connections");
-    tell(&format!("hollow: app server with {size} idle callers: {open} held, {} KB", now.resident >> 10));
+    progress(&format!("hollow: app server with {size} idle callers: {open} held, {} KB", now.resident >> 10));
     Ok(())
 }
--- a/crates/experiments/src/scale/hollow/members.rs
+++ b/crates/experiments/src/scale/hollow/members.rs
@@ -1,5 +1,5 @@
-//! Hollow members of a rollout and hollow owners: each a real decider and a socket of its own, many on each thread. A text that comes is
-//! held for good at once: it is neither read nor kept.
+//! Simulated rollout members and lease owners: each has real decision code and its own socket, many on each thread. A received document
+//! is voted for at once, without being read or stored.
 
 use super::{Count, Flow, HEADERS};
 use cypresscleat_consensus::message;
@@ -21,28 +21,28 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep_until;
 
-/// Threads that hollow instances are spread over.
+/// Threads that run the simulated instances.
 const THREADS: usize = 2;
-/// Bytes at one keeper are counted in slots of this length, for the peak of any second.
+/// Bytes at a control replica are counted in time slots of this length, to find the peak of any second.
 const SLOT: Duration = Duration::from_millis(20);
-/// Slots that are kept: ten minutes.
+/// Maximum number of time slots: ten minutes.
 const SLOTS: usize = 30_000;
 
-/// One keeper, as the hollow instances see it.
+/// Traffic of one control replica with the simulated instances.
 #[derive(Default)]
 struct Seen {
     flow: Flow,
-    /// With headers, both ways, by slot.
+    /// Bytes with headers, in both directions, by time slot.
     slots: Mutex<Vec<u64>>,
 }
 
-/// What all of them have seen.
-pub struct Books {
+/// Counts and events of all simulated instances.
+pub struct Counters {
     began: Instant,
     seen: HashMap<SocketAddr, Seen>,
-    /// The keeper that answered as the leader last.
+    /// The control replica that last responded as the leader.
     leader: Mutex<Option<SocketAddr>>,
-    /// Versions that came in force: which member, which version, when.
+    /// Activations: member, version, time.
     in_force: Mutex<Vec<(usize, u64, Instant)>>,
     /// Owners that have a session.
     sessions: AtomicU64,
@@ -50,10 +50,10 @@
     over: AtomicBool,
 }
 
-impl Books {
-    fn new(set: &ControlReplicas) -> Books {
+impl Counters {
+    fn new(set: &ControlReplicas) -> Counters {
         let seen = set.replicas.iter().map(|(_, address)| (*address, Seen::default())).collect();
-        Books {
+        Counters {
             began: Instant::now(),
             seen,
             leader: Mutex::default(),
@@ -64,9 +64,9 @@
         }
     }
 
-    fn notes(&self, keeper: SocketAddr, size: usize, goes_out: bool) {
+    fn record(&self, keeper: SocketAddr, size: usize, goes_out: bool) {
         let Some(seen) = self.seen.get(&keeper) else { return };
-        seen.flow.notes(size, goes_out);
+        seen.flow.record(size, goes_out);
         let slot = (self.began.elapsed().as_nanos() / SLOT.as_nanos()) as usize;
         let mut slots = seen.slots.lock().expect("the slots");
         if slot < SLOTS {
@@ -77,13 +77,13 @@
         }
     }
 
-    /// With all keepers, or with one of them.
+    /// Traffic with all control replicas, or with one of them.
     pub fn count(&self, keeper: Option<SocketAddr>) -> Count {
         let asked = self.seen.iter().filter(|(address, _)| keeper.is_none_or(|one| one == **address));
         asked.fold(Count::default(), |all, (_, seen)| all.and(&seen.flow.count()))
     }
 
-    /// The most bytes in any one second since then, at one keeper, both ways, with headers.
+    /// Maximum bytes in any one second since `since` at one control replica, in both directions, with headers.
     pub fn peak(&self, keeper: SocketAddr, since: Instant) -> u64 {
         let Some(seen) = self.seen.get(&keeper) else { return 0 };
         let from = (since.duration_since(self.began).as_nanos() / SLOT.as_nanos()) as usize;
@@ -102,15 +102,15 @@
     pub fn sessions(&self) -> u64 {
         self.sessions.load(Ordering::Relaxed)
     }
-    /// How often a member was out of service after it had begun.
+    /// Number of times that a member went out of service after it had joined.
     pub fn out(&self) -> u64 {
         self.out.load(Ordering::Relaxed)
     }
-    /// The same without the members' places.
+    /// When members first activated that version, without their indexes.
     pub fn had(&self, version: u64) -> Vec<Instant> {
         self.in_force(version).into_values().collect()
     }
-    /// When each member first had that version in force.
+    /// When each member first activated that version, by member index.
     pub fn in_force(&self, version: u64) -> HashMap<usize, Instant> {
         let mut first = HashMap::new();
         for (member, number, at) in self.in_force.lock().expect("the list").iter() {
@@ -122,58 +122,58 @@
     }
 }
 
-/// Hollow instances, for as long as this is held.
-pub struct Crowd {
-    pub books: Arc<Books>,
+/// Running simulated instances; dropping this value stops them.
+pub struct InstanceGroup {
+    pub counters: Arc<Counters>,
     threads: Vec<JoinHandle<Result<(), String>>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum InstanceKind {
     /// Members of a rollout.
     Members,
-    /// Instances with a session, each of which would take the one part of a duty.
+    /// Instances with a lease session; each claims the one partition of a task.
     Owners,
 }
 
-impl Crowd {
-    pub fn start(what: What, many: u64, set: &ControlReplicas) -> Result<Crowd, String> {
-        let books = Arc::new(Books::new(set));
+impl InstanceGroup {
+    pub fn start(what: InstanceKind, many: u64, set: &ControlReplicas) -> Result<InstanceGroup, String> {
+        let counters = Arc::new(Counters::new(set));
         let mut threads = Vec::new();
         for thread in 0..THREADS {
-            let (books, set) = (books.clone(), set.clone());
+            let (counters, set) = (counters.clone(), set.clone());
             let own = (0..many as usize).filter(move |at| at % THREADS == thread);
             let run = move || {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 let runtime = runtime.map_err(|error| error.to_string())?;
-                LocalSet::new().block_on(&runtime, lives(what, own, set, books))
+                LocalSet::new().block_on(&runtime, run_instances(what, own, set, counters))
             };
             threads.push(std::thread::Builder::new().spawn(run).map_err(|error| error.to_string())?);
         }
-        Ok(Crowd { books, threads })
+        Ok(InstanceGroup { counters, threads })
     }
 
-    /// Ends all; what went wrong in one of them.
+    /// Stops all instances; returns the error of a failed thread.
     pub fn end(mut self) -> Result<(), String> {
-        self.books.over.store(true, Ordering::Relaxed);
+        self.counters.over.store(true, Ordering::Relaxed);
         let ended =
-            self.threads.drain(..).map(|thread| thread.join().unwrap_or(Err("a thread broke".into())));
+            self.threads.drain(..).map(|thread| thread.join().unwrap_or(Err("a thread panicked".into())));
         ended.collect::<Vec<_>>().into_iter().collect()
     }
 }
 
-impl Drop for Crowd {
+impl Drop for InstanceGroup {
     fn drop(&mut self) {
-        self.books.over.store(true, Ordering::Relaxed);
+        self.counters.over.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
 
-async fn lives(
-    what: What,
+async fn run_instances(
+    what: InstanceKind,
     own: impl Iterator<Item = usize>,
     set: ControlReplicas,
-    books: Arc<Books>,
+    counters: Arc<Counters>,
 ) -> Result<(), String> {
     let clock = MonotonicClock::start();
     let set = Rc::new(set);
@@ -181,49 +181,56 @@
     for at in own {
         let socket =
             UdpSocket::bind(set.local_address()).await.map_err(|error| format!("instance {at}: {error}"))?;
-        let end = End { at, socket, to: set.addresses(), clock, books: books.clone(), bytes: bytes.clone() };
+        let end = Instance {
+            at,
+            socket,
+            to: set.addresses(),
+            clock,
+            counters: counters.clone(),
+            bytes: bytes.clone(),
+        };
         match what {
-            What::Members => spawn_local(end.member()),
-            What::Owners => spawn_local(end.owner()),
+            InstanceKind::Members => spawn_local(end.member()),
+            InstanceKind::Owners => spawn_local(end.owner()),
         };
     }
-    while !books.over.load(Ordering::Relaxed) {
+    while !counters.over.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
 }
 
-/// One hollow instance: its socket, and what is behind it.
-struct End {
+/// One simulated instance with its socket.
+struct Instance {
     at: usize,
     socket: UdpSocket,
     to: HashMap<NodeId, SocketAddr>,
     clock: MonotonicClock,
-    books: Arc<Books>,
-    /// One for all of a thread: none is held over a wait.
+    counters: Arc<Counters>,
+    /// Receive buffer, shared by all instances of a thread: it is never borrowed across an await.
     bytes: Rc<RefCell<Vec<u8>>>,
 }
 
-impl End {
-    fn posts(&self, to: NodeId, wire: &ControlMessage) {
+impl Instance {
+    fn send(&self, to: NodeId, wire: &ControlMessage) {
         let Some(to) = self.to.get(&to) else { return };
         if let Some(bytes) = message::encode(wire) {
             if self.socket.try_send_to(&bytes, *to).is_ok() {
-                self.books.notes(*to, bytes.len(), true);
+                self.counters.record(*to, bytes.len(), true);
             }
         }
     }
 
-    /// The next datagram that is understood, or `None` once it is time.
-    async fn hears(&self, due: cypresscleat_rollout::Time) -> Option<(SocketAddr, ControlMessage)> {
+    /// Receives the next valid message; `None` at the deadline.
+    async fn receive(&self, due: cypresscleat_rollout::Time) -> Option<(SocketAddr, ControlMessage)> {
         tokio::select! {
             () = sleep_until(self.clock.instant(due)) => return None,
             ready = self.socket.readable() => ready.ok()?,
         }
         let mut bytes = self.bytes.borrow_mut();
-        // Word of an earlier datagram that found nobody is an error here, and is passed over.
+        // An ICMP error for an earlier datagram without a receiver appears as an error here and is ignored.
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
-        self.books.notes(from, size, false);
+        self.counters.record(from, size, false);
         Some((from, message::decode::<ControlMessage>(&bytes[..size]).ok()?))
     }
 
@@ -236,7 +243,7 @@
             let now = self.clock.now();
             let mut asks = if now >= member.next_deadline() { member.tick(now) } else { Vec::new() };
             loop {
-                asks.drain(..).for_each(|(to, ask)| self.posts(to, &ControlMessage::RolloutRequest(ask)));
+                asks.drain(..).for_each(|(to, ask)| self.send(to, &ControlMessage::RolloutRequest(ask)));
                 let events: Vec<MemberEvent> = member.events().collect();
                 if events.is_empty() {
                     break;
@@ -251,23 +258,23 @@
                             ));
                         }
                         MemberEvent::Activated { number } => {
-                            let mut list = self.books.in_force.lock().expect("the list");
+                            let mut list = self.counters.in_force.lock().expect("the list");
                             list.push((self.at, number, Instant::now()));
                         }
                         MemberEvent::LeaseExpired { .. } => {
-                            self.books.out.fetch_add(1, Ordering::Relaxed);
+                            self.counters.out.fetch_add(1, Ordering::Relaxed);
                         }
                         MemberEvent::Paused { .. } => {}
                     }
                 }
             }
-            let Some((by, wire)) = self.hears(member.next_deadline()).await else { continue };
+            let Some((by, wire)) = self.receive(member.next_deadline()).await else { continue };
             if let ControlMessage::RolloutResponse { from, response } = wire {
                 if matches!(response, Response::Renewed { .. }) {
-                    *self.books.leader.lock().expect("the leader") = Some(by);
+                    *self.counters.leader.lock().expect("the leader") = Some(by);
                 }
                 let asks = member.handle(self.clock.now(), from, response);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::RolloutRequest(ask)));
+                asks.into_iter().for_each(|(to, ask)| self.send(to, &ControlMessage::RolloutRequest(ask)));
             }
         }
     }
@@ -283,19 +290,19 @@
             let now = self.clock.now();
             if now >= client.next_deadline() {
                 let asks = client.tick(now);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::LeaseRequest(ask)));
+                asks.into_iter().for_each(|(to, ask)| self.send(to, &ControlMessage::LeaseRequest(ask)));
             }
             client.events().for_each(drop);
-            let Some((by, wire)) = self.hears(client.next_deadline()).await else { continue };
+            let Some((by, wire)) = self.receive(client.next_deadline()).await else { continue };
             if let ControlMessage::LeaseResponse { from, response } = wire {
                 if matches!(response, cypresscleat_leases::messages::Response::Renewed { .. }) {
-                    *self.books.leader.lock().expect("the leader") = Some(by);
+                    *self.counters.leader.lock().expect("the leader") = Some(by);
                 }
                 let asks = client.handle(self.clock.now(), from, response);
-                asks.into_iter().for_each(|(to, ask)| self.posts(to, &ControlMessage::LeaseRequest(ask)));
+                asks.into_iter().for_each(|(to, ask)| self.send(to, &ControlMessage::LeaseRequest(ask)));
                 if !known && client.session() != 0 {
                     known = true;
-                    self.books.sessions.fetch_add(1, Ordering::Relaxed);
+                    self.counters.sessions.fetch_add(1, Ordering::Relaxed);
                 }
             }
         }
--- a/crates/experiments/src/scale/hollow/relays.rs
+++ b/crates/experiments/src/scale/hollow/relays.rs
@@ -1,10 +1,10 @@
-//! Relays by zone, each a real process, between real keepers and hollow members of a rollout: at rest, in a change, and where one is
-//! killed in the middle of it. As many members to a zone as the size to design for has.
+//! Relays by zone, each a real process, between real control replicas and simulated rollout members: at rest, during a change, and where
+//! relays are killed during a change. Zones have as many members as at the target size.
 
 use super::keeper::{change, text, wait, EACH, JOIN, REST};
-use super::members::{Crowd, What};
+use super::members::{InstanceGroup, InstanceKind};
 use super::rig::{Limits, Program, Quorum, Spent};
-use super::{told, Count, HEADERS};
+use super::{report_failure, Count, HEADERS};
 use crate::scale::row::{Measurement, MeasurementKind};
 use crate::scale::targets::TARGETS;
 use cypresscleat_fault_injection::{free_port, Process};
@@ -12,40 +12,40 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Members among which a relay is killed in a change.
+/// Number of members for the test that kills relays during a change.
 const KILLED_AT: u64 = 300;
 
 pub fn rows(
     program: &Program,
     limits: &Limits,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
     for size in sizes.iter().copied() {
         if !limits.allow(size, 1, EACH) {
-            tell(&format!("hollow: {size} members behind relays are left out: past {limits}"));
+            progress(&format!("hollow: {size} members behind relays are left out: past {limits}"));
             continue;
         }
-        let done = members(program, size, REST, &mut rows, tell);
-        told(done, &format!("{size} members behind relays"), tell);
+        let done = members(program, size, REST, &mut rows, progress);
+        report_failure(done, &format!("{size} members behind relays"), progress);
     }
     if sizes.contains(&KILLED_AT) {
-        let done = killed(program, KILLED_AT, &mut rows, tell);
-        told(done, &format!("a relay killed at {KILLED_AT} members"), tell);
+        let done = killed(program, KILLED_AT, &mut rows, progress);
+        report_failure(done, &format!("a relay killed at {KILLED_AT} members"), progress);
     }
     Ok(rows)
 }
 
-/// A zone: two relays, and its members.
+/// A zone: two relays and the zone's members.
 struct Zone {
     relays: Vec<Process>,
-    /// The relays, where members have the keepers.
+    /// The relays, which the members use in place of the control replicas.
     set: ControlReplicas,
-    crowd: Crowd,
+    instances: InstanceGroup,
 }
 
-/// Keepers, zones with their relays, and members; all of them here.
+/// Control replicas, zones with their relays, and members that have all joined.
 struct Fleet {
     quorum: Quorum,
     zones: Vec<Zone>,
@@ -72,15 +72,15 @@
                 relays.push(relay);
             }
             let set = ControlReplicas { lease: quorum.set.lease, replicas, folder: None };
-            // What does not go into the zones evenly is in the first ones.
+            // The first zones have the remainder of the division.
             let members = size / many + u64::from(zone < size % many);
-            let crowd = Crowd::start(What::Members, members, &set)?;
-            zones.push(Zone { relays, set, crowd });
+            let instances = InstanceGroup::start(InstanceKind::Members, members, &set)?;
+            zones.push(Zone { relays, set, instances });
         }
         let fleet = Fleet { quorum, zones };
         let took = wait(JOIN, || fleet.had(0).len() as u64 >= size);
         let took =
-            took.ok_or(format!("{} of {size} have begun in {} s", fleet.had(0).len(), JOIN.as_secs()))?;
+            took.ok_or(format!("{} of {size} have joined in {} s", fleet.had(0).len(), JOIN.as_secs()))?;
         put(
             rows,
             "relay",
@@ -94,7 +94,7 @@
     }
 
     fn had(&self, version: u64) -> Vec<Instant> {
-        self.zones.iter().flat_map(|zone| zone.crowd.books.had(version)).collect()
+        self.zones.iter().flat_map(|zone| zone.instances.counters.had(version)).collect()
     }
 
     fn keepers(&self) -> Vec<Spent> {
@@ -106,20 +106,20 @@
         all.map(|relay| relay.id().map_or(Spent::default(), Spent::of)).collect()
     }
 
-    /// Of each relay, what went between it and its members.
+    /// Traffic of each relay with its members.
     fn counts(&self) -> Vec<Count> {
         let of = |zone: &Zone| -> Vec<Count> {
-            zone.set.replicas.iter().map(|one| zone.crowd.books.count(Some(one.1))).collect()
+            zone.set.replicas.iter().map(|one| zone.instances.counters.count(Some(one.1))).collect()
         };
         self.zones.iter().flat_map(of).collect()
     }
 
     fn out(&self) -> f64 {
-        self.zones.iter().map(|zone| zone.crowd.books.out() as f64).sum()
+        self.zones.iter().map(|zone| zone.instances.counters.out() as f64).sum()
     }
 
     fn end(self) -> Result<(), String> {
-        self.zones.into_iter().try_for_each(|zone| zone.crowd.end())
+        self.zones.into_iter().try_for_each(|zone| zone.instances.end())
     }
 }
 
@@ -128,22 +128,22 @@
     rows.push(Measurement::new(role, size, &metric, value, unit, MeasurementKind::Hollow));
 }
 
-/// The most that any process spent of its processor between two looks, in cores.
+/// Maximum processor use of any process between two readings, in cores.
 fn busiest(before: &[Spent], now: &[Spent], span: Duration) -> f64 {
     let spent = before.iter().zip(now).map(|(before, now)| now.seconds_since(before));
     spent.fold(0.0, f64::max) / span.as_secs_f64()
 }
 
-/// At rest, then a change by a short text and one by the longest.
+/// At rest, then a change with a short document and one with a document of maximum size.
 fn members(
     program: &Program,
     size: u64,
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut fleet = Fleet::start(program, size, rows)?;
-    tell(&format!("hollow: {size} members have begun behind {} relays", 2 * fleet.zones.len()));
+    progress(&format!("hollow: {size} members have joined behind {} relays", 2 * fleet.zones.len()));
     let (keepers, relays, before) = (fleet.keepers(), fleet.relays(), fleet.counts());
     let began = Instant::now();
     sleep(rest);
@@ -175,7 +175,7 @@
     ] {
         let (began, keepers, relays) = (Instant::now(), fleet.keepers(), fleet.relays());
         let Fleet { quorum, zones } = &mut fleet;
-        let have = |version| zones.iter().flat_map(|zone| zone.crowd.books.had(version)).collect();
+        let have = |version| zones.iter().flat_map(|zone| zone.instances.counters.had(version)).collect();
         let changed = change(quorum, &have, size, &text, |_| {})?;
         sleep(Duration::from_secs(1));
         changed.rows(rows, size, &format!("{name}, through relays"));
@@ -185,7 +185,7 @@
         let spent = busiest(&relays, &fleet.relays(), second) * 1e3;
         put(rows, "relay", size, &format!("{name}: processor time"), spent, "ms");
         let peaks = fleet.zones.iter().flat_map(|zone| {
-            zone.set.replicas.iter().map(|one| zone.crowd.books.peak(one.1, began)).collect::<Vec<_>>()
+            zone.set.replicas.iter().map(|one| zone.instances.counters.peak(one.1, began)).collect::<Vec<_>>()
         });
         let peak = peaks.max().unwrap_or(0) as f64;
         put(
@@ -197,8 +197,8 @@
             "B/s",
         );
         let has = size - changed.missing;
-        tell(&format!(
-            "hollow: {name} through relays at {size}: {has} have it, {} ms",
+        progress(&format!(
+            "hollow: {name} through relays at {size}: {has} activated it, {} ms",
             changed.span.as_millis()
         ));
     }
@@ -206,22 +206,22 @@
     fleet.end()
 }
 
-/// One relay of each zone is killed in the middle of a change.
+/// One relay of each zone is killed during a change.
 fn killed(
     program: &Program,
     size: u64,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let mut fleet = Fleet::start(program, size, &mut Vec::new())?;
     let Fleet { quorum, zones } = &mut fleet;
-    let books: Vec<_> = zones.iter().map(|zone| zone.crowd.books.clone()).collect();
-    let have = |version| books.iter().flat_map(|books| books.had(version)).collect();
+    let counters: Vec<_> = zones.iter().map(|zone| zone.instances.counters.clone()).collect();
+    let have = |version| counters.iter().flat_map(|counters| counters.had(version)).collect();
     let changed = change(quorum, &have, size, &text(2, 0), |_| {
         zones.iter_mut().for_each(|zone| zone.relays[0].kill());
     })?;
     changed.rows(rows, size, "change of 0.1 KiB, one relay of each zone killed in it");
     put(rows, "app-server", size, "one relay killed in a change: times out of service", fleet.out(), "times");
-    tell(&format!("hollow: a relay killed in a change at {size}: {} ms", changed.span.as_millis()));
+    progress(&format!("hollow: a relay killed in a change at {size}: {} ms", changed.span.as_millis()));
     fleet.end()
 }
--- a/crates/experiments/src/scale/hollow/rig.rs
+++ b/crates/experiments/src/scale/hollow/rig.rs
@@ -1,4 +1,4 @@
-//! Real processes for hollow instances to speak to, what such a process spends, and the bounds that the machine sets.
+//! Test setup: real processes for simulated instances, the resources that such a process uses, and the machine's limits.
 
 use cypresscleat_fault_injection::{free_port, Process};
 use cypresscleat_server::leases::ControlReplicas;
@@ -19,18 +19,18 @@
     pub fn find() -> Result<Program, String> {
         let named = std::env::var_os("CYPRESSCLEAT_SERVER").map(PathBuf::from);
         let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("cypresscleat-server"));
-        let path = named.or_else(beside).ok_or("no path of the program is known")?;
+        let path = named.or_else(beside).ok_or("the path of the server program is unknown")?;
         match path.is_file() {
             true => Ok(Program { path }),
             false => Err(format!(
-                "{}: no such program; build it, or name it by CYPRESSCLEAT_SERVER",
+                "{}: no such program; build it, or set CYPRESSCLEAT_SERVER to its path",
                 path.display()
             )),
         }
     }
 }
 
-/// Bounds that are read from the machine, and told; sizes past them are left out.
+/// Limits read from the machine; sizes past them are skipped and reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Descriptors that this process may hold.
@@ -39,7 +39,7 @@
     pub memory: u64,
 }
 
-/// Descriptors that are held for other things than hollow instances.
+/// Descriptors reserved for uses other than simulated instances.
 const SPARE: u64 = 300;
 
 impl Limits {
@@ -52,7 +52,7 @@
         Ok(Limits { descriptors: descriptors.unwrap_or(u64::MAX), memory: kb * 1024 / 2 })
     }
 
-    /// Whether so many hollow instances, of so many descriptors and bytes each, may be here.
+    /// Whether `many` simulated instances, with `descriptors` and `bytes` each, are within the limits.
     pub fn allow(&self, many: u64, descriptors: u64, bytes: u64) -> bool {
         many * descriptors + SPARE <= self.descriptors && many * bytes <= self.memory
     }
@@ -60,22 +60,22 @@
 
 impl fmt::Display for Limits {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{} descriptors and {} MB of memory at the most", self.descriptors, self.memory >> 20)
+        write!(out, "at most {} descriptors and {} MB of memory", self.descriptors, self.memory >> 20)
     }
 }
 
-/// The number behind a word at the beginning of a line.
+/// The number after `name` at the start of a line.
 fn field(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// What a process has spent until now, by the kernel's own count.
+/// Resources that a process has used so far, as counted by the operating system.
 #[derive(Clone, Debug, Default)]
 pub struct Spent {
     /// User and system time of each thread, in nanoseconds: `schedstat`, as the ticks of `stat` are 10 ms.
     threads: BTreeMap<u64, u64>,
-    /// Bytes that it caused to be written to a disk.
+    /// Bytes that the process caused to be written to disk.
     pub written: u64,
     /// Bytes of memory that are resident.
     pub resident: u64,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Seconds of processor time since `before`. Of a thread that ended in between nothing counts.
+    /// Seconds of processor time since `before`. Threads that ended in between are not counted.
     pub fn seconds_since(&self, before: &Spent) -> f64 {
         let since =
             |(id, spent): (&u64, &u64)| spent - before.threads.get(id).copied().unwrap_or(0).min(*spent);
@@ -106,7 +106,7 @@
     }
 }
 
-/// A folder that goes with whoever made it.
+/// A temporary folder, removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Three keepers, each a process of its own; they end with this.
+/// Three control replicas, each its own process; dropping this value ends them.
 pub struct Quorum {
     pub keepers: Vec<Process>,
     pub set: ControlReplicas,
@@ -159,7 +159,7 @@
         Ok(quorum)
     }
 
-    /// The keepers as an operator's file has them, without a folder.
+    /// The control replicas in the syntax of an operator's file, without a folder.
     pub fn listed(&self) -> String {
         let one =
             |(name, address): &(String, SocketAddr)| format!("{{name: \"{name}\", address: \"{address}\"}}");
@@ -172,30 +172,30 @@
         self.keepers.get_mut(at)
     }
 
-    /// Where each keeper hears, and the number of its process.
+    /// Address and process id of each control replica.
     pub fn processes(&self) -> Vec<(SocketAddr, u32)> {
         let all = self.set.replicas.iter().zip(&self.keepers);
         all.filter_map(|(one, process)| Some((one.1, process.id()?))).collect()
     }
 
-    /// Proposes a text by the program's own command, and does not wait for its decision. The version that it is to be.
+    /// Proposes a document by the program's command, without waiting for the decision. Returns the proposed version.
     pub fn propose(&self, name: &str, text: &str) -> Result<u64, String> {
         let path = self.folder.put(name, text)?;
         let operator = self.folder.0.join("operator.cue");
-        let ran = Command::new(&self.program)
+        let output = Command::new(&self.program)
             .args(["policy", "propose", "--text", &path, "--wait", "0", "--by", "scale", "--operator"])
             .arg(&operator)
             .arg("--json")
             .output()
             .map_err(|error| error.to_string())?;
-        let said = String::from_utf8_lossy(&ran.stdout).into_owned();
-        let lines = said.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+        let lines = stdout.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
         let version = lines.filter_map(|line| line["version"].as_u64()).next();
         version.ok_or_else(|| {
             format!(
-                "policy propose: {:?}: {said} {}",
-                ran.status.code(),
-                String::from_utf8_lossy(&ran.stderr)
+                "policy propose: {:?}: {stdout} {}",
+                output.status.code(),
+                String::from_utf8_lossy(&output.stderr)
             )
         })
     }
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -1,11 +1,11 @@
-//! A planner before hollow forwarders that report, and a forwarder among hollow members of the gossip. Workers take no part in the
-//! gossip: members are planners and forwarders.
+//! A planner with simulated forwarders that send reports, and a forwarder among simulated gossip members. Workers do not gossip:
+//! members are planners and forwarders.
 //!
-//! Hollow members begin with all others known and nothing left to tell, as they would be long after a start; the real process learns of
-//! them by messages, and what it has to tell of them is asked out of it by pings before it is measured at rest.
+//! Simulated members start with all others known and no pending updates, as long after a start. The real process learns about them from
+//! messages; its own pending updates are drained by pings before it is measured at rest.
 
 use super::rig::{Limits, Program, Spent};
-use super::{guarded, told, Flow, CONFIG};
+use super::{guarded, report_failure, Flow, CONFIG};
 use crate::scale::row::{Measurement, MeasurementKind};
 use cypresscleat_demo::Place;
 use cypresscleat_fault_injection::free_port;
@@ -28,14 +28,14 @@
 use tokio::time::sleep_until;
 
 const REST: Duration = Duration::from_secs(6);
-/// Until the real process knows all, and has nothing left to tell.
-const SETTLES: Duration = Duration::from_secs(8);
+/// Maximum time until the real process knows all members; twice this time until it has no pending updates.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 const THREADS: usize = 2;
-/// Members of one gossip at the most: each knows each, and its thread plays all of them.
-const MOST: u64 = 1_000;
-/// Bytes of memory that are reckoned for a member that another one knows.
+/// Maximum number of gossip members: each knows all others, and few threads run all of them.
+const MAX_MEMBERS: u64 = 1_000;
+/// Estimated bytes of memory for one entry of a member list.
 const KNOWN: u64 = 256;
-/// Workers of the planner while forwarders grow, and forwarders while workers grow.
+/// Workers while the number of forwarders varies, and forwarders while the number of workers varies.
 const WORKERS: u64 = 100;
 const FORWARDERS: u64 = 30;
 
@@ -43,17 +43,17 @@
     program: &Program,
     limits: &Limits,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
-    for size in fits(limits, sizes, tell) {
-        let done = guarded(|| plans(program, (size, WORKERS), REST, &mut rows, tell));
-        told(done, &format!("a planner with {size} forwarders"), tell);
+    for size in fits(limits, sizes, progress) {
+        let done = guarded(|| plans(program, (size, WORKERS), REST, &mut rows, progress));
+        report_failure(done, &format!("a planner with {size} forwarders"), progress);
     }
     for size in sizes.iter().copied().filter(|size| *size <= messages::MAX_GRANTS as u64 && *size != WORKERS)
     {
-        let done = guarded(|| plans(program, (FORWARDERS, size), REST, &mut rows, tell));
-        told(done, &format!("a planner with {size} workers"), tell);
+        let done = guarded(|| plans(program, (FORWARDERS, size), REST, &mut rows, progress));
+        report_failure(done, &format!("a planner with {size} workers"), progress);
     }
     Ok(rows)
 }
@@ -62,58 +62,58 @@
     program: &Program,
     limits: &Limits,
     sizes: &[u64],
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Measurement>, String> {
     let mut rows = Vec::new();
-    for size in fits(limits, sizes, tell) {
-        let done = guarded(|| gossips(program, size, REST, &mut rows, tell));
-        told(done, &format!("gossip of {size} members"), tell);
+    for size in fits(limits, sizes, progress) {
+        let done = guarded(|| gossips(program, size, REST, &mut rows, progress));
+        report_failure(done, &format!("gossip of {size} members"), progress);
     }
     Ok(rows)
 }
 
-fn fits(limits: &Limits, sizes: &[u64], tell: &mut dyn FnMut(&str)) -> Vec<u64> {
+fn fits(limits: &Limits, sizes: &[u64], progress: &mut dyn FnMut(&str)) -> Vec<u64> {
     let (good, out): (Vec<u64>, Vec<u64>) =
-        sizes.iter().partition(|size| **size <= MOST && limits.allow(**size, 1, **size * KNOWN));
+        sizes.iter().partition(|size| **size <= MAX_MEMBERS && limits.allow(**size, 1, **size * KNOWN));
     if !out.is_empty() {
-        tell(&format!(
-            "hollow: gossip of {out:?} members is left out: {MOST} at the most in one process, {limits}"
+        progress(&format!(
+            "hollow: gossip of {out:?} members is skipped: at most {MAX_MEMBERS} in one process, {limits}"
         ));
     }
     good
 }
 
-/// What went between the hollow members and the one real process.
-struct Books {
+/// Traffic between the simulated members and the one real process.
+struct Counters {
     real: SocketAddr,
     gossip: Flow,
     plans: Flow,
     reports: AtomicU64,
-    /// Reports that were answered by grants which could be taken.
+    /// Reports whose grants were accepted.
     taken: AtomicU64,
     over: AtomicBool,
 }
 
-impl Books {
-    fn notes(&self, at: SocketAddr, message: &Message, size: usize, goes_out: bool) {
+impl Counters {
+    fn record(&self, at: SocketAddr, message: &Message, size: usize, goes_out: bool) {
         if at != self.real {
             return;
         }
         match message {
             Message::Report(_) | Message::Grants { .. } | Message::WithPolicyVersion { .. } => {
-                self.plans.notes(size, goes_out)
+                self.plans.record(size, goes_out)
             }
-            _ => self.gossip.notes(size, goes_out),
+            _ => self.gossip.record(size, goes_out),
         }
     }
 }
 
-/// What hollow members are.
+/// Setup of the simulated members.
 #[derive(Clone)]
 struct Setup {
-    /// The first one is a planner, of which the real process asks who else is there; else all know the real one as their planner.
+    /// Whether the first member is a planner, which the real process joins through; else the real process is the planner of all.
     planner: bool,
-    /// Workers that each reports on; none reports where there are none.
+    /// Workers that each member reports on; without workers no reports are sent.
     workers: u64,
     addresses: Vec<SocketAddr>,
 }
@@ -131,21 +131,21 @@
         }
     }
 
-    fn rumour(&self, at: usize) -> GossipUpdate {
+    fn gossip_update(&self, at: usize) -> GossipUpdate {
         let (id, role, address) = (node_id(&name(at)), self.role(at), self.addresses[at]);
         GossipUpdate { id, role, address, incarnation: 1, state: MemberState::Alive }
     }
 
-    /// One that knows all others, and has nothing left to tell of them.
+    /// A member that knows all others and has no pending updates.
     fn member(&self, at: usize, seeds: Vec<SocketAddr>, now: Time) -> Membership {
-        let own = self.rumour(at);
+        let own = self.gossip_update(at);
         let mut member =
             Membership::new(own.id, own.role, own.address, seeds, MembershipConfig::default(), at as u64 + 1);
         let others = (0..self.addresses.len()).filter(|other| *other != at);
-        others.for_each(|other| member.apply_update(now, self.rumour(other)));
+        others.for_each(|other| member.apply_update(now, self.gossip_update(other)));
         drop(member.take_changes());
         let ping = Envelope {
-            from: self.rumour((at + 1) % self.addresses.len()).id,
+            from: self.gossip_update((at + 1) % self.addresses.len()).id,
             incarnation: 1,
             updates: Vec::new(),
             message: Message::Ping { number: 0 },
@@ -155,15 +155,15 @@
     }
 }
 
-struct Crowd {
-    books: Arc<Books>,
+struct InstanceGroup {
+    counters: Arc<Counters>,
     threads: Vec<JoinHandle<Result<(), String>>>,
     ready: Arc<AtomicU64>,
 }
 
-impl Crowd {
-    fn start(setup: &Setup, sockets: Vec<UdpSocket>, real: SocketAddr) -> Result<Crowd, String> {
-        let books = Arc::new(Books {
+impl InstanceGroup {
+    fn start(setup: &Setup, sockets: Vec<UdpSocket>, real: SocketAddr) -> Result<InstanceGroup, String> {
+        let counters = Arc::new(Counters {
             real,
             gossip: Flow::default(),
             plans: Flow::default(),
@@ -176,83 +176,86 @@
             shares[at % THREADS].push((at, socket));
         }
         let ready = Arc::new(AtomicU64::new(0));
-        let mut crowd = Crowd { books: books.clone(), threads: Vec::new(), ready: ready.clone() };
+        let mut instances =
+            InstanceGroup { counters: counters.clone(), threads: Vec::new(), ready: ready.clone() };
         for share in shares {
-            let (setup, books, ready) = (setup.clone(), books.clone(), ready.clone());
+            let (setup, counters, ready) = (setup.clone(), counters.clone(), ready.clone());
             let run = move || {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 let runtime = runtime.map_err(|error| error.to_string())?;
-                LocalSet::new().block_on(&runtime, lives(setup, share, books, ready))
+                LocalSet::new().block_on(&runtime, run_instances(setup, share, counters, ready))
             };
-            crowd.threads.push(std::thread::Builder::new().spawn(run).map_err(|error| error.to_string())?);
+            instances
+                .threads
+                .push(std::thread::Builder::new().spawn(run).map_err(|error| error.to_string())?);
         }
         let began = Instant::now();
-        while crowd.ready.load(Ordering::Relaxed) < THREADS as u64 {
-            if began.elapsed() > 4 * SETTLES || crowd.threads.iter().any(JoinHandle::is_finished) {
-                return Err("the hollow members did not begin".into());
+        while instances.ready.load(Ordering::Relaxed) < THREADS as u64 {
+            if began.elapsed() > 4 * SETTLE_TIME || instances.threads.iter().any(JoinHandle::is_finished) {
+                return Err("the simulated members did not start".into());
             }
             sleep(Duration::from_millis(5));
         }
-        Ok(crowd)
+        Ok(instances)
     }
 }
 
-impl Drop for Crowd {
+impl Drop for InstanceGroup {
     fn drop(&mut self) {
-        self.books.over.store(true, Ordering::Relaxed);
+        self.counters.over.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
 
-async fn lives(
+async fn run_instances(
     setup: Setup,
     share: Vec<(usize, UdpSocket)>,
-    books: Arc<Books>,
+    counters: Arc<Counters>,
     ready: Arc<AtomicU64>,
 ) -> Result<(), String> {
     let clock = Clock::start();
     let bytes = Rc::new(RefCell::new(vec![0; messages::MAX_MESSAGE_BYTES + 8]));
     let mut all = Vec::new();
     for (at, socket) in share {
-        let seeds = if setup.planner { vec![setup.addresses[0]] } else { vec![books.real] };
+        let seeds = if setup.planner { vec![setup.addresses[0]] } else { vec![counters.real] };
         let members = setup.member(at, seeds, clock.now());
         socket.set_nonblocking(true).map_err(|error| error.to_string())?;
         let socket = tokio::net::UdpSocket::from_std(socket).map_err(|error| error.to_string())?;
-        all.push(End { at, socket, members, clock, books: books.clone(), bytes: bytes.clone() });
+        all.push(Instance { at, socket, members, clock, counters: counters.clone(), bytes: bytes.clone() });
     }
     ready.fetch_add(1, Ordering::Relaxed);
-    // None pings one that is not here yet.
-    while ready.load(Ordering::Relaxed) < THREADS as u64 && !books.over.load(Ordering::Relaxed) {
+    // Waits for all threads, so that no member pings one that does not exist yet.
+    while ready.load(Ordering::Relaxed) < THREADS as u64 && !counters.over.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let (workers, many) = (setup.workers, setup.addresses.len());
-    all.into_iter().for_each(|end| drop(spawn_local(end.lives(workers, many))));
-    while !books.over.load(Ordering::Relaxed) {
+    all.into_iter().for_each(|end| drop(spawn_local(end.run_instances(workers, many))));
+    while !counters.over.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
 }
 
-struct End {
+struct Instance {
     at: usize,
     socket: tokio::net::UdpSocket,
     members: Membership,
     clock: Clock,
-    books: Arc<Books>,
+    counters: Arc<Counters>,
     bytes: Rc<RefCell<Vec<u8>>>,
 }
 
-impl End {
-    fn posts(&self, all: Vec<OutgoingMessage>) {
+impl Instance {
+    fn send(&self, all: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, envelope } in all {
             let mut bytes = Vec::new();
             if messages::encode(&mut bytes, &envelope) && self.socket.try_send_to(&bytes, to).is_ok() {
-                self.books.notes(to, &envelope.message, bytes.len(), true);
+                self.counters.record(to, &envelope.message, bytes.len(), true);
             }
         }
     }
 
-    async fn hears(&self, due: Time) -> Option<(SocketAddr, Envelope)> {
+    async fn receive(&self, due: Time) -> Option<(SocketAddr, Envelope)> {
         tokio::select! {
             () = sleep_until(self.clock.instant(due).into()) => return None,
             ready = self.socket.readable() => ready.ok()?,
@@ -260,11 +263,11 @@
         let mut bytes = self.bytes.borrow_mut();
         let (size, from) = self.socket.try_recv_from(&mut bytes).ok()?;
         let Decoded::Message(envelope, _) = messages::decode(&bytes[..size]) else { return None };
-        self.books.notes(from, &envelope.message, size, false);
+        self.counters.record(from, &envelope.message, size, false);
         Some((from, envelope))
     }
 
-    async fn lives(mut self, workers: u64, many: usize) {
+    async fn run_instances(mut self, workers: u64, many: usize) {
         let mut held = GrantTable::default();
         let first = self.clock.now() + GRANT_RENEWAL_INTERVAL * self.at as Time / many.max(1) as Time;
         let mut next = if workers > 0 { first } else { Time::MAX };
@@ -281,7 +284,7 @@
             let now = self.clock.now();
             if now >= self.members.next_deadline() {
                 let out = self.members.tick(now);
-                self.posts(out);
+                self.send(out);
                 drop(self.members.take_changes());
             }
             if now >= next {
@@ -296,18 +299,18 @@
                     updates: Vec::new(),
                     message: Message::Report(report),
                 };
-                self.posts(vec![OutgoingMessage { to: self.books.real, envelope }]);
-                self.books.reports.fetch_add(1, Ordering::Relaxed);
+                self.send(vec![OutgoingMessage { to: self.counters.real, envelope }]);
+                self.counters.reports.fetch_add(1, Ordering::Relaxed);
             }
-            let Some((from, envelope)) = self.hears(next.min(self.members.next_deadline())).await else {
+            let Some((from, envelope)) = self.receive(next.min(self.members.next_deadline())).await else {
                 continue;
             };
             let now = self.clock.now();
             let out = self.members.handle(now, from, &envelope);
-            self.posts(out);
+            self.send(out);
             if let Message::Grants { epoch, number, report, duration, grants } = envelope.message {
                 if held.accept(now, GrantHeader { epoch, number, duration }, report, &grants).is_ok() {
-                    self.books.taken.fetch_add(1, Ordering::Relaxed);
+                    self.counters.taken.fetch_add(1, Ordering::Relaxed);
                 }
             }
         }
@@ -318,7 +321,7 @@
     !matches!(state, MemberState::Dead | MemberState::Left)
 }
 
-/// Waits until the real process knows so many members, then asks out of it what it still has to tell. What it could not do in time.
+/// Waits until the real process knows `many` members, then drains its pending updates by pings. Returns an error on a timeout.
 fn settles(real: SocketAddr, from: NodeId, many: usize) -> Result<(), String> {
     let wrong = |error: std::io::Error| error.to_string();
     let socket = UdpSocket::bind("127.0.0.1:0").map_err(wrong)?;
@@ -338,20 +341,20 @@
     };
     let (began, mut known) = (Instant::now(), BTreeSet::new());
     while known.len() < many {
-        if began.elapsed() > SETTLES {
-            return Err(format!("it knows {} of {many} members after {SETTLES:?}", known.len()));
+        if began.elapsed() > SETTLE_TIME {
+            return Err(format!("the process knows {} of {many} members after {SETTLE_TIME:?}", known.len()));
         }
         send(Message::Join)?;
         while let Some(envelope) = hear() {
-            if let Message::MemberList { members: rumours } = envelope.message {
-                known.extend(rumours.iter().filter(|one| is_here(one.state)).map(|one| one.id));
+            if let Message::MemberList { members: updates } = envelope.message {
+                known.extend(updates.iter().filter(|one| is_here(one.state)).map(|one| one.id));
             }
         }
     }
     let (began, mut empty) = (Instant::now(), 0);
     while empty < 20 {
-        if began.elapsed() > 2 * SETTLES {
-            return Err(format!("it still tells of members after {:?}", 2 * SETTLES));
+        if began.elapsed() > 2 * SETTLE_TIME {
+            return Err(format!("the process still has pending updates after {:?}", 2 * SETTLE_TIME));
         }
         send(Message::Ping { number: 1 })?;
         if let Some(envelope) = hear() {
@@ -369,16 +372,16 @@
     Ok((sockets, addresses))
 }
 
-/// A real planner, so many hollow forwarders that report on so many workers.
+/// Measures a real planner with simulated forwarders that report on the workers.
 pub fn plans(
     program: &Program,
     (forwarders, workers): (u64, u64),
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let real = free_port();
-    // A planner connects to no worker; each has an address of its own.
+    // A planner connects to no worker, but each worker needs a distinct address.
     let worker = |at: u64| {
         format!("{{name: \"w{at}\", address: \"10.0.{}.{}:9\", places: 4}}", at / 250, at % 250 + 1)
     };
@@ -390,29 +393,29 @@
     let place = Place::start_as(&program.path, "plan", CONFIG, &operator, |all| all["name"] = "p0".into());
     let (sockets, addresses) = sockets(forwarders)?;
     let setup = Setup { planner: false, workers, addresses };
-    let crowd = Crowd::start(&setup, sockets, real)?;
-    let books = &crowd.books;
-    // It gives out nothing until whoever led before it is over.
+    let instances = InstanceGroup::start(&setup, sockets, real)?;
+    let counters = &instances.counters;
+    // A new planner sends no grants until the grants of an earlier leader have expired.
     let began = Instant::now();
-    while books.taken.load(Ordering::Relaxed) < forwarders && began.elapsed() < SETTLES {
+    while counters.taken.load(Ordering::Relaxed) < forwarders && began.elapsed() < SETTLE_TIME {
         sleep(Duration::from_millis(10));
     }
-    let settled = settles(real, setup.rumour(0).id, forwarders as usize);
-    let before = (books.gossip.count(), books.plans.count());
-    let (reports, taken) = (books.reports.load(Ordering::Relaxed), books.taken.load(Ordering::Relaxed));
+    let settled = settles(real, setup.gossip_update(0).id, forwarders as usize);
+    let before = (counters.gossip.count(), counters.plans.count());
+    let (reports, taken) = (counters.reports.load(Ordering::Relaxed), counters.taken.load(Ordering::Relaxed));
     let (began, spent) = (Instant::now(), Spent::of(place.id()));
     sleep(rest);
     let (span, now) = (began.elapsed().as_secs_f64(), Spent::of(place.id()));
-    let (gossip, plans) = (books.gossip.count().since(&before.0), books.plans.count().since(&before.1));
-    let reports = (books.reports.load(Ordering::Relaxed) - reports) as f64;
-    let taken = (books.taken.load(Ordering::Relaxed) - taken) as f64;
+    let (gossip, plans) = (counters.gossip.count().since(&before.0), counters.plans.count().since(&before.1));
+    let reports = (counters.reports.load(Ordering::Relaxed) - reports) as f64;
+    let taken = (counters.taken.load(Ordering::Relaxed) - taken) as f64;
     let (size, by) = match workers == WORKERS {
         true => (forwarders, format!("by forwarders, {WORKERS} workers")),
         false => (workers, format!("by workers, {forwarders} forwarders")),
     };
     if let Err(what) = settled {
-        // Its reports and grants are what they are; its gossip is not at rest.
-        tell(&format!("hollow: planner, {forwarders} forwarders and {workers} workers: {what}"));
+        // Reports and grants are still valid, but the gossip is not at rest.
+        progress(&format!("hollow: planner, {forwarders} forwarders and {workers} workers: {what}"));
     }
     let mut put = |role: &str, what: &str, value: f64, unit: &str| {
         rows.push(Measurement::new(
@@ -445,29 +448,29 @@
     let each = span * forwarders as f64;
     put("forwarder", "reports: payload bytes out", plans.bytes_out as f64 / each, "B/s");
     put("forwarder", "grants: payload bytes in", plans.bytes_in as f64 / each, "B/s");
-    // Under one where this process could not keep up: then the planner's figures are of fewer reports than so many forwarders send.
+    // Below one if this process could not keep up: then the planner received fewer reports than the real forwarders would send.
     let due = each / (GRANT_RENEWAL_INTERVAL as f64 / 10_000.0);
     put("forwarder", "reports that were sent of those due", reports / due, "share");
     let share = if reports > 0.0 { taken / reports } else { 0.0 };
     put("forwarder", "reports that were answered by grants", share, "share");
-    tell(&format!(
+    progress(&format!(
         "hollow: planner, {forwarders} forwarders and {workers} workers: {cores:.3} cores, {share:.3} of reports answered"
     ));
     Ok(())
 }
 
-/// A real forwarder among so many hollow members, itself one of them.
+/// Measures a real forwarder as one of `size` gossip members.
 pub fn gossips(
     program: &Program,
     size: u64,
     rest: Duration,
     rows: &mut Vec<Measurement>,
-    tell: &mut dyn FnMut(&str),
+    progress: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     let real = free_port();
     let (sockets, addresses) = sockets(size.max(3) - 1)?;
     let setup = Setup { planner: true, workers: 0, addresses };
-    let crowd = Crowd::start(&setup, sockets, real)?;
+    let instances = InstanceGroup::start(&setup, sockets, real)?;
     let operator = format!(
         "tier: {{listen: \"{real}\", planners: [{{name: \"g0\", address: \"{}\"}}], workers: [{{name: \"w0\", address: \"{}\", places: 4}}]}}",
         setup.addresses[0],
@@ -475,10 +478,11 @@
     );
     let place = Place::start_as(&program.path, "forward", CONFIG, &operator, |all| all["name"] = "f0".into());
     let mut measures = |when: &str| {
-        let (before, began, spent) = (crowd.books.gossip.count(), Instant::now(), Spent::of(place.id()));
+        let (before, began, spent) =
+            (instances.counters.gossip.count(), Instant::now(), Spent::of(place.id()));
         sleep(rest);
         let (span, now) = (began.elapsed().as_secs_f64(), Spent::of(place.id()));
-        let count = crowd.books.gossip.count().since(&before);
+        let count = instances.counters.gossip.count().since(&before);
         let mut put = |what: &str, value: f64, unit: &str| {
             let metric = format!("gossip {when}: {what} by members");
             rows.push(Measurement::new("forwarder", size, &metric, value, unit, MeasurementKind::Hollow));
@@ -494,12 +498,12 @@
             put(&format!("header bytes {way}"), (messages * super::HEADERS) as f64 / span, "B/s");
         }
         let bytes = (count.bytes_out + count.bytes_in) as f64 / span;
-        tell(&format!(
+        progress(&format!(
             "hollow: gossip {when} at {size} members: {bytes:.0} B/s in and out, {cores:.4} cores"
         ));
     };
     measures("in the first seconds of a member that comes");
-    settles(real, setup.rumour(0).id, setup.addresses.len())?;
+    settles(real, setup.gossip_update(0).id, setup.addresses.len())?;
     measures("at rest");
     Ok(())
 }
--- a/crates/experiments/tests/hollow.rs
+++ b/crates/experiments/tests/hollow.rs
@@ -1,5 +1,5 @@
-//! What one hollow instance sends and hears does not grow with the number of those beside it. Messages and bytes are counted; nothing is
-//! judged by time.
+//! The traffic of one simulated instance does not grow with the number of instances. Messages and bytes are counted; no check depends on
+//! time.
 
 use cypresscleat_experiments::scale::hollow::rig::{Limits, Program};
 use cypresscleat_experiments::scale::hollow::{keeper, tier};
@@ -10,15 +10,15 @@
 
 const SIZES: [u64; 3] = [5, 10, 20];
 const REST: Duration = Duration::from_millis(1_500);
-/// Renewals, and reports, of one instance in a second, by its lease and by the grants' time.
+/// Renewals, and reports, of one instance in a second, by the lease time and the grant interval.
 const RENEWALS: f64 = 2.0;
-/// Room for what a span's edges cut, and for numbers in a letter that grow by a byte. From the least size to the largest there are four
-/// times as many: an item or a message for each of the others would make far more of it.
-const MORE: f64 = 1.35;
-/// A machine that holds instances up makes them ask again. It does not do so each time; what grows with the members does.
-const TRIES: usize = 3;
+/// Tolerance for the edges of the measured span, and for numbers in a message that grow by a byte. The largest size is four times the
+/// smallest: an item or a message for each other instance would exceed this tolerance by far.
+const TOLERANCE: f64 = 1.35;
+/// Instances on a busy machine retry, which adds messages in some runs; growth with the members appears in all runs.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The program, beside this test; built where only this crate was.
+/// The server program in the folder of this test's profile; built if only this crate was built.
 fn program() -> Program {
     let own = std::env::current_exe().expect("a path");
     let folder = own.ancestors().nth(2).expect("the folder of the profile");
@@ -39,7 +39,7 @@
     found.unwrap_or_else(|| panic!("no {metric:?} of {role} at {size} in {rows:#?}")).value
 }
 
-/// All sizes at once.
+/// Measures all sizes in parallel.
 fn at_all_sizes(
     measure: impl Fn(&Program, u64, &mut Vec<Measurement>) -> Result<(), String> + Sync,
 ) -> Vec<Measurement> {
@@ -58,10 +58,13 @@
     })
 }
 
-/// Measures until what is judged is good, so many times at the most; the last word counts.
-fn holds(measure: impl Fn() -> Vec<Measurement>, judge: impl Fn(&[Measurement]) -> Result<(), String>) {
-    for left in (0..TRIES).rev() {
-        match judge(&measure()) {
+/// Measures until the check passes, at most `MAX_ATTEMPTS` times; the last failure panics.
+fn check_with_retries(
+    measure: impl Fn() -> Vec<Measurement>,
+    check: impl Fn(&[Measurement]) -> Result<(), String>,
+) {
+    for left in (0..MAX_ATTEMPTS).rev() {
+        match check(&measure()) {
             Ok(()) => return,
             Err(what) if left == 0 => panic!("{what}"),
             Err(what) => println!("measured again: {what}"),
@@ -69,8 +72,8 @@
     }
 }
 
-/// The size of a message does not grow with the instances, nor do the messages of one of them, by the role's rows of both.
-fn stays(
+/// Checks that neither the message size nor the message rate of one instance grows with the number of instances.
+fn check_constant(
     rows: &[Measurement],
     role: &str,
     (messages, bytes): (&str, &str),
@@ -78,34 +81,34 @@
 ) -> Result<(), String> {
     let size_of = |size| value(rows, role, size, bytes) / value(rows, role, size, messages);
     let (least, sizes) = (size_of(SIZES[0]), SIZES.map(size_of));
-    if !least.is_finite() || sizes.iter().any(|one| *one > least * MORE) {
+    if !least.is_finite() || sizes.iter().any(|one| *one > least * TOLERANCE) {
         return Err(format!("bytes a message, {bytes}: {sizes:?} at {SIZES:?}"));
     }
     let rates = SIZES.map(|size| value(rows, role, size, messages) / if each { 1.0 } else { size as f64 });
-    match rates.iter().all(|one| *one > 0.0 && *one <= RENEWALS * MORE) {
+    match rates.iter().all(|one| *one > 0.0 && *one <= RENEWALS * TOLERANCE) {
         true => Ok(()),
         false => Err(format!("{messages}, of one: {rates:?} at {SIZES:?}")),
     }
 }
 
 #[test]
-fn what_a_member_says_and_hears_does_not_grow_with_the_members() {
+fn the_traffic_of_a_member_does_not_grow_with_the_members() {
     let measure = || {
         at_all_sizes(|program, size, rows| {
             keeper::members(program, size, REST, rows, &mut |_| {})?;
             keeper::owners(program, size, REST, rows, &mut |_| {})
         })
     };
-    holds(measure, |rows| {
+    check_with_retries(measure, |rows| {
         for (of, by) in [("rollout", "members"), ("owners", "sessions")] {
             for way in ["out", "in"] {
                 let metric = |what: &str| format!("{of} at rest {what} {way} by {by}");
                 let (messages, bytes) = (metric("messages"), metric("payload bytes"));
-                stays(rows, "app-server", (&messages, &bytes), true)?;
+                check_constant(rows, "app-server", (&messages, &bytes), true)?;
             }
         }
         for change in ["change of 0.1 KiB", "change of 16 KiB"] {
-            // The text once, and messages that are short, few in a second: by the time that it took.
+            // The document once, and few short messages a second for the time that the change took.
             let text = if change.ends_with("16 KiB") { 16_384.0 } else { 0.0 };
             for size in SIZES {
                 let own =
@@ -124,14 +127,14 @@
 }
 
 #[test]
-fn what_a_forwarder_reports_goes_by_the_workers_and_not_by_the_forwarders() {
+fn the_reports_of_a_forwarder_do_not_grow_with_the_forwarders() {
     let measure =
         || at_all_sizes(|program, size, rows| tier::plans(program, (size, 100), REST, rows, &mut |_| {}));
-    holds(measure, |rows| {
+    check_with_retries(measure, |rows| {
         for way in ["in", "out"] {
             let metric = |what: &str| format!("reports and grants: {what} {way} by forwarders, 100 workers");
             let (messages, bytes) = (metric("messages"), metric("payload bytes"));
-            stays(rows, "planner", (&messages, &bytes), false)?;
+            check_constant(rows, "planner", (&messages, &bytes), false)?;
         }
         Ok(())
     });
@@ -148,8 +151,8 @@
 }
 
 #[test]
-fn a_program_that_is_not_there_is_named() {
-    // Beside this test there is none of that name: it stands one folder up.
+fn a_missing_program_is_reported() {
+    // The program is not in this test's folder but one folder up.
     let found = Program::find();
     if std::env::var_os("CYPRESSCLEAT_SERVER").is_none() {
         assert!(found.expect_err("none").contains("CYPRESSCLEAT_SERVER"));
