--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -16,10 +16,10 @@
 //! processes. With `--relays` five of the six app servers poll two relays in place of the control replicas.
 
 use clap::{value_parser, Arg, Command};
-use cypresscleat_demo::owners::{judge, Setup, Stage};
+use cypresscleat_demo::owners::{check_invariants, Setup, Stage};
 use cypresscleat_demo::split::{self, places, Split, PLACES};
-use cypresscleat_demo::tier::{self, Levels, Worker};
-use cypresscleat_demo::{frame, invocation, report, rollout, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::tier::{self, TwoLevels, Worker};
+use cypresscleat_demo::{frame, report, request_frame, rollout, Deployment, Kernel, Ledger, Link, Router};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
@@ -126,7 +126,7 @@
     }
     let scgi = matches.get_one::<SocketAddr>("scgi").copied();
     let operator = scgi.map_or(String::new(), operator);
-    let mut place = Place::start_with(Path::new(&program), &text, &operator, |_| {});
+    let mut place = Deployment::start_with(Path::new(&program), &text, &operator, |_| {});
     println!("the app server listens on {}", place.server);
 
     let kernel = place.kernel.try_clone().expect("a listener");
@@ -156,7 +156,7 @@
         println!("router: health check response {}", router.frame().payload[0]);
         for stream in 1..=REQUESTS {
             let operation = if stream % 2 == 0 { "lookup" } else { "report" };
-            router.0.send(invocation(stream, &format!("{stream:016x}"), operation, b"tell me"));
+            router.0.send(request_frame(stream, &format!("{stream:016x}"), operation, b"tell me"));
         }
         for _ in 0..REQUESTS {
             let (stream, code, body) = router.answer();
@@ -250,7 +250,7 @@
     let events = stage.journal();
     let has_barrier =
         |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
-    let judged = rollout::judge(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
+    let judged = rollout::check_invariants(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
     if let Some(path) = journal {
         let text: Vec<String> =
             std::iter::once(serde_json::json!({"bound_ms": MAX_MIXED_VERSIONS_MS}).to_string())
@@ -301,7 +301,7 @@
     println!("ready");
     stage.faults(seed, Duration::from_secs(seconds.min(3600)));
     let went_on = stage.progress(30, Duration::from_secs(20));
-    let judged = judge(&stage.ledger.journal());
+    let judged = check_invariants(&stage.ledger.journal());
     if let Some(Err(error)) = journal.map(|path| stage.write(path)) {
         println!("the journal: {error}");
         return ExitCode::FAILURE;
@@ -379,7 +379,7 @@
     };
     let keepers: Vec<u64> = stage.keepers.iter().map(|one| peak_memory_kb(one.id())).collect();
     let owners: Vec<u64> = stage.instances.iter().map(|one| peak_memory_kb(one.id())).collect();
-    stage.peace();
+    stage.heal();
     println!("{}", serde_json::json!({"handovers": summaries, "keeper_kb": keepers, "owner_kb": owners}));
     ExitCode::SUCCESS
 }
@@ -388,7 +388,7 @@
 const REQUESTS_PER_SECOND: u64 = 40;
 
 fn run_tier(program: &Path, config: &str, seconds: u64, kill: bool) -> ExitCode {
-    let mut levels = Levels::start(program, config, 2, 2, 3);
+    let mut levels = TwoLevels::start(program, config, 2, 2, 3);
     let alone: Vec<Worker> =
         (0..3).map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM")).collect();
     for forwarder in levels.forwarders.iter().flatten() {
@@ -402,8 +402,8 @@
     let (many, gap) =
         ((seconds * REQUESTS_PER_SECOND) as usize, Duration::from_micros(1_000_000 / REQUESTS_PER_SECOND));
     let (two, one) = (levels.addresses(), alone.iter().map(|worker| worker.place.server).collect::<Vec<_>>());
-    let tiered = thread::spawn(move || tier::trickle(&two, "tier", many, gap));
-    let standalone = thread::spawn(move || tier::trickle(&one, "alone", many, gap));
+    let tiered = thread::spawn(move || tier::send_steadily(&two, "tier", many, gap));
+    let standalone = thread::spawn(move || tier::send_steadily(&one, "alone", many, gap));
     if kill {
         thread::sleep(Duration::from_secs(seconds) / 2);
         levels.planners.iter_mut().for_each(|planner| *planner = None);
@@ -452,7 +452,8 @@
             .take(sides)
             .map(|side| places(&side.logged("by its grants: epoch")))
             .sum();
-        let all = tier::trickle(&split.addresses(), if with_replicas { "kept" } else { "lead" }, many, gap);
+        let all =
+            tier::send_steadily(&split.addresses(), if with_replicas { "kept" } else { "lead" }, many, gap);
         let ran: Vec<String> =
             split.workers.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
         all_answered &=
@@ -462,7 +463,7 @@
         .map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM"))
         .collect();
     let to: Vec<SocketAddr> = alone.iter().map(|worker| worker.place.server).collect();
-    let all = tier::trickle(&to, "alone", many, gap);
+    let all = tier::send_steadily(&to, "alone", many, gap);
     let ran: Vec<String> =
         alone.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
     all_answered &= row("workers alone", None, &all, &ran);
@@ -487,7 +488,7 @@
 }
 
 fn run_ledger(mut ledger: Ledger) {
-    while let Some((command, body)) = ledger.hear() {
+    while let Some((command, body)) = ledger.receive() {
         println!("ledger: {} {:?}", command.join(" "), String::from_utf8_lossy(&body));
         if command[0] == "post" {
             ledger.posted(&command[1], b"noted");
@@ -499,13 +500,13 @@
 fn run_kernel(listener: &std::net::TcpListener) {
     let (mut kernel, _) = Kernel::accept(listener);
     kernel.boot("WARM");
-    while let Some((msg, call, body)) = kernel.hear() {
+    while let Some((msg, call, body)) = kernel.receive() {
         println!("kernel: {msg} {call} {:?}", String::from_utf8_lossy(&body));
         match msg.as_str() {
-            "SCHED" if kernel.service == "report" => kernel.tell("IOREQ", &call, "", b"note this"),
+            "SCHED" if kernel.service == "report" => kernel.send_notice("IOREQ", &call, "", b"note this"),
             "SCHED" | "IODONE" => {
                 thread::sleep(Duration::from_millis(20));
-                kernel.tell("REAP", &call, "OK", b"here you are");
+                kernel.send_notice("REAP", &call, "OK", b"here you are");
             }
             _ => {}
         }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins on loopback for all peers of an app server: executor (`Kernel`), downstream proxy (`Ledger`), service registry and
 //! client (`Router`, `Gateway`). They are written from the protocol alone, with blocking sockets, so that a test drives each
-//! peer line by line. Each wait is bounded by `PATIENCE` and panics with what it waited for.
+//! peer line by line. Each wait is bounded by `TIMEOUT` and panics with what it waited for.
 
 pub mod owners;
 pub mod rollout;
@@ -25,7 +25,7 @@
 pub const TWO: &str = "00000000000000b2";
 
 /// Upper bound of each wait in the stand-ins.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis())
@@ -51,8 +51,8 @@
 
 impl Link {
     pub fn new(stream: TcpStream) -> Link {
-        stream.set_read_timeout(Some(PATIENCE)).expect("to set a timeout");
-        stream.set_write_timeout(Some(PATIENCE)).expect("to set a timeout");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("to set a timeout");
+        stream.set_write_timeout(Some(TIMEOUT)).expect("to set a timeout");
         stream.set_nodelay(true).expect("to set TCP_NODELAY");
         Link { stream, bytes: Vec::new(), over: false }
     }
@@ -94,7 +94,7 @@
         }
         self.stream.set_read_timeout(Some(time)).expect("to set a timeout");
         let is_readable = retry_interrupted(|| self.stream.peek(&mut [0])).is_ok();
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("to set a timeout");
+        self.stream.set_read_timeout(Some(TIMEOUT)).expect("to set a timeout");
         is_readable
     }
     /// Reads exactly `many` bytes.
@@ -157,7 +157,7 @@
 }
 
 /// A request frame whose arrival time is now.
-pub fn invocation(stream: u32, txn: &str, operation: &str, body: &[u8]) -> Vec<u8> {
+pub fn request_frame(stream: u32, txn: &str, operation: &str, body: &[u8]) -> Vec<u8> {
     let door = unix_ms().to_string();
     let fields = [
         ("verb", operation),
@@ -196,7 +196,7 @@
         Frame { kind: head[4], stream, payload: self.0.exact(length - 5) }
     }
     /// Like `try_answer`, for a server that may be killed at any time: any read error ends it with `None`.
-    pub fn quiet_answer(&mut self) -> Option<&'static str> {
+    pub fn silent_response(&mut self) -> Option<&'static str> {
         let mut bytes = Vec::new();
         loop {
             let mut part = [0; 1024];
@@ -302,7 +302,7 @@
     /// Accepts the next link of a process that may be killed at any time; `None` where the process ended before the link was up.
     pub fn try_accept(listener: &TcpListener, how: &str) -> Option<Kernel> {
         let mut stream = listener.accept().ok()?.0;
-        let _ = stream.set_read_timeout(Some(PATIENCE));
+        let _ = stream.set_read_timeout(Some(TIMEOUT));
         let (mut open, mut byte) = (Vec::new(), [0]);
         while byte[0] != b'\n' {
             if retry_interrupted(|| stream.read(&mut byte)).unwrap_or(0) == 0 {
@@ -324,15 +324,15 @@
         self.say(json!({"msg": "BOOTED", "how": how, "duration": 0}));
     }
     /// Sends a notice with the next serial number.
-    pub fn tell(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) {
+    pub fn send_notice(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) {
         self.serial += 1;
         let blob = STANDARD.encode(body);
         self.say(
             json!({"msg": msg, "serial": self.serial, "call": call, "how": how, "duration": 5, "blob": blob}),
         );
     }
-    /// Like `tell`, for a process that may have ended; false if the notice could not be sent.
-    pub fn try_tell(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) -> bool {
+    /// Like `send_notice`, for a process that may have ended; false if the notice could not be sent.
+    pub fn try_send_notice(&mut self, msg: &str, call: &str, how: &str, body: &[u8]) -> bool {
         self.serial += 1;
         let blob = STANDARD.encode(body);
         let notice =
@@ -340,8 +340,8 @@
         self.link.try_send(format!("{notice}\n").as_bytes())
     }
     /// The next command: its name, its call and its body. Answers requests for the gauges that come before it.
-    pub fn hear(&mut self) -> Option<(String, String, Vec<u8>)> {
-        let until = Instant::now() + PATIENCE;
+    pub fn receive(&mut self) -> Option<(String, String, Vec<u8>)> {
+        let until = Instant::now() + TIMEOUT;
         loop {
             assert!(Instant::now() < until, "only requests for the gauges arrived");
             let command: Value = serde_json::from_str(&self.link.line()?).expect("JSON");
@@ -351,7 +351,7 @@
         }
     }
     /// The next command if one arrives within `time`. Answers requests for the gauges meanwhile.
-    pub fn hear_within(&mut self, time: Duration) -> Option<(String, String, Vec<u8>)> {
+    pub fn receive_within(&mut self, time: Duration) -> Option<(String, String, Vec<u8>)> {
         let until = Instant::now() + time;
         while Instant::now() < until {
             if !self.link.waiting(Duration::from_millis(5)) {
@@ -387,7 +387,7 @@
     }
     /// Waits for the next command, which must be `msg` for `call`; returns its body.
     pub fn expect(&mut self, msg: &str, call: &str) -> Vec<u8> {
-        let (received, received_call, body) = self.hear().expect("a command");
+        let (received, received_call, body) = self.receive().expect("a command");
         assert_eq!((received.as_str(), received_call.as_str()), (msg, call));
         body
     }
@@ -405,14 +405,14 @@
         let mut runs: BTreeMap<String, Duration> = BTreeMap::new();
         let mut last = Instant::now();
         while !kernel.link.over {
-            if let Some((msg, call, body)) = kernel.hear_within(Duration::from_millis(2)) {
+            if let Some((msg, call, body)) = kernel.receive_within(Duration::from_millis(2)) {
                 match msg.as_str() {
                     "SCHED" => {
                         runs.insert(call, work(&kernel.service));
                         ran.lock().expect("the list").push(String::from_utf8_lossy(&body).into_owned());
                     }
                     "PREEMPT" if runs.remove(&call).is_some() => {
-                        kernel.try_tell("REAP", &call, "STOPPED", b"");
+                        kernel.try_send_notice("REAP", &call, "STOPPED", b"");
                     }
                     _ => {}
                 }
@@ -425,7 +425,7 @@
                 runs.iter().filter(|(_, left)| left.is_zero()).map(|(call, _)| call.clone()).collect();
             for call in over {
                 runs.remove(&call);
-                if !kernel.try_tell("REAP", &call, "OK", b"done") {
+                if !kernel.try_send_notice("REAP", &call, "OK", b"done") {
                     return;
                 }
             }
@@ -442,7 +442,7 @@
         Ledger(Link::new(listener.accept().expect("to accept a connection").0))
     }
     /// The next command: the words of its line, and the body of a `post`.
-    pub fn hear(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
+    pub fn receive(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
         let words: Vec<String> = self.0.line()?.split(' ').map(str::to_string).collect();
         let mut body = Vec::new();
         if words[0] == "post" {
@@ -528,7 +528,7 @@
         Backend(Link::new(listener.accept().expect("to accept a connection").0))
     }
     /// The header fields with their names, and the body.
-    pub fn hear(&mut self) -> (Vec<(String, String)>, Vec<u8>) {
+    pub fn receive(&mut self) -> (Vec<(String, String)>, Vec<u8>) {
         let mut digits = String::new();
         loop {
             match self.0.exact(1)[0] {
@@ -577,7 +577,7 @@
 // ---- app server ----
 
 /// The listeners of all stand-ins, and one app server process that is configured with their addresses.
-pub struct Place {
+pub struct Deployment {
     pub kernel: TcpListener,
     pub ledger: TcpListener,
     pub roster: TcpListener,
@@ -597,14 +597,14 @@
     TcpListener::bind("127.0.0.1:0").expect("a free loopback port")
 }
 
-impl Place {
+impl Deployment {
     /// Starts `program` with the configuration `config`, modified by `change`. All addresses are assigned here.
-    pub fn start(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> Place {
-        Place::start_with(program, config, "", change)
+    pub fn start(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> Deployment {
+        Deployment::start_with(program, config, "", change)
     }
     /// Like `start`, and accepts the first link to the executor and reports a warm start on it.
-    pub fn up(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> (Place, Kernel) {
-        let place = Place::start(program, config, change);
+    pub fn up(program: &Path, config: &str, change: impl FnOnce(&mut Value)) -> (Deployment, Kernel) {
+        let place = Deployment::start(program, config, change);
         let (mut kernel, serial) = Kernel::accept(&place.kernel);
         assert_eq!(serial, 0);
         kernel.boot("WARM");
@@ -617,8 +617,8 @@
         config: &str,
         operator: &str,
         change: impl FnOnce(&mut Value),
-    ) -> Place {
-        Place::start_as(program, "serve", config, operator, change)
+    ) -> Deployment {
+        Deployment::start_as(program, "serve", config, operator, change)
     }
     /// Like `start_with`, in the role `role`, such as `forward` or `plan`. A planner has no listener for requests.
     pub fn start_as(
@@ -627,7 +627,7 @@
         config: &str,
         operator: &str,
         change: impl FnOnce(&mut Value),
-    ) -> Place {
+    ) -> Deployment {
         let (kernel, ledger, roster) = (listener(), listener(), listener());
         let address = |listener: &TcpListener| json!(listener.local_addr().expect("an address").to_string());
         let mut configuration: Value = serde_json::from_str(config).expect("JSON");
@@ -659,7 +659,7 @@
         let server = SocketAddr::from(([127, 0, 0, 1], 0));
         let (scgi, path, seen_lines) = (None, path, Default::default());
         let process = std::cell::RefCell::new(process);
-        let mut place = Place {
+        let mut place = Deployment {
             kernel,
             ledger,
             roster,
@@ -672,7 +672,7 @@
             operator: path,
             configuration,
         };
-        let listen_address = |place: &Place, words| {
+        let listen_address = |place: &Deployment, words| {
             let line = place.logged(words);
             line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
         };
@@ -688,7 +688,7 @@
     }
     /// Waits for the next log line that contains `words`.
     pub fn logged(&self, words: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left).unwrap_or_else(|error| {
@@ -739,7 +739,7 @@
     }
     /// Waits until the process exits without a further signal.
     pub fn exit(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.process.get_mut().try_wait().expect("the process state") {
                 return status;
@@ -753,7 +753,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = self.process.get_mut().kill();
         let _ = self.process.get_mut().wait();
--- a/crates/demo/src/measure.rs
+++ b/crates/demo/src/measure.rs
@@ -7,7 +7,7 @@
 //! other load on the machine affects all of them alike. Prints the median, minimum and maximum of the rounds.
 
 use clap::{value_parser, Arg, Command};
-use cypresscleat_demo::{frame, invocation, scgi_request, Gateway, Kernel, Place, Router};
+use cypresscleat_demo::{frame, request_frame, scgi_request, Deployment, Gateway, Kernel, Router};
 use cypresscleat_scgi::{request::Reader, Bounds};
 use serde_json::json;
 use std::path::Path;
@@ -53,7 +53,7 @@
 }
 
 /// Starts the server that clients connect to, and its worker if the server is a forwarder.
-fn start(program: &str, kind: Kind) -> (Place, Option<Place>) {
+fn start(program: &str, kind: Kind) -> (Deployment, Option<Deployment>) {
     let change = |all: &mut serde_json::Value| {
         all["settings"]["specifics"]["cores"] = json!(16);
         all["settings"]["specifics"]["memory_kb"] = json!(4e6);
@@ -64,7 +64,7 @@
             "tier: {{listen: \"127.0.0.1:0\", planners: [], workers: [{{name: \"w\", address: \"{}\", places: 64}}]}}",
             worker.server
         );
-        let place = Place::start_as(Path::new(program), "forward", CONFIG, &operator, change);
+        let place = Deployment::start_as(Path::new(program), "forward", CONFIG, &operator, change);
         place.logged("takes work");
         return (place, Some(worker));
     }
@@ -80,14 +80,14 @@
             )
         }
     };
-    let place = Place::start_with(Path::new(program), CONFIG, &operator, change);
+    let place = Deployment::start_with(Path::new(program), CONFIG, &operator, change);
     let listener = place.kernel.try_clone().expect("a listener");
     thread::spawn(move || {
         let (mut kernel, _) = Kernel::accept(&listener);
         kernel.boot("WARM");
-        while let Some((msg, call, _)) = kernel.hear() {
+        while let Some((msg, call, _)) = kernel.receive() {
             if msg == "SCHED" {
-                kernel.tell("REAP", &call, "OK", &BODY);
+                kernel.send_notice("REAP", &call, "OK", &BODY);
             }
         }
     });
@@ -120,7 +120,7 @@
                     for stream in 1..=requests_per_client as u32 {
                         let sent_at = Instant::now();
                         let txn = format!("{:016x}", (client << 32) + stream as usize);
-                        router.0.send(invocation(stream, &txn, "lookup", &BODY));
+                        router.0.send(request_frame(stream, &txn, "lookup", &BODY));
                         assert_eq!(router.answer().1, "succeeded");
                         times.push(sent_at.elapsed().as_secs_f64() * 1e6);
                     }
--- a/crates/demo/src/owners.rs
+++ b/crates/demo/src/owners.rs
@@ -102,7 +102,7 @@
 
 /// Results of the check of a journal.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Judged {
+pub struct CheckReport {
     pub acts: usize,
     pub refused: usize,
     pub done_twice: usize,
@@ -111,8 +111,8 @@
     pub fell: usize,
 }
 
-pub fn judge(acts: &[Act]) -> Judged {
-    let mut judged = Judged { acts: acts.len(), ..Judged::default() };
+pub fn check_invariants(acts: &[Act]) -> CheckReport {
+    let mut judged = CheckReport { acts: acts.len(), ..CheckReport::default() };
     let (mut done, mut highest) = (BTreeMap::<(u64, u64), u32>::new(), BTreeMap::<u64, u64>::new());
     for act in acts {
         judged.refused += usize::from(act.older);
@@ -274,9 +274,9 @@
     }
 
     /// Applies an order to a link or a process.
-    pub fn obey(&mut self, order: &Order) {
+    pub fn apply_order(&mut self, order: &Order) {
         self.faults.push((Instant::now(), format!("{order:?}")));
-        if self.net.obey(order) {
+        if self.net.apply_order(order) {
             return;
         }
         match order {
@@ -345,8 +345,8 @@
     }
 
     /// Clears all link faults, resumes suspended processes and restarts ended ones.
-    pub fn peace(&mut self) {
-        self.obey(&Order::Heal);
+    pub fn heal(&mut self) {
+        self.apply_order(&Order::Heal);
         for process in self.all() {
             if process.is_stopped() {
                 process.wake();
@@ -398,7 +398,7 @@
                 }
                 // One replaced disk at a time, at least 6 s apart so that the other replicas can readmit the replica.
                 6 if all_replicas_up && last_disk_change.elapsed() > Duration::from_secs(6) => {
-                    self.obey(&Order::Heal);
+                    self.apply_order(&Order::Heal);
                     last_disk_change = Instant::now();
                     Some(Order::Start(replica, if draw(3) < 0.5 { Disk::Empty } else { Disk::Older }))
                 }
@@ -422,18 +422,18 @@
                 _ => Some(Order::Lose(replica, instance, draw(3))),
             };
             if let Some(order) = order {
-                self.obey(&order);
+                self.apply_order(&order);
             }
             let next = Instant::now() + Duration::from_secs_f64(0.2 + draw(15));
             while Instant::now() < next {
                 let (due, rest): (Vec<_>, Vec<_>) =
                     scheduled.into_iter().partition(|(at, _)| *at <= Instant::now());
                 scheduled = rest;
-                due.iter().for_each(|(_, order)| self.obey(order));
+                due.iter().for_each(|(_, order)| self.apply_order(order));
                 thread::sleep(Duration::from_millis(5));
             }
         }
-        self.peace();
+        self.heal();
     }
 
     /// Changes of ownership from the logs of the instances: time, instance, partition, fencing token and event.
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -3,7 +3,7 @@
 //! process on one monotonic clock; the clients count the outcomes of their requests.
 
 use crate::owners::replica_links;
-use crate::{invocation, run_cores, Kernel, Link, Router};
+use crate::{request_frame, run_cores, Kernel, Link, Router};
 use cypresscleat_fault_injection::{chance, free_port, Disk, Net, Order, Process};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
 
 /// Request counts as seen by the clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Books {
+pub struct RequestCounts {
     pub asked: u64,
     pub answered: u64,
     pub succeeded: u64,
@@ -53,7 +53,7 @@
     config: String,
     /// Fault counter of each member, odd while the member is down or suspended. Clients use it to exclude requests lost to a fault.
     fault_count: Arc<Vec<AtomicU64>>,
-    books: Arc<Mutex<Books>>,
+    books: Arc<Mutex<RequestCounts>>,
     is_stopping: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
     pub ran: Arc<Mutex<Vec<String>>>,
@@ -228,9 +228,9 @@
     }
 
     /// Applies an order to a link or a process.
-    pub fn obey(&mut self, order: &Order) {
+    pub fn apply_order(&mut self, order: &Order) {
         self.faults.push(format!("{order:?}"));
-        if self.net.obey(order) {
+        if self.net.apply_order(order) {
             return;
         }
         // The counter is odd while the member can't respond: clients don't count requests lost then, or while the counter changed.
@@ -391,12 +391,12 @@
         }
     }
 
-    pub fn books(&self) -> Books {
+    pub fn books(&self) -> RequestCounts {
         *self.books.lock().expect("the client counts")
     }
 
     /// Ends the load; returns the counts of the clients.
-    pub fn rests(&mut self) -> Books {
+    pub fn rests(&mut self) -> RequestCounts {
         self.is_stopping.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| drop(client.join()));
         self.is_stopping.store(false, Ordering::SeqCst);
@@ -404,15 +404,15 @@
     }
 
     /// Clears all link faults, resumes suspended processes and restarts ended ones.
-    pub fn peace(&mut self) {
-        self.obey(&Order::Heal);
+    pub fn heal(&mut self) {
+        self.apply_order(&Order::Heal);
         let names: Vec<(String, bool, bool)> =
             self.all().map(|one| (one.name.clone(), one.is_stopped(), one.runs())).collect();
         for (name, stopped, runs) in names {
             if stopped {
-                self.obey(&Order::Wake(name));
+                self.apply_order(&Order::Wake(name));
             } else if !runs {
-                self.obey(&Order::Start(name, Disk::Old));
+                self.apply_order(&Order::Start(name, Disk::Old));
             }
         }
     }
@@ -486,7 +486,7 @@
                 _ => None,
             };
             if let Some(order) = order {
-                self.obey(&order);
+                self.apply_order(&order);
             }
             if Instant::now() >= next_change {
                 next_change = Instant::now() + Duration::from_secs_f64(0.5 + 2.5 * draw(6));
@@ -501,11 +501,11 @@
                 let (due, rest): (Vec<_>, Vec<_>) =
                     scheduled.into_iter().partition(|(at, _)| *at <= Instant::now());
                 scheduled = rest;
-                due.iter().for_each(|(_, order)| self.obey(order));
+                due.iter().for_each(|(_, order)| self.apply_order(order));
                 thread::sleep(Duration::from_millis(5));
             }
         }
-        self.peace();
+        self.heal();
         proposed
     }
 
@@ -547,15 +547,15 @@
     let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
     let request_class = if count.is_multiple_of(3) { "report" } else { "lookup" };
     let mut router = Router(Link::new(stream));
-    if !router.0.try_send(&invocation(1, txn, request_class, txn.as_bytes())) {
+    if !router.0.try_send(&request_frame(1, txn, request_class, txn.as_bytes())) {
         return None;
     }
-    Some(router.quiet_answer())
+    Some(router.silent_response())
 }
 
 /// Results of the check of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Judged {
+pub struct CheckReport {
     pub taken: usize,
     pub dropped: usize,
     pub admitted: usize,
@@ -567,8 +567,8 @@
 }
 
 /// Checks a journal. `together` returns whether a version has a barrier, so that no two members run different versions.
-pub fn judge(journal: &[Value], bound_ms: f64, together: &dyn Fn(u64) -> bool) -> Judged {
-    let mut judged = Judged::default();
+pub fn check_invariants(journal: &[Value], bound_ms: f64, together: &dyn Fn(u64) -> bool) -> CheckReport {
+    let mut judged = CheckReport::default();
     let number = |line: &Value, key: &str| line[key].as_u64().unwrap_or(0);
     let (mut committed, mut first_active): (BTreeSet<u64>, BTreeMap<u64, u64>) =
         ([0].into(), BTreeMap::new());
--- a/crates/demo/src/soak.rs
+++ b/crates/demo/src/soak.rs
@@ -1,7 +1,7 @@
 //! Stand-ins that keep running through all faults of an app server: an executor whose links break, and clients that keep their
 //! connections open until the process ends. All record into one journal, from which a test checks the outcome of each request.
 
-use crate::{frame, invocation, request, unix_ms, Kernel, Link, Router};
+use crate::{frame, request, request_frame, unix_ms, Kernel, Link, Router};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use cypresscleat_fault_injection::chance;
 use serde_json::{json, Value};
@@ -184,7 +184,7 @@
         let life = if draws.is(self.break_probability) { 50 + draws.below(900) } else { 60_000 };
         let breaks_at = Instant::now() + Duration::from_millis(life);
         while !kernel.link.over && Instant::now() < breaks_at && !self.journal.over.load(Ordering::SeqCst) {
-            let command = kernel.hear_within(Duration::from_millis(1));
+            let command = kernel.receive_within(Duration::from_millis(1));
             let mut runs = self.runs.lock().expect("the runs");
             if let Some((msg, call, body)) = command {
                 self.handle_command(&mut runs, (&msg, &call, &body), &kernel.service, draws);
@@ -274,7 +274,7 @@
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut proxy = crate::Ledger(Link::new(stream));
-                while let Some((words, _)) = proxy.hear() {
+                while let Some((words, _)) = proxy.receive() {
                     let reply = format!("{} posted 2\r\nok\r\n", words.get(1).map_or("", String::as_str));
                     if words[0] == "post" && behaviour.should_respond() && !proxy.0.try_send(reply.as_bytes())
                     {
@@ -530,7 +530,7 @@
 
     fn request(&mut self, stream: u32, txn: &str, class: &str) -> Vec<u8> {
         if self.habit != Habit::ShortDeadline {
-            return invocation(stream, txn, class, txn.as_bytes());
+            return request_frame(stream, txn, class, txn.as_bytes());
         }
         let time_left_ms = self.draws.below(30);
         let arrived_at = (unix_ms() as u64 + time_left_ms).saturating_sub(self.deadline_ms).to_string();
@@ -607,7 +607,7 @@
     let Ok(stream) = TcpStream::connect(server) else { return Resent::Refused };
     let mut router = Router(Link::new(stream));
     let sent_at = Instant::now();
-    if !router.0.try_send(&invocation(1, txn, class, txn.as_bytes())) {
+    if !router.0.try_send(&request_frame(1, txn, class, txn.as_bytes())) {
         return Resent::Ended(Duration::ZERO);
     }
     while let Some(frame) = router.try_frame() {
--- a/crates/demo/src/split.rs
+++ b/crates/demo/src/split.rs
@@ -2,7 +2,7 @@
 //! control replicas.
 
 use crate::tier::{worker, Worker, CORES};
-use crate::Place;
+use crate::Deployment;
 use cypresscleat_fault_injection::{free_port, Process};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 pub struct Split {
     pub workers: Vec<Worker>,
     pub keepers: Vec<Process>,
-    pub planners: Vec<Place>,
-    pub forwarders: Vec<Place>,
+    pub planners: Vec<Deployment>,
+    pub forwarders: Vec<Deployment>,
     folder: PathBuf,
 }
 
@@ -70,14 +70,14 @@
                 "{keepers}tier: {{listen: \"{listen}\", planners: [{}], workers: [{workers_list}]}}",
                 visible_planners(side)
             );
-            Place::start_as(program, role, config, &text, |all| {
+            Deployment::start_as(program, role, config, &text, |all| {
                 all["name"] = json!(name);
                 all["settings"]["customers"] = json!([]);
                 all["stop_ms"] = json!(20_000);
             })
         };
         let planners = (0..2).map(|side| member("plan", side, planners[side], &format!("p{side}"))).collect();
-        let forwarders: Vec<Place> =
+        let forwarders: Vec<Deployment> =
             (0..2).map(|side| member("forward", side, free_port(), &format!("f{side}"))).collect();
         for forwarder in &forwarders {
             (0..WORKERS).for_each(|_| drop(forwarder.logged("takes work")));
--- a/crates/demo/src/tier.rs
+++ b/crates/demo/src/tier.rs
@@ -1,6 +1,6 @@
 //! Two-tier deployment on loopback: planners, forwarders and workers, all running the real program, each worker with an executor stand-in.
 
-use crate::{invocation, run_cores, Kernel, Place, Router};
+use crate::{request_frame, run_cores, Deployment, Kernel, Router};
 use cypresscleat_fault_injection::free_port;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -27,17 +27,17 @@
 }
 
 pub struct Worker {
-    pub place: Place,
+    pub place: Deployment,
     /// Bodies of all its runs.
     pub ran: Arc<Mutex<Vec<String>>>,
 }
 
 /// A running two-tier deployment.
-pub struct Levels {
+pub struct TwoLevels {
     program: PathBuf,
     config: String,
-    pub planners: Vec<Option<Place>>,
-    pub forwarders: Vec<Option<Place>>,
+    pub planners: Vec<Option<Deployment>>,
+    pub forwarders: Vec<Option<Deployment>>,
     pub workers: Vec<Option<Worker>>,
     planner_at: Vec<SocketAddr>,
     worker_at: Vec<SocketAddr>,
@@ -45,7 +45,7 @@
 
 /// Starts a worker whose executor reports the start type `how`, `WARM` or `COLD`; a cold executor runs at a quarter of its speed.
 pub fn worker(program: &Path, config: &str, name: &str, listen: Option<SocketAddr>, how: &str) -> Worker {
-    let place = Place::start_with(program, config, "", |all| {
+    let place = Deployment::start_with(program, config, "", |all| {
         all["name"] = json!(name);
         all["customers"] = json!([]);
         all["settings"]["customers"] = json!([]);
@@ -63,10 +63,16 @@
     Worker { place, ran }
 }
 
-impl Levels {
-    pub fn start(program: &Path, config: &str, planners: usize, forwarders: usize, workers: usize) -> Levels {
+impl TwoLevels {
+    pub fn start(
+        program: &Path,
+        config: &str,
+        planners: usize,
+        forwarders: usize,
+        workers: usize,
+    ) -> TwoLevels {
         let planner_at = (0..planners).map(|_| free_port()).collect();
-        let mut levels = Levels::workers(program, config, planner_at, workers);
+        let mut levels = TwoLevels::workers(program, config, planner_at, workers);
         for at in 0..planners {
             levels.planners.push(None);
             levels.restart_planner(at);
@@ -76,10 +82,10 @@
     }
 
     /// Starts workers only, for a test that simulates the planners.
-    pub fn workers(program: &Path, config: &str, planner_at: Vec<SocketAddr>, workers: usize) -> Levels {
+    pub fn workers(program: &Path, config: &str, planner_at: Vec<SocketAddr>, workers: usize) -> TwoLevels {
         let all: Vec<Worker> =
             (0..workers).map(|at| worker(program, config, &format!("w{at}"), None, "WARM")).collect();
-        Levels {
+        TwoLevels {
             program: program.to_path_buf(),
             config: config.to_string(),
             planners: Vec::new(),
@@ -111,8 +117,8 @@
         format!("tier: {{listen: \"{listen}\", planners: [{planners}], workers: [{workers}]}}")
     }
 
-    fn member(&self, role: &str, name: &str, listen: SocketAddr) -> Place {
-        Place::start_as(&self.program, role, &self.config, &self.operator(listen), |all| {
+    fn member(&self, role: &str, name: &str, listen: SocketAddr) -> Deployment {
+        Deployment::start_as(&self.program, role, &self.config, &self.operator(listen), |all| {
             all["name"] = json!(name);
             all["settings"]["customers"] = json!([]);
             all["stop_ms"] = json!(20_000);
@@ -155,7 +161,7 @@
 
 /// Sends `many` requests at fixed times, independent of the outcomes of earlier requests, to the servers in `to` in turn. The position
 /// of a request determines its request class. Waits for all outcomes; a request without a response counts as lost.
-pub fn trickle(to: &[SocketAddr], name: &str, many: usize, gap: Duration) -> Vec<Got> {
+pub fn send_steadily(to: &[SocketAddr], name: &str, many: usize, gap: Duration) -> Vec<Got> {
     let began = Instant::now();
     let clients: Vec<_> = (0..many)
         .map(|at| {
@@ -172,7 +178,7 @@
                     Err(_) => "refused",
                     Ok(stream) => {
                         let mut router = Router(crate::Link::new(stream));
-                        router.0.try_send(&invocation(1, &id, operation, body.as_bytes()));
+                        router.0.try_send(&request_frame(1, &id, operation, body.as_bytes()));
                         router.try_answer().unwrap_or("lost")
                     }
                 };
--- a/crates/experiments/src/scale/hollow/load.rs
+++ b/crates/experiments/src/scale/hollow/load.rs
@@ -4,7 +4,7 @@
 use super::rig::{Limits, Program, Quorum, Spent};
 use super::{guarded, told, CONFIG};
 use crate::scale::row::{How, Row};
-use cypresscleat_demo::{request, unix_ms, Kernel, Place, Router};
+use cypresscleat_demo::{request, unix_ms, Deployment, Kernel, Router};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -29,8 +29,8 @@
 const EACH: u64 = 64 * 1024;
 
 /// A worker, with a kernel that answers at once.
-fn worker(program: &Program, name: &str, operator: &str, sockets: u64) -> Place {
-    let place = Place::start_with(&program.path, CONFIG, operator, |all| {
+fn worker(program: &Program, name: &str, operator: &str, sockets: u64) -> Deployment {
+    let place = Deployment::start_with(&program.path, CONFIG, operator, |all| {
         all["name"] = json!(name);
         all["limits"]["sockets"] = json!(sockets);
         all["settings"]["customers"] = json!([]);
@@ -41,8 +41,8 @@
     let listener = place.kernel.try_clone().expect("a listener");
     spawn(move || {
         let Some(mut kernel) = Kernel::try_accept(&listener, "WARM") else { return };
-        while let Some((msg, call, _)) = kernel.hear() {
-            if msg == "SCHED" && !kernel.try_tell("REAP", &call, "OK", &BODY) {
+        while let Some((msg, call, _)) = kernel.receive() {
+            if msg == "SCHED" && !kernel.try_send_notice("REAP", &call, "OK", &BODY) {
                 return;
             }
         }
@@ -52,7 +52,7 @@
 }
 
 /// An invocation of little work, so that none is turned away for what it was said to take.
-fn invocation(stream: u32, txn: &str) -> Vec<u8> {
+fn request_frame(stream: u32, txn: &str) -> Vec<u8> {
     let door = unix_ms().to_string();
     let fields = [
         ("verb", "lookup"),
@@ -137,7 +137,7 @@
     for stream in 1..=many {
         sleep(due(stream).saturating_duration_since(Instant::now()));
         let txn = format!("{name:08x}{stream:08x}");
-        let bytes = invocation(stream, &txn);
+        let bytes = request_frame(stream, &txn);
         late.saturating_record(due(stream).elapsed().as_micros() as u64);
         let wire = &mut wires[stream as usize % CALLERS];
         if wire.write_all(&bytes).is_err() {
@@ -184,7 +184,7 @@
         "tier: {{listen: \"127.0.0.1:0\", planners: [], workers: [{{name: \"w\", address: \"{}\", places: 64}}]}}",
         worker.server
     );
-    let place = Place::start_as(&program.path, "forward", CONFIG, &operator, |all| {
+    let place = Deployment::start_as(&program.path, "forward", CONFIG, &operator, |all| {
         all["name"] = json!("f");
         all["settings"]["customers"] = json!([]);
         all["settings"]["specifics"]["memory_kb"] = json!(4e6);
@@ -319,7 +319,7 @@
     let mut held = Vec::new();
     for at in 0..size {
         let mut router = Router::connect(place.server);
-        router.0.send(invocation(1, &format!("{at:016x}")));
+        router.0.send(request_frame(1, &format!("{at:016x}")));
         let (_, how, _) = router.answer();
         if how != "succeeded" {
             return Err(format!("caller {at} was {how}"));
--- a/crates/experiments/src/scale/hollow/tier.rs
+++ b/crates/experiments/src/scale/hollow/tier.rs
@@ -7,7 +7,7 @@
 use super::rig::{Limits, Program, Spent};
 use super::{guarded, told, Flow, CONFIG};
 use crate::scale::row::{How, Row};
-use cypresscleat_demo::Place;
+use cypresscleat_demo::Deployment;
 use cypresscleat_fault_injection::free_port;
 use cypresscleat_forwarding::grants::{GrantHeader, GrantTable, GRANT_RENEWAL_INTERVAL};
 use cypresscleat_forwarding::membership::{Membership, MembershipConfig, OutgoingMessage};
@@ -387,7 +387,8 @@
         "tier: {{listen: \"{real}\", planners: [{{name: \"p0\", address: \"{real}\"}}], workers: [{}]}}",
         listed.join(", ")
     );
-    let place = Place::start_as(&program.path, "plan", CONFIG, &operator, |all| all["name"] = "p0".into());
+    let place =
+        Deployment::start_as(&program.path, "plan", CONFIG, &operator, |all| all["name"] = "p0".into());
     let (sockets, addresses) = sockets(forwarders)?;
     let setup = Setup { planner: false, workers, addresses };
     let crowd = Crowd::start(&setup, sockets, real)?;
@@ -466,7 +467,8 @@
         setup.addresses[0],
         free_port()
     );
-    let place = Place::start_as(&program.path, "forward", CONFIG, &operator, |all| all["name"] = "f0".into());
+    let place =
+        Deployment::start_as(&program.path, "forward", CONFIG, &operator, |all| all["name"] = "f0".into());
     let mut measures = |when: &str| {
         let (before, began, spent) = (crowd.books.gossip.count(), Instant::now(), Spent::of(place.id()));
         sleep(rest);
--- a/crates/fault-injection/src/net.rs
+++ b/crates/fault-injection/src/net.rs
@@ -135,7 +135,7 @@
     }
 
     /// Applies an order that concerns links; false for an order that concerns processes.
-    pub fn obey(&self, order: &Order) -> bool {
+    pub fn apply_order(&self, order: &Order) -> bool {
         match order {
             Order::Cut(sides) => self.cut(sides),
             Order::OneWay(from, to) => self.set(from, to, |link| link.cut = true),
--- a/crates/server/tests/both.rs
+++ b/crates/server/tests/both.rs
@@ -18,7 +18,7 @@
 //!   term | ends                  sends the termination notice | the process exits by itself with success
 //! Each step is asserted. Outputs and answers are recorded and compared between the protocols.
 
-use cypresscleat_demo::{frame, invocation, Backend, Gateway, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, request_frame, Backend, Deployment, Gateway, Kernel, Ledger, Link, Router};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     fn request_bytes(&self, id: u64, name: &str, operation: &str) -> Vec<u8> {
         let body = format!("{name} asks");
         match self {
-            Client::Router(_) => invocation(1, &format!("{id:016x}"), operation, body.as_bytes()),
+            Client::Router(_) => request_frame(1, &format!("{id:016x}"), operation, body.as_bytes()),
             Client::Gateway(_) => {
                 cypresscleat_demo::scgi_request("POST", &format!("/{operation}"), &[], body.as_bytes())
             }
@@ -125,7 +125,7 @@
 }
 
 struct Scenario {
-    place: Place,
+    place: Deployment,
     kernel: Kernel,
     client_protocol: Protocol,
     call_protocol: Protocol,
@@ -141,7 +141,7 @@
     fn start(client_protocol: Protocol, call_protocol: Protocol, changes: &[(String, Value)]) -> Scenario {
         let operator =
             if call_protocol == Protocol::Scgi { format!("{OPERATOR}{BACKEND}") } else { OPERATOR.into() };
-        let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |json_config| {
+        let place = Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator, |json_config| {
             for (pointer, value) in changes {
                 *json_config.pointer_mut(pointer).unwrap_or_else(|| panic!("{pointer}")) = value.clone();
             }
@@ -201,7 +201,7 @@
     }
 
     fn expect_command(&mut self, msg: &str, name: &str) {
-        let (msg_received, call, body) = self.kernel.hear().expect("a command");
+        let (msg_received, call, body) = self.kernel.receive().expect("a command");
         let body = String::from_utf8(body).expect("text");
         if msg_received == "SCHED" {
             let client_name = body.split(' ').next().expect("a name").to_string();
@@ -219,13 +219,13 @@
         let (downstream, received_id, body) = match self.call_protocol {
             Protocol::Frames => {
                 let mut ledger = Ledger::accept(&self.place.ledger);
-                let (words, body) = ledger.hear().expect("a call");
+                let (words, body) = ledger.receive().expect("a call");
                 assert!(words[2].parse::<u64>().is_ok_and(|ms| ms > 0));
                 (Downstream::Ledger(ledger), words[1].clone(), body)
             }
             Protocol::Scgi => {
                 let mut backend = Backend::accept(&self.place.ledger);
-                let (fields, body) = backend.hear();
+                let (fields, body) = backend.receive();
                 let field =
                     |name: &str| fields.iter().find(|(known, _)| known == name).expect(name).1.clone();
                 assert_eq!(
@@ -272,11 +272,11 @@
             ["kernel", "hears", msg, name] => self.expect_command(msg, name),
             ["kernel", "reaps", name, how] => {
                 let (id, body) = (self.request_id(name), format!("{name} done"));
-                self.kernel.tell("REAP", &id, how, if how == "OK" { body.as_bytes() } else { b"" });
+                self.kernel.send_notice("REAP", &id, how, if how == "OK" { body.as_bytes() } else { b"" });
             }
             ["kernel", "calls", name] => {
                 let id = self.request_id(name);
-                self.kernel.tell("IOREQ", &id, "", format!("{name} puts").as_bytes());
+                self.kernel.send_notice("IOREQ", &id, "", format!("{name} puts").as_bytes());
             }
             ["kernel", "resumes", name] => {
                 let (id, reply) = (self.request_id(name), format!("{name} noted"));
--- a/crates/server/tests/crossings.rs
+++ b/crates/server/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Messages that cross a close, a start, a stop or an idle connection, forced over loopback: the program is stopped with SIGSTOP
 //! while both sides send their bytes, and then continues with all of them already received. See docs/design/crossings.md.
 
-use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
+use cypresscleat_demo::{frame, report, request_frame, Deployment, Kernel, Ledger, Link, Router, ONE, TWO};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,12 +12,12 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
 const CONFIG: &str = include_str!("../../demo/config.json");
 
-fn start(change: impl FnOnce(&mut Value)) -> Place {
-    Place::start(Path::new(PROGRAM), CONFIG, change)
+fn start(change: impl FnOnce(&mut Value)) -> Deployment {
+    Deployment::start(Path::new(PROGRAM), CONFIG, change)
 }
 
-fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Place, Kernel) {
-    Place::up(Path::new(PROGRAM), CONFIG, change)
+fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Deployment, Kernel) {
+    Deployment::up(Path::new(PROGRAM), CONFIG, change)
 }
 
 /// Opens a connection that has made one health check and is idle now.
@@ -29,7 +29,7 @@
 }
 
 /// Stops the program with SIGSTOP, so that it reads nothing before everything was sent. Returns a time just before SIGCONT.
-fn while_stopped(place: &Place, meanwhile: impl FnOnce()) -> Instant {
+fn while_stopped(place: &Deployment, meanwhile: impl FnOnce()) -> Instant {
     place.signal("STOP");
     let status = format!("/proc/{}/stat", place.id());
     while !std::fs::read_to_string(&status).is_ok_and(|text| text.contains(") T ")) {}
@@ -67,21 +67,21 @@
         let mut all: Vec<Router> = (0..14).map(|_| idle_router(place.server)).collect(); // all fifteen slots are taken
         while_stopped(&place, || {
             all.push(Router::connect(place.server));
-            oldest.0.send(invocation(1, ONE, "lookup", b"ask"));
+            oldest.0.send(request_frame(1, ONE, "lookup", b"ask"));
         });
         (place, kernel, oldest, all)
     };
     let (_place, mut kernel, mut oldest, _all) = prepare_within(prepare, Duration::from_millis(200));
     let answer = std::thread::spawn(move || oldest.answer());
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(answer.join().expect("an answer"), (1, "succeeded", b"result".to_vec()));
 }
 
 /// A connection with an incomplete message is not idle: another one is closed for a new connection.
 #[test]
 fn a_connection_with_an_incomplete_message_is_not_idle() {
-    let whole = invocation(1, ONE, "lookup", b"ask");
+    let whole = request_frame(1, ONE, "lookup", b"ask");
     let prepare = || {
         let (place, kernel) = start_with_executor(|all| all["limits"]["sockets"] = json!(53));
         let mut oldest = idle_router(place.server);
@@ -95,7 +95,7 @@
     assert_eq!((others[0].frame().kind, others[0].0.ended()), (64, true));
     oldest.0.send(&whole[30..]);
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(oldest.answer(), (1, "succeeded", b"result".to_vec()));
 }
 
@@ -113,8 +113,8 @@
 fn complete_requests_before_invalid_bytes_are_answered_without_a_reset() {
     let (place, mut kernel) = start_with_executor(|_| {});
     let mut stream = TcpStream::connect(place.server).expect("a connection");
-    let mut bytes = invocation(1, ONE, "lookup", b"ask");
-    bytes.extend(invocation(2, TWO, "lookup", b"ask"));
+    let mut bytes = request_frame(1, ONE, "lookup", b"ask");
+    bytes.extend(request_frame(2, TWO, "lookup", b"ask"));
     bytes.extend(300_000u32.to_be_bytes());
     bytes.extend([7; 30_000]);
     stream.write_all(&bytes).expect("to write");
@@ -131,7 +131,7 @@
     assert_eq!(streams, [0, 1, 2]);
     // None of this delays the next connection.
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, "00000000000000c3", "lookup", b"ask"));
+    router.0.send(request_frame(1, "00000000000000c3", "lookup", b"ask"));
     kernel.expect("SCHED", "00000000000000c3");
 }
 
@@ -143,7 +143,7 @@
     bad
 }
 
-fn open_descriptors(place: &Place) -> usize {
+fn open_descriptors(place: &Deployment) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", place.id())).expect("its descriptors").count()
 }
 
@@ -169,9 +169,9 @@
     });
     assert!(open <= 64, "{open} descriptors");
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "lookup", b"ask"));
+    router.0.send(request_frame(1, ONE, "lookup", b"ask"));
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     assert!(!place.has_logged("accept:"), "no connection failed for lack of a descriptor");
 }
@@ -182,7 +182,7 @@
 fn a_lingering_close_takes_no_slot() {
     within(MAX_LINGER, || {
         let (place, mut kernel) = start_with_executor(|all| all["limits"]["sockets"] = json!(64)); // 23 slots
-        let whole = invocation(1, TWO, "lookup", b"ask");
+        let whole = request_frame(1, TWO, "lookup", b"ask");
         let mut all = Vec::new();
         let began = while_stopped(&place, || {
             for _ in 0..22 {
@@ -192,7 +192,7 @@
             }
             all.push(Router(Link::new(connect_faulty_peer(place.server))));
             let mut next = Router::connect(place.server);
-            next.0.send(invocation(1, ONE, "lookup", b"ask"));
+            next.0.send(request_frame(1, ONE, "lookup", b"ask"));
             all.push(next);
         });
         kernel.expect("SCHED", ONE);
@@ -247,7 +247,7 @@
         place.signal("TERM"); // without an executor there is nothing to wait for
         for _ in 0..20 {
             let mut router = Router::connect(server);
-            router.0.send(invocation(1, ONE, "lookup", b"ask"));
+            router.0.send(request_frame(1, ONE, "lookup", b"ask"));
             routers.push(router);
         }
     });
@@ -295,11 +295,11 @@
     for signals in [&["TERM"][..], &["TERM", "TERM"], &["HUP", "TERM", "HUP"], &["TERM", "HUP", "TERM"]] {
         let (mut place, mut kernel) = start_with_executor(|all| all["stop_ms"] = json!(60_000));
         let mut router = Router::connect(place.server);
-        router.0.send(invocation(1, ONE, "lookup", b"ask"));
+        router.0.send(request_frame(1, ONE, "lookup", b"ask"));
         kernel.expect("SCHED", ONE);
         while_stopped(&place, || signals.iter().for_each(|signal| place.signal(signal)));
         place.logged("draining");
-        kernel.tell("REAP", ONE, "OK", b"result");
+        kernel.send_notice("REAP", ONE, "OK", b"result");
         assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
         router.0.close();
         assert!(place.exit().success(), "{signals:?}");
@@ -318,7 +318,7 @@
     });
     let mut router = idle_router(place.server);
     // The request arrived within the grace period and is read after it: admitted.
-    let first = invocation(1, ONE, "lookup", b"ask");
+    let first = request_frame(1, ONE, "lookup", b"ask");
     place.signal("TERM");
     place.logged("draining");
     assert_eq!(router.frame().kind, 64);
@@ -328,10 +328,10 @@
     for (stream, pause) in [(2, 1_300), (3, 1_000), (4, 500)] {
         std::thread::sleep(Duration::from_millis(pause));
         let txn = format!("{stream:016x}");
-        router.0.send(invocation(stream, &txn, "lookup", b"ask"));
+        router.0.send(request_frame(stream, &txn, "lookup", b"ask"));
         assert_eq!(router.answer(), (stream, "throttled", Vec::new()));
     }
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     assert!(router.0.ended(), "the connection is closed once no request is open on it");
 }
@@ -351,7 +351,7 @@
     for stream in 1..=12 {
         std::thread::sleep(Duration::from_millis(300));
         let txn = format!("{stream:016x}");
-        router.0.send(invocation(stream, &txn, "lookup", b"ask"));
+        router.0.send(request_frame(stream, &txn, "lookup", b"ask"));
         assert_eq!(router.answer(), (stream, "throttled", Vec::new()));
     }
     assert!(router.0.ended(), "the connection is closed once it is idle");
@@ -421,24 +421,24 @@
         let patience = Some(Duration::from_secs(30));
         socket2::SockRef::from(&place.ledger).set_read_timeout(patience).expect("a time-out for accept too");
         let mut router = Router::connect(place.server);
-        router.0.send(invocation(1, ONE, "report", b"ask"));
+        router.0.send(request_frame(1, ONE, "report", b"ask"));
         kernel.expect("SCHED", ONE);
-        kernel.tell("IOREQ", ONE, "", b"put");
+        kernel.send_notice("IOREQ", ONE, "", b"put");
         let mut ledger = Ledger::accept(&place.ledger);
-        assert_eq!(ledger.hear().expect("a call").0[1], ONE);
+        assert_eq!(ledger.receive().expect("a call").0[1], ONE);
         ledger.posted(ONE, b"noted");
         kernel.expect("IODONE", ONE);
-        router.0.send(invocation(2, TWO, "report", b"ask"));
+        router.0.send(request_frame(2, TWO, "report", b"ask"));
         kernel.expect("SCHED", TWO);
         while_stopped(&place, || {
-            kernel.tell("IOREQ", TWO, "", b"put");
+            kernel.send_notice("IOREQ", TWO, "", b"put");
             match invalid_bytes {
                 b"" => ledger.0.close(),
                 invalid_bytes => ledger.0.send(invalid_bytes),
             }
         });
         let mut other = Ledger::accept(&place.ledger);
-        assert_eq!(other.hear().expect("a call").0[1], TWO);
+        assert_eq!(other.receive().expect("a call").0[1], TWO);
         other.posted(TWO, b"noted");
         assert_eq!(kernel.expect("IODONE", TWO), b"noted");
     }
@@ -502,14 +502,14 @@
             stream += 1;
             let txn = format!("{stream:016x}");
             let mut router = Router::connect(server);
-            router.0.send(invocation(1, &txn, "report", b"ask"));
+            router.0.send(request_frame(1, &txn, "report", b"ask"));
             kernel.expect("SCHED", &txn);
-            kernel.tell("IOREQ", &txn, "", b"put");
+            kernel.send_notice("IOREQ", &txn, "", b"put");
             let mut ledger = Ledger::accept(&ledgers);
-            assert_eq!(ledger.hear().expect("a call").0[1], txn);
+            assert_eq!(ledger.receive().expect("a call").0[1], txn);
             ledger.posted(&txn, b"noted");
             kernel.expect("IODONE", &txn);
-            kernel.tell("REAP", &txn, "OK", b"result");
+            kernel.send_notice("REAP", &txn, "OK", b"result");
             assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
             kernel.link.close(); // the link to the executor is reconnected each time
             (kernel, _) = Kernel::accept(&kernels);
@@ -728,7 +728,7 @@
         let peer = Rc::new(Peer::new(&shared.pool, Rc::new(FrameWriter), 0));
         let send_request = async |stream: u32, txn: &str| {
             let mut buf = shared.pool.take();
-            buf.push(&invocation(stream, txn, "report", b"ask")[9..]);
+            buf.push(&request_frame(stream, txn, "report", b"ask")[9..]);
             peer.queued_requests.set(peer.queued_requests.get() + 1);
             let event =
                 CoreEvent::RequestArrived { peer: peer.clone(), stream, request: read_request(buf, &names) };
@@ -821,10 +821,10 @@
             "tier: {{listen: \"{listen}\", planners: [{{name: \"p0\", address: \"{planner}\"}}], \
              workers: [{{name: \"w0\", address: \"{worker}\", places: 4}}]}}"
         );
-        let place = Place::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |_| {});
+        let place = Deployment::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |_| {});
         place.logged("takes work");
         let mut router = Router::connect(place.server);
-        router.0.send(invocation(1, ONE, "lookup", b"ask"));
+        router.0.send(request_frame(1, ONE, "lookup", b"ask"));
         assert_eq!(router.answer().1, answer, "{closes} closes, announced {announces}");
         assert_eq!(received.try_iter().count(), sent, "{closes} closes, announced {announces}");
     }
--- a/crates/server/tests/drains.rs
+++ b/crates/server/tests/drains.rs
@@ -5,7 +5,7 @@
 //!
 //! `DRAINS=200 cargo test --release -p cypresscleat-server --test drains` runs 200 seeds, `SEED=7` runs only seed 7.
 
-use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, report, request_frame, Deployment, Kernel, Ledger, Link, Router};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -81,7 +81,7 @@
             if operation == "report" {
                 journal.reports.lock().expect("the journal").insert(txn.clone());
             }
-            let bytes = invocation(stream, &txn, operation, txn.as_bytes());
+            let bytes = request_frame(stream, &txn, operation, txn.as_bytes());
             let cut = random.below(bytes.len() as u64) as usize;
             if !router.0.try_send(&bytes[..cut]) {
                 break;
@@ -156,7 +156,7 @@
         let mut router = Router(Link::new(stream));
         let operation =
             if journal.reports.lock().expect("the journal").contains(txn) { "report" } else { "lookup" };
-        let whole = router.0.try_send(&invocation(1, txn, operation, txn.as_bytes()));
+        let whole = router.0.try_send(&request_frame(1, txn, operation, txn.as_bytes()));
         while let Some(frame) = router.try_frame().filter(|_| whole) {
             if (frame.kind, frame.stream) == (4, 1) {
                 state = (RequestState::Answered, state.1 + 1);
@@ -214,7 +214,7 @@
                 let twice = 1 + usize::from(random.draw() < 0.1);
                 (0..twice).all(|_| link.link.try_send(notices[serial - 1].as_bytes()))
             };
-            if let Some((msg, call, _)) = link.hear_within(Duration::from_millis(1)) {
+            if let Some((msg, call, _)) = link.receive_within(Duration::from_millis(1)) {
                 record(&call, &msg);
                 match msg.as_str() {
                     // The server sends commands again on a new link. A SCHED for a running request is ignored; one for a request
@@ -262,7 +262,7 @@
         while let Ok((stream, _)) = ledger.accept() {
             thread::spawn(move || {
                 let mut ledger = Ledger(Link::new(stream));
-                while let Some((words, _)) = ledger.hear() {
+                while let Some((words, _)) = ledger.receive() {
                     if words[0] == "post"
                         && !ledger.0.try_send(format!("{} posted 2\r\nok\r\n", words[1]).as_bytes())
                     {
@@ -283,7 +283,7 @@
 }
 
 fn run_drain(seed: u64) -> String {
-    let mut place = Place::start(Path::new(PROGRAM), CONFIG, |all| {
+    let mut place = Deployment::start(Path::new(PROGRAM), CONFIG, |all| {
         all["settings"]["categories"][(seed % 2) as usize]["effect"] = json!("fragile");
         all["settings"]["obligations"]["stop_sending_within_ns"] = json!(150_000_000);
         all["settings"]["specifics"]["cores"] = json!(4);
--- a/crates/server/tests/failed_starts.rs
+++ b/crates/server/tests/failed_starts.rs
@@ -1,7 +1,7 @@
 //! A process that fails before it listens states the cause in a log line and by its exit code: the address in use, the file, the
 //! lack of descriptors.
 
-use cypresscleat_demo::Place;
+use cypresscleat_demo::Deployment;
 use cypresscleat_fault_injection::free_port;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -127,8 +127,9 @@
 fn the_test_setup_shows_the_exit_of_a_process_that_never_listened() {
     let address_in_use = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = address_in_use.local_addr().expect("an address").to_string();
-    let start =
-        || Place::start(Path::new(PROGRAM), CONFIG, |json_config| json_config["listen"] = json!(address));
+    let start = || {
+        Deployment::start(Path::new(PROGRAM), CONFIG, |json_config| json_config["listen"] = json!(address))
+    };
     let failed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(start))
         .err()
         .expect("the process never listens");
--- a/crates/server/tests/operator_interface.rs
+++ b/crates/server/tests/operator_interface.rs
@@ -1,7 +1,7 @@
 //! The interface of operators and their scripts: subcommands, flags, exit codes, keys of the operator's file with their defaults,
 //! counters and JSON fields, as recorded. A new name is added as an alias; the old name stays valid.
 
-use cypresscleat_demo::{owners, rollout, Place};
+use cypresscleat_demo::{owners, rollout, Deployment};
 use cypresscleat_fault_injection::{free_port, Order, Process};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -350,7 +350,7 @@
 
 #[test]
 fn app_server_prints_its_counters_in_the_recorded_order() {
-    let (mut place, _kernel) = Place::up(Path::new(PROGRAM), CONFIG, |all| all["stop_ms"] = 500.into());
+    let (mut place, _kernel) = Deployment::up(Path::new(PROGRAM), CONFIG, |all| all["stop_ms"] = 500.into());
     place.signal("USR1");
     let line = place.logged("connections ");
     let expected = [
@@ -453,7 +453,7 @@
         owners::Setup { program, keepers: 3, instances: 1, parts: 1, lease: LEASE, every, seed: 1, drift: 0 };
     let mut stage = owners::Stage::start(&setup);
     assert!(stage.progress(3, TIMEOUT), "no instance started\n{}", stage.logs());
-    stage.obey(&Order::Keep("k0".into()));
+    stage.apply_order(&Order::Keep("k0".into()));
     let (lines, code) = stage.owners();
     assert_eq!((lines.len(), code), (1, SUCCESS));
     let expected = ["cursor", "duty", "last_done_ms_ago", "lease_left_ms", "owner", "part", "token"];
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -1,7 +1,7 @@
 //! Exclusive ownership between processes of the program: control replicas, instances and the ledger that they write to, with injected
 //! faults. The checks use the ledger's journal, not the reports of the instances.
 
-use cypresscleat_demo::owners::{judge, Act, Judged, Ledger, Setup, Stage};
+use cypresscleat_demo::owners::{check_invariants, Act, CheckReport, Ledger, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order, Process};
 use std::path::Path;
 use std::thread::sleep;
@@ -44,8 +44,8 @@
     }
 }
 
-fn verify_journal(stage: &Stage) -> Judged {
-    let judged = judge(&stage.ledger.journal());
+fn verify_journal(stage: &Stage) -> CheckReport {
+    let judged = check_invariants(&stage.ledger.journal());
     assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
     judged
 }
@@ -64,11 +64,11 @@
         stage.net.set(&owner, "ledger", |link| link.cut = true);
         sleep(ms(60));
         let stopped = Instant::now();
-        stage.obey(&Order::Stop(owner.clone()));
+        stage.apply_order(&Order::Stop(owner.clone()));
         let next = wait_for_other_owner(&stage, &owner, stopped);
         assert!(next.token > token);
-        stage.obey(&Order::Heal);
-        stage.obey(&Order::Wake(owner.clone()));
+        stage.apply_order(&Order::Heal);
+        stage.apply_order(&Order::Wake(owner.clone()));
         assert!(stage.progress(5, TIMEOUT));
         let is_rejected_late_operation =
             |act: &Act| act.by == owner && act.older && act.token == token && act.at > next.at;
@@ -89,15 +89,15 @@
     for _ in 0..3 {
         let (owner, _) = current_owner(&stage);
         let began = Instant::now();
-        stage.obey(&Order::End(owner.clone()));
+        stage.apply_order(&Order::End(owner.clone()));
         handover = handover.min(wait_for_other_owner(&stage, &owner, began).at - began);
         assert!(stage.process(&owner).ended(TIMEOUT).is_some_and(|status| status.success()));
-        stage.obey(&Order::Start(owner, Disk::Old));
+        stage.apply_order(&Order::Start(owner, Disk::Old));
         assert!(stage.progress(5, TIMEOUT));
     }
     let (owner, _) = current_owner(&stage);
     let began = Instant::now();
-    stage.obey(&Order::Kill(owner.clone()));
+    stage.apply_order(&Order::Kill(owner.clone()));
     let crash = wait_for_other_owner(&stage, &owner, began).at - began;
     // Bounds for a busy machine; docs/results.md has what was measured on a quiet one.
     assert!(handover < LEASE / 2, "handover: {handover:?}");
@@ -111,13 +111,13 @@
     let (owner, token) = current_owner(&stage);
     let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
     let cut = Instant::now();
-    stage.obey(&Order::Cut(vec![vec![owner.clone()], replicas]));
+    stage.apply_order(&Order::Cut(vec![vec![owner.clone()], replicas]));
     let next = wait_for_other_owner(&stage, &owner, cut);
     assert!(next.token > token);
     let journal = stage.ledger.journal();
     let last = journal.iter().rfind(|act| act.by == owner).expect("an operation of the first owner");
     assert!(last.at < next.at, "the first owner must stop by its own clock before the next one starts");
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     assert!(stage.progress(5, TIMEOUT));
     assert_eq!(verify_journal(&stage).refused, 0);
 }
@@ -126,9 +126,9 @@
 fn an_owner_cut_off_from_the_ledger_alone_keeps_the_task() {
     let mut stage = start_stage(3, 2, 1, ms(10));
     let (owner, token) = current_owner(&stage);
-    stage.obey(&Order::Cut(vec![vec![owner.clone()], vec!["ledger".into()]]));
+    stage.apply_order(&Order::Cut(vec![vec![owner.clone()], vec!["ledger".into()]]));
     sleep(2 * LEASE);
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     assert!(stage.progress(5, TIMEOUT));
     assert_eq!(
         current_owner(&stage),
@@ -144,9 +144,9 @@
     let (owner, _) = current_owner(&stage);
     let cut = Instant::now();
     let others = names_except(&stage, &owner);
-    stage.obey(&Order::Cut(vec![vec![owner.clone()], others]));
+    stage.apply_order(&Order::Cut(vec![vec![owner.clone()], others]));
     wait_for_other_owner(&stage, &owner, cut);
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     assert!(stage.progress(10, TIMEOUT));
     verify_journal(&stage);
 }
@@ -155,19 +155,19 @@
 fn ownership_survives_a_partial_partition_and_a_flapping_link() {
     let mut stage = start_stage(3, 2, 1, ms(10));
     // k0 and k2 each reach k1 but not each other; a quorum still exists.
-    stage.obey(&Order::Cut(vec![vec!["k0".into()], vec!["k2".into()]]));
+    stage.apply_order(&Order::Cut(vec![vec!["k0".into()], vec!["k2".into()]]));
     assert!(stage.progress(20, TIMEOUT));
-    stage.obey(&Order::OneWay("k1".into(), "k0".into()));
+    stage.apply_order(&Order::OneWay("k1".into(), "k0".into()));
     assert!(stage.progress(20, TIMEOUT));
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     let before = stage.changes().len();
     let (owner, _) = current_owner(&stage);
     let began = Instant::now();
     let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
     for _ in 0..12 {
-        stage.obey(&Order::Cut(vec![vec![owner.clone()], replicas.clone()]));
+        stage.apply_order(&Order::Cut(vec![vec![owner.clone()], replicas.clone()]));
         sleep(ms(250));
-        stage.obey(&Order::Heal);
+        stage.apply_order(&Order::Heal);
         sleep(ms(150));
     }
     let changes = stage.changes().len() - before;
@@ -182,19 +182,19 @@
 fn control_replicas_are_killed_one_by_one_and_all_at_once() {
     let mut stage = start_stage(3, 2, 2, ms(10));
     for at in 0..3 {
-        stage.obey(&Order::Kill(format!("k{at}")));
+        stage.apply_order(&Order::Kill(format!("k{at}")));
         assert!(stage.progress(10, TIMEOUT), "two of three replicas form a quorum");
-        stage.obey(&Order::Start(format!("k{at}"), Disk::Old));
+        stage.apply_order(&Order::Start(format!("k{at}"), Disk::Old));
         let recovered = stage.keepers[at].logged("entries", 0, TIMEOUT);
         assert!(recovered.is_some(), "the replica does not log its recovered entries");
         assert!(stage.progress(10, TIMEOUT));
     }
     let (_, token) = current_owner(&stage);
     for process in ["k0", "k1", "k2", "n0", "n1"] {
-        stage.obey(&Order::Kill(process.into()));
+        stage.apply_order(&Order::Kill(process.into()));
     }
     for process in ["k2", "n1", "k0", "n0", "k1"] {
-        stage.obey(&Order::Start(process.into(), Disk::Old));
+        stage.apply_order(&Order::Start(process.into(), Disk::Old));
     }
     assert!(stage.progress(10, TIMEOUT));
     assert!(current_owner(&stage).1 > token, "fencing tokens rise over a restart of all processes");
@@ -204,8 +204,8 @@
 #[test]
 fn without_a_quorum_no_task_changes_owner_and_with_one_work_resumes() {
     let mut stage = start_stage(3, 2, 1, ms(10));
-    stage.obey(&Order::Kill("k0".into()));
-    stage.obey(&Order::Stop("k1".into()));
+    stage.apply_order(&Order::Kill("k0".into()));
+    stage.apply_order(&Order::Stop("k1".into()));
     sleep(LEASE + LEASE / 2);
     let operation_count = stage.ledger.journal().len();
     sleep(LEASE);
@@ -215,7 +215,7 @@
         "an owner performed an operation after its lease expired"
     );
     assert_eq!(stage.owners().1, 4, "no quorum responds");
-    stage.obey(&Order::Wake("k1".into()));
+    stage.apply_order(&Order::Wake("k1".into()));
     assert!(stage.progress(10, TIMEOUT));
     assert_eq!(stage.owners().1, 0);
     verify_journal(&stage);
@@ -224,12 +224,12 @@
 #[test]
 fn a_replica_with_an_empty_or_stale_disk_rejoins_and_fencing_tokens_still_rise() {
     let mut stage = start_stage(3, 2, 1, ms(10));
-    stage.obey(&Order::Keep("k1".into()));
+    stage.apply_order(&Order::Keep("k1".into()));
     assert!(stage.progress(20, TIMEOUT));
     let mut token = current_owner(&stage).1;
     for (disk, log_text) in [(Disk::Older, "is a copy or was put back"), (Disk::Empty, "empty")] {
         let lines = stage.keepers[1].log().len();
-        stage.obey(&Order::Start("k1".into(), disk));
+        stage.apply_order(&Order::Start("k1".into(), disk));
         assert!(stage.keepers[1].logged(log_text, lines, TIMEOUT).is_some());
         // k1 is a member again: with another replica killed the two that remain form a quorum.
         let count_admissions = |stage: &Stage| {
@@ -243,9 +243,9 @@
             sleep(ms(10));
         }
         sleep(ms(500));
-        stage.obey(&Order::Kill("k0".into()));
+        stage.apply_order(&Order::Kill("k0".into()));
         assert!(stage.progress(10, TIMEOUT), "k1 and k2 form a quorum");
-        stage.obey(&Order::Start("k0".into(), Disk::Old));
+        stage.apply_order(&Order::Start("k0".into(), Disk::Old));
         assert!(stage.progress(10, TIMEOUT));
         assert!(current_owner(&stage).1 >= token);
         token = current_owner(&stage).1;
@@ -270,7 +270,7 @@
     assert_eq!(stage.command(&["--bar", "tally", "--instance", &next]).1, 0);
     assert_eq!(wait_for_other_owner(&stage, &next, began).by, owner);
     assert_eq!(verify_journal(&stage).refused, 0, "a barred owner hands over before the next one starts");
-    stage.obey(&Order::End(owner));
+    stage.apply_order(&Order::End(owner));
 }
 
 #[test]
@@ -286,7 +286,7 @@
 #[test]
 fn a_control_replica_with_a_full_disk_ends_and_acknowledges_no_failed_write() {
     let mut stage = start_stage(3, 2, 1, ms(5));
-    stage.obey(&Order::Kill("k2".into()));
+    stage.apply_order(&Order::Kill("k2".into()));
     let path = stage.operator("k2");
     let program = env!("CARGO_BIN_EXE_cypresscleat-server");
     let script = format!("trap '' XFSZ; ulimit -f 64; exec {program} keep --operator {path} --name k2");
@@ -305,9 +305,9 @@
     );
     assert!(full_disk.log().iter().any(|line| line.1.contains("File too large")), "{:?}", full_disk.log());
     assert!(stage.progress(10, TIMEOUT));
-    stage.obey(&Order::Start("k2".into(), Disk::Old));
+    stage.apply_order(&Order::Start("k2".into(), Disk::Old));
     assert!(stage.progress(20, TIMEOUT));
-    stage.obey(&Order::Kill("k0".into()));
+    stage.apply_order(&Order::Kill("k0".into()));
     assert!(stage.progress(20, TIMEOUT), "the restarted replica counts toward the quorum");
     verify_journal(&stage);
 }
@@ -316,7 +316,7 @@
 #[test]
 fn a_control_replica_whose_sync_fails_ends_and_its_disk_counts_as_empty() {
     let mut stage = start_stage(3, 2, 1, ms(5));
-    stage.obey(&Order::Kill("k2".into()));
+    stage.apply_order(&Order::Kill("k2".into()));
     let path = stage.operator("k2");
     let program = Path::new(env!("CARGO_BIN_EXE_cypresscleat-server"));
     let mut failing = Process::new("k2", program, &["keep", "--operator", &path, "--name", "k2"])
@@ -341,7 +341,7 @@
     }
     assert!(stage.progress(10, TIMEOUT));
     let lines = stage.keepers[2].log().len();
-    stage.obey(&Order::Start("k2".into(), Disk::Old));
+    stage.apply_order(&Order::Start("k2".into(), Disk::Old));
     assert!(stage.keepers[2]
         .logged("is a copy or was put back; it counts as empty", lines, TIMEOUT)
         .is_some());
@@ -352,7 +352,7 @@
         sleep(ms(10));
     }
     sleep(ms(500));
-    stage.obey(&Order::Kill("k0".into()));
+    stage.apply_order(&Order::Kill("k0".into()));
     assert!(stage.progress(20, TIMEOUT), "the replica counts toward the quorum with its new disk");
     verify_journal(&stage);
 }
@@ -374,7 +374,7 @@
     };
     let own = replace_k2(&plain).replacen("]", &format!("], folder: \"{folder}\""), 1);
     stage.rewrite("k3", |_| own.clone());
-    stage.obey(&Order::Start("k3".into(), Disk::Old));
+    stage.apply_order(&Order::Start("k3".into(), Disk::Old));
     assert!(stage.keepers[3].logged("empty", 0, TIMEOUT).is_some());
     for name in ["k0", "k1"] {
         stage.rewrite(name, |text| replace_k2(&text));
@@ -389,9 +389,9 @@
         sleep(ms(10));
     }
     sleep(ms(500));
-    stage.obey(&Order::Kill("k2".into()));
+    stage.apply_order(&Order::Kill("k2".into()));
     assert!(stage.progress(20, TIMEOUT));
-    stage.obey(&Order::Kill("k0".into()));
+    stage.apply_order(&Order::Kill("k0".into()));
     // Instances started with the old list still find k1.
     assert!(stage.progress(20, TIMEOUT), "k1 and k3 are a quorum of k0, k1, k3\n{}", stage.logs());
     assert!(current_owner(&stage).1 >= token);
@@ -483,7 +483,7 @@
     assert_eq!((reported(0).0, reported(1).0), (rows, 70), "no row is reported again under another hour");
     let hours = ledger.journal().iter().filter(|act| act.taken && act.part == 0).count();
     assert!(hours >= 5, "{hours} hours");
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
 }
 
 /// Writes the store of a killed instance: `count` admitted requests, one idempotency key in progress and one completed.
--- a/crates/server/tests/planners.rs
+++ b/crates/server/tests/planners.rs
@@ -1,7 +1,7 @@
 //! A scripted planner that fails at each step of the exchange or sends invalid messages to a real forwarder with real workers. In every
 //! case each client gets its response in time, and no request runs twice.
 
-use cypresscleat_demo::tier::{ran_twice, trickle, Levels};
+use cypresscleat_demo::tier::{ran_twice, send_steadily, TwoLevels};
 use cypresscleat_forwarding::grants::GRANT_DURATION;
 use cypresscleat_forwarding::messages::{self, Decoded, Envelope, Grant, Message};
 use cypresscleat_forwarding::{node_id, NodeId};
@@ -69,17 +69,17 @@
 }
 
 /// Two workers, a forwarder and the scripted planner serve 90 requests over about three seconds; all must succeed.
-fn run_script(name: &str, script: Script) -> Levels {
+fn run_script(name: &str, script: Script) -> TwoLevels {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let address: SocketAddr = socket.local_addr().expect("an address");
     let is_over = Arc::new(AtomicBool::new(false));
     let planner = start_planner(socket, script, is_over.clone());
-    let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![address], 2);
+    let mut levels = TwoLevels::workers(Path::new(PROGRAM), CONFIG, vec![address], 2);
     levels.forward(1);
     for _ in 0..2 {
         levels.forwarders[0].as_ref().expect("the forwarder is running").logged("takes work");
     }
-    let all = trickle(&levels.addresses(), name, 90, Duration::from_millis(35));
+    let all = send_steadily(&levels.addresses(), name, 90, Duration::from_millis(35));
     is_over.store(true, Ordering::Relaxed);
     let reports = planner.join().expect("the planner thread panicked");
     assert!(reports >= 3, "{name}: {reports} reports");
@@ -89,7 +89,7 @@
     levels
 }
 
-fn forwarder_logged(levels: &Levels, words: &str) -> String {
+fn forwarder_logged(levels: &TwoLevels, words: &str) -> String {
     levels.forwarders[0].as_ref().expect("the forwarder is running").logged(words)
 }
 
@@ -180,15 +180,15 @@
         vec![encode_grants(1 << 16, u64::from(count), report_number, vec![])]
     };
     let planner = start_planner(socket, script, is_over.clone());
-    let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![address], 1);
+    let mut levels = TwoLevels::workers(Path::new(PROGRAM), CONFIG, vec![address], 1);
     levels.forward(1);
     forwarder_logged(&levels, "by its grants: epoch 65536, 0 places");
-    let all = trickle(&levels.addresses(), "none", 5, Duration::from_millis(10));
+    let all = send_steadily(&levels.addresses(), "none", 5, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "throttled" || got.how == "errored"), "{all:?}");
     is_over.store(true, Ordering::Relaxed);
     planner.join().expect("the planner thread panicked");
     forwarder_logged(&levels, "by itself");
-    let all = trickle(&levels.addresses(), "again", 5, Duration::from_millis(10));
+    let all = send_steadily(&levels.addresses(), "again", 5, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "succeeded"), "{all:?}");
 }
 
@@ -197,7 +197,7 @@
 fn grants_from_an_unknown_sender_are_ignored() {
     let silent_planner = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let planner_at = silent_planner.local_addr().expect("an address");
-    let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, vec![planner_at], 1);
+    let mut levels = TwoLevels::workers(Path::new(PROGRAM), CONFIG, vec![planner_at], 1);
     levels.forward(1);
     let line = forwarder_logged(&levels, "hears members at ");
     let address: SocketAddr = line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address");
@@ -210,7 +210,7 @@
         }
         thread::sleep(Duration::from_millis(25));
     }
-    let all = trickle(&levels.addresses(), "stranger", 20, Duration::from_millis(10));
+    let all = send_steadily(&levels.addresses(), "stranger", 20, Duration::from_millis(10));
     assert!(all.iter().all(|got| got.how == "succeeded"), "{all:?}");
     let forwarder = levels.forwarders[0].as_ref().expect("the forwarder is running");
     assert!(!forwarder.has_logged("by its grants"), "the forwarder follows forged grants");
--- a/crates/server/tests/pools.rs
+++ b/crates/server/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Pools in the real server with stand-ins: a flood of expensive requests, in frames and in SCGI. The cheap requests get their responses
 //! in time, all others one final response. The executor stand-in runs requests on two simulated cores.
 
-use cypresscleat_demo::{frame, invocation, run_cores, Gateway, Kernel, Place, Router};
+use cypresscleat_demo::{frame, request_frame, run_cores, Deployment, Gateway, Kernel, Router};
 use serde_json::json;
 use std::path::Path;
 use std::thread;
@@ -29,8 +29,8 @@
 const EXPENSIVE: Duration = Duration::from_millis(80);
 const FLOOD: usize = 120;
 
-fn start(operator: &str) -> Place {
-    let place = Place::start_with(Path::new(PROGRAM), CONFIG, operator, |all| {
+fn start(operator: &str) -> Deployment {
+    let place = Deployment::start_with(Path::new(PROGRAM), CONFIG, operator, |all| {
         all["settings"]["customers"] = json!([]);
         all["settings"]["categories"][1]["aim_ns"] = json!(600_000_000);
         all["stop_ms"] = json!(60_000);
@@ -44,7 +44,7 @@
 }
 
 /// Whether each expensive request succeeded, and the outcome and duration of each cheap one.
-fn flood(place: &Place) -> (Vec<bool>, Vec<(bool, Duration)>) {
+fn flood(place: &Deployment) -> (Vec<bool>, Vec<(bool, Duration)>) {
     let (server, scgi) = (place.server, place.scgi);
     let expensive: Vec<_> = (0..FLOOD)
         .map(|at| {
@@ -57,7 +57,7 @@
                 }
                 None => {
                     let mut router = Router::connect(server);
-                    router.0.send(invocation(1, &format!("{:016x}", 0x1000 + at), "report", b"dear"));
+                    router.0.send(request_frame(1, &format!("{:016x}", 0x1000 + at), "report", b"dear"));
                     let (_, outcome, _) = router.answer();
                     router.0.send(frame(16, 2, &[0]));
                     // The next frame is the response to the health check, so there is no second response to the request.
@@ -77,7 +77,7 @@
             }
             None => {
                 let mut router = Router::connect(server);
-                router.0.send(invocation(1, &format!("{:016x}", 0x9000 + at), "lookup", b"cheap"));
+                router.0.send(request_frame(1, &format!("{:016x}", 0x9000 + at), "lookup", b"cheap"));
                 router.answer().1 == "succeeded"
             }
         };
@@ -117,7 +117,7 @@
         .map(|at| {
             thread::spawn(move || {
                 let mut router = Router::connect(server);
-                router.0.send(invocation(1, &format!("{:016x}", 0x1000 + at), "report", b"dear"));
+                router.0.send(request_frame(1, &format!("{:016x}", 0x1000 + at), "report", b"dear"));
                 router.answer().1
             })
         })
@@ -131,6 +131,6 @@
         assert!(["succeeded", "throttled"].contains(&one.join().expect("a response")));
     }
     let mut router = Router::connect(server);
-    router.0.send(invocation(1, "00000000000000aa", "lookup", b"after"));
+    router.0.send(request_frame(1, "00000000000000aa", "lookup", b"after"));
     assert_eq!(router.answer().1, "succeeded");
 }
--- a/crates/server/tests/ramp.rs
+++ b/crates/server/tests/ramp.rs
@@ -1,7 +1,7 @@
 //! A worker that restarts cold under the load of all its senders together: the program as worker and as 1, 8 and 30 forwarders,
 //! which do not know of each other. The maximum of open requests is the worker's own counter.
 
-use cypresscleat_demo::tier::{ran_twice, trickle, Levels, CORES};
+use cypresscleat_demo::tier::{ran_twice, send_steadily, TwoLevels, CORES};
 use serde_json::Value;
 use std::path::Path;
 use std::thread;
@@ -28,14 +28,15 @@
 /// Kills the first `cold` of `workers` and restarts them cold at once, under load from `senders`: one request per `gap`, for
 /// three seconds. Checks that the open requests of each stay within its budget.
 fn restart_cold_under_load(senders: usize, workers: usize, cold: usize, interval: Duration) {
-    let mut levels = Levels::workers(Path::new(PROGRAM), CONFIG, Vec::new(), workers);
+    let mut levels = TwoLevels::workers(Path::new(PROGRAM), CONFIG, Vec::new(), workers);
     levels.forward(senders);
     for forwarder in levels.forwarders.iter().flatten() {
         (0..workers).for_each(|_| drop(forwarder.logged("takes work")));
     }
     let addresses = levels.addresses();
-    let calls =
-        thread::spawn(move || trickle(&addresses, "r", (3000 / interval.as_millis()) as usize, interval));
+    let calls = thread::spawn(move || {
+        send_steadily(&addresses, "r", (3000 / interval.as_millis()) as usize, interval)
+    });
     thread::sleep(Duration::from_millis(400));
     (0..cold).for_each(|at| levels.workers[at] = None); // SIGKILL
     let began = Instant::now();
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -3,7 +3,7 @@
 //! responses that clients received.
 
 use cypresscleat_consensus::message;
-use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
+use cypresscleat_demo::rollout::{check_invariants, CheckReport, Setup, Stage};
 use cypresscleat_fault_injection::{Disk, Order};
 use cypresscleat_rollout::messages::{Request, Response};
 use cypresscleat_server::leases::wire::ControlMessage;
@@ -87,12 +87,12 @@
 
 /// Heals all faults, waits until every member is under `version`, and checks the journals: no request is lost and no member admits
 /// under a superseded version past the bound.
-fn verify_outcome(stage: &mut Stage, version: u64, has_barrier: &dyn Fn(u64) -> bool) -> Judged {
-    stage.peace();
+fn verify_outcome(stage: &mut Stage, version: u64, has_barrier: &dyn Fn(u64) -> bool) -> CheckReport {
+    stage.heal();
     wait_until_all_serve(stage, version);
     let books = stage.rests();
     assert_eq!((books.lost, books.asked), (0, books.answered), "{books:?}");
-    let judged = judge(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
+    let judged = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
     assert_eq!(judged.wrong, 0, "{judged:?}");
     judged
 }
@@ -214,10 +214,10 @@
         let (lines, code) = stage.propose(&policy_document(3 + version as u32, ""), 0);
         assert_eq!(code, 5, "{lines:?}");
         version += 1;
-        stage.obey(&Order::Kill(relay.into()));
+        stage.apply_order(&Order::Kill(relay.into()));
         assert!(wait_until_decided(&stage, version), "{:?}", log_tails(&stage));
-        stage.obey(&Order::Start(relay.into(), Disk::Old));
-        stage.obey(&Order::Heal);
+        stage.apply_order(&Order::Start(relay.into(), Disk::Old));
+        stage.apply_order(&Order::Heal);
         let now = stage.policy(&["show"]).0[0]["version"].as_u64().expect("a version number");
         wait_until_all_serve(&stage, now);
     }
@@ -231,12 +231,12 @@
     wait_for_initial_leases();
     stage.load(2, ms(5));
     sleep(ms(300));
-    stage.obey(&Order::Stop("r0".into()));
+    stage.apply_order(&Order::Stop("r0".into()));
     // With the barrier all members stop first, so a member that admits past the relay's lease is detected.
     let version = propose_until_committed_with(&stage, 3, "together: true");
     assert!(stage.logged("m0", "out of service", 1, TIMEOUT));
     sleep(ms(500));
-    stage.obey(&Order::Wake("r0".into()));
+    stage.apply_order(&Order::Wake("r0".into()));
     // Clients send until m0 has admitted a request; its permission to admit is journaled some milliseconds earlier.
     let admits_again = || {
         let journal = stage.journal();
@@ -267,11 +267,11 @@
 fn a_relay_restarted_with_an_empty_disk_stores_the_document_before_its_members_do() {
     let mut stage = start_stage();
     stage.load(1, ms(10));
-    stage.obey(&Order::Kill("r0".into()));
+    stage.apply_order(&Order::Kill("r0".into()));
     let version = propose_until_committed(&stage, 4);
-    stage.obey(&Order::Kill("m0".into()));
+    stage.apply_order(&Order::Kill("m0".into()));
     for name in ["r0", "m0"] {
-        stage.obey(&Order::Start(name.into(), Disk::Empty));
+        stage.apply_order(&Order::Start(name.into(), Disk::Empty));
     }
     verify_outcome(&mut stage, version, &|_| false);
     let stored_path = stage.folder().join("disk-r0").join(format!("{version:012}.json"));
@@ -283,7 +283,7 @@
     let mut stage = start_stage();
     stage.load(1, ms(10));
     for relay in RELAYS {
-        stage.obey(&Order::Kill(relay.into()));
+        stage.apply_order(&Order::Kill(relay.into()));
     }
     let version = propose_until_committed(&stage, 3);
     for member in ["m0", "m1", "m2"] {
@@ -303,7 +303,7 @@
         last("admitted", "m3") > out.into_iter().max().unwrap_or(0),
         "the member without relays stopped serving"
     );
-    stage.obey(&Order::Start("r0".into(), Disk::Old));
+    stage.apply_order(&Order::Start("r0".into(), Disk::Old));
     assert!(stage.serve_under(version, &ALL_MEMBERS, TIMEOUT), "{:?}", log_tails(&stage));
     assert!(stage.all_have(version, 2, TIMEOUT), "{:?}", stage.policy(&["status"]));
     verify_outcome(&mut stage, version, &|_| false);
@@ -314,14 +314,14 @@
     let mut stage = start_stage();
     wait_for_initial_leases();
     stage.load(2, ms(10));
-    stage.obey(&Order::Cut(vec![names(&RELAYS[..1]), names(&CONTROL_REPLICAS)]));
+    stage.apply_order(&Order::Cut(vec![names(&RELAYS[..1]), names(&CONTROL_REPLICAS)]));
     // With the barrier all members stop first, so a member that admits past the relay's lease is detected.
     let version = propose_until_committed_with(&stage, 4, "together: true");
     assert!(stage.logged("r0", "no members are answered", 1, TIMEOUT), "{:?}", log_tails(&stage));
     assert!(stage.logged("m0", "out of service", 1, TIMEOUT), "{:?}", log_tails(&stage));
     // Members that know the other relay keep serving.
     assert!(stage.serve_under(version, &ALL_MEMBERS[1..], TIMEOUT), "{:?}", log_tails(&stage));
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     verify_outcome(&mut stage, version, &|newer| newer > 1);
 }
 
@@ -350,24 +350,24 @@
     RELAYS.iter().for_each(|one| stage.net.both("m2", one, |link| link.delay = ms(150)));
     let (lines, code) = stage.propose(&policy_document(4, ""), 0);
     assert_eq!(code, 5, "{lines:?}");
-    stage.obey(&Order::End("r1".into()));
+    stage.apply_order(&Order::End("r1".into()));
     let ended = stage.process("r1").ended(TIMEOUT);
     assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
     assert!(stage.logged("r1", "relay r1 has left", 1, TIMEOUT), "{:?}", log_tails(&stage));
     assert!(wait_until_decided(&stage, 2), "{:?}", log_tails(&stage));
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     let version = propose_until_committed(&stage, 5);
     assert!(stage.serve_under(version, &ALL_MEMBERS, TIMEOUT), "{:?}", log_tails(&stage));
     assert!(stage.all_have(version, 2, TIMEOUT), "{:?}", stage.policy(&["status"]));
-    stage.obey(&Order::Start("r1".into(), Disk::Old));
+    stage.apply_order(&Order::Start("r1".into(), Disk::Old));
     verify_outcome(&mut stage, version, &|_| false);
 }
 
 #[test]
 fn a_relay_ends_without_a_response_of_the_control_replicas() {
     let mut stage = start_stage();
-    CONTROL_REPLICAS.iter().for_each(|one| stage.obey(&Order::Kill(one.to_string())));
-    stage.obey(&Order::End("r0".into()));
+    CONTROL_REPLICAS.iter().for_each(|one| stage.apply_order(&Order::Kill(one.to_string())));
+    stage.apply_order(&Order::End("r0".into()));
     let ended = stage.process("r0").ended(TIMEOUT);
     assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
     assert!(stage.logged("r0", "goes without the keepers' word", 1, TIMEOUT), "{:?}", log_tails(&stage));
@@ -385,13 +385,13 @@
     stage.load(3, ms(5));
     sleep(ms(300));
     // m0 holds a lease of the earlier incarnation and cannot reach the new one.
-    stage.obey(&Order::Cut(vec![names(&["m0"]), names(&RELAYS)]));
-    stage.obey(&Order::Kill("r0".into()));
-    stage.obey(&Order::Start("r0".into(), Disk::Old));
+    stage.apply_order(&Order::Cut(vec![names(&["m0"]), names(&RELAYS)]));
+    stage.apply_order(&Order::Kill("r0".into()));
+    stage.apply_order(&Order::Start("r0".into(), Disk::Old));
     let (lines, code) = stage.propose(&policy_document(4, wait), 20);
     assert_eq!(code, 0, "{lines:?} {:?}", log_tails(&stage));
     assert!(stage.serve_under(3, &ALL_MEMBERS[1..], TIMEOUT), "{:?}", log_tails(&stage));
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     let judged = verify_outcome(&mut stage, 3, &|version| version > 2);
     assert!(judged.admitted > 100, "{judged:?}");
 }
--- a/crates/server/tests/rollout.rs
+++ b/crates/server/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Policy changes between processes of the program: control replicas, app servers under load, forwarders and a planner, with injected
 //! faults. The checks use the journals, which share one clock, and the responses that clients received.
 
-use cypresscleat_demo::rollout::{judge, Judged, Setup, Stage};
+use cypresscleat_demo::rollout::{check_invariants, CheckReport, Setup, Stage};
 use cypresscleat_fault_injection::{free_port, Disk, Order};
 use serde_json::{json, Value};
 use std::path::Path;
@@ -52,12 +52,12 @@
     version: u64,
     members: usize,
     has_barrier: &dyn Fn(u64) -> bool,
-) -> Judged {
-    stage.peace();
+) -> CheckReport {
+    stage.heal();
     assert!(stage.all_have(version, members, TIMEOUT), "{:?}", stage.policy(&["status"]));
     let books = stage.rests();
     assert_eq!((books.lost, books.asked), (0, books.answered), "{books:?}");
-    let judged = judge(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
+    let judged = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
     assert_eq!(judged.wrong, 0, "{judged:?}");
     judged
 }
@@ -122,10 +122,10 @@
         assert!(stage.all_have(0, 3, TIMEOUT));
         assert_eq!(stage.propose("lease: 1s\n", 20).1, 0);
         assert!(stage.all_have(1, 3, TIMEOUT));
-        stage.obey(&Order::Kill("m0".into()));
+        stage.apply_order(&Order::Kill("m0".into()));
         stage.process("m0").with("CLEAT_TEST_DIES", step);
         // m0 does not check the active version again after a restart, so the next change reaches the step that ends it.
-        stage.obey(&Order::Start("m0".into(), Disk::Old));
+        stage.apply_order(&Order::Start("m0".into(), Disk::Old));
         if step == "heard" || step == "in_force" {
             // These steps also occur when a restarted member adopts the active version, so the process ends at once.
             assert!(stage.process("m0").ended(TIMEOUT).is_some(), "{step}");
@@ -137,7 +137,7 @@
         assert!(stage.process("m0").ended(TIMEOUT).is_some(), "{step}: the process did not end");
         stage.load(1, ms(10));
         stage.process("m0").forgets("CLEAT_TEST_DIES");
-        stage.obey(&Order::Start("m0".into(), Disk::Old));
+        stage.apply_order(&Order::Start("m0".into(), Disk::Old));
         verify_outcome(&mut stage, 2, 3, &|_| false);
     }
 }
@@ -147,10 +147,10 @@
     let mut stage = start_stage(3);
     stage.load(3, ms(5));
     sleep(ms(300));
-    stage.obey(&Order::Stop("m0".into()));
+    stage.apply_order(&Order::Stop("m0".into()));
     let version = propose_until_committed(&stage, 3);
     sleep(ms(500));
-    stage.obey(&Order::Wake("m0".into()));
+    stage.apply_order(&Order::Wake("m0".into()));
     sleep(ms(500));
     let judged = verify_outcome(&mut stage, version, 3, &|_| false);
     assert!(judged.admitted > 100, "{judged:?}");
@@ -169,13 +169,13 @@
     let mut stage = start_stage(3);
     stage.load(2, ms(10));
     let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
-    stage.obey(&Order::Cut(vec![vec!["m1".into()], replicas]));
+    stage.apply_order(&Order::Cut(vec![vec!["m1".into()], replicas]));
     let version = propose_until_committed(&stage, 4);
     assert!(stage.logged("m1", "out of service", 1, TIMEOUT));
     let before = stage.books().throttled;
     sleep(ms(500));
     assert!(stage.books().throttled > before, "its clients are rejected at once");
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     verify_outcome(&mut stage, version, 3, &|_| false);
 }
 
@@ -187,7 +187,7 @@
     assert!(stage.all_have(2, 3, TIMEOUT));
     stage.load(2, ms(10));
     let replicas: Vec<String> = stage.keepers.iter().map(|one| one.name.clone()).collect();
-    stage.obey(&Order::Cut(vec![vec!["m1".into()], replicas]));
+    stage.apply_order(&Order::Cut(vec![vec!["m1".into()], replicas]));
     let (lines, code) = stage.propose(&policy_document(4, wait), 2);
     assert_eq!(code, 5, "{lines:?}");
     let count_out_of_service = |stage: &Stage| {
@@ -197,7 +197,7 @@
     assert_eq!(count_out_of_service(&stage), 0, "the change waits for m1, so m1 keeps serving");
     // No other change can be proposed while this one is pending.
     assert_eq!(stage.propose(&policy_document(5, wait), 2).1, 3);
-    stage.obey(&Order::Heal);
+    stage.apply_order(&Order::Heal);
     verify_outcome(&mut stage, 3, 3, &|_| false);
     assert_eq!(stage.books().throttled, 0);
 }
@@ -240,14 +240,14 @@
 fn without_a_quorum_no_change_is_committed_and_members_stop_within_their_lease() {
     let mut stage = start_stage(3);
     stage.load(1, ms(10));
-    stage.obey(&Order::Kill("k0".into()));
-    stage.obey(&Order::Stop("k1".into()));
+    stage.apply_order(&Order::Kill("k0".into()));
+    stage.apply_order(&Order::Stop("k1".into()));
     let (_, code) = stage.propose(&policy_document(3, ""), 5);
     assert_eq!(code, 4);
     for member in ["m0", "m1", "m2"] {
         assert!(stage.logged(member, "out of service", 1, TIMEOUT), "{member}");
     }
-    stage.peace();
+    stage.heal();
     let version = propose_until_committed(&stage, 5);
     verify_outcome(&mut stage, version, 3, &|_| false);
 }
@@ -256,12 +256,12 @@
 fn members_down_during_a_change_recover_also_from_an_empty_disk() {
     let mut stage = start_stage(6);
     for name in ["m0", "m1"] {
-        stage.obey(&Order::Kill(name.into()));
+        stage.apply_order(&Order::Kill(name.into()));
     }
     stage.load(1, ms(10));
     let version = propose_until_committed(&stage, 3);
-    stage.obey(&Order::Start("m0".into(), Disk::Old));
-    stage.obey(&Order::Start("m1".into(), Disk::Empty));
+    stage.apply_order(&Order::Start("m0".into(), Disk::Old));
+    stage.apply_order(&Order::Start("m1".into(), Disk::Empty));
     verify_outcome(&mut stage, version, 6, &|_| false);
 }
 
@@ -288,13 +288,13 @@
         sleep(ms(2));
     };
     proposer.kill();
-    stage.obey(&Order::Kill(leader.clone()));
+    stage.apply_order(&Order::Kill(leader.clone()));
     let until = Instant::now() + TIMEOUT;
     while !stage.journal().iter().any(|line| line["event"] == json!("taken") && line["version"] == json!(2)) {
         assert!(Instant::now() < until, "the change stayed undecided");
         sleep(ms(20));
     }
-    stage.obey(&Order::Start(leader, Disk::Old));
+    stage.apply_order(&Order::Start(leader, Disk::Old));
     verify_outcome(&mut stage, 2, 3, &|_| false);
 }
 
@@ -309,7 +309,7 @@
     }
     let (lines, code) = stage.propose(&policy_document(4, ""), 0);
     assert_eq!(code, 5, "{lines:?}");
-    stage.obey(&Order::End("m0".into()));
+    stage.apply_order(&Order::End("m0".into()));
     stage.process("m1").signal("HUP");
     assert!(stage.process("m0").ended(TIMEOUT).is_some_and(|status| status.success()));
     let until = Instant::now() + TIMEOUT;
@@ -318,7 +318,7 @@
         sleep(ms(20));
     }
     assert!(stage.all_have(2, 2, TIMEOUT), "the drained member is still counted");
-    stage.obey(&Order::Start("m0".into(), Disk::Old));
+    stage.apply_order(&Order::Start("m0".into(), Disk::Old));
     verify_outcome(&mut stage, 2, 3, &|_| false);
 }
 
@@ -327,7 +327,7 @@
     let path = stage.operator(name);
     let file = std::fs::read_to_string(&path).expect("a file");
     std::fs::write(&path, file.replace("\"}\n", &format!("\", {more}}}\n"))).expect("to write it");
-    stage.obey(&Order::Start(name.into(), Disk::Old));
+    stage.apply_order(&Order::Start(name.into(), Disk::Old));
 }
 
 #[test]
@@ -355,10 +355,10 @@
     let version = propose_until_committed(&stage, 3);
     assert!(stage.all_have(version, 2, TIMEOUT));
     for name in ["k0", "k1", "k2", "m0", "m1"] {
-        stage.obey(&Order::Kill(name.into()));
+        stage.apply_order(&Order::Kill(name.into()));
     }
     for name in ["m0", "m1"] {
-        stage.obey(&Order::Start(name.into(), Disk::Old));
+        stage.apply_order(&Order::Start(name.into(), Disk::Old));
     }
     let log_line = format!("m0 begins under policy {version}, which it had last");
     assert!(stage.logged("m0", &log_line, 1, TIMEOUT));
@@ -369,7 +369,7 @@
     let books = stage.books();
     assert!(books.succeeded > 0 && books.throttled > 0, "{books:?}");
     for name in ["k0", "k1", "k2"] {
-        stage.obey(&Order::Start(name.into(), Disk::Old));
+        stage.apply_order(&Order::Start(name.into(), Disk::Old));
     }
     verify_outcome(&mut stage, version, 2, &|_| false);
 }
@@ -435,9 +435,9 @@
     let leader = stage.keepers.iter().max_by_key(|one| became_leader(one.log())).expect("a replica");
     let leader = leader.name.clone();
     // The pause is longer than an election takes.
-    stage.obey(&Order::Stop(leader.clone()));
+    stage.apply_order(&Order::Stop(leader.clone()));
     sleep(ms(700));
-    stage.obey(&Order::Wake(leader));
+    stage.apply_order(&Order::Wake(leader));
     let until = Instant::now() + TIMEOUT;
     while stage.policy(&["show"]).0.first().is_none_or(|line| line["undoes"] != json!(true)) {
         assert!(Instant::now() < until, "the change was never reverted");
@@ -472,9 +472,9 @@
     assert_eq!(stage.propose("lease: 1s\nretries: 0.2\n", 20).1, 0);
     assert!(stage.all_have(1, 4, TIMEOUT));
     // The planner is stopped: the forwarder adopts the new version without the planner and dispatches without grants.
-    stage.obey(&Order::Stop("p0".into()));
+    stage.apply_order(&Order::Stop("p0".into()));
     let version = propose_until_committed(&stage, 3);
-    stage.obey(&Order::Wake("p0".into()));
+    stage.apply_order(&Order::Wake("p0".into()));
     assert!(stage.all_have(version, 4, TIMEOUT));
     let grant_lines =
         stage.members[3].log().iter().filter(|line| line.1.contains("by its grants: epoch")).count();
--- a/crates/server/tests/scgi.rs
+++ b/crates/server/tests/scgi.rs
@@ -1,7 +1,9 @@
 //! The SCGI listener over loopback: requests cut at every byte, hostile and slow gateways, connection slots and descriptors,
 //! connection storms, drain, reload, backends. Scenarios that both protocols share are in tests/both.
 
-use cypresscleat_demo::{frame, invocation, scgi_request, Backend, Gateway, Kernel, Place, Response, Router};
+use cypresscleat_demo::{
+    frame, request_frame, scgi_request, Backend, Deployment, Gateway, Kernel, Response, Router,
+};
 use serde_json::json;
 use std::path::Path;
 use std::process::Command;
@@ -29,8 +31,8 @@
     )
 }
 
-fn start(operator: &str, change: impl FnOnce(&mut serde_json::Value)) -> (Place, Kernel) {
-    let place = Place::start_with(Path::new(PROGRAM), CONFIG, operator, change);
+fn start(operator: &str, change: impl FnOnce(&mut serde_json::Value)) -> (Deployment, Kernel) {
+    let place = Deployment::start_with(Path::new(PROGRAM), CONFIG, operator, change);
     let (mut kernel, _) = Kernel::accept(&place.kernel);
     kernel.boot("WARM");
     place.logged("kernel up");
@@ -40,32 +42,32 @@
 /// Runs every request at once, on a separate thread; each result states the operation and the body of the request.
 fn run_all_requests(mut kernel: Kernel) {
     thread::spawn(move || {
-        while let Some((msg, call, body)) = kernel.hear() {
+        while let Some((msg, call, body)) = kernel.receive() {
             if msg == "SCHED" {
                 let result = format!("{} {}", kernel.service, String::from_utf8_lossy(&body));
-                kernel.tell("REAP", &call, "OK", result.as_bytes());
+                kernel.send_notice("REAP", &call, "OK", result.as_bytes());
             }
         }
     });
 }
 
-fn send_request(place: &Place, bytes: &[u8]) -> Option<Response> {
+fn send_request(place: &Deployment, bytes: &[u8]) -> Option<Response> {
     let mut gateway = Gateway::connect(place.scgi.expect("a listener"));
     gateway.0.try_send(bytes);
     gateway.response()
 }
 
-fn request_status(place: &Place, bytes: &[u8]) -> u16 {
+fn request_status(place: &Deployment, bytes: &[u8]) -> u16 {
     send_request(place, bytes).expect("an answer").status
 }
 
-fn open_descriptors(place: &Place) -> usize {
+fn open_descriptors(place: &Deployment) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", place.id())).expect("its descriptors").count()
 }
 
-fn expect_router_request_succeeds(place: &Place) {
+fn expect_router_request_succeeds(place: &Deployment) {
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "lookup", b"native"));
+    router.0.send(request_frame(1, ONE, "lookup", b"native"));
     assert_eq!(router.answer(), (1, "succeeded", b"lookup native".to_vec()));
 }
 
@@ -213,7 +215,7 @@
     // No router connection was closed for the gateways.
     for (at, router) in routers.iter_mut().enumerate() {
         let txn = format!("{:016x}", 0x100 + at);
-        router.0.send(invocation(2, &txn, "lookup", b"native"));
+        router.0.send(request_frame(2, &txn, "lookup", b"native"));
         assert_eq!(router.answer(), (2, "succeeded", b"lookup native".to_vec()));
     }
     // Conversely, router connections up to their limit leave the gateways their slots.
@@ -248,12 +250,12 @@
         all
     });
     while !answers.is_finished() {
-        if let Some((msg, call, _)) = kernel.hear_within(Duration::from_millis(300)) {
+        if let Some((msg, call, _)) = kernel.receive_within(Duration::from_millis(300)) {
             if msg == "SCHED" {
                 running.push(call);
             }
         } else if let Some(call) = running.pop() {
-            kernel.tell("REAP", &call, "OK", b"done");
+            kernel.send_notice("REAP", &call, "OK", b"done");
             ended += 1;
         }
     }
@@ -291,7 +293,7 @@
     let mut running: Vec<Gateway> = Vec::new();
     for _ in 0..2 {
         running.push(Gateway::asks(address, "POST", "/lookup", b"long"));
-        assert_eq!(kernel.hear().expect("a command").0, "SCHED");
+        assert_eq!(kernel.receive().expect("a command").0, "SCHED");
     }
     let began = Instant::now();
     for _ in 0..20 {
@@ -326,7 +328,7 @@
         let mut gateway = Gateway::asks(address, "POST", "/lookup", b"big");
         // Where the server noticed the reset before the end of the run, it sent PREEMPT for that run first.
         let call = loop {
-            let (msg, call, _) = kernel.hear().expect("a command");
+            let (msg, call, _) = kernel.receive().expect("a command");
             if msg == "SCHED" {
                 break call;
             }
@@ -335,7 +337,7 @@
         if variant == 0 {
             gateway.0.reset();
         }
-        kernel.tell("REAP", &call, "OK", &[7; 4096]);
+        kernel.send_notice("REAP", &call, "OK", &[7; 4096]);
         if variant == 1 {
             gateway.0.reset(); // the answer may have arrived and be unread
         }
@@ -351,7 +353,7 @@
 
 #[test]
 fn before_the_executor_is_up_gateways_get_a_retry_delay() {
-    let place = Place::start_with(Path::new(PROGRAM), CONFIG, &operator_file(64, "2s"), |_| {});
+    let place = Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator_file(64, "2s"), |_| {});
     let (mut kernel, _) = Kernel::accept(&place.kernel);
     let answer = send_request(&place, &scgi_request("POST", "/lookup", &[], b"early")).expect("an answer");
     assert_eq!((answer.status, answer.field("Retry-After")), (503, Some("1")));
@@ -500,18 +502,18 @@
     ];
     let begin_call = |kernel: &mut Kernel| {
         let gateway = Gateway::asks(address, "POST", "/report", b"x");
-        let (msg, call, _) = kernel.hear().expect("a command");
+        let (msg, call, _) = kernel.receive().expect("a command");
         assert_eq!(msg, "SCHED");
-        kernel.tell("IOREQ", &call, "", b"put");
+        kernel.send_notice("IOREQ", &call, "", b"put");
         (gateway, call)
     };
     for (what, respond) in good {
         let (mut gateway, call) = begin_call(&mut kernel);
         let mut backend = Backend::accept(&place.ledger);
-        assert_eq!(backend.hear().1, b"put");
+        assert_eq!(backend.receive().1, b"put");
         respond(&mut backend);
         assert_eq!(kernel.expect("IODONE", &call), b"noted", "{what}");
-        kernel.tell("REAP", &call, "OK", b"done");
+        kernel.send_notice("REAP", &call, "OK", b"done");
         assert_eq!(gateway.response().expect("an answer").status, 200, "{what}");
     }
     for (what, respond) in bad {
@@ -519,20 +521,20 @@
         // The request class is idempotent: the call is retried once.
         for _ in 0..2 {
             let mut backend = Backend::accept(&place.ledger);
-            backend.hear();
+            backend.receive();
             respond(&mut backend);
         }
         assert_eq!(gateway.response().expect("an answer").status, 502, "{what}");
-        kernel.tell("REAP", &call, "STOPPED", b""); // the executor ends the run whose call was given up
+        kernel.send_notice("REAP", &call, "STOPPED", b""); // the executor ends the run whose call was given up
     }
     // Rejected, then successful.
     let (mut gateway, call) = begin_call(&mut kernel);
     for status in ["503 Full", "200 OK"] {
         let mut backend = Backend::accept(&place.ledger);
-        backend.hear();
+        backend.receive();
         backend.answer(status, b"noted");
     }
     assert_eq!(kernel.expect("IODONE", &call), b"noted");
-    kernel.tell("REAP", &call, "OK", b"done");
+    kernel.send_notice("REAP", &call, "OK", b"done");
     assert_eq!(gateway.response().expect("an answer").status, 200);
 }
--- a/crates/server/tests/soak.rs
+++ b/crates/server/tests/soak.rs
@@ -6,7 +6,7 @@
 use cypresscleat_demo::soak::{
     serve_downstream, serve_registry, Asked, Behaviour, Caller, Draws, Executor, Habit, Journal, Resent,
 };
-use cypresscleat_demo::Place;
+use cypresscleat_demo::Deployment;
 use serde_json::json;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -101,10 +101,10 @@
         }
     }
 
-    fn start(&self) -> Place {
+    fn start(&self) -> Deployment {
         let operator =
             self.store.as_ref().map_or(String::new(), |folder| format!("store: folder: \"{folder}\""));
-        Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
+        Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
             all["settings"]["categories"][(self.seed % 2) as usize]["effect"] = json!("fragile");
             all["settings"]["obligations"]["stop_sending_within_ns"] = json!(self.grace_ms * 1_000_000);
             all["settings"]["specifics"]["cores"] = json!(4);
--- a/crates/server/tests/sockets.rs
+++ b/crates/server/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! Runs the server program over loopback between the stand-ins of `cypresscleat-demo`: whole requests, broken links, hostile
 //! peers, limits, drain. Each party sends only after it has received what it waits for, so the order of events is fixed.
 
-use cypresscleat_demo::{frame, invocation, report, Kernel, Ledger, Link, Place, Router, ONE, TWO};
+use cypresscleat_demo::{frame, report, request_frame, Deployment, Kernel, Ledger, Link, Router, ONE, TWO};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -9,20 +9,20 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cypresscleat-server");
 const CONFIG: &str = include_str!("../../demo/config.json");
 
-fn start(change: impl FnOnce(&mut Value)) -> Place {
-    Place::start(Path::new(PROGRAM), CONFIG, change)
+fn start(change: impl FnOnce(&mut Value)) -> Deployment {
+    Deployment::start(Path::new(PROGRAM), CONFIG, change)
 }
 
 /// Starts a server whose executor is up.
-fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Place, Kernel) {
-    Place::up(Path::new(PROGRAM), CONFIG, change)
+fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Deployment, Kernel) {
+    Deployment::up(Path::new(PROGRAM), CONFIG, change)
 }
 
 /// Sends one invocation and lets it run to its end.
 fn run_request(router: &mut Router, kernel: &mut Kernel, stream: u32, txn: &str) {
-    router.0.send(invocation(stream, txn, "lookup", b"ask"));
+    router.0.send(request_frame(stream, txn, "lookup", b"ask"));
     assert_eq!(kernel.expect("SCHED", txn), b"ask");
-    kernel.tell("REAP", txn, "OK", b"result");
+    kernel.send_notice("REAP", txn, "OK", b"result");
     assert_eq!(router.answer(), (stream, "succeeded", b"result".to_vec()));
 }
 
@@ -34,8 +34,8 @@
     assert_eq!((path.as_str(), body.as_str()), ("PUT /roster/toy HTTP/1.1", "{\"duty\":\"on\"}"));
 
     let mut router = Router::connect(place.server);
-    let mut bytes = invocation(1, ONE, "report", &[7; 2048]);
-    bytes.extend(invocation(2, TWO, "lookup", b""));
+    let mut bytes = request_frame(1, ONE, "report", &[7; 2048]);
+    bytes.extend(request_frame(2, TWO, "lookup", b""));
     bytes.extend(frame(16, 9, &[0]));
     for part in bytes.chunks(501) {
         router.0.send(part); // frames arrive in parts, and several in one part
@@ -44,15 +44,15 @@
     assert_eq!((check.kind, check.stream, check.payload[0]), (32, 9, 79));
     assert_eq!(kernel.expect("SCHED", ONE), vec![7; 2048]);
     kernel.expect("SCHED", TWO);
-    kernel.tell("IOREQ", ONE, "", b"put");
+    kernel.send_notice("IOREQ", ONE, "", b"put");
     let mut ledger = Ledger::accept(&place.ledger);
-    let (words, body) = ledger.hear().expect("a call");
+    let (words, body) = ledger.receive().expect("a call");
     assert_eq!((&words[..2], &body[..]), (&["post".to_string(), ONE.to_string()][..], &b"put"[..]));
-    kernel.tell("REAP", TWO, "OK", b"second");
+    kernel.send_notice("REAP", TWO, "OK", b"second");
     assert_eq!(router.answer(), (2, "succeeded", b"second".to_vec()), "answers come in any order");
     ledger.posted(ONE, &[1; 4096]);
     assert_eq!(kernel.expect("IODONE", ONE), vec![1; 4096]);
-    kernel.tell("REAP", ONE, "OK", &[9; 4096]);
+    kernel.send_notice("REAP", ONE, "OK", &[9; 4096]);
     assert_eq!(router.answer(), (1, "succeeded", vec![9; 4096]));
     place.signal("USR1");
     let counters = place.logged("connections 1,");
@@ -81,12 +81,12 @@
     let (mut place, mut kernel) = start_with_executor(|_| {});
     let mut router = Router::connect(place.server);
     for (stream, txn) in [(1, ONE), (2, TWO)] {
-        router.0.send(invocation(stream, txn, "report", b"ask"));
+        router.0.send(request_frame(stream, txn, "report", b"ask"));
         kernel.expect("SCHED", txn);
     }
-    kernel.tell("IOREQ", ONE, "", b"put");
+    kernel.send_notice("IOREQ", ONE, "", b"put");
     let mut ledger = Ledger::accept(&place.ledger);
-    assert_eq!(ledger.hear().expect("a call").0[1], ONE);
+    assert_eq!(ledger.receive().expect("a call").0[1], ONE);
     place.configure("{\"kernel\": 7}");
     place.logged("not taken over: ");
     let [kernels, ledgers, rosters] = place.moves();
@@ -94,17 +94,17 @@
     assert_eq!(serial, 1, "runs and serial numbers continue");
     moved_kernel.boot("WARM");
     report(&mut Link::new(rosters.accept().expect("a report").0), "204 No Content").expect("a report");
-    moved_kernel.tell("IOREQ", TWO, "", b"put");
+    moved_kernel.send_notice("IOREQ", TWO, "", b"put");
     let ledger_thread = std::thread::spawn(move || {
         let mut new_ledger = Ledger::accept(&ledgers);
-        assert_eq!(new_ledger.hear().expect("a call").0[1], TWO, "new calls go to the new address");
+        assert_eq!(new_ledger.receive().expect("a call").0[1], TWO, "new calls go to the new address");
         ledger.posted(ONE, b"noted"); // an earlier call ends on its old connection
         assert!(ledger.0.ended(), "the old connection closes after its last call");
         new_ledger.posted(TWO, b"noted");
     });
     for txn in [ONE, TWO] {
         assert_eq!(moved_kernel.expect("IODONE", txn), b"noted");
-        moved_kernel.tell("REAP", txn, "OK", b"result");
+        moved_kernel.send_notice("REAP", txn, "OK", b"result");
     }
     ledger_thread.join().expect("both calls");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
@@ -118,19 +118,19 @@
 fn a_broken_link_to_the_executor_loses_nothing() {
     let (place, mut kernel) = start_with_executor(|_| {});
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "lookup", b"ask"));
+    router.0.send(request_frame(1, ONE, "lookup", b"ask"));
     kernel.expect("SCHED", ONE);
-    kernel.tell("DMESG", "", "a remark", b"");
+    kernel.send_notice("DMESG", "", "a remark", b"");
     run_request(&mut router, &mut kernel, 2, TWO);
     kernel.link.close();
     let (mut second_link, serial) = Kernel::accept(&place.kernel);
     assert_eq!(serial, 2, "OPEN states the last notice that was read");
     second_link.boot("WARM");
-    second_link.tell("REAP", ONE, "OK", b"meanwhile");
+    second_link.send_notice("REAP", ONE, "OK", b"meanwhile");
     assert_eq!(router.answer(), (1, "succeeded", b"meanwhile".to_vec()));
     // A gap in the serial numbers: notices were lost, and the server reconnects to get them.
     second_link.serial += 1;
-    second_link.tell("DMESG", "", "too far", b"");
+    second_link.send_notice("DMESG", "", "too far", b"");
     let (mut third_link, serial) = Kernel::accept(&place.kernel);
     assert_eq!(serial, 3);
     third_link.boot("WARM");
@@ -139,7 +139,7 @@
     third_link.link.send(vec![b'x'; 9000]);
     third_link.link.send("\n");
     third_link.serial = 3;
-    third_link.tell("REAP", ONE, "ERROR", b"");
+    third_link.send_notice("REAP", ONE, "ERROR", b"");
     run_request(&mut router, &mut third_link, 3, "00000000000000c3");
 }
 
@@ -149,11 +149,11 @@
     let (place, mut kernel) = start_with_executor(|_| {});
     let mut router = Router::connect(place.server);
     let mut begin_call = |kernel: &mut Kernel, stream, txn| {
-        router.0.send(invocation(stream, txn, "report", b"ask"));
+        router.0.send(request_frame(stream, txn, "report", b"ask"));
         kernel.expect("SCHED", txn);
-        kernel.tell("IOREQ", txn, "", b"put");
+        kernel.send_notice("IOREQ", txn, "", b"put");
         let mut ledger = Ledger::accept(&place.ledger);
-        assert_eq!(ledger.hear().expect("a call").0[1], txn);
+        assert_eq!(ledger.receive().expect("a call").0[1], txn);
         ledger
     };
     let mut first = begin_call(&mut kernel, 1, ONE);
@@ -161,33 +161,33 @@
     first.0.send("what is this\r\n");
     assert!(first.0.ended(), "a connection with an invalid reply is closed");
     let mut reused = Ledger::accept(&place.ledger);
-    assert_eq!(reused.hear().expect("the retried call").0[1], ONE);
+    assert_eq!(reused.receive().expect("the retried call").0[1], ONE);
     reused.0.send("0000000000000bad posted 2\r\nno\r\n"); // a reply to no call, ahead of the right one
     reused.posted(ONE, b"noted");
     assert_eq!(kernel.expect("IODONE", ONE), b"noted");
     second.0.send(format!("{TWO} posted 900\r\nnot all of it\r\n"));
     assert!(second.0.ended(), "a connection with an invalid end of a reply is closed");
     // The call is retried on the idle connection.
-    assert_eq!(reused.hear().expect("the retried call").0[1], TWO);
+    assert_eq!(reused.receive().expect("the retried call").0[1], TWO);
     reused.posted(TWO, b"second");
     assert_eq!(kernel.expect("IODONE", TWO), b"second");
     // A second call of the request that last used this connection gets another connection, so that a copy of the first reply
     // can't be taken for the reply to the second call.
-    kernel.tell("IOREQ", TWO, "", b"more");
+    kernel.send_notice("IOREQ", TWO, "", b"more");
     let mut other = Ledger::accept(&place.ledger);
-    assert_eq!(other.hear().expect("a call").1, b"more");
+    assert_eq!(other.receive().expect("a call").1, b"more");
     reused.posted(TWO, b"second");
     assert!(reused.0.ended());
     other.posted(TWO, b"third");
     assert_eq!(kernel.expect("IODONE", TWO), b"third");
     // A rejected call never ran, so it may be retried. The end of a run cancels its call.
-    kernel.tell("IOREQ", ONE, "", b"put");
-    assert_eq!(other.hear().expect("a call").0[1], ONE);
+    kernel.send_notice("IOREQ", ONE, "", b"put");
+    assert_eq!(other.receive().expect("a call").0[1], ONE);
     other.0.send(format!("{ONE} queue_full\r\n"));
     let mut last = Ledger::accept(&place.ledger);
-    assert_eq!(last.hear().expect("a second call").0[1], ONE);
+    assert_eq!(last.receive().expect("a second call").0[1], ONE);
     for txn in [ONE, TWO] {
-        kernel.tell("REAP", txn, "OK", b"result");
+        kernel.send_notice("REAP", txn, "OK", b"result");
     }
     assert!(last.0.ended());
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
@@ -201,10 +201,10 @@
     let mut bad = Router::connect(place.server);
     bad.0.send(frame(2, 5, &[3, 4, b'v']));
     assert_eq!(bad.answer(), (5, "errored", Vec::new()), "truncated fields");
-    bad.0.send(invocation(6, ONE, "lookup", &[0; 2049]));
+    bad.0.send(request_frame(6, ONE, "lookup", &[0; 2049]));
     assert_eq!(bad.answer(), (6, "errored", Vec::new()), "a body over the limit");
     run_request(&mut bad, &mut kernel, 8, ONE);
-    bad.0.send(invocation(9, TWO, "lookup", b""));
+    bad.0.send(request_frame(9, TWO, "lookup", b""));
     kernel.expect("SCHED", TWO);
     bad.0.send(300_000u32.to_be_bytes());
     assert_eq!(
@@ -213,7 +213,7 @@
         "a length out of bounds: the connection is read no further"
     );
     run_request(&mut good, &mut kernel, 1, "00000000000000c3");
-    kernel.tell("REAP", TWO, "OK", b"still");
+    kernel.send_notice("REAP", TWO, "OK", b"still");
     assert_eq!(
         bad.answer(),
         (9, "succeeded", b"still".to_vec()),
@@ -222,8 +222,8 @@
     assert!(bad.0.ended());
     let wrong = [
         (0, frame(3, 5, b"what")),
-        (0, invocation(0, ONE, "lookup", b"")),
-        (7, invocation(7, ONE, "lookup", &[0; 100_000])),
+        (0, request_frame(0, ONE, "lookup", b"")),
+        (7, request_frame(7, ONE, "lookup", &[0; 100_000])),
         (0, vec![0xff; 10_000]),
     ];
     for (stream, bytes) in wrong {
@@ -235,7 +235,7 @@
 
     // One stream more than the maximum of open streams on one connection.
     for stream in 10..43 {
-        good.0.send(invocation(stream, &format!("{stream:016x}"), "lookup", b""));
+        good.0.send(request_frame(stream, &format!("{stream:016x}"), "lookup", b""));
     }
     let excess_answer = std::iter::from_fn(|| Some(good.answer())).find(|(stream, ..)| *stream == 42);
     assert_eq!(excess_answer, Some((42, "errored", Vec::new())));
@@ -243,8 +243,8 @@
     // Connections that end in the middle of a frame while a request is open.
     for cut in [3, 8, 20] {
         let mut truncated = Router::connect(place.server);
-        truncated.0.send(invocation(1, &format!("{cut:016x}"), "lookup", b""));
-        truncated.0.send(&invocation(2, TWO, "lookup", b"")[..cut]);
+        truncated.0.send(request_frame(1, &format!("{cut:016x}"), "lookup", b""));
+        truncated.0.send(&request_frame(2, TWO, "lookup", b"")[..cut]);
         truncated.0.close();
     }
     let mut after = Router::connect(place.server);
@@ -257,7 +257,7 @@
 fn many_new_connections_replace_idle_ones_and_keep_those_with_open_requests() {
     let (place, mut kernel) = start_with_executor(|json_config| json_config["limits"]["sockets"] = json!(64));
     let mut busy = Router::connect(place.server);
-    busy.0.send(invocation(1, ONE, "lookup", b"ask"));
+    busy.0.send(request_frame(1, ONE, "lookup", b"ask"));
     kernel.expect("SCHED", ONE);
     let mut idle: Vec<Router> = Vec::new();
     for _ in 0..100 {
@@ -268,7 +268,7 @@
     }
     assert_eq!(idle[0].frame().kind, 64, "the close of the connection idle for longest is announced");
     assert!(idle[0].0.ended());
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(busy.answer(), (1, "succeeded", b"result".to_vec()));
 }
 
@@ -299,14 +299,14 @@
 fn a_router_that_only_stops_writing_still_gets_its_answers() {
     let (place, mut kernel) = start_with_executor(|_| {});
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "lookup", b"ask"));
+    router.0.send(request_frame(1, ONE, "lookup", b"ask"));
     router.0.close_writing();
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     assert!(router.0.ended());
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, TWO, "lookup", b"ask"));
+    router.0.send(request_frame(1, TWO, "lookup", b"ask"));
     kernel.expect("SCHED", TWO);
     router.0.send(frame(8, 1, b""));
     kernel.expect("PREEMPT", TWO);
@@ -320,7 +320,7 @@
         json_config["settings"]["categories"][1]["deadline_ns"] = json!(60_000_000_000u64)
     });
     let mut busy = Router::connect(place.server);
-    busy.0.send(invocation(1, ONE, "lookup", b"ask"));
+    busy.0.send(request_frame(1, ONE, "lookup", b"ask"));
     kernel.expect("SCHED", ONE);
     let mut idle = Router::connect(place.server);
     idle.0.send(frame(16, 1, &[0]));
@@ -329,14 +329,14 @@
     let answers = std::thread::spawn(move || {
         assert_eq!(idle.frame().kind, 64);
         // A request that crosses the announcement is still answered.
-        idle.0.send(invocation(2, TWO, "lookup", b"late"));
+        idle.0.send(request_frame(2, TWO, "lookup", b"late"));
         assert_eq!(idle.answer(), (2, "succeeded", b"crossed".to_vec()));
         assert!(idle.0.ended());
     });
     kernel.expect("SCHED", TWO); // sends the gauges until then
-    kernel.tell("REAP", TWO, "OK", b"crossed");
+    kernel.send_notice("REAP", TWO, "OK", b"crossed");
     answers.join().expect("an announcement, then the close");
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(busy.answer(), (1, "succeeded", b"result".to_vec()));
 }
 
@@ -344,25 +344,25 @@
 fn the_server_closes_an_idle_connection_to_the_downstream_proxy() {
     let (place, mut kernel) = start_with_executor(|_| {});
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "report", b"ask"));
+    router.0.send(request_frame(1, ONE, "report", b"ask"));
     let listener = place.ledger.try_clone().expect("a listener");
     let calls = std::thread::spawn(move || {
         for (stream, txn) in [(1, ONE), (2, TWO)] {
             let mut ledger = Ledger::accept(&listener);
-            assert_eq!(ledger.hear().expect("a call").0[1], txn);
+            assert_eq!(ledger.receive().expect("a call").0[1], txn);
             ledger.posted(txn, b"noted");
             assert_eq!(router.answer(), (stream, "succeeded", b"result".to_vec()));
             if txn == ONE {
                 assert!(ledger.0.ended());
-                router.0.send(invocation(2, TWO, "report", b"ask")); // its call uses a new connection
+                router.0.send(request_frame(2, TWO, "report", b"ask")); // its call uses a new connection
             }
         }
     });
     for txn in [ONE, TWO] {
         kernel.expect("SCHED", txn); // sends the gauges until then
-        kernel.tell("IOREQ", txn, "", b"put");
+        kernel.send_notice("IOREQ", txn, "", b"put");
         kernel.expect("IODONE", txn);
-        kernel.tell("REAP", txn, "OK", b"result");
+        kernel.send_notice("REAP", txn, "OK", b"result");
     }
     calls.join().expect("two connections");
 }
@@ -436,15 +436,15 @@
     let server = place.server;
     let waiting = std::thread::spawn(move || {
         let mut slow = Router::connect(server);
-        slow.0.send(&invocation(1, ONE, "lookup", b"ask")[..30]);
+        slow.0.send(&request_frame(1, ONE, "lookup", b"ask")[..30]);
         assert_eq!(slow.answer(), (0, "errored", Vec::new()));
         assert!(slow.0.ended());
         let mut good = Router::connect(server);
-        good.0.send(invocation(1, TWO, "lookup", b"ask"));
+        good.0.send(request_frame(1, TWO, "lookup", b"ask"));
         good.answer()
     });
     kernel.expect("SCHED", TWO);
-    kernel.tell("REAP", TWO, "OK", b"result");
+    kernel.send_notice("REAP", TWO, "OK", b"result");
     assert_eq!(waiting.join().expect("an end"), (1, "succeeded", b"result".to_vec()));
 }
 
@@ -452,7 +452,7 @@
 fn after_the_termination_notice_open_requests_are_answered_and_the_process_exits() {
     let (mut place, mut kernel) = start_with_executor(|json_config| json_config["stop_ms"] = json!(60_000));
     let mut router = Router::connect(place.server);
-    router.0.send(invocation(1, ONE, "lookup", b"ask"));
+    router.0.send(request_frame(1, ONE, "lookup", b"ask"));
     kernel.expect("SCHED", ONE);
     place.signal("TERM");
     place.logged("draining");
@@ -461,7 +461,7 @@
     router.0.send(frame(16, 2, &[0]));
     assert_eq!(router.frame().payload[0], 69, "health checks report the drain");
     // The process runs as long as an answer is owed, far past the grace period; then it closes idle connections and exits.
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     assert_eq!(router.frame().kind, 64);
     router.0.close();
--- a/crates/server/tests/split.rs
+++ b/crates/server/tests/split.rs
@@ -3,7 +3,7 @@
 //! its response in either case.
 
 use cypresscleat_demo::split::{places, Split, PLACES};
-use cypresscleat_demo::tier::{served_value, trickle};
+use cypresscleat_demo::tier::{send_steadily, served_value};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 }
 
 fn verify_all_succeed(split: &Split, name: &str) -> f64 {
-    let all = trickle(&split.addresses(), name, 120, Duration::from_millis(20));
+    let all = send_steadily(&split.addresses(), name, 120, Duration::from_millis(20));
     let failed: Vec<_> = all.iter().filter(|got| got.how != "succeeded").collect();
     assert!(failed.is_empty(), "{failed:?}");
     served_value(&all)
--- a/crates/server/tests/standing.rs
+++ b/crates/server/tests/standing.rs
@@ -2,7 +2,7 @@
 //! responses, a service registry that sends its whole list, a kill right after `accept`, requests of every form read byte by
 //! byte, clients that write slowly. See docs/design/crossings.md.
 
-use cypresscleat_demo::{frame, report, request, unix_ms, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::{frame, report, request, unix_ms, Deployment, Kernel, Ledger, Link, Router};
 use cypresscleat_fault_injection::free_port;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -19,17 +19,17 @@
 const TWO: &str = "00000000000000b2";
 const THREE: &str = "00000000000000c3";
 
-fn start(change: impl FnOnce(&mut Value)) -> Place {
-    Place::start(Path::new(PROGRAM), CONFIG, change)
+fn start(change: impl FnOnce(&mut Value)) -> Deployment {
+    Deployment::start(Path::new(PROGRAM), CONFIG, change)
 }
 
-fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Place, Kernel) {
+fn start_with_executor(change: impl FnOnce(&mut Value)) -> (Deployment, Kernel) {
     let place = start(change);
     let kernel = boot_executor(&place);
     (place, kernel)
 }
 
-fn boot_executor(place: &Place) -> Kernel {
+fn boot_executor(place: &Deployment) -> Kernel {
     let (mut kernel, serial) = accept_executor(&place.kernel, Duration::from_secs(10));
     assert_eq!(serial, 0, "no notices received yet");
     kernel.boot("WARM");
@@ -62,7 +62,7 @@
 }
 
 /// Stops the process with SIGSTOP: whatever is sent now is read only after SIGCONT.
-fn pause(place: &Place) {
+fn pause(place: &Deployment) {
     place.signal("STOP");
     let status = format!("/proc/{}/stat", place.id());
     while !std::fs::read_to_string(&status).is_ok_and(|text| text.contains(") T ")) {}
@@ -114,7 +114,7 @@
 /// The next command, without starts of running requests that are sent again on a new link: the executor ignores those.
 fn next_command(kernel: &mut Kernel, running: &[&str]) -> (String, String, Vec<u8>) {
     loop {
-        let (msg, call, body) = kernel.hear().expect("a command");
+        let (msg, call, body) = kernel.receive().expect("a command");
         if msg != "SCHED" || !running.contains(&call.as_str()) {
             return (msg, call, body);
         }
@@ -139,9 +139,9 @@
     assert_eq!(idle.frame().kind, 32);
     busy.0.send(request_frame(1, ONE, "report", None));
     kernel.expect("SCHED", ONE);
-    kernel.tell("IOREQ", ONE, "", b"put");
+    kernel.send_notice("IOREQ", ONE, "", b"put");
     let mut ledger = Ledger(accept_within(&place.ledger, TIMEOUT, "the downstream proxy"));
-    assert_eq!(ledger.hear().expect("a call").0[1], ONE);
+    assert_eq!(ledger.receive().expect("a call").0[1], ONE);
     // Both signals are pending when the process continues.
     pause(&place);
     let mut at = place.moves();
@@ -164,10 +164,10 @@
             ("IODONE", ONE, &b"noted"[..]),
             "{step}"
         );
-        kernel.tell("IOREQ", ONE, "", b"more");
+        kernel.send_notice("IOREQ", ONE, "", b"more");
         ledger = Ledger(accept_within(&at[1], TIMEOUT, "the downstream proxy"));
         assert_eq!(
-            ledger.hear().expect("a call").1,
+            ledger.receive().expect("a call").1,
             b"more",
             "{step}: the next call goes to the new address"
         );
@@ -187,7 +187,7 @@
     ledger.posted(ONE, b"noted");
     assert_eq!(next_command(&mut kernel, &[ONE]).0, "IODONE");
     assert!(idle.0.ended());
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(busy.answer(), (1, "succeeded", b"result".to_vec()));
     // The last step: the close is announced and the connection is still open.
     assert_eq!(busy.frame().kind, 64);
@@ -215,7 +215,7 @@
     let mut router = Router::connect(place.server);
     router.0.send(request_frame(1, ONE, "lookup", None));
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     let mut second_connection = accept_within(&place.roster, ENTRY_EXPIRES_AFTER, "the registry");
     report(&mut second_connection, "204 No Content").expect("a report");
@@ -238,7 +238,7 @@
         let txn = format!("{stream:016x}");
         router.0.send(request_frame(stream, &txn, "lookup", None));
         kernel.expect("SCHED", &txn);
-        kernel.tell("REAP", &txn, "OK", b"result");
+        kernel.send_notice("REAP", &txn, "OK", b"result");
         assert_eq!(router.answer(), (stream, "succeeded", b"result".to_vec()));
     }
     router.0.send(request_frame(301, ONE, "lookup", None));
@@ -246,7 +246,7 @@
     let (mut second_link, serial) = accept_executor(&place.kernel, Duration::from_secs(12));
     assert_eq!(serial, 300);
     second_link.boot("WARM");
-    second_link.tell("REAP", ONE, "OK", b"late");
+    second_link.send_notice("REAP", ONE, "OK", b"late");
     assert_eq!(router.answer(), (301, "succeeded", b"late".to_vec()));
 }
 
@@ -264,16 +264,16 @@
         let txn = format!("{stream:016x}");
         router.0.send(request_frame(stream, &txn, "report", None));
         kernel.expect("SCHED", &txn);
-        kernel.tell("IOREQ", &txn, "", b"put");
+        kernel.send_notice("IOREQ", &txn, "", b"put");
         txn
     };
     let first = begin_call(&mut kernel, 1);
     let mut ledger = Ledger(accept_within(&place.ledger, Duration::from_secs(5), "the downstream proxy"));
     let finish = |kernel: &mut Kernel, ledger: &mut Ledger, txn: &str| {
-        assert_eq!(ledger.hear().expect("a call").0[1], txn);
+        assert_eq!(ledger.receive().expect("a call").0[1], txn);
         ledger.posted(txn, b"noted");
         kernel.expect("IODONE", txn);
-        kernel.tell("REAP", txn, "OK", b"result");
+        kernel.send_notice("REAP", txn, "OK", b"result");
     };
     finish(&mut kernel, &mut ledger, &first);
     for stream in 2..=100 {
@@ -281,7 +281,7 @@
         finish(&mut kernel, &mut ledger, &txn);
     }
     let silent = begin_call(&mut kernel, 101);
-    assert_eq!(ledger.hear().expect("a call").0[1], silent);
+    assert_eq!(ledger.receive().expect("a call").0[1], silent);
     let after = begin_call(&mut kernel, 102);
     let mut other = Ledger(accept_within(&place.ledger, Duration::from_secs(5), "the downstream proxy"));
     finish(&mut kernel, &mut other, &after);
@@ -330,7 +330,7 @@
         free_port(),
         free_port()
     );
-    let place = Place::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
+    let place = Deployment::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
         all["settings"]["customers"] = json!([]);
         all["settings"]["categories"][1]["aim_ns"] = json!(800_000_000);
         all["settings"]["categories"][1]["deadline_ns"] = json!(1_000_000_000);
@@ -397,7 +397,7 @@
     let mut router = Router::connect(place.server);
     router.0.send(request_frame(1, ONE, "lookup", None));
     kernel.expect("SCHED", ONE);
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
     place.signal("USR1");
     let line = place.logged("reports_lost ");
@@ -433,13 +433,13 @@
     let test_folder = TestFolder::new("standing-kill");
     let operator = format!("store: folder: {:?}\n", test_folder.0.display().to_string());
     let start_server = || {
-        Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
+        Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
             all["settings"]["categories"][1]["effect"] = json!("dedup");
             all["settings"]["categories"][1]["memory_span_ns"] = json!(60_000_000_000u64);
         })
     };
     // An answered health check shows that the connection was accepted from the backlog.
-    let connect_accepted = |place: &Place| {
+    let connect_accepted = |place: &Deployment| {
         let mut router = Router::connect(place.server);
         router.0.send(frame(16, 1, &[0]));
         assert_eq!(router.frame().kind, 32);
@@ -468,7 +468,7 @@
     );
     router.0.send(request_frame(3, "00000000000000d4", "lookup", Some("unread")));
     assert_eq!(kernel.expect("SCHED", "00000000000000d4"), b"ask", "nothing else runs");
-    kernel.tell("REAP", "00000000000000d4", "OK", b"result");
+    kernel.send_notice("REAP", "00000000000000d4", "OK", b"result");
     assert_eq!(router.answer(), (3, "succeeded", b"result".to_vec()));
 }
 
@@ -492,7 +492,7 @@
             free_port(),
             free_port()
         );
-        let forwarder = Place::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
+        let forwarder = Deployment::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
             all["settings"]["customers"] = json!([]);
         });
         forwarder.logged("takes work");
@@ -500,7 +500,7 @@
         // A request that succeeds shows that the worker has accepted the forwarder's connection.
         router.0.send(request_frame(1, ONE, "lookup", None));
         kernel.expect("SCHED", ONE);
-        kernel.tell("REAP", ONE, "OK", b"result");
+        kernel.send_notice("REAP", ONE, "OK", b"result");
         assert_eq!(router.answer(), (1, "succeeded", b"result".to_vec()));
         if read {
             router.0.send(request_frame(2, TWO, "lookup", None));
@@ -526,7 +526,7 @@
             // The request is rejected, or it runs.
             let mut command = None;
             while command.is_none() && !router.0.waiting(Duration::from_millis(1)) {
-                command = kernel.hear_within(Duration::from_millis(20));
+                command = kernel.receive_within(Duration::from_millis(20));
             }
             match command {
                 None => {
@@ -535,7 +535,7 @@
                 }
                 Some((msg, call, _)) => {
                     assert_eq!((msg, call), ("SCHED".into(), txn.clone()));
-                    kernel.tell("REAP", &txn, "OK", b"third");
+                    kernel.send_notice("REAP", &txn, "OK", b"third");
                     assert_eq!(router.answer(), (stream, "succeeded", b"third".to_vec()), "one answer each");
                     break;
                 }
@@ -609,7 +609,7 @@
     (stream, txn.clone(), bytes)
 }
 
-fn start_with_enough_capacity() -> (Place, Kernel) {
+fn start_with_enough_capacity() -> (Deployment, Kernel) {
     start_with_executor(|all| {
         all["settings"]["specifics"]["cores"] = json!(64);
         all["settings"]["specifics"]["memory_kb"] = json!(4e6);
@@ -625,13 +625,13 @@
 fn run_each_once(kernel: &mut Kernel, forms: &[Form], expected: &[(usize, Request)]) {
     let mut left: Vec<&(usize, Request)> = expected.iter().collect();
     while !left.is_empty() {
-        let (msg, call, body) = kernel.hear().expect("a command");
+        let (msg, call, body) = kernel.receive().expect("a command");
         let found = left.iter().position(|one| one.1 .1 == call);
         let (at, _) = left.remove(found.unwrap_or_else(|| panic!("{msg} {call}")));
         let operation = forms[*at].0.iter().find(|field| field.0 == "verb").map(|field| field.1);
         let command = (&msg[..], Some(&kernel.service[..]), &body);
         assert_eq!(command, ("SCHED", operation, &forms[*at].1), "form {at}");
-        kernel.tell("REAP", &call, "OK", call.as_bytes());
+        kernel.send_notice("REAP", &call, "OK", call.as_bytes());
     }
 }
 
@@ -641,7 +641,11 @@
 
 /// Writes each part of each form byte by byte, each on its own connection: no byte is written before the previous one was read.
 /// `None` if the machine was too busy to do that before the time-out of an incomplete message; then no request was completed.
-fn write_byte_by_byte(place: &Place, forms: &[Form], round: usize) -> Option<Vec<(Router, usize, Request)>> {
+fn write_byte_by_byte(
+    place: &Deployment,
+    forms: &[Form],
+    round: usize,
+) -> Option<Vec<(Router, usize, Request)>> {
     let mut all: Vec<(Router, usize, Request, usize)> = Vec::new();
     for at in 0..forms.len() {
         for from in (0..build_request(forms, at, 0).2.len()).step_by(SINGLE_BYTES) {
@@ -736,7 +740,10 @@
     for byte in whole.chunks(1) {
         slow.0.try_send(byte);
         // This also answers the polls of the gauges.
-        assert!(kernel.hear_within(Duration::from_secs(1)).is_none(), "an incomplete request does not run");
+        assert!(
+            kernel.receive_within(Duration::from_secs(1)).is_none(),
+            "an incomplete request does not run"
+        );
         if slow.0.waiting(Duration::from_millis(1)) {
             error = Some((slow.answer(), began.elapsed()));
             break;
@@ -746,7 +753,7 @@
     let (answer, after) = error.expect("an error");
     assert_eq!(answer, (0, "errored", Vec::new()), "on no stream, as no request was complete");
     assert!(after < deadline + Duration::from_secs(1), "{after:?}");
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(slow.answer(), (1, "succeeded", b"result".to_vec()));
     assert!(slow.0.ended());
 }
@@ -761,13 +768,13 @@
     for router in &mut slow {
         router.0.send(&whole[..20]);
     }
-    kernel.hear_within(Duration::from_millis(500)); // their connections are no longer new
+    kernel.receive_within(Duration::from_millis(500)); // their connections are no longer new
     slow.iter_mut().for_each(|router| router.0.send(&whole[20..21]));
     let mut good = Router::connect(place.server);
     good.0.send(request_frame(1, ONE, "lookup", None));
-    let command = kernel.hear_within(Duration::from_secs(4));
+    let command = kernel.receive_within(Duration::from_secs(4));
     assert_eq!(command.map(|command| command.1).as_deref(), Some(ONE));
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(good.answer(), (1, "succeeded", b"result".to_vec()));
     let gone =
         slow.iter_mut().filter_map(|one| one.0.waiting(Duration::from_millis(1)).then_some(())).count();
@@ -790,8 +797,8 @@
     let mut good = Router::connect(place.server); // last in the backlog
     good.0.send(request_frame(1, ONE, "lookup", None));
     place.signal("CONT");
-    assert_eq!(kernel.hear_within(Duration::from_secs(4)).map(|command| command.1).as_deref(), Some(ONE));
-    kernel.tell("REAP", ONE, "OK", b"result");
+    assert_eq!(kernel.receive_within(Duration::from_secs(4)).map(|command| command.1).as_deref(), Some(ONE));
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(good.answer(), (1, "succeeded", b"result".to_vec()));
     let is_closed = |one: &&TcpStream| one.set_nonblocking(true).is_ok() && one.peek(&mut [0]).is_ok();
     let closed = slow.iter().filter(is_closed).count();
@@ -817,8 +824,8 @@
     half.0.send(&whole[20..]);
     thread::sleep(Duration::from_millis(2500));
     place.signal("CONT");
-    let command = kernel.hear_within(Duration::from_secs(4));
+    let command = kernel.receive_within(Duration::from_secs(4));
     assert_eq!(command.map(|command| command.1).as_deref(), Some(ONE));
-    kernel.tell("REAP", ONE, "OK", b"result");
+    kernel.send_notice("REAP", ONE, "OK", b"result");
     assert_eq!(half.answer(), (1, "succeeded", b"result".to_vec()));
 }
--- a/crates/server/tests/starts.rs
+++ b/crates/server/tests/starts.rs
@@ -2,7 +2,7 @@
 //! with much to recover, or with a configuration that is replaced in the first second. Each process logs when it was ready: nine
 //! in ten must be ready within ten seconds, all within thirty.
 
-use cypresscleat_demo::{report, Kernel, Link, Place};
+use cypresscleat_demo::{report, Deployment, Kernel, Link};
 use cypresscleat_store::disk::DiskDirectory;
 use cypresscleat_store::{Store, StoreOptions};
 use serde_json::json;
@@ -35,7 +35,7 @@
 }
 
 /// Milliseconds until the last of listening, executor and report, as the process logs them.
-fn ready_ms(place: &Place) -> u64 {
+fn ready_ms(place: &Deployment) -> u64 {
     let line = place.logged("ready: ");
     let number = |word: &str| word.parse::<u64>().ok();
     line.split(' ').filter_map(number).max().unwrap_or_else(|| panic!("no figures in {line}"))
@@ -46,9 +46,9 @@
 fn start_all(operator: impl Fn(usize) -> String, delay: Duration, hup: bool) -> Vec<u64> {
     let at = unused_address();
     run_registry(at, Duration::from_secs(1));
-    let places: Vec<Place> = (0..PROCESSES)
+    let places: Vec<Deployment> = (0..PROCESSES)
         .map(|number| {
-            Place::start_with(Path::new(PROGRAM), CONFIG, &operator(number), |all| {
+            Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator(number), |all| {
                 all["name"] = json!(format!("n{number}"));
                 all["roster"] = json!(at.to_string());
                 all["stop_ms"] = json!(1000);
@@ -153,14 +153,14 @@
     let at = unused_address();
     run_registry(at, Duration::from_secs(1));
     let (planner, worker) = (unused_address(), unused_address());
-    let places: Vec<Place> = (0..PROCESSES)
+    let places: Vec<Deployment> = (0..PROCESSES)
         .map(|number| {
             let listen = unused_address();
             let operator = format!(
                 "tier: {{listen: \"{listen}\", planners: [{{name: \"p0\", address: \"{planner}\"}}], \
                  workers: [{{name: \"w0\", address: \"{worker}\", places: 4}}]}}"
             );
-            Place::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
+            Deployment::start_as(Path::new(PROGRAM), "forward", CONFIG, &operator, |all| {
                 all["name"] = json!(format!("f{number}"));
                 all["roster"] = json!(at.to_string());
             })
--- a/crates/server/tests/store.rs
+++ b/crates/server/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store of the server: idempotency keys across restarts, billing rows compared with the responses that clients received, requests
 //! cut off by a drain, and a failing store.
 
-use cypresscleat_demo::{scgi_request, Gateway, Kernel, Place};
+use cypresscleat_demo::{scgi_request, Deployment, Gateway, Kernel};
 use cypresscleat_scheduler::RetrySafety;
 use cypresscleat_server::config;
 use cypresscleat_server::core::incoming::{IncomingRequest, Peer};
@@ -29,7 +29,7 @@
     path
 }
 
-fn start(folder: &Path) -> Place {
+fn start(folder: &Path) -> Deployment {
     let operator = format!(
         r#"
         store: folder: "{}"
@@ -43,7 +43,7 @@
     "#,
         folder.display()
     );
-    Place::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
+    Deployment::start_with(Path::new(PROGRAM), CONFIG, &operator, |all| {
         all["settings"]["categories"][1]["effect"] = json!("dedup");
         all["settings"]["categories"][1]["memory_span_ns"] = json!(60_000_000_000u64);
         all["settings"]["customers"] = json!([]);
@@ -53,7 +53,7 @@
     })
 }
 
-fn start_executor(place: &Place) -> Kernel {
+fn start_executor(place: &Deployment) -> Kernel {
     let (mut executor, _) = Kernel::accept(&place.kernel);
     executor.boot("WARM");
     place.logged("kernel up");
@@ -64,7 +64,7 @@
     scgi_request("POST", "/put", &[("HTTP_IDEMPOTENCY_KEY", key)], body.as_bytes())
 }
 
-fn send_request(place: &Place, bytes: &[u8]) -> (u16, String) {
+fn send_request(place: &Deployment, bytes: &[u8]) -> (u16, String) {
     let mut gateway = Gateway::connect(place.scgi.expect("a listener"));
     gateway.0.send(bytes);
     let response = gateway.response().expect("a response");
@@ -93,7 +93,7 @@
         gateway
     };
     let mut first = start_request("one", "a");
-    let (msg, call, body) = executor.hear().expect("a command");
+    let (msg, call, body) = executor.receive().expect("a command");
     assert_eq!((msg.as_str(), &body[..]), ("SCHED", &b"a"[..]));
     // A retry while the first attempt runs waits for its response; another body under the same key is an error.
     let mut second = start_request("one", "a");
@@ -102,7 +102,7 @@
         send_request(&place, &scgi_request("POST", "/put", &[], b"a")),
         (400, "no HTTP_IDEMPOTENCY_KEY\n".into())
     );
-    executor.tell("REAP", &call, "OK", b"done");
+    executor.send_notice("REAP", &call, "OK", b"done");
     for gateway in [&mut first, &mut second] {
         let response = gateway.response().expect("a response");
         assert_eq!((response.status, &response.body[..]), (200, &b"done"[..]));
@@ -110,7 +110,7 @@
     assert_eq!(send_request(&place, &put_request("one", "a")), (200, "done".into()));
     // A request whose run is cut off by a kill: its effect is unknown.
     let mut interrupted = start_request("two", "b");
-    assert_eq!(executor.hear().expect("a command").2, b"b");
+    assert_eq!(executor.receive().expect("a command").2, b"b");
     drop(place);
     assert!(interrupted.response().is_none());
     let place = start(&folder);
@@ -128,9 +128,9 @@
     );
     let mut third = Gateway::connect(place.scgi.expect("a listener"));
     third.0.send(put_request("three", "c"));
-    let (msg, call, body) = executor.hear().expect("a command");
+    let (msg, call, body) = executor.receive().expect("a command");
     assert_eq!((msg.as_str(), &body[..]), ("SCHED", &b"c"[..]), "no other request was run");
-    executor.tell("REAP", &call, "OK", b"third");
+    executor.send_notice("REAP", &call, "OK", b"third");
     assert_eq!(third.response().expect("a response").status, 200);
     drop(place);
     let rows = read_rows(&folder, "b/");
@@ -154,11 +154,11 @@
         let mut executor = start_executor(&place);
         let executed = ran.clone();
         let executor = thread::spawn(move || {
-            while let Some((msg, call, body)) = executor.hear() {
+            while let Some((msg, call, body)) = executor.receive() {
                 if msg == "SCHED" {
                     let body = String::from_utf8_lossy(&body).into_owned();
                     executed.lock().expect("the list").push(body.clone());
-                    if !executor.try_tell("REAP", &call, "OK", format!("did {body}").as_bytes()) {
+                    if !executor.try_send_notice("REAP", &call, "OK", format!("did {body}").as_bytes()) {
                         return;
                     }
                 }
@@ -199,7 +199,10 @@
         assert_eq!(send_request(&place, &put_request(key, key)), (200, body.clone()), "the stored response");
         assert_eq!(body, &format!("did {key}"));
     }
-    assert!(executor.hear_within(Duration::from_millis(50)).is_none(), "no completed request is run again");
+    assert!(
+        executor.receive_within(Duration::from_millis(50)).is_none(),
+        "no completed request is run again"
+    );
     drop(place);
     let ran = ran.lock().expect("the list").clone();
     assert_eq!(ran.iter().collect::<BTreeSet<_>>().len(), ran.len(), "an idempotency key ran twice");
@@ -226,11 +229,11 @@
         .collect();
     let mut calls = Vec::new();
     for _ in 0..3 {
-        calls.push(executor.hear().expect("a command").1);
+        calls.push(executor.receive().expect("a command").1);
     }
     place.signal("TERM");
     place.logged("draining");
-    executor.tell("REAP", &calls[0], "OK", b"in time");
+    executor.send_notice("REAP", &calls[0], "OK", b"in time");
     let answered = gateways.iter_mut().position(|gateway| gateway.0.waiting(Duration::from_millis(200)));
     assert!(answered.is_some(), "one request is answered in the drain");
     thread::sleep(Duration::from_millis(100));
@@ -243,7 +246,7 @@
     let mut executor = start_executor(&place);
     place.signal("TERM");
     assert!(place.exit().success());
-    assert!(executor.hear().is_none());
+    assert!(executor.receive().is_none());
     let place = start(&folder);
     assert!(place.has_logged("0 invocations cut off"), "cut-off requests are logged once");
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -3,7 +3,7 @@
 
 use cypresscleat_consensus::message::{self, LogPosition, Message, MessageBody};
 use cypresscleat_consensus::Member;
-use cypresscleat_demo::owners::{judge, Setup, Stage};
+use cypresscleat_demo::owners::{check_invariants, Setup, Stage};
 use cypresscleat_fault_injection::{free_port, Disk, Order};
 use cypresscleat_leases::messages::{Grant, Request, Response};
 use cypresscleat_leases::{node_id, Claim, Partition, NO_GRANT, SECOND};
@@ -151,7 +151,7 @@
     let mut stage = start_stage();
     let members: Vec<Member> = REPLICAS.iter().map(|name| member(&stage, name)).collect();
     for name in ["k1", "k2"] {
-        stage.obey(&Order::Kill(name.into()));
+        stage.apply_order(&Order::Kill(name.into()));
     }
     let count_elections = |stage: &Stage| find_log_lines(stage, "k0", &["leads the keepers in"]).len();
     let before = count_elections(&stage);
@@ -170,10 +170,10 @@
     assert_eq!(count_elections(&stage), before, "{}", stage.logs());
     assert_eq!(stage.owners().1, 4, "a single replica of three decides nothing");
     for name in ["k1", "k2"] {
-        stage.obey(&Order::Start(name.into(), Disk::Old));
+        stage.apply_order(&Order::Start(name.into(), Disk::Old));
     }
     assert!(stage.progress(5, TIMEOUT), "{}", stage.logs());
-    let judged = judge(&stage.ledger.journal());
+    let judged = check_invariants(&stage.ledger.journal());
     assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
 }
 
@@ -182,7 +182,7 @@
 fn a_replica_with_a_new_address_is_found_by_replicas_and_by_instances_with_the_old_list() {
     let mut stage = start_stage();
     let (old, moved) = (address(&stage, "k2"), free_port());
-    stage.obey(&Order::Kill("k2".into()));
+    stage.apply_order(&Order::Kill("k2".into()));
     let file = |name: &str| std::fs::read_to_string(stage.operator(name)).expect("a file");
     let plain = file("operator").replace(&old.to_string(), &moved.to_string());
     let folder = stage.folder().join("k2").display().to_string();
@@ -202,12 +202,12 @@
         stage.process(name).signal("HUP");
         assert!(stage.process(name).logged("one change at a time", 0, TIMEOUT).is_some());
     }
-    stage.obey(&Order::Start("k2".into(), Disk::Old));
+    stage.apply_order(&Order::Start("k2".into(), Disk::Old));
     assert!(stage.progress(5, TIMEOUT), "{}", stage.logs());
     // With k1 killed, k0 needs k2 at its new address for a quorum. Either of them may lead then.
-    stage.obey(&Order::Kill("k1".into()));
+    stage.apply_order(&Order::Kill("k1".into()));
     assert!(stage.progress(50, TIMEOUT), "{}", stage.logs());
-    let judged = judge(&stage.ledger.journal());
+    let judged = check_invariants(&stage.ledger.journal());
     assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
 }
 
