--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -246,11 +246,11 @@
     }
     let last = stage.policy(&["status"]).0.first().and_then(|one| one["in_force"].as_u64()).unwrap_or(0);
     let settled = code == 0 && all_have(&stage, last);
-    let books = stage.rests();
+    let request_counts = stage.rests();
     let events = stage.journal();
     let has_barrier =
         |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
-    let judged = rollout::check_invariants(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
+    let check_report = rollout::check_invariants(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
     if let Some(path) = journal {
         let text: Vec<String> =
             std::iter::once(serde_json::json!({"bound_ms": MAX_MIXED_VERSIONS_MS}).to_string())
@@ -265,16 +265,16 @@
     println!(
         "{}",
         serde_json::json!({
-            "changes": judged.taken + judged.dropped,
-            "taken": judged.taken,
-            "dropped": judged.dropped,
-            "asked": books.asked,
-            "answered": books.answered,
-            "admitted_under_wrong_version": judged.wrong,
-            "mixture_max_ms": judged.mixture_ms,
-            "admitted": judged.admitted,
-            "succeeded": books.succeeded,
-            "throttled": books.throttled,
+            "changes": check_report.taken + check_report.dropped,
+            "taken": check_report.taken,
+            "dropped": check_report.dropped,
+            "asked": request_counts.asked,
+            "answered": request_counts.answered,
+            "admitted_under_wrong_version": check_report.wrong,
+            "mixture_max_ms": check_report.mixture_ms,
+            "admitted": check_report.admitted,
+            "succeeded": request_counts.succeeded,
+            "throttled": request_counts.throttled,
             "ran_twice": ran_twice,
             "faults": stage.faults.len(),
             "settled": settled,
@@ -283,7 +283,11 @@
     if !settled {
         eprintln!("{decision:?} {:?}", stage.policy(&["status"]));
     }
-    match settled && judged.wrong == 0 && books.asked == books.answered && ran_twice == 0 {
+    match settled
+        && check_report.wrong == 0
+        && request_counts.asked == request_counts.answered
+        && ran_twice == 0
+    {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
@@ -301,7 +305,7 @@
     println!("ready");
     stage.faults(seed, Duration::from_secs(seconds.min(3600)));
     let went_on = stage.progress(30, Duration::from_secs(20));
-    let judged = check_invariants(&stage.ledger.journal());
+    let check_report = check_invariants(&stage.ledger.journal());
     if let Some(Err(error)) = journal.map(|path| stage.write(path)) {
         println!("the journal: {error}");
         return ExitCode::FAILURE;
@@ -309,15 +313,15 @@
     println!(
         "{}",
         serde_json::json!({
-            "acts": judged.acts,
-            "refused": judged.refused,
-            "done_twice": judged.done_twice,
-            "done_never": judged.done_never,
+            "acts": check_report.acts,
+            "refused": check_report.refused,
+            "done_twice": check_report.done_twice,
+            "done_never": check_report.done_never,
             "longest_without_owner_ms": stage.longest_without_owner().as_millis() as u64,
             "faults": stage.faults.len(),
         })
     );
-    if went_on && judged.done_twice + judged.done_never + judged.fell == 0 {
+    if went_on && check_report.done_twice + check_report.done_never + check_report.fell == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/demo/src/owners.rs
+++ b/crates/demo/src/owners.rs
@@ -112,24 +112,24 @@
 }
 
 pub fn check_invariants(acts: &[Act]) -> CheckReport {
-    let mut judged = CheckReport { acts: acts.len(), ..CheckReport::default() };
+    let mut check_report = CheckReport { acts: acts.len(), ..CheckReport::default() };
     let (mut done, mut highest) = (BTreeMap::<(u64, u64), u32>::new(), BTreeMap::<u64, u64>::new());
     for act in acts {
-        judged.refused += usize::from(act.older);
+        check_report.refused += usize::from(act.older);
         if act.taken {
             *done.entry((act.part, act.item)).or_default() += 1;
             let high = highest.entry(act.part).or_default();
-            judged.fell += usize::from(act.token < *high);
+            check_report.fell += usize::from(act.token < *high);
             *high = act.token.max(*high);
         }
     }
-    judged.done_twice = done.values().filter(|count| **count > 1).count();
+    check_report.done_twice = done.values().filter(|count| **count > 1).count();
     let parts: BTreeSet<u64> = done.keys().map(|key| key.0).collect();
     for part in parts {
         let last = done.keys().filter(|key| key.0 == part).map(|key| key.1).max().unwrap_or(0);
-        judged.done_never += (0..=last).filter(|item| !done.contains_key(&(part, *item))).count();
+        check_report.done_never += (0..=last).filter(|item| !done.contains_key(&(part, *item))).count();
     }
-    judged
+    check_report
 }
 
 /// Links the control replicas `k0`, `k1` and so on, which receive at `own`. Returns the addresses at which each reaches all, including
--- a/crates/demo/src/rollout.rs
+++ b/crates/demo/src/rollout.rs
@@ -53,7 +53,7 @@
     config: String,
     /// Fault counter of each member, odd while the member is down or suspended. Clients use it to exclude requests lost to a fault.
     fault_count: Arc<Vec<AtomicU64>>,
-    books: Arc<Mutex<RequestCounts>>,
+    request_counts: Arc<Mutex<RequestCounts>>,
     is_stopping: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
     pub ran: Arc<Mutex<Vec<String>>>,
@@ -127,7 +127,7 @@
             folder: folder.clone(),
             config: setup.config.to_string(),
             fault_count: Arc::new((0..64).map(|_| AtomicU64::new(0)).collect()),
-            books: Arc::default(),
+            request_counts: Arc::default(),
             is_stopping: Arc::default(),
             clients: Vec::new(),
             ran,
@@ -356,8 +356,12 @@
     pub fn load(&mut self, each: usize, pause: Duration) {
         for at in 0..self.at.len() {
             for client in 0..each {
-                let (address, fault_count, books, is_stopping) =
-                    (self.at[at], self.fault_count.clone(), self.books.clone(), self.is_stopping.clone());
+                let (address, fault_count, request_counts, is_stopping) = (
+                    self.at[at],
+                    self.fault_count.clone(),
+                    self.request_counts.clone(),
+                    self.is_stopping.clone(),
+                );
                 let client = thread::Builder::new().stack_size(256 * 1024).spawn(move || {
                     let mut count = 0u64;
                     while !is_stopping.load(Ordering::SeqCst) {
@@ -371,18 +375,19 @@
                             continue;
                         };
                         let had_fault = before % 2 == 1 || fault_count[at].load(Ordering::SeqCst) != before;
-                        let mut books = books.lock().expect("the client counts");
+                        let mut request_counts = request_counts.lock().expect("the client counts");
                         if outcome.is_some() || !had_fault {
-                            books.asked += 1;
-                            books.answered += u64::from(outcome.is_some());
-                            books.lost += u64::from(outcome.is_none());
-                            books.throttled += u64::from(outcome == Some("throttled"));
+                            request_counts.asked += 1;
+                            request_counts.answered += u64::from(outcome.is_some());
+                            request_counts.lost += u64::from(outcome.is_none());
+                            request_counts.throttled += u64::from(outcome == Some("throttled"));
                             if outcome == Some("succeeded") {
-                                books.succeeded += 1;
-                                books.longest_ms = books.longest_ms.max(began.elapsed().as_millis() as u64);
+                                request_counts.succeeded += 1;
+                                request_counts.longest_ms =
+                                    request_counts.longest_ms.max(began.elapsed().as_millis() as u64);
                             }
                         }
-                        drop(books);
+                        drop(request_counts);
                         thread::sleep(pause);
                     }
                 });
@@ -391,8 +396,8 @@
         }
     }
 
-    pub fn books(&self) -> RequestCounts {
-        *self.books.lock().expect("the client counts")
+    pub fn request_counts(&self) -> RequestCounts {
+        *self.request_counts.lock().expect("the client counts")
     }
 
     /// Ends the load; returns the counts of the clients.
@@ -400,7 +405,7 @@
         self.is_stopping.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| drop(client.join()));
         self.is_stopping.store(false, Ordering::SeqCst);
-        self.books()
+        self.request_counts()
     }
 
     /// Clears all link faults, resumes suspended processes and restarts ended ones.
@@ -568,7 +573,7 @@
 
 /// Checks a journal. `together` returns whether a version has a barrier, so that no two members run different versions.
 pub fn check_invariants(journal: &[Value], bound_ms: f64, together: &dyn Fn(u64) -> bool) -> CheckReport {
-    let mut judged = CheckReport::default();
+    let mut check_report = CheckReport::default();
     let number = |line: &Value, key: &str| line[key].as_u64().unwrap_or(0);
     let (mut committed, mut first_active): (BTreeSet<u64>, BTreeMap<u64, u64>) =
         ([0].into(), BTreeMap::new());
@@ -576,30 +581,30 @@
         let (at, version) = (number(line, "at_ns"), number(line, "version"));
         match line["event"].as_str() {
             Some("taken") => {
-                judged.taken += 1;
+                check_report.taken += 1;
                 committed.insert(version);
             }
-            Some("dropped") => judged.dropped += 1,
+            Some("dropped") => check_report.dropped += 1,
             Some("in_force") => {
-                judged.wrong += usize::from(!committed.contains(&version));
+                check_report.wrong += usize::from(!committed.contains(&version));
                 first_active.entry(version).or_insert(at);
             }
             Some("admitted") => {
-                judged.admitted += 1;
-                judged.wrong += usize::from(!committed.contains(&version));
+                check_report.admitted += 1;
+                check_report.wrong += usize::from(!committed.contains(&version));
                 for (_, from) in first_active.range(version + 1..).filter(|(newer, _)| together(**newer)) {
-                    judged.wrong += usize::from(at > *from);
+                    check_report.wrong += usize::from(at > *from);
                 }
                 if let Some((_, from)) = first_active.range(version + 1..).next() {
                     let mixed = at.saturating_sub(*from) as f64 / 1e6;
-                    judged.mixture_ms = judged.mixture_ms.max(mixed);
-                    judged.wrong += usize::from(mixed > bound_ms);
+                    check_report.mixture_ms = check_report.mixture_ms.max(mixed);
+                    check_report.wrong += usize::from(mixed > bound_ms);
                 }
             }
             _ => {}
         }
     }
-    judged
+    check_report
 }
 
 /// Number of repeated runs, by request body.
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -45,9 +45,13 @@
 }
 
 fn verify_journal(stage: &Stage) -> CheckReport {
-    let judged = check_invariants(&stage.ledger.journal());
-    assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
-    judged
+    let check_report = check_invariants(&stage.ledger.journal());
+    assert_eq!(
+        (check_report.done_twice, check_report.done_never, check_report.fell),
+        (0, 0, 0),
+        "{check_report:?}"
+    );
+    check_report
 }
 
 fn names_except(stage: &Stage, name: &str) -> Vec<String> {
--- a/crates/server/tests/relays.rs
+++ b/crates/server/tests/relays.rs
@@ -90,11 +90,15 @@
 fn verify_outcome(stage: &mut Stage, version: u64, has_barrier: &dyn Fn(u64) -> bool) -> CheckReport {
     stage.heal();
     wait_until_all_serve(stage, version);
-    let books = stage.rests();
-    assert_eq!((books.lost, books.asked), (0, books.answered), "{books:?}");
-    let judged = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
-    assert_eq!(judged.wrong, 0, "{judged:?}");
-    judged
+    let request_counts = stage.rests();
+    assert_eq!(
+        (request_counts.lost, request_counts.asked),
+        (0, request_counts.answered),
+        "{request_counts:?}"
+    );
+    let check_report = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
+    assert_eq!(check_report.wrong, 0, "{check_report:?}");
+    check_report
 }
 
 /// Proposes a policy until a proposal is committed; returns its version.
@@ -175,8 +179,8 @@
         ["m0", "m1", "m2"].map(String::from).into(),
         "a relay reports the members behind it"
     );
-    let judged = verify_outcome(&mut stage, 4, &|_| false);
-    assert!(judged.admitted > 100, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, 4, &|_| false);
+    assert!(check_report.admitted > 100, "{check_report:?}");
 }
 
 #[test]
@@ -289,9 +293,9 @@
     for member in ["m0", "m1", "m2"] {
         assert!(stage.logged(member, "out of service", 1, TIMEOUT), "{member}");
     }
-    let before = stage.books().throttled;
+    let before = stage.request_counts().throttled;
     sleep(ms(500));
-    assert!(stage.books().throttled > before, "their clients are rejected at once");
+    assert!(stage.request_counts().throttled > before, "their clients are rejected at once");
     assert!(stage.all_have(version, 1, TIMEOUT), "{:?}", stage.policy(&["status"]));
     let journal = stage.journal();
     let last = |event: &str, member: &str| {
@@ -337,8 +341,8 @@
         assert_eq!(code, 0, "{lines:?} {:?}", log_tails(&stage));
         sleep(ms(300));
     }
-    let judged = verify_outcome(&mut stage, 4, &|version| version > 1);
-    assert_eq!(judged.mixture_ms, 0.0, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, 4, &|version| version > 1);
+    assert_eq!(check_report.mixture_ms, 0.0, "{check_report:?}");
     let has_held_requests = |name: &str| count_log_lines(&stage, name, "holds what comes") > 0;
     assert!(has_held_requests("m2") && has_held_requests("m3"), "{:?}", log_tails(&stage));
 }
@@ -392,8 +396,8 @@
     assert_eq!(code, 0, "{lines:?} {:?}", log_tails(&stage));
     assert!(stage.serve_under(3, &ALL_MEMBERS[1..], TIMEOUT), "{:?}", log_tails(&stage));
     stage.apply_order(&Order::Heal);
-    let judged = verify_outcome(&mut stage, 3, &|version| version > 2);
-    assert!(judged.admitted > 100, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, 3, &|version| version > 2);
+    assert!(check_report.admitted > 100, "{check_report:?}");
 }
 
 #[test]
@@ -509,8 +513,8 @@
     let has_barrier =
         |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
     let version = propose_until_committed(&stage, 7);
-    let judged = verify_outcome(&mut stage, version, &has_barrier);
-    assert!(judged.taken >= 2, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, version, &has_barrier);
+    assert!(check_report.taken >= 2, "{check_report:?}");
 }
 
 fn check(text: &str) -> (i32, String) {
--- a/crates/server/tests/rollout.rs
+++ b/crates/server/tests/rollout.rs
@@ -55,11 +55,15 @@
 ) -> CheckReport {
     stage.heal();
     assert!(stage.all_have(version, members, TIMEOUT), "{:?}", stage.policy(&["status"]));
-    let books = stage.rests();
-    assert_eq!((books.lost, books.asked), (0, books.answered), "{books:?}");
-    let judged = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
-    assert_eq!(judged.wrong, 0, "{judged:?}");
-    judged
+    let request_counts = stage.rests();
+    assert_eq!(
+        (request_counts.lost, request_counts.asked),
+        (0, request_counts.answered),
+        "{request_counts:?}"
+    );
+    let check_report = check_invariants(&stage.journal(), LEASE.as_secs_f64() * 1e3, has_barrier);
+    assert_eq!(check_report.wrong, 0, "{check_report:?}");
+    check_report
 }
 
 /// Proposes a policy until a proposal is committed; returns its version.
@@ -152,8 +156,8 @@
     sleep(ms(500));
     stage.apply_order(&Order::Wake("m0".into()));
     sleep(ms(500));
-    let judged = verify_outcome(&mut stage, version, 3, &|_| false);
-    assert!(judged.admitted > 100, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, version, 3, &|_| false);
+    assert!(check_report.admitted > 100, "{check_report:?}");
     let journal = stage.journal();
     let woken =
         journal.iter().position(|line| line["event"] == json!("woken")).expect("no process was resumed");
@@ -172,9 +176,9 @@
     stage.apply_order(&Order::Cut(vec![vec!["m1".into()], replicas]));
     let version = propose_until_committed(&stage, 4);
     assert!(stage.logged("m1", "out of service", 1, TIMEOUT));
-    let before = stage.books().throttled;
+    let before = stage.request_counts().throttled;
     sleep(ms(500));
-    assert!(stage.books().throttled > before, "its clients are rejected at once");
+    assert!(stage.request_counts().throttled > before, "its clients are rejected at once");
     stage.apply_order(&Order::Heal);
     verify_outcome(&mut stage, version, 3, &|_| false);
 }
@@ -199,7 +203,7 @@
     assert_eq!(stage.propose(&policy_document(5, wait), 2).1, 3);
     stage.apply_order(&Order::Heal);
     verify_outcome(&mut stage, 3, 3, &|_| false);
-    assert_eq!(stage.books().throttled, 0);
+    assert_eq!(stage.request_counts().throttled, 0);
 }
 
 #[test]
@@ -227,13 +231,18 @@
         assert_eq!(stage.propose(&policy_document(part, "together: true"), 20).1, 0);
         sleep(ms(300));
     }
-    let judged = verify_outcome(&mut stage, 4, 4, &|version| version > 1);
-    assert_eq!(judged.mixture_ms, 0.0, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, 4, 4, &|version| version > 1);
+    assert_eq!(check_report.mixture_ms, 0.0, "{check_report:?}");
     let held =
         stage.members.iter().any(|one| one.log().iter().any(|line| line.1.contains("holds what comes")));
     assert!(held);
     let logs: Vec<_> = stage.members.iter().map(|one| (one.name.clone(), one.log())).collect();
-    assert_eq!(stage.books().throttled, 0, "held requests were rejected: {:?}; {logs:#?}", stage.books());
+    assert_eq!(
+        stage.request_counts().throttled,
+        0,
+        "held requests were rejected: {:?}; {logs:#?}",
+        stage.request_counts()
+    );
 }
 
 #[test]
@@ -366,8 +375,8 @@
     assert!(!stage.members[1].log().iter().any(|line| line.1.contains("begins under policy")));
     stage.load(1, ms(10));
     sleep(ms(300));
-    let books = stage.books();
-    assert!(books.succeeded > 0 && books.throttled > 0, "{books:?}");
+    let request_counts = stage.request_counts();
+    assert!(request_counts.succeeded > 0 && request_counts.throttled > 0, "{request_counts:?}");
     for name in ["k0", "k1", "k2"] {
         stage.apply_order(&Order::Start(name.into(), Disk::Old));
     }
@@ -503,6 +512,6 @@
     let has_barrier =
         |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
     let version = propose_until_committed(&stage, 7);
-    let judged = verify_outcome(&mut stage, version, 5, &has_barrier);
-    assert!(judged.taken >= 2, "{judged:?}");
+    let check_report = verify_outcome(&mut stage, version, 5, &has_barrier);
+    assert!(check_report.taken >= 2, "{check_report:?}");
 }
--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -173,8 +173,12 @@
         stage.apply_order(&Order::Start(name.into(), Disk::Old));
     }
     assert!(stage.progress(5, TIMEOUT), "{}", stage.logs());
-    let judged = check_invariants(&stage.ledger.journal());
-    assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
+    let check_report = check_invariants(&stage.ledger.journal());
+    assert_eq!(
+        (check_report.done_twice, check_report.done_never, check_report.fell),
+        (0, 0, 0),
+        "{check_report:?}"
+    );
 }
 
 /// Guards against instances that never find a leader whose address has changed.
@@ -207,8 +211,12 @@
     // With k1 killed, k0 needs k2 at its new address for a quorum. Either of them may lead then.
     stage.apply_order(&Order::Kill("k1".into()));
     assert!(stage.progress(50, TIMEOUT), "{}", stage.logs());
-    let judged = check_invariants(&stage.ledger.journal());
-    assert_eq!((judged.done_twice, judged.done_never, judged.fell), (0, 0, 0), "{judged:?}");
+    let check_report = check_invariants(&stage.ledger.journal());
+    assert_eq!(
+        (check_report.done_twice, check_report.done_never, check_report.fell),
+        (0, 0, 0),
+        "{check_report:?}"
+    );
 }
 
 fn send_message(by: &UdpSocket, to: SocketAddr, message: &ControlMessage) {
