--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -16,10 +16,10 @@
 //! processes. With `--relays` five of the six app servers poll two relays in place of the control replicas.
 
 use clap::{value_parser, Arg, Command};
-use cypresscleat_demo::owners::{judge, Setup, Stage};
+use cypresscleat_demo::owners::{check_invariants, Setup, Stage};
 use cypresscleat_demo::split::{self, places, Split, PLACES};
-use cypresscleat_demo::tier::{self, Levels, Worker};
-use cypresscleat_demo::{frame, invocation, report, rollout, Kernel, Ledger, Link, Place, Router};
+use cypresscleat_demo::tier::{self, TwoLevels, Worker};
+use cypresscleat_demo::{frame, report, request_frame, rollout, Deployment, Kernel, Ledger, Link, Router};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
@@ -126,7 +126,7 @@
     }
     let scgi = matches.get_one::<SocketAddr>("scgi").copied();
     let operator = scgi.map_or(String::new(), operator);
-    let mut place = Place::start_with(Path::new(&program), &text, &operator, |_| {});
+    let mut place = Deployment::start_with(Path::new(&program), &text, &operator, |_| {});
     println!("the app server listens on {}", place.server);
 
     let kernel = place.kernel.try_clone().expect("a listener");
@@ -156,7 +156,7 @@
         println!("router: health check response {}", router.frame().payload[0]);
         for stream in 1..=REQUESTS {
             let operation = if stream % 2 == 0 { "lookup" } else { "report" };
-            router.0.send(invocation(stream, &format!("{stream:016x}"), operation, b"tell me"));
+            router.0.send(request_frame(stream, &format!("{stream:016x}"), operation, b"tell me"));
         }
         for _ in 0..REQUESTS {
             let (stream, code, body) = router.answer();
@@ -246,11 +246,11 @@
     }
     let last = stage.policy(&["status"]).0.first().and_then(|one| one["in_force"].as_u64()).unwrap_or(0);
     let settled = code == 0 && all_have(&stage, last);
-    let books = stage.rests();
+    let request_counts = stage.rests();
     let events = stage.journal();
     let has_barrier =
         |version: u64| proposed.get(&version).is_some_and(|text| text.contains("together: true"));
-    let judged = rollout::judge(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
+    let check_report = rollout::check_invariants(&events, MAX_MIXED_VERSIONS_MS as f64, &has_barrier);
     if let Some(path) = journal {
         let text: Vec<String> =
             std::iter::once(serde_json::json!({"bound_ms": MAX_MIXED_VERSIONS_MS}).to_string())
@@ -265,16 +265,16 @@
     println!(
         "{}",
         serde_json::json!({
-            "changes": judged.taken + judged.dropped,
-            "taken": judged.taken,
-            "dropped": judged.dropped,
-            "asked": books.asked,
-            "answered": books.answered,
-            "admitted_under_wrong_version": judged.wrong,
-            "mixture_max_ms": judged.mixture_ms,
-            "admitted": judged.admitted,
-            "succeeded": books.succeeded,
-            "throttled": books.throttled,
+            "changes": check_report.taken + check_report.dropped,
+            "taken": check_report.taken,
+            "dropped": check_report.dropped,
+            "asked": request_counts.asked,
+            "answered": request_counts.answered,
+            "admitted_under_wrong_version": check_report.wrong,
+            "mixture_max_ms": check_report.mixture_ms,
+            "admitted": check_report.admitted,
+            "succeeded": request_counts.succeeded,
+            "throttled": request_counts.throttled,
             "ran_twice": ran_twice,
             "faults": stage.faults.len(),
             "settled": settled,
@@ -283,7 +283,11 @@
     if !settled {
         eprintln!("{decision:?} {:?}", stage.policy(&["status"]));
     }
-    match settled && judged.wrong == 0 && books.asked == books.answered && ran_twice == 0 {
+    match settled
+        && check_report.wrong == 0
+        && request_counts.asked == request_counts.answered
+        && ran_twice == 0
+    {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
@@ -301,7 +305,7 @@
     println!("ready");
     stage.faults(seed, Duration::from_secs(seconds.min(3600)));
     let went_on = stage.progress(30, Duration::from_secs(20));
-    let judged = judge(&stage.ledger.journal());
+    let check_report = check_invariants(&stage.ledger.journal());
     if let Some(Err(error)) = journal.map(|path| stage.write(path)) {
         println!("the journal: {error}");
         return ExitCode::FAILURE;
@@ -309,15 +313,15 @@
     println!(
         "{}",
         serde_json::json!({
-            "acts": judged.acts,
-            "refused": judged.refused,
-            "done_twice": judged.done_twice,
-            "done_never": judged.done_never,
+            "acts": check_report.acts,
+            "refused": check_report.refused,
+            "done_twice": check_report.done_twice,
+            "done_never": check_report.done_never,
             "longest_without_owner_ms": stage.longest_without_owner().as_millis() as u64,
             "faults": stage.faults.len(),
         })
     );
-    if went_on && judged.done_twice + judged.done_never + judged.fell == 0 {
+    if went_on && check_report.done_twice + check_report.done_never + check_report.fell == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -379,7 +383,7 @@
     };
     let keepers: Vec<u64> = stage.keepers.iter().map(|one| peak_memory_kb(one.id())).collect();
     let owners: Vec<u64> = stage.instances.iter().map(|one| peak_memory_kb(one.id())).collect();
-    stage.peace();
+    stage.heal();
     println!("{}", serde_json::json!({"handovers": summaries, "keeper_kb": keepers, "owner_kb": owners}));
     ExitCode::SUCCESS
 }
@@ -388,7 +392,7 @@
 const REQUESTS_PER_SECOND: u64 = 40;
 
 fn run_tier(program: &Path, config: &str, seconds: u64, kill: bool) -> ExitCode {
-    let mut levels = Levels::start(program, config, 2, 2, 3);
+    let mut levels = TwoLevels::start(program, config, 2, 2, 3);
     let alone: Vec<Worker> =
         (0..3).map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM")).collect();
     for forwarder in levels.forwarders.iter().flatten() {
@@ -402,8 +406,8 @@
     let (many, gap) =
         ((seconds * REQUESTS_PER_SECOND) as usize, Duration::from_micros(1_000_000 / REQUESTS_PER_SECOND));
     let (two, one) = (levels.addresses(), alone.iter().map(|worker| worker.place.server).collect::<Vec<_>>());
-    let tiered = thread::spawn(move || tier::trickle(&two, "tier", many, gap));
-    let standalone = thread::spawn(move || tier::trickle(&one, "alone", many, gap));
+    let tiered = thread::spawn(move || tier::send_steadily(&two, "tier", many, gap));
+    let standalone = thread::spawn(move || tier::send_steadily(&one, "alone", many, gap));
     if kill {
         thread::sleep(Duration::from_secs(seconds) / 2);
         levels.planners.iter_mut().for_each(|planner| *planner = None);
@@ -452,7 +456,8 @@
             .take(sides)
             .map(|side| places(&side.logged("by its grants: epoch")))
             .sum();
-        let all = tier::trickle(&split.addresses(), if with_replicas { "kept" } else { "lead" }, many, gap);
+        let all =
+            tier::send_steadily(&split.addresses(), if with_replicas { "kept" } else { "lead" }, many, gap);
         let ran: Vec<String> =
             split.workers.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
         all_answered &=
@@ -462,7 +467,7 @@
         .map(|at| tier::worker(program, config, &format!("alone{at}"), None, "WARM"))
         .collect();
     let to: Vec<SocketAddr> = alone.iter().map(|worker| worker.place.server).collect();
-    let all = tier::trickle(&to, "alone", many, gap);
+    let all = tier::send_steadily(&to, "alone", many, gap);
     let ran: Vec<String> =
         alone.iter().flat_map(|worker| worker.ran.lock().expect("the list").clone()).collect();
     all_answered &= row("workers alone", None, &all, &ran);
@@ -487,7 +492,7 @@
 }
 
 fn run_ledger(mut ledger: Ledger) {
-    while let Some((command, body)) = ledger.hear() {
+    while let Some((command, body)) = ledger.receive() {
         println!("ledger: {} {:?}", command.join(" "), String::from_utf8_lossy(&body));
         if command[0] == "post" {
             ledger.posted(&command[1], b"noted");
@@ -499,13 +504,13 @@
 fn run_kernel(listener: &std::net::TcpListener) {
     let (mut kernel, _) = Kernel::accept(listener);
     kernel.boot("WARM");
-    while let Some((msg, call, body)) = kernel.hear() {
+    while let Some((msg, call, body)) = kernel.receive() {
         println!("kernel: {msg} {call} {:?}", String::from_utf8_lossy(&body));
         match msg.as_str() {
-            "SCHED" if kernel.service == "report" => kernel.tell("IOREQ", &call, "", b"note this"),
+            "SCHED" if kernel.service == "report" => kernel.send_notice("IOREQ", &call, "", b"note this"),
             "SCHED" | "IODONE" => {
                 thread::sleep(Duration::from_millis(20));
-                kernel.tell("REAP", &call, "OK", b"here you are");
+                kernel.send_notice("REAP", &call, "OK", b"here you are");
             }
             _ => {}
         }
