--- a/crates/server/tests/strangers.rs
+++ b/crates/server/tests/strangers.rs
@@ -59,7 +59,7 @@
 
 /// The log lines that report a change of leader, membership or disk state among the replicas.
 fn logged_changes(stage: &Stage) -> Vec<String> {
-    let words = ["leads the keepers", " comes", " goes", "stale", "begin", "ended"];
+    let words = ["leads the keepers", " comes", " goes", "forgotten", "stale", "begin", "ended"];
     REPLICAS.iter().flat_map(|name| find_log_lines(stage, name, &words)).collect()
 }
 
